--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -8,6 +8,8 @@
     missing_docs
 )]
 
+pub mod stored;
+
 use std::collections::BTreeMap;
 
 use chalkyard_control::*;
@@ -195,6 +197,22 @@
         self.disks[machine] = disk;
     }
 
+    /// The digest of all messages on their way, of what each machine holds, and of its votes.
+    pub fn fingerprint(&self) -> Vec<u8> {
+        let key = SiteKey::new([7; 32]);
+        let mut bytes = Vec::new();
+        for (from, to, message) in &self.on_their_way {
+            bytes.extend([from.0, to.0]);
+            bytes.extend(message.encode(&key));
+        }
+        for (machine, disk) in self.machines.iter().zip(&self.disks) {
+            bytes.extend(machine.number().0.to_le_bytes());
+            bytes.extend(machine.history().document().digest().to_string().into_bytes());
+            bytes.extend(postcard::to_stdvec(&disk.votes).unwrap());
+        }
+        Digest::of_bytes(&bytes).to_string().into_bytes()
+    }
+
     /// No number has two contents, and machines that hold the same number hold the same whole.
     pub fn check(&self) {
         assert_eq!(self.conflict, None, "a number was decided twice");
--- /dev/null
+++ b/crates/state/tests/transitions.rs
@@ -0,0 +1,115 @@
+//! Every step of the lifecycle from every state, as it was before any type was renamed, and the names under which `status`
+//! and logs print phases and ends.
+#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
+
+use std::collections::BTreeSet;
+
+use chalkyard_state::*;
+
+const TRANSITIONS: &str = include_str!("data/transitions.txt");
+
+const EVENTS: [(Event, &str); 11] = [
+    (Event::Tick, "tick"),
+    (Event::Listed, "listed"),
+    (Event::Listening, "listening"),
+    (Event::ListenFailed, "listen-failed"),
+    (Event::Terminate, "terminate"),
+    (Event::Drain, "drain"),
+    (Event::Undrain, "undrain"),
+    (Event::Reload, "reload"),
+    (Event::Succeeded, "succeeded"),
+    (Event::Idle, "idle"),
+    (Event::Broken, "broken"),
+];
+
+fn act(act: &Act) -> String {
+    match act {
+        Act::Listen => "listen".into(),
+        Act::SayReady => "say-ready".into(),
+        Act::SayReloading => "say-reloading".into(),
+        Act::SayStopping => "say-stopping".into(),
+        Act::Leave => "leave".into(),
+        Act::StopTaking { for_good } => format!("stop-taking-{for_good}"),
+        Act::TakeAgain => "take-again".into(),
+        Act::Reload => "reload".into(),
+        Act::AnswerAll => "answer-all".into(),
+        Act::Exit(stop) => format!("exit-{}-{}", serde_json::to_value(stop).unwrap(), stop.code()),
+    }
+}
+
+fn phase(life: &Life) -> String {
+    let due = life.due().map_or("never".into(), |at| at.to_string());
+    format!("{} until {due}", serde_json::to_value(life.phase()).unwrap())
+}
+
+/// All states that any events lead to, each with the shortest way to it, and all steps from it: at once, and when it is due.
+fn transitions(leave: u64) -> Vec<String> {
+    let mut lines = Vec::new();
+    let begun = Life::new(Terms { start: 5, leave, drain: 10, farewell: 2 }, 0);
+    let mut waiting = vec![(begun.clone(), 0, String::from("begun"))];
+    let mut seen = BTreeSet::from([begun]);
+    while !waiting.is_empty() {
+        let (life, now, way) = waiting.remove(0);
+        lines.push(format!("leave {leave} at {now}, {way}: {}", phase(&life)));
+        for (event, name) in EVENTS {
+            let times = [Some(now), life.due().filter(|due| *due > now)];
+            for at in times.into_iter().flatten() {
+                let (mut next, mut acts) = (life.clone(), Vec::new());
+                next.handle(at, event, &mut acts);
+                if next == life && acts.is_empty() {
+                    continue;
+                }
+                let acts: Vec<String> = acts.iter().map(act).collect();
+                lines.push(format!("  {name} at {at} -> {}; {}", phase(&next), acts.join(" ")));
+                if seen.insert(next.clone()) {
+                    waiting.push((next, at, format!("{way} {name}")));
+                }
+            }
+        }
+    }
+    lines
+}
+
+#[test]
+fn every_step_from_every_state_is_as_recorded() {
+    let lines = [transitions(0), transitions(3)].concat();
+    let recorded: Vec<&str> = TRANSITIONS.lines().collect();
+    assert!(lines.len() > 100, "{}", lines.len());
+    assert_eq!(lines, recorded);
+}
+
+/// `drain_time_up` as the log line of the end prints it: `DrainTimeUp`.
+fn logged(name: &str) -> String {
+    let word = |word: &str| word[..1].to_uppercase() + &word[1..];
+    name.split('_').map(word).collect()
+}
+
+#[test]
+fn phases_and_ends_are_printed_by_their_names() {
+    let printed = |value: serde_json::Value| value.as_str().unwrap().to_owned();
+    let phases = [
+        (Phase::Starting, "starting"),
+        (Phase::Opening, "opening"),
+        (Phase::Ready, "ready"),
+        (Phase::Drained, "drained"),
+        (Phase::Leaving, "leaving"),
+        (Phase::Ending, "ending"),
+        (Phase::Farewell, "farewell"),
+        (Phase::Over, "over"),
+    ];
+    for (phase, name) in phases {
+        assert_eq!(printed(serde_json::to_value(phase).unwrap()), name);
+    }
+    let stops = [
+        (Stop::Drained, "drained", 0),
+        (Stop::DrainTimeUp, "drain_time_up", 4),
+        (Stop::Told, "told", 5),
+        (Stop::NoListening, "no_listening", 1),
+        (Stop::Broken, "broken", 1),
+    ];
+    for (stop, name, code) in stops {
+        assert_eq!(format!("{stop:?}"), logged(name), "the log's `reason`");
+        assert_eq!(printed(serde_json::to_value(stop).unwrap()), name);
+        assert_eq!(stop.code(), code, "{name}");
+    }
+}
