--- a/crates/state/src/lifecycle_test.rs
+++ b/crates/state/tests/lifecycle.rs
@@ -1,8 +1,9 @@
 //! All orders of events, to a depth at which every phase has been left by every way.
+#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use std::collections::BTreeSet;
 
-use super::lifecycle::{Act, Event, Life, Phase, Stop, Terms};
+use chalkyard_state::{Act, Event, Life, Phase, Stop, Terms};
 
 const EVENTS: [Event; 12] = [
     Event::Tick,
