--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use chalkyard_router::shell::{Handle, Heritage, Question};
-use chalkyard_state::Event;
+use chalkyard_state::LifecycleEvent;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -251,21 +251,21 @@
         Call::Engines {} => ask(Question::Engines),
         Call::Requests {} => ask(Question::Requests),
         Call::Trace { id } => ask(Question::Trace(id)),
-        Call::Drain {} => tell(Event::Drain, "drain"),
-        Call::Undrain {} => tell(Event::Undrain, "undrain"),
+        Call::Drain {} => tell(LifecycleEvent::Drain, "drain"),
+        Call::Undrain {} => tell(LifecycleEvent::Undrain, "undrain"),
         // What it changes is told at once; the loop takes it whole, or nothing of it.
         Call::Reload {} => match reloader.look() {
             Err(why) => json!({"error": format!("not reloaded, all stays as it was: {why}")}).to_string(),
             Ok(changes) => {
                 let late = changes.iter().any(|c| !c.in_flight);
                 if !late {
-                    tell(Event::Reload, "reload");
+                    tell(LifecycleEvent::Reload, "reload");
                 }
                 json!({"reloaded": !late, "items": changes, "more": 0}).to_string()
             }
         },
         Call::TakeOver {} => json!({"error": "only a router takes over"}).to_string(),
-        Call::Stop {} => tell(Event::Terminate, "stop"),
+        Call::Stop {} => tell(LifecycleEvent::Terminate, "stop"),
         Call::LogLevel { level } => match logs::set_level(&level) {
             Ok(()) => json!({"level": level}).to_string(),
             Err(why) => json!({"error": why}).to_string(),
--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -12,7 +12,7 @@
 use chalkyard_ledger::{Folder, Limits, Writer};
 use chalkyard_router::shell::{News, Sink};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
-use chalkyard_state::Act;
+use chalkyard_state::LifecycleAction;
 use tracing::{info, warn};
 
 use crate::line_budget::LineBudget;
@@ -277,9 +277,9 @@
         serde_json::to_string(record).ok()
     }
 
-    fn say(&mut self, act: Act, at: Option<SocketAddr>) {
+    fn say(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
         match act {
-            Act::SayReady => {
+            LifecycleAction::SayReady => {
                 notify::say("READY=1\n");
                 if !std::mem::replace(&mut self.ready, true) {
                     let at = at.map(|a| a.to_string());
@@ -287,12 +287,17 @@
                     info!(target: "router", name = self.name, seed = self.seed, at, took_us, "ready");
                 }
             }
-            Act::SayReloading => notify::say("RELOADING=1\n"),
-            Act::SayStopping => notify::say("STOPPING=1\n"),
-            Act::StopTaking { .. } => info!(target: "router", "takes nothing new"),
-            Act::TakeAgain => info!(target: "router", "takes requests again"),
-            Act::AnswerAll => info!(target: "router", "what is open is told that the router stops"),
-            Act::Listen | Act::Leave | Act::Reload | Act::Exit(_) => {}
+            LifecycleAction::SayReloading => notify::say("RELOADING=1\n"),
+            LifecycleAction::SayStopping => notify::say("STOPPING=1\n"),
+            LifecycleAction::StopTaking { .. } => info!(target: "router", "takes nothing new"),
+            LifecycleAction::TakeAgain => info!(target: "router", "takes requests again"),
+            LifecycleAction::AnswerAll => {
+                info!(target: "router", "what is open is told that the router stops")
+            }
+            LifecycleAction::Listen
+            | LifecycleAction::Leave
+            | LifecycleAction::Reload
+            | LifecycleAction::Exit(_) => {}
         }
     }
 
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -11,7 +11,7 @@
 use chalkyard_router::shell::retry::{with_retries, STARTING_TRIES};
 use chalkyard_router::shell::{granularity, Clock, ListenAddress, News, Shell, Sink};
 use chalkyard_router::{Change, Core, Counters, Ended, Finished, Input, Tally, Transition};
-use chalkyard_state::{Act, Event, Terms};
+use chalkyard_state::{LifecycleAction, LifecycleEvent, LifecycleTimeouts};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing::{info, warn};
@@ -85,11 +85,11 @@
 
     fn keep_list(&mut self, _text: &str) {}
 
-    fn say(&mut self, act: Act, _at: Option<std::net::SocketAddr>) {
+    fn say(&mut self, act: LifecycleAction, _at: Option<std::net::SocketAddr>) {
         match act {
-            Act::SayReady => info!(target: "router", "ready"),
-            Act::Leave => info!(target: "router", "told to end; takes what still comes"),
-            Act::StopTaking { .. } => info!(target: "router", "takes nothing new"),
+            LifecycleAction::SayReady => info!(target: "router", "ready"),
+            LifecycleAction::Leave => info!(target: "router", "told to end; takes what still comes"),
+            LifecycleAction::StopTaking { .. } => info!(target: "router", "takes nothing new"),
             _ => {}
         }
     }
@@ -154,13 +154,13 @@
     }
     let log = logs::Log { list_file: None };
     let told = Told { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
-    let terms = Terms { start: START, leave, drain: DRAIN, farewell: FAREWELL };
-    let mut shell = Shell::new(core, told, clock, address, terms).map_err(|e| could_not("starting", e))?;
+    let timeouts = LifecycleTimeouts { start: START, leave, drain: DRAIN, farewell: FAREWELL };
+    let mut shell = Shell::new(core, told, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
     shell.bound_lingering(started.lingering);
     let handle = shell.handle();
     let wait_for_signals = move || {
         for signal in signals.forever() {
-            let event = if signal == SIGHUP { Event::Reload } else { Event::Terminate };
+            let event = if signal == SIGHUP { LifecycleEvent::Reload } else { LifecycleEvent::Terminate };
             if !handle.tell(event) {
                 warn!(target: "router", signal, "the loop does not listen");
             }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -12,7 +12,7 @@
 use chalkyard_router::shell::retry::{with_retries, STARTING_TRIES};
 use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell};
 use chalkyard_router::Core;
-use chalkyard_state::{Event, Terms};
+use chalkyard_state::{LifecycleEvent, LifecycleTimeouts};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing::{info, warn};
@@ -121,8 +121,9 @@
         news,
     };
     let drain = settings.drain_for.as_micros() as u64;
-    let terms = Terms { start: START, leave: 0, drain, farewell: FAREWELL };
-    let mut shell = Shell::new(core, keeping, clock, address, terms).map_err(|e| could_not("starting", e))?;
+    let timeouts = LifecycleTimeouts { start: START, leave: 0, drain, farewell: FAREWELL };
+    let mut shell =
+        Shell::new(core, keeping, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
     let handle = shell.handle();
     let control = settings
         .control
@@ -130,7 +131,7 @@
         .transpose()?;
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            let event = if signal == SIGHUP { Event::Reload } else { Event::Terminate };
+            let event = if signal == SIGHUP { LifecycleEvent::Reload } else { LifecycleEvent::Terminate };
             info!(target: "router", signal, "told to {}", if signal == SIGHUP { "reload" } else { "end" });
             if !handle.tell(event) {
                 warn!(target: "router", signal, "the loop does not listen");
--- a/crates/daemon/tests/common/shell_router.rs
+++ b/crates/daemon/tests/common/shell_router.rs
@@ -8,7 +8,7 @@
 use chalkyard_platform::Started;
 use chalkyard_router::shell::{Clock, Handle, ListenAddress, Shell, Sink};
 use chalkyard_router::{Core, Finished};
-use chalkyard_state::{Event, Terms};
+use chalkyard_state::{LifecycleEvent, LifecycleTimeouts};
 
 use crate::peers::{ask, config, own_address, wait, Agent, Setting, PATIENCE};
 
@@ -51,9 +51,9 @@
         let started = Started::read(&config(at, agent, setting).to_string()).unwrap();
         let clock = Clock::new();
         let core = Core::new(started.config, 7, clock.now());
-        let terms = Terms { start: 3_000_000, leave: 0, drain: 5_000_000, farewell: 200_000 };
+        let timeouts = LifecycleTimeouts { start: 3_000_000, leave: 0, drain: 5_000_000, farewell: 200_000 };
         let address = ListenAddress::take(at, false).unwrap();
-        let mut shell = Shell::new(core, StallingSink, clock, address, terms).unwrap();
+        let mut shell = Shell::new(core, StallingSink, clock, address, timeouts).unwrap();
         shell.bound_lingering(started.lingering);
         let (handle, known) = (shell.handle(), started.known);
         let thread = std::thread::spawn(move || {
@@ -72,15 +72,15 @@
     }
 
     pub fn terminate(&self) {
-        assert!(self.handle.tell(Event::Terminate));
+        assert!(self.handle.tell(LifecycleEvent::Terminate));
     }
 }
 
 impl Drop for ShellRouter {
     fn drop(&mut self) {
         // Told twice, it ends at once.
-        self.handle.tell(Event::Terminate);
-        self.handle.tell(Event::Terminate);
+        self.handle.tell(LifecycleEvent::Terminate);
+        self.handle.tell(LifecycleEvent::Terminate);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use chalkyard_state::Event as LifeEvent;
+use chalkyard_state::LifecycleEvent;
 use mio::Waker;
 
 use super::Heritage;
@@ -26,7 +26,7 @@
 
 #[derive(Debug)]
 pub(super) enum Command {
-    Life(LifeEvent),
+    Life(LifecycleEvent),
     Ask(Question, SyncSender<String>),
     /// With who was first: the loop, which gives, or the asker, who has stopped waiting.
     Succeed(SyncSender<Heritage>, Arc<AtomicBool>),
@@ -53,7 +53,7 @@
     }
 
     /// Tells the router's life of something: a signal, or an operator's wish. False: it can't be told now.
-    pub fn tell(&self, event: LifeEvent) -> bool {
+    pub fn tell(&self, event: LifecycleEvent) -> bool {
         self.put(Command::Life(event))
     }
 
--- a/crates/router/src/shell/life.rs
+++ b/crates/router/src/shell/life.rs
@@ -3,7 +3,7 @@
 use std::os::fd::AsFd;
 use std::sync::mpsc::SyncSender;
 
-use chalkyard_state::{Act, Event as LifeEvent, Phase};
+use chalkyard_state::{LifecycleAction, LifecycleEvent, Phase};
 use mio::Interest;
 
 use super::connections::ACCEPTS_A_TURN;
@@ -15,16 +15,16 @@
     /// What the loop itself can tell the router's life.
     pub(super) fn watch_life(&mut self) {
         match self.life.phase() {
-            Phase::Starting if self.core.has_list() => self.live(LifeEvent::Listed),
+            Phase::Starting if self.core.has_list() => self.live(LifecycleEvent::Listed),
             Phase::Ending | Phase::Farewell => {
                 let open = self.core.open_requests() + self.core.open_clients() + self.core.open_releases();
                 if open == 0 && self.lingering == 0 {
-                    self.live(LifeEvent::Idle);
+                    self.live(LifecycleEvent::Idle);
                 }
             }
             _ => {}
         }
-        self.live(LifeEvent::Tick);
+        self.live(LifecycleEvent::Tick);
     }
 
     /// Connections that were not taken yet wait in the socket for the successor: none is refused or reset.
@@ -34,7 +34,7 @@
         match listener.as_fd().try_clone_to_owned() {
             Ok(listener) => {
                 // All that was taken until now is in the ledger before it is given up.
-                self.live(LifeEvent::Succeeded);
+                self.live(LifecycleEvent::Succeeded);
                 self.finish();
                 let settled = self.sink.give_up_ledger();
                 let _ = answer.try_send(Heritage { listener, settled });
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(super) fn live(&mut self, event: LifeEvent) {
+    pub(super) fn live(&mut self, event: LifecycleEvent) {
         let mut acts = Vec::new();
         self.life.handle(self.clock.now().0, event, &mut acts);
         for act in acts {
@@ -51,17 +51,18 @@
         }
     }
 
-    pub(super) fn act(&mut self, act: Act) {
+    pub(super) fn act(&mut self, act: LifecycleAction) {
         match act {
-            Act::Listen => {
-                let event = if self.listen() { LifeEvent::Listening } else { LifeEvent::ListenFailed };
+            LifecycleAction::Listen => {
+                let event =
+                    if self.listen() { LifecycleEvent::Listening } else { LifecycleEvent::ListenFailed };
                 self.live(event);
             }
-            Act::Leave => {
+            LifecycleAction::Leave => {
                 self.core.leave(self.clock.now());
                 self.sink.counters(self.core.counters());
             }
-            Act::StopTaking { .. } => {
+            LifecycleAction::StopTaking { .. } => {
                 // Who has connected before is heard: a listening socket that goes resets those that wait at it.
                 for _ in 0..=BACKLOG / ACCEPTS_A_TURN {
                     if !self.accept() {
@@ -72,18 +73,18 @@
                 self.accept_at = None;
                 self.core.drain(self.clock.now(), &mut self.outputs);
             }
-            Act::TakeAgain => {
+            LifecycleAction::TakeAgain => {
                 if self.listen() {
                     self.core.undrain();
                 } else {
                     // As it was: the operator is told, and may try again.
-                    self.live(LifeEvent::Drain);
+                    self.live(LifecycleEvent::Drain);
                 }
             }
-            Act::Reload => self.sink.reload(),
-            Act::AnswerAll => self.core.answer_all(self.clock.now(), &mut self.outputs),
-            Act::Exit(stop) => self.ended = Some(stop),
-            Act::SayReady | Act::SayReloading | Act::SayStopping => {}
+            LifecycleAction::Reload => self.sink.reload(),
+            LifecycleAction::AnswerAll => self.core.answer_all(self.clock.now(), &mut self.outputs),
+            LifecycleAction::Exit(stop) => self.ended = Some(stop),
+            LifecycleAction::SayReady | LifecycleAction::SayReloading | LifecycleAction::SayStopping => {}
         }
         self.sink.say(act, Some(self.address.at()));
     }
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chalkyard_state::{Life, Stop, Terms};
+use chalkyard_state::{Lifecycle, LifecycleTimeouts, StopReason};
 use mio::net::TcpListener;
 use mio::{Events, Poll, Token, Waker};
 use slab::Slab;
@@ -60,7 +60,7 @@
     core: Core,
     sink: S,
     clock: Clock,
-    life: Life,
+    life: Lifecycle,
     /// Where it listens, or will.
     address: ListenAddress,
     listener: Option<TcpListener>,
@@ -78,7 +78,7 @@
     /// Connections of ours that could not be begun, and are tried again.
     retries: Retries,
     next_client: u64,
-    ended: Option<Stop>,
+    ended: Option<StopReason>,
     outputs: Vec<Output>,
     buffer: Vec<u8>,
     /// Records wait for the ledger, and whether it could be written last.
@@ -98,7 +98,13 @@
 
 impl<S: Sink> Shell<S> {
     /// A shell around a core, at the beginning of its life.
-    pub fn new(core: Core, sink: S, clock: Clock, address: ListenAddress, terms: Terms) -> io::Result<Self> {
+    pub fn new(
+        core: Core,
+        sink: S,
+        clock: Clock,
+        address: ListenAddress,
+        timeouts: LifecycleTimeouts,
+    ) -> io::Result<Self> {
         let poll = with_retries(STARTING_TRIES, Poll::new)?;
         let waker = Arc::new(with_retries(STARTING_TRIES, || Waker::new(poll.registry(), WAKER))?);
         Ok(Self {
@@ -110,7 +116,7 @@
             core,
             sink,
             clock,
-            life: Life::new(terms, clock.now().0),
+            life: Lifecycle::new(timeouts, clock.now().0),
             address,
             listener: None,
             handle: Handle { waker, commands: Arc::default() },
@@ -145,7 +151,7 @@
     }
 
     /// Runs until the router's life is over. Tells why, and how many requests were still open.
-    pub fn run(&mut self, last_list: Option<&str>) -> io::Result<(Stop, usize)> {
+    pub fn run(&mut self, last_list: Option<&str>) -> io::Result<(StopReason, usize)> {
         self.core.start(self.clock.now(), last_list, &mut self.outputs);
         self.finish();
         let mut woke = Instant::now();
--- a/crates/router/src/shell/sink.rs
+++ b/crates/router/src/shell/sink.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use chalkyard_budget::{Figures, Record, Settled};
-use chalkyard_state::Act;
+use chalkyard_state::LifecycleAction;
 
 use crate::{Counters, Finished, Input, Tally, Transition};
 
@@ -40,7 +40,7 @@
         Vec::new()
     }
     /// The router's life goes on to this phase; what a supervisor is told of it.
-    fn say(&mut self, _word: Act, _at: Option<SocketAddr>) {}
+    fn say(&mut self, _word: LifecycleAction, _at: Option<SocketAddr>) {}
     /// Gives the ledger up whole, for a successor; what is settled from then on goes there.
     fn give_up_ledger(&mut self) -> Option<Receiver<Settled>> {
         None
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -2,4 +2,4 @@
 
 mod lifecycle;
 
-pub use lifecycle::{Act, Event, Life, Phase, Stop, Terms};
+pub use lifecycle::{Lifecycle, LifecycleAction, LifecycleEvent, LifecycleTimeouts, Phase, StopReason};
--- a/crates/state/src/lifecycle.rs
+++ b/crates/state/src/lifecycle.rs
@@ -1,13 +1,13 @@
 //! Start, ready, reload, drain, stop: in which order things are done, and what is said at the end.
 //!
 //! Times are µs of any one clock. Each request that was taken gets its one final answer before the process
-//! ends by its own will: from its engine while the drain lasts, or by [`Act::AnswerAll`].
+//! ends by its own will: from its engine while the drain lasts, or by [`LifecycleAction::AnswerAll`].
 
 use serde::Serialize;
 
 /// How long things last, µs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Terms {
+pub struct LifecycleTimeouts {
     /// The router listens without a list of engines after this.
     pub start: u64,
     /// Told to end, it takes requests for so long yet: others hear of it only by then. 0: not at all.
@@ -20,7 +20,7 @@
 
 /// What happens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Event {
+pub enum LifecycleEvent {
     /// Time has passed.
     Tick,
     /// A list of engines is known, be it an old one.
@@ -47,7 +47,7 @@
 
 /// What is to be done, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
+pub enum LifecycleAction {
     /// Begin to listen.
     Listen,
     /// Tell the supervisor that the router is ready.
@@ -70,13 +70,13 @@
     /// Give every open request its final answer, by what is known of it.
     AnswerAll,
     /// End the process.
-    Exit(Stop),
+    Exit(StopReason),
 }
 
 /// Why the process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stop {
+pub enum StopReason {
     /// All that was open has ended.
     Drained,
     /// The drain's time was up: what was open was told that the router stops.
@@ -89,7 +89,7 @@
     Broken,
 }
 
-impl Stop {
+impl StopReason {
     /// The process's exit code.
     pub fn code(self) -> u8 {
         match self {
@@ -125,25 +125,25 @@
 
 /// One life.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life {
+pub struct Lifecycle {
     phase: Phase,
     /// When the present phase is over by itself.
     until: Option<u64>,
     /// Settings are to be read once ready.
     reload: bool,
     /// Why it ends, once it does.
-    stop: Stop,
-    terms: Terms,
+    stop: StopReason,
+    terms: LifecycleTimeouts,
 }
 
-impl Life {
+impl Lifecycle {
     /// Begins.
-    pub fn new(terms: Terms, now: u64) -> Self {
+    pub fn new(terms: LifecycleTimeouts, now: u64) -> Self {
         Self {
             phase: Phase::Starting,
             until: Some(now.saturating_add(terms.start)),
             reload: false,
-            stop: Stop::Drained,
+            stop: StopReason::Drained,
             terms,
         }
     }
@@ -153,66 +153,78 @@
         self.phase
     }
 
-    /// When [`Event::Tick`] is next needed.
+    /// When [`LifecycleEvent::Tick`] is next needed.
     pub fn due(&self) -> Option<u64> {
         self.until
     }
 
     /// Takes an event.
-    pub fn handle(&mut self, now: u64, event: Event, acts: &mut Vec<Act>) {
-        let Terms { leave, drain, farewell, .. } = self.terms;
+    pub fn handle(&mut self, now: u64, event: LifecycleEvent, acts: &mut Vec<LifecycleAction>) {
+        let LifecycleTimeouts { leave, drain, farewell, .. } = self.terms;
         let late = self.until.is_some_and(|at| at <= now);
         match (self.phase, event) {
             (Phase::Over, _) => {}
-            (_, Event::Broken) => {
-                acts.push(Act::AnswerAll);
-                self.exit(Stop::Broken, acts);
+            (_, LifecycleEvent::Broken) => {
+                acts.push(LifecycleAction::AnswerAll);
+                self.exit(StopReason::Broken, acts);
             }
-            (Phase::Starting | Phase::Opening, Event::Terminate | Event::Succeeded) => {
-                self.exit(Stop::Drained, acts);
+            (Phase::Starting | Phase::Opening, LifecycleEvent::Terminate | LifecycleEvent::Succeeded) => {
+                self.exit(StopReason::Drained, acts);
             }
-            (Phase::Starting, Event::Listed) => self.open(acts),
-            (Phase::Starting, Event::Tick) if late => self.open(acts),
-            (Phase::Opening, Event::Listening) => {
+            (Phase::Starting, LifecycleEvent::Listed) => self.open(acts),
+            (Phase::Starting, LifecycleEvent::Tick) if late => self.open(acts),
+            (Phase::Opening, LifecycleEvent::Listening) => {
                 self.enter(Phase::Ready, None);
-                acts.push(Act::SayReady);
+                acts.push(LifecycleAction::SayReady);
                 if std::mem::take(&mut self.reload) {
-                    acts.extend([Act::SayReloading, Act::Reload, Act::SayReady]);
+                    acts.extend([
+                        LifecycleAction::SayReloading,
+                        LifecycleAction::Reload,
+                        LifecycleAction::SayReady,
+                    ]);
                 }
             }
-            (Phase::Opening, Event::ListenFailed) => self.exit(Stop::NoListening, acts),
-            (Phase::Starting | Phase::Opening, Event::Reload) => self.reload = true,
-            (Phase::Ready | Phase::Drained, Event::Reload) => {
-                acts.extend([Act::SayReloading, Act::Reload, Act::SayReady]);
+            (Phase::Opening, LifecycleEvent::ListenFailed) => self.exit(StopReason::NoListening, acts),
+            (Phase::Starting | Phase::Opening, LifecycleEvent::Reload) => self.reload = true,
+            (Phase::Ready | Phase::Drained, LifecycleEvent::Reload) => {
+                acts.extend([
+                    LifecycleAction::SayReloading,
+                    LifecycleAction::Reload,
+                    LifecycleAction::SayReady,
+                ]);
             }
-            (Phase::Ready, Event::Drain) => {
+            (Phase::Ready, LifecycleEvent::Drain) => {
                 self.enter(Phase::Drained, None);
-                acts.push(Act::StopTaking { for_good: false });
+                acts.push(LifecycleAction::StopTaking { for_good: false });
             }
-            (Phase::Drained, Event::Undrain) => {
+            (Phase::Drained, LifecycleEvent::Undrain) => {
                 self.enter(Phase::Ready, None);
-                acts.push(Act::TakeAgain);
+                acts.push(LifecycleAction::TakeAgain);
             }
-            (Phase::Ready, Event::Terminate) if leave > 0 => {
+            (Phase::Ready, LifecycleEvent::Terminate) if leave > 0 => {
                 self.enter(Phase::Leaving, Some(now.saturating_add(leave)));
-                acts.extend([Act::SayStopping, Act::Leave]);
+                acts.extend([LifecycleAction::SayStopping, LifecycleAction::Leave]);
             }
-            (Phase::Leaving, Event::Tick) if late => {
+            (Phase::Leaving, LifecycleEvent::Tick) if late => {
                 self.enter(Phase::Ending, Some(now.saturating_add(drain)));
-                acts.push(Act::StopTaking { for_good: true });
+                acts.push(LifecycleAction::StopTaking { for_good: true });
             }
             // Where a router takes its time to leave, what it needs may move meanwhile.
-            (Phase::Leaving | Phase::Ending, Event::Reload) if leave > 0 => acts.push(Act::Reload),
-            (Phase::Leaving, Event::Terminate) => self.part(Stop::Told, now, farewell, acts),
-            (Phase::Ready | Phase::Drained, Event::Terminate | Event::Succeeded) => {
+            (Phase::Leaving | Phase::Ending, LifecycleEvent::Reload) if leave > 0 => {
+                acts.push(LifecycleAction::Reload)
+            }
+            (Phase::Leaving, LifecycleEvent::Terminate) => self.part(StopReason::Told, now, farewell, acts),
+            (Phase::Ready | Phase::Drained, LifecycleEvent::Terminate | LifecycleEvent::Succeeded) => {
                 self.enter(Phase::Ending, Some(now.saturating_add(drain)));
-                acts.extend([Act::SayStopping, Act::StopTaking { for_good: true }]);
+                acts.extend([LifecycleAction::SayStopping, LifecycleAction::StopTaking { for_good: true }]);
+            }
+            (Phase::Ending, LifecycleEvent::Idle) => self.exit(StopReason::Drained, acts),
+            (Phase::Ending, LifecycleEvent::Terminate) => self.part(StopReason::Told, now, farewell, acts),
+            (Phase::Ending, LifecycleEvent::Tick) if late => {
+                self.part(StopReason::DrainTimeUp, now, farewell, acts)
             }
-            (Phase::Ending, Event::Idle) => self.exit(Stop::Drained, acts),
-            (Phase::Ending, Event::Terminate) => self.part(Stop::Told, now, farewell, acts),
-            (Phase::Ending, Event::Tick) if late => self.part(Stop::DrainTimeUp, now, farewell, acts),
-            (Phase::Farewell, Event::Idle) => self.exit(self.stop, acts),
-            (Phase::Farewell, Event::Tick) if late => self.exit(self.stop, acts),
+            (Phase::Farewell, LifecycleEvent::Idle) => self.exit(self.stop, acts),
+            (Phase::Farewell, LifecycleEvent::Tick) if late => self.exit(self.stop, acts),
             _ => {}
         }
     }
@@ -221,19 +233,19 @@
         (self.phase, self.until) = (phase, until);
     }
 
-    fn open(&mut self, acts: &mut Vec<Act>) {
+    fn open(&mut self, acts: &mut Vec<LifecycleAction>) {
         self.enter(Phase::Opening, None);
-        acts.push(Act::Listen);
+        acts.push(LifecycleAction::Listen);
     }
 
-    fn part(&mut self, stop: Stop, now: u64, farewell: u64, acts: &mut Vec<Act>) {
+    fn part(&mut self, stop: StopReason, now: u64, farewell: u64, acts: &mut Vec<LifecycleAction>) {
         self.stop = stop;
         self.enter(Phase::Farewell, Some(now.saturating_add(farewell)));
-        acts.push(Act::AnswerAll);
+        acts.push(LifecycleAction::AnswerAll);
     }
 
-    fn exit(&mut self, stop: Stop, acts: &mut Vec<Act>) {
+    fn exit(&mut self, stop: StopReason, acts: &mut Vec<LifecycleAction>) {
         self.enter(Phase::Over, None);
-        acts.push(Act::Exit(stop));
+        acts.push(LifecycleAction::Exit(stop));
     }
 }
--- a/crates/state/tests/lifecycle.rs
+++ b/crates/state/tests/lifecycle.rs
@@ -3,21 +3,21 @@
 
 use std::collections::BTreeSet;
 
-use chalkyard_state::{Act, Event, Life, Phase, Stop, Terms};
+use chalkyard_state::{Lifecycle, LifecycleAction, LifecycleEvent, LifecycleTimeouts, Phase, StopReason};
 
-const EVENTS: [Event; 12] = [
-    Event::Tick,
-    Event::Listed,
-    Event::Listening,
-    Event::ListenFailed,
-    Event::Terminate,
-    Event::Drain,
-    Event::Undrain,
-    Event::Reload,
-    Event::Succeeded,
-    Event::Idle,
-    Event::Broken,
-    Event::Tick,
+const EVENTS: [LifecycleEvent; 12] = [
+    LifecycleEvent::Tick,
+    LifecycleEvent::Listed,
+    LifecycleEvent::Listening,
+    LifecycleEvent::ListenFailed,
+    LifecycleEvent::Terminate,
+    LifecycleEvent::Drain,
+    LifecycleEvent::Undrain,
+    LifecycleEvent::Reload,
+    LifecycleEvent::Succeeded,
+    LifecycleEvent::Idle,
+    LifecycleEvent::Broken,
+    LifecycleEvent::Tick,
 ];
 
 /// What an onlooker may hold against it, from the acts alone.
@@ -34,53 +34,53 @@
 }
 
 impl Seen {
-    fn act(&mut self, act: Act, path: &[Event]) {
+    fn act(&mut self, act: LifecycleAction, path: &[LifecycleEvent]) {
         assert_eq!(self.exits, 0, "nothing after the end: {path:?}");
         match act {
-            Act::Listen => {
+            LifecycleAction::Listen => {
                 assert!(self.listens == 0 && self.ready == 0, "{path:?}");
                 self.listens += 1;
             }
-            Act::SayReady => {
+            LifecycleAction::SayReady => {
                 assert!(
-                    self.listens == 1 && path.contains(&Event::Listening),
+                    self.listens == 1 && path.contains(&LifecycleEvent::Listening),
                     "ready before it listens: {path:?}"
                 );
                 self.taking |= self.ready == 0;
                 self.ready += 1;
             }
             // One that leaves slowly follows what moves meanwhile; nobody does once all have their answers.
-            Act::Reload => {
+            LifecycleAction::Reload => {
                 assert!(self.ready > 0 && !self.answered && (self.leaves || !self.for_good), "{path:?}");
             }
-            Act::StopTaking { for_good } => {
+            LifecycleAction::StopTaking { for_good } => {
                 assert!(!self.for_good, "twice for good: {path:?}");
                 (self.taking, self.for_good) = (false, for_good);
             }
-            Act::TakeAgain => {
+            LifecycleAction::TakeAgain => {
                 assert!(!self.taking && !self.for_good, "{path:?}");
                 self.taking = true;
             }
-            Act::AnswerAll => self.answered = true,
-            Act::Exit(stop) => {
+            LifecycleAction::AnswerAll => self.answered = true,
+            LifecycleAction::Exit(stop) => {
                 self.exits += 1;
                 // Who was taken has an answer: it ended by itself (Idle), or all were answered, or none were taken.
                 let none_taken = self.ready == 0;
-                let by_itself = path.last() == Some(&Event::Idle);
+                let by_itself = path.last() == Some(&LifecycleEvent::Idle);
                 assert!(none_taken || by_itself || self.answered, "left without an answer: {path:?}");
-                assert_eq!(stop.code() == 0, stop == Stop::Drained);
+                assert_eq!(stop.code() == 0, stop == StopReason::Drained);
             }
-            Act::Leave => assert!(self.taking && !self.for_good, "{path:?}"),
-            Act::SayReloading | Act::SayStopping => {}
+            LifecycleAction::Leave => assert!(self.taking && !self.for_good, "{path:?}"),
+            LifecycleAction::SayReloading | LifecycleAction::SayStopping => {}
         }
     }
 }
 
 fn walk(
-    life: &Life,
+    life: &Lifecycle,
     seen: &Seen,
     now: u64,
-    path: &mut Vec<Event>,
+    path: &mut Vec<LifecycleEvent>,
     depth: usize,
     phases: &mut BTreeSet<(Phase, Phase)>,
 ) {
@@ -110,7 +110,7 @@
 fn all_orders_of_events() {
     use Phase::*;
     let moves = |leave| {
-        let life = Life::new(Terms { start: 5, leave, drain: 10, farewell: 2 }, 0);
+        let life = Lifecycle::new(LifecycleTimeouts { start: 5, leave, drain: 10, farewell: 2 }, 0);
         let mut phases = BTreeSet::new();
         let seen = Seen { leaves: leave > 0, ..Seen::default() };
         walk(&life, &seen, 0, &mut Vec::new(), 9, &mut phases);
@@ -140,19 +140,31 @@
 
 #[test]
 fn a_second_signal_and_the_drains_time_end_it_with_their_own_codes() {
-    let end = |events: &[(u64, Event)]| {
-        let mut life = Life::new(Terms { start: 5, leave: 0, drain: 10, farewell: 2 }, 0);
+    let end = |events: &[(u64, LifecycleEvent)]| {
+        let mut life = Lifecycle::new(LifecycleTimeouts { start: 5, leave: 0, drain: 10, farewell: 2 }, 0);
         let mut acts = Vec::new();
         for (now, event) in events {
             life.handle(*now, *event, &mut acts);
         }
         acts
     };
-    let up = [(1, Event::Listed), (1, Event::Listening), (2, Event::Terminate)];
-    let twice = [&up[..], &[(3, Event::Terminate), (4, Event::Idle)]].concat();
-    assert_eq!(end(&twice)[4..], [Act::AnswerAll, Act::Exit(Stop::Told)]);
-    let late =
-        [&up[..], &[(11, Event::Tick), (12, Event::Tick), (13, Event::Tick), (14, Event::Tick)]].concat();
-    assert_eq!(end(&late)[4..], [Act::AnswerAll, Act::Exit(Stop::DrainTimeUp)]);
-    assert_eq!(end(&[(1, Event::Reload), (5, Event::Tick), (5, Event::Listening)])[1..].len(), 4);
+    let up = [(1, LifecycleEvent::Listed), (1, LifecycleEvent::Listening), (2, LifecycleEvent::Terminate)];
+    let twice = [&up[..], &[(3, LifecycleEvent::Terminate), (4, LifecycleEvent::Idle)]].concat();
+    assert_eq!(end(&twice)[4..], [LifecycleAction::AnswerAll, LifecycleAction::Exit(StopReason::Told)]);
+    let late = [
+        &up[..],
+        &[
+            (11, LifecycleEvent::Tick),
+            (12, LifecycleEvent::Tick),
+            (13, LifecycleEvent::Tick),
+            (14, LifecycleEvent::Tick),
+        ],
+    ]
+    .concat();
+    assert_eq!(end(&late)[4..], [LifecycleAction::AnswerAll, LifecycleAction::Exit(StopReason::DrainTimeUp)]);
+    assert_eq!(
+        end(&[(1, LifecycleEvent::Reload), (5, LifecycleEvent::Tick), (5, LifecycleEvent::Listening)])[1..]
+            .len(),
+        4
+    );
 }
--- a/crates/state/tests/transitions.rs
+++ b/crates/state/tests/transitions.rs
@@ -8,36 +8,38 @@
 
 const TRANSITIONS: &str = include_str!("data/transitions.txt");
 
-const EVENTS: [(Event, &str); 11] = [
-    (Event::Tick, "tick"),
-    (Event::Listed, "listed"),
-    (Event::Listening, "listening"),
-    (Event::ListenFailed, "listen-failed"),
-    (Event::Terminate, "terminate"),
-    (Event::Drain, "drain"),
-    (Event::Undrain, "undrain"),
-    (Event::Reload, "reload"),
-    (Event::Succeeded, "succeeded"),
-    (Event::Idle, "idle"),
-    (Event::Broken, "broken"),
+const EVENTS: [(LifecycleEvent, &str); 11] = [
+    (LifecycleEvent::Tick, "tick"),
+    (LifecycleEvent::Listed, "listed"),
+    (LifecycleEvent::Listening, "listening"),
+    (LifecycleEvent::ListenFailed, "listen-failed"),
+    (LifecycleEvent::Terminate, "terminate"),
+    (LifecycleEvent::Drain, "drain"),
+    (LifecycleEvent::Undrain, "undrain"),
+    (LifecycleEvent::Reload, "reload"),
+    (LifecycleEvent::Succeeded, "succeeded"),
+    (LifecycleEvent::Idle, "idle"),
+    (LifecycleEvent::Broken, "broken"),
 ];
 
-fn act(act: &Act) -> String {
+fn act(act: &LifecycleAction) -> String {
     match act {
-        Act::Listen => "listen".into(),
-        Act::SayReady => "say-ready".into(),
-        Act::SayReloading => "say-reloading".into(),
-        Act::SayStopping => "say-stopping".into(),
-        Act::Leave => "leave".into(),
-        Act::StopTaking { for_good } => format!("stop-taking-{for_good}"),
-        Act::TakeAgain => "take-again".into(),
-        Act::Reload => "reload".into(),
-        Act::AnswerAll => "answer-all".into(),
-        Act::Exit(stop) => format!("exit-{}-{}", serde_json::to_value(stop).unwrap(), stop.code()),
+        LifecycleAction::Listen => "listen".into(),
+        LifecycleAction::SayReady => "say-ready".into(),
+        LifecycleAction::SayReloading => "say-reloading".into(),
+        LifecycleAction::SayStopping => "say-stopping".into(),
+        LifecycleAction::Leave => "leave".into(),
+        LifecycleAction::StopTaking { for_good } => format!("stop-taking-{for_good}"),
+        LifecycleAction::TakeAgain => "take-again".into(),
+        LifecycleAction::Reload => "reload".into(),
+        LifecycleAction::AnswerAll => "answer-all".into(),
+        LifecycleAction::Exit(stop) => {
+            format!("exit-{}-{}", serde_json::to_value(stop).unwrap(), stop.code())
+        }
     }
 }
 
-fn phase(life: &Life) -> String {
+fn phase(life: &Lifecycle) -> String {
     let due = life.due().map_or("never".into(), |at| at.to_string());
     format!("{} until {due}", serde_json::to_value(life.phase()).unwrap())
 }
@@ -45,7 +47,7 @@
 /// All states that any events lead to, each with the shortest way to it, and all steps from it: at once, and when it is due.
 fn transitions(leave: u64) -> Vec<String> {
     let mut lines = Vec::new();
-    let begun = Life::new(Terms { start: 5, leave, drain: 10, farewell: 2 }, 0);
+    let begun = Lifecycle::new(LifecycleTimeouts { start: 5, leave, drain: 10, farewell: 2 }, 0);
     let mut waiting = vec![(begun.clone(), 0, String::from("begun"))];
     let mut seen = BTreeSet::from([begun]);
     while !waiting.is_empty() {
@@ -101,11 +103,11 @@
         assert_eq!(printed(serde_json::to_value(phase).unwrap()), name);
     }
     let stops = [
-        (Stop::Drained, "drained", 0),
-        (Stop::DrainTimeUp, "drain_time_up", 4),
-        (Stop::Told, "told", 5),
-        (Stop::NoListening, "no_listening", 1),
-        (Stop::Broken, "broken", 1),
+        (StopReason::Drained, "drained", 0),
+        (StopReason::DrainTimeUp, "drain_time_up", 4),
+        (StopReason::Told, "told", 5),
+        (StopReason::NoListening, "no_listening", 1),
+        (StopReason::Broken, "broken", 1),
     ];
     for (stop, name, code) in stops {
         assert_eq!(format!("{stop:?}"), logged(name), "the log's `reason`");
