--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -279,7 +279,7 @@
 
     fn say(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
         match act {
-            LifecycleAction::SayReady => {
+            LifecycleAction::NotifyReady => {
                 notify::say("READY=1\n");
                 if !std::mem::replace(&mut self.ready, true) {
                     let at = at.map(|a| a.to_string());
@@ -287,16 +287,16 @@
                     info!(target: "router", name = self.name, seed = self.seed, at, took_us, "ready");
                 }
             }
-            LifecycleAction::SayReloading => notify::say("RELOADING=1\n"),
-            LifecycleAction::SayStopping => notify::say("STOPPING=1\n"),
-            LifecycleAction::StopTaking { .. } => info!(target: "router", "takes nothing new"),
-            LifecycleAction::TakeAgain => info!(target: "router", "takes requests again"),
-            LifecycleAction::AnswerAll => {
+            LifecycleAction::NotifyReloading => notify::say("RELOADING=1\n"),
+            LifecycleAction::NotifyStopping => notify::say("STOPPING=1\n"),
+            LifecycleAction::StopAccepting { .. } => info!(target: "router", "takes nothing new"),
+            LifecycleAction::ResumeAccepting => info!(target: "router", "takes requests again"),
+            LifecycleAction::AnswerOpenRequests => {
                 info!(target: "router", "what is open is told that the router stops")
             }
             LifecycleAction::Listen
-            | LifecycleAction::Leave
-            | LifecycleAction::Reload
+            | LifecycleAction::EnterLameDuck
+            | LifecycleAction::ReloadSettings
             | LifecycleAction::Exit(_) => {}
         }
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -87,9 +87,9 @@
 
     fn say(&mut self, act: LifecycleAction, _at: Option<std::net::SocketAddr>) {
         match act {
-            LifecycleAction::SayReady => info!(target: "router", "ready"),
-            LifecycleAction::Leave => info!(target: "router", "told to end; takes what still comes"),
-            LifecycleAction::StopTaking { .. } => info!(target: "router", "takes nothing new"),
+            LifecycleAction::NotifyReady => info!(target: "router", "ready"),
+            LifecycleAction::EnterLameDuck => info!(target: "router", "told to end; takes what still comes"),
+            LifecycleAction::StopAccepting { .. } => info!(target: "router", "takes nothing new"),
             _ => {}
         }
     }
@@ -154,7 +154,8 @@
     }
     let log = logs::Log { list_file: None };
     let told = Told { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
-    let timeouts = LifecycleTimeouts { start: START, leave, drain: DRAIN, farewell: FAREWELL };
+    let timeouts =
+        LifecycleTimeouts { endpoint_wait: START, lame_duck: leave, drain: DRAIN, flush: FAREWELL };
     let mut shell = Shell::new(core, told, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
     shell.bound_lingering(started.lingering);
     let handle = shell.handle();
@@ -168,6 +169,6 @@
     };
     std::thread::Builder::new().spawn(wait_for_signals).map_err(|e| could_not("the signals' thread", e))?;
     let (stop, left) = shell.run(started.known.as_deref()).map_err(|e| could_not("running", e))?;
-    info!(target: "router", left, code = stop.code(), "stopped");
-    Ok(ExitCode::from(stop.code()))
+    info!(target: "router", left, code = stop.exit_code(), "stopped");
+    Ok(ExitCode::from(stop.exit_code()))
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -121,7 +121,7 @@
         news,
     };
     let drain = settings.drain_for.as_micros() as u64;
-    let timeouts = LifecycleTimeouts { start: START, leave: 0, drain, farewell: FAREWELL };
+    let timeouts = LifecycleTimeouts { endpoint_wait: START, lame_duck: 0, drain, flush: FAREWELL };
     let mut shell =
         Shell::new(core, keeping, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
     let handle = shell.handle();
@@ -142,8 +142,8 @@
     // What was settled last is said to a successor before the process ends.
     drop(shell);
     drop(control);
-    info!(target: "router", left, code = stop.code(), reason = ?stop, "stopped");
-    Ok(ExitCode::from(stop.code()))
+    info!(target: "router", left, code = stop.exit_code(), reason = %stop.log_name(), "stopped");
+    Ok(ExitCode::from(stop.exit_code()))
 }
 
 fn line(value: &impl serde::Serialize) -> String {
--- a/crates/daemon/tests/common/shell_router.rs
+++ b/crates/daemon/tests/common/shell_router.rs
@@ -51,7 +51,8 @@
         let started = Started::read(&config(at, agent, setting).to_string()).unwrap();
         let clock = Clock::new();
         let core = Core::new(started.config, 7, clock.now());
-        let timeouts = LifecycleTimeouts { start: 3_000_000, leave: 0, drain: 5_000_000, farewell: 200_000 };
+        let timeouts =
+            LifecycleTimeouts { endpoint_wait: 3_000_000, lame_duck: 0, drain: 5_000_000, flush: 200_000 };
         let address = ListenAddress::take(at, false).unwrap();
         let mut shell = Shell::new(core, StallingSink, clock, address, timeouts).unwrap();
         shell.bound_lingering(started.lingering);
--- a/crates/router/src/shell/life.rs
+++ b/crates/router/src/shell/life.rs
@@ -15,8 +15,8 @@
     /// What the loop itself can tell the router's life.
     pub(super) fn watch_life(&mut self) {
         match self.life.phase() {
-            Phase::Starting if self.core.has_list() => self.live(LifecycleEvent::Listed),
-            Phase::Ending | Phase::Farewell => {
+            Phase::Starting if self.core.has_list() => self.live(LifecycleEvent::EndpointsKnown),
+            Phase::Draining | Phase::Flushing => {
                 let open = self.core.open_requests() + self.core.open_clients() + self.core.open_releases();
                 if open == 0 && self.lingering == 0 {
                     self.live(LifecycleEvent::Idle);
@@ -34,7 +34,7 @@
         match listener.as_fd().try_clone_to_owned() {
             Ok(listener) => {
                 // All that was taken until now is in the ledger before it is given up.
-                self.live(LifecycleEvent::Succeeded);
+                self.live(LifecycleEvent::ListenerHandedOver);
                 self.finish();
                 let settled = self.sink.give_up_ledger();
                 let _ = answer.try_send(Heritage { listener, settled });
@@ -58,11 +58,11 @@
                     if self.listen() { LifecycleEvent::Listening } else { LifecycleEvent::ListenFailed };
                 self.live(event);
             }
-            LifecycleAction::Leave => {
+            LifecycleAction::EnterLameDuck => {
                 self.core.leave(self.clock.now());
                 self.sink.counters(self.core.counters());
             }
-            LifecycleAction::StopTaking { .. } => {
+            LifecycleAction::StopAccepting { .. } => {
                 // Who has connected before is heard: a listening socket that goes resets those that wait at it.
                 for _ in 0..=BACKLOG / ACCEPTS_A_TURN {
                     if !self.accept() {
@@ -73,7 +73,7 @@
                 self.accept_at = None;
                 self.core.drain(self.clock.now(), &mut self.outputs);
             }
-            LifecycleAction::TakeAgain => {
+            LifecycleAction::ResumeAccepting => {
                 if self.listen() {
                     self.core.undrain();
                 } else {
@@ -81,10 +81,12 @@
                     self.live(LifecycleEvent::Drain);
                 }
             }
-            LifecycleAction::Reload => self.sink.reload(),
-            LifecycleAction::AnswerAll => self.core.answer_all(self.clock.now(), &mut self.outputs),
+            LifecycleAction::ReloadSettings => self.sink.reload(),
+            LifecycleAction::AnswerOpenRequests => self.core.answer_all(self.clock.now(), &mut self.outputs),
             LifecycleAction::Exit(stop) => self.ended = Some(stop),
-            LifecycleAction::SayReady | LifecycleAction::SayReloading | LifecycleAction::SayStopping => {}
+            LifecycleAction::NotifyReady
+            | LifecycleAction::NotifyReloading
+            | LifecycleAction::NotifyStopping => {}
         }
         self.sink.say(act, Some(self.address.at()));
     }
@@ -92,7 +94,7 @@
     /// Begins to listen. A call that fails for a moment is made again; at the start for longer, since nothing else is
     /// done meanwhile and a router that does not listen ends.
     pub(super) fn listen(&mut self) -> bool {
-        let tries = if self.life.phase() == Phase::Opening { STARTING_TRIES } else { RUNNING_TRIES };
+        let tries = if self.life.phase() == Phase::Binding { STARTING_TRIES } else { RUNNING_TRIES };
         let listening = with_retries(tries, || {
             let mut listener = self.address.listen()?;
             self.poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
--- a/crates/state/src/lifecycle.rs
+++ b/crates/state/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Start, ready, reload, drain, stop: in which order things are done, and what is said at the end.
 //!
 //! Times are µs of any one clock. Each request that was taken gets its one final answer before the process
-//! ends by its own will: from its engine while the drain lasts, or by [`LifecycleAction::AnswerAll`].
+//! ends by its own will: from its engine while the drain lasts, or by [`LifecycleAction::AnswerOpenRequests`].
 
 use serde::Serialize;
 
@@ -9,13 +9,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifecycleTimeouts {
     /// The router listens without a list of engines after this.
-    pub start: u64,
+    pub endpoint_wait: u64,
     /// Told to end, it takes requests for so long yet: others hear of it only by then. 0: not at all.
-    pub leave: u64,
+    pub lame_duck: u64,
     /// A drain waits for open requests so long.
     pub drain: u64,
     /// Last answers have so long to leave.
-    pub farewell: u64,
+    pub flush: u64,
 }
 
 /// What happens.
@@ -24,7 +24,7 @@
     /// Time has passed.
     Tick,
     /// A list of engines is known, be it an old one.
-    Listed,
+    EndpointsKnown,
     /// The router listens.
     Listening,
     /// It can't.
@@ -38,11 +38,11 @@
     /// Settings are to be read again.
     Reload,
     /// Another process has the listening socket.
-    Succeeded,
+    ListenerHandedOver,
     /// Nothing is open, and all is written.
     Idle,
     /// The loop can't go on.
-    Broken,
+    EventLoopFailed,
 }
 
 /// What is to be done, in order.
@@ -51,24 +51,24 @@
     /// Begin to listen.
     Listen,
     /// Tell the supervisor that the router is ready.
-    SayReady,
+    NotifyReady,
     /// Tell it that settings are read, and again that it is ready.
-    SayReloading,
+    NotifyReloading,
     /// Tell it that the router stops.
-    SayStopping,
+    NotifyStopping,
     /// Be ready no more, but go on taking what still comes.
-    Leave,
-    /// Take no new connections and requests; what is open goes on. `for_good`: the listening socket may go.
-    StopTaking {
+    EnterLameDuck,
+    /// Take no new connections and requests; what is open goes on. `permanent`: the listening socket may go.
+    StopAccepting {
         /// It will not be undone.
-        for_good: bool,
+        permanent: bool,
     },
     /// Take them again.
-    TakeAgain,
+    ResumeAccepting,
     /// Read the settings and apply them.
-    Reload,
+    ReloadSettings,
     /// Give every open request its final answer, by what is known of it.
-    AnswerAll,
+    AnswerOpenRequests,
     /// End the process.
     Exit(StopReason),
 }
@@ -80,23 +80,38 @@
     /// All that was open has ended.
     Drained,
     /// The drain's time was up: what was open was told that the router stops.
-    DrainTimeUp,
+    #[serde(rename = "drain_time_up")]
+    DrainTimedOut,
     /// Told twice: likewise, at once.
-    Told,
+    #[serde(rename = "told")]
+    TerminatedTwice,
     /// It could not listen.
-    NoListening,
+    #[serde(rename = "no_listening")]
+    ListenFailed,
     /// The loop could not go on.
-    Broken,
+    #[serde(rename = "broken")]
+    EventLoopFailed,
 }
 
 impl StopReason {
+    /// The reason as the log line at the end of the process prints it.
+    pub fn log_name(self) -> &'static str {
+        match self {
+            Self::Drained => "Drained",
+            Self::DrainTimedOut => "DrainTimeUp",
+            Self::TerminatedTwice => "Told",
+            Self::ListenFailed => "NoListening",
+            Self::EventLoopFailed => "Broken",
+        }
+    }
+
     /// The process's exit code.
-    pub fn code(self) -> u8 {
+    pub fn exit_code(self) -> u8 {
         match self {
             Self::Drained => 0,
-            Self::NoListening | Self::Broken => 1,
-            Self::DrainTimeUp => 4,
-            Self::Told => 5,
+            Self::ListenFailed | Self::EventLoopFailed => 1,
+            Self::DrainTimedOut => 4,
+            Self::TerminatedTwice => 5,
         }
     }
 }
@@ -108,19 +123,25 @@
     /// Recovering, and waiting for a list of engines.
     Starting,
     /// About to listen.
-    Opening,
+    #[serde(rename = "opening")]
+    Binding,
     /// Taking requests.
     Ready,
     /// Not taking any by an operator's wish; may be undone.
-    Drained,
+    #[serde(rename = "drained")]
+    Paused,
     /// Told to end, and taking what still comes.
-    Leaving,
+    #[serde(rename = "leaving")]
+    LameDuck,
     /// Ending: open requests go on.
-    Ending,
+    #[serde(rename = "ending")]
+    Draining,
     /// Last answers leave.
-    Farewell,
+    #[serde(rename = "farewell")]
+    Flushing,
     /// Over.
-    Over,
+    #[serde(rename = "over")]
+    Stopped,
 }
 
 /// One life.
@@ -133,18 +154,18 @@
     reload: bool,
     /// Why it ends, once it does.
     stop: StopReason,
-    terms: LifecycleTimeouts,
+    timeouts: LifecycleTimeouts,
 }
 
 impl Lifecycle {
     /// Begins.
-    pub fn new(terms: LifecycleTimeouts, now: u64) -> Self {
+    pub fn new(timeouts: LifecycleTimeouts, now: u64) -> Self {
         Self {
             phase: Phase::Starting,
-            until: Some(now.saturating_add(terms.start)),
+            until: Some(now.saturating_add(timeouts.endpoint_wait)),
             reload: false,
             stop: StopReason::Drained,
-            terms,
+            timeouts,
         }
     }
 
@@ -159,72 +180,85 @@
     }
 
     /// Takes an event.
-    pub fn handle(&mut self, now: u64, event: LifecycleEvent, acts: &mut Vec<LifecycleAction>) {
-        let LifecycleTimeouts { leave, drain, farewell, .. } = self.terms;
+    pub fn handle(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        let LifecycleTimeouts { lame_duck, drain, flush, .. } = self.timeouts;
         let late = self.until.is_some_and(|at| at <= now);
         match (self.phase, event) {
-            (Phase::Over, _) => {}
-            (_, LifecycleEvent::Broken) => {
-                acts.push(LifecycleAction::AnswerAll);
-                self.exit(StopReason::Broken, acts);
+            (Phase::Stopped, _) => {}
+            (_, LifecycleEvent::EventLoopFailed) => {
+                actions.push(LifecycleAction::AnswerOpenRequests);
+                self.exit(StopReason::EventLoopFailed, actions);
             }
-            (Phase::Starting | Phase::Opening, LifecycleEvent::Terminate | LifecycleEvent::Succeeded) => {
-                self.exit(StopReason::Drained, acts);
+            (
+                Phase::Starting | Phase::Binding,
+                LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver,
+            ) => {
+                self.exit(StopReason::Drained, actions);
             }
-            (Phase::Starting, LifecycleEvent::Listed) => self.open(acts),
-            (Phase::Starting, LifecycleEvent::Tick) if late => self.open(acts),
-            (Phase::Opening, LifecycleEvent::Listening) => {
+            (Phase::Starting, LifecycleEvent::EndpointsKnown) => self.open(actions),
+            (Phase::Starting, LifecycleEvent::Tick) if late => self.open(actions),
+            (Phase::Binding, LifecycleEvent::Listening) => {
                 self.enter(Phase::Ready, None);
-                acts.push(LifecycleAction::SayReady);
+                actions.push(LifecycleAction::NotifyReady);
                 if std::mem::take(&mut self.reload) {
-                    acts.extend([
-                        LifecycleAction::SayReloading,
-                        LifecycleAction::Reload,
-                        LifecycleAction::SayReady,
+                    actions.extend([
+                        LifecycleAction::NotifyReloading,
+                        LifecycleAction::ReloadSettings,
+                        LifecycleAction::NotifyReady,
                     ]);
                 }
             }
-            (Phase::Opening, LifecycleEvent::ListenFailed) => self.exit(StopReason::NoListening, acts),
-            (Phase::Starting | Phase::Opening, LifecycleEvent::Reload) => self.reload = true,
-            (Phase::Ready | Phase::Drained, LifecycleEvent::Reload) => {
-                acts.extend([
-                    LifecycleAction::SayReloading,
-                    LifecycleAction::Reload,
-                    LifecycleAction::SayReady,
+            (Phase::Binding, LifecycleEvent::ListenFailed) => self.exit(StopReason::ListenFailed, actions),
+            (Phase::Starting | Phase::Binding, LifecycleEvent::Reload) => self.reload = true,
+            (Phase::Ready | Phase::Paused, LifecycleEvent::Reload) => {
+                actions.extend([
+                    LifecycleAction::NotifyReloading,
+                    LifecycleAction::ReloadSettings,
+                    LifecycleAction::NotifyReady,
                 ]);
             }
             (Phase::Ready, LifecycleEvent::Drain) => {
-                self.enter(Phase::Drained, None);
-                acts.push(LifecycleAction::StopTaking { for_good: false });
+                self.enter(Phase::Paused, None);
+                actions.push(LifecycleAction::StopAccepting { permanent: false });
             }
-            (Phase::Drained, LifecycleEvent::Undrain) => {
+            (Phase::Paused, LifecycleEvent::Undrain) => {
                 self.enter(Phase::Ready, None);
-                acts.push(LifecycleAction::TakeAgain);
+                actions.push(LifecycleAction::ResumeAccepting);
             }
-            (Phase::Ready, LifecycleEvent::Terminate) if leave > 0 => {
-                self.enter(Phase::Leaving, Some(now.saturating_add(leave)));
-                acts.extend([LifecycleAction::SayStopping, LifecycleAction::Leave]);
+            (Phase::Ready, LifecycleEvent::Terminate) if lame_duck > 0 => {
+                self.enter(Phase::LameDuck, Some(now.saturating_add(lame_duck)));
+                actions.extend([LifecycleAction::NotifyStopping, LifecycleAction::EnterLameDuck]);
             }
-            (Phase::Leaving, LifecycleEvent::Tick) if late => {
-                self.enter(Phase::Ending, Some(now.saturating_add(drain)));
-                acts.push(LifecycleAction::StopTaking { for_good: true });
+            (Phase::LameDuck, LifecycleEvent::Tick) if late => {
+                self.enter(Phase::Draining, Some(now.saturating_add(drain)));
+                actions.push(LifecycleAction::StopAccepting { permanent: true });
             }
             // Where a router takes its time to leave, what it needs may move meanwhile.
-            (Phase::Leaving | Phase::Ending, LifecycleEvent::Reload) if leave > 0 => {
-                acts.push(LifecycleAction::Reload)
+            (Phase::LameDuck | Phase::Draining, LifecycleEvent::Reload) if lame_duck > 0 => {
+                actions.push(LifecycleAction::ReloadSettings)
+            }
+            (Phase::LameDuck, LifecycleEvent::Terminate) => {
+                self.part(StopReason::TerminatedTwice, now, flush, actions)
+            }
+            (
+                Phase::Ready | Phase::Paused,
+                LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver,
+            ) => {
+                self.enter(Phase::Draining, Some(now.saturating_add(drain)));
+                actions.extend([
+                    LifecycleAction::NotifyStopping,
+                    LifecycleAction::StopAccepting { permanent: true },
+                ]);
             }
-            (Phase::Leaving, LifecycleEvent::Terminate) => self.part(StopReason::Told, now, farewell, acts),
-            (Phase::Ready | Phase::Drained, LifecycleEvent::Terminate | LifecycleEvent::Succeeded) => {
-                self.enter(Phase::Ending, Some(now.saturating_add(drain)));
-                acts.extend([LifecycleAction::SayStopping, LifecycleAction::StopTaking { for_good: true }]);
+            (Phase::Draining, LifecycleEvent::Idle) => self.exit(StopReason::Drained, actions),
+            (Phase::Draining, LifecycleEvent::Terminate) => {
+                self.part(StopReason::TerminatedTwice, now, flush, actions)
             }
-            (Phase::Ending, LifecycleEvent::Idle) => self.exit(StopReason::Drained, acts),
-            (Phase::Ending, LifecycleEvent::Terminate) => self.part(StopReason::Told, now, farewell, acts),
-            (Phase::Ending, LifecycleEvent::Tick) if late => {
-                self.part(StopReason::DrainTimeUp, now, farewell, acts)
+            (Phase::Draining, LifecycleEvent::Tick) if late => {
+                self.part(StopReason::DrainTimedOut, now, flush, actions)
             }
-            (Phase::Farewell, LifecycleEvent::Idle) => self.exit(self.stop, acts),
-            (Phase::Farewell, LifecycleEvent::Tick) if late => self.exit(self.stop, acts),
+            (Phase::Flushing, LifecycleEvent::Idle) => self.exit(self.stop, actions),
+            (Phase::Flushing, LifecycleEvent::Tick) if late => self.exit(self.stop, actions),
             _ => {}
         }
     }
@@ -233,19 +267,19 @@
         (self.phase, self.until) = (phase, until);
     }
 
-    fn open(&mut self, acts: &mut Vec<LifecycleAction>) {
-        self.enter(Phase::Opening, None);
-        acts.push(LifecycleAction::Listen);
+    fn open(&mut self, actions: &mut Vec<LifecycleAction>) {
+        self.enter(Phase::Binding, None);
+        actions.push(LifecycleAction::Listen);
     }
 
-    fn part(&mut self, stop: StopReason, now: u64, farewell: u64, acts: &mut Vec<LifecycleAction>) {
+    fn part(&mut self, stop: StopReason, now: u64, flush: u64, actions: &mut Vec<LifecycleAction>) {
         self.stop = stop;
-        self.enter(Phase::Farewell, Some(now.saturating_add(farewell)));
-        acts.push(LifecycleAction::AnswerAll);
+        self.enter(Phase::Flushing, Some(now.saturating_add(flush)));
+        actions.push(LifecycleAction::AnswerOpenRequests);
     }
 
-    fn exit(&mut self, stop: StopReason, acts: &mut Vec<LifecycleAction>) {
-        self.enter(Phase::Over, None);
-        acts.push(LifecycleAction::Exit(stop));
+    fn exit(&mut self, stop: StopReason, actions: &mut Vec<LifecycleAction>) {
+        self.enter(Phase::Stopped, None);
+        actions.push(LifecycleAction::Exit(stop));
     }
 }
--- a/crates/state/tests/lifecycle.rs
+++ b/crates/state/tests/lifecycle.rs
@@ -7,16 +7,16 @@
 
 const EVENTS: [LifecycleEvent; 12] = [
     LifecycleEvent::Tick,
-    LifecycleEvent::Listed,
+    LifecycleEvent::EndpointsKnown,
     LifecycleEvent::Listening,
     LifecycleEvent::ListenFailed,
     LifecycleEvent::Terminate,
     LifecycleEvent::Drain,
     LifecycleEvent::Undrain,
     LifecycleEvent::Reload,
-    LifecycleEvent::Succeeded,
+    LifecycleEvent::ListenerHandedOver,
     LifecycleEvent::Idle,
-    LifecycleEvent::Broken,
+    LifecycleEvent::EventLoopFailed,
     LifecycleEvent::Tick,
 ];
 
@@ -26,7 +26,7 @@
     listens: u32,
     ready: u32,
     taking: bool,
-    for_good: bool,
+    permanent: bool,
     answered: bool,
     /// Its terms let it leave slowly.
     leaves: bool,
@@ -41,7 +41,7 @@
                 assert!(self.listens == 0 && self.ready == 0, "{path:?}");
                 self.listens += 1;
             }
-            LifecycleAction::SayReady => {
+            LifecycleAction::NotifyReady => {
                 assert!(
                     self.listens == 1 && path.contains(&LifecycleEvent::Listening),
                     "ready before it listens: {path:?}"
@@ -50,28 +50,28 @@
                 self.ready += 1;
             }
             // One that leaves slowly follows what moves meanwhile; nobody does once all have their answers.
-            LifecycleAction::Reload => {
-                assert!(self.ready > 0 && !self.answered && (self.leaves || !self.for_good), "{path:?}");
+            LifecycleAction::ReloadSettings => {
+                assert!(self.ready > 0 && !self.answered && (self.leaves || !self.permanent), "{path:?}");
             }
-            LifecycleAction::StopTaking { for_good } => {
-                assert!(!self.for_good, "twice for good: {path:?}");
-                (self.taking, self.for_good) = (false, for_good);
+            LifecycleAction::StopAccepting { permanent } => {
+                assert!(!self.permanent, "twice for good: {path:?}");
+                (self.taking, self.permanent) = (false, permanent);
             }
-            LifecycleAction::TakeAgain => {
-                assert!(!self.taking && !self.for_good, "{path:?}");
+            LifecycleAction::ResumeAccepting => {
+                assert!(!self.taking && !self.permanent, "{path:?}");
                 self.taking = true;
             }
-            LifecycleAction::AnswerAll => self.answered = true,
+            LifecycleAction::AnswerOpenRequests => self.answered = true,
             LifecycleAction::Exit(stop) => {
                 self.exits += 1;
                 // Who was taken has an answer: it ended by itself (Idle), or all were answered, or none were taken.
                 let none_taken = self.ready == 0;
                 let by_itself = path.last() == Some(&LifecycleEvent::Idle);
                 assert!(none_taken || by_itself || self.answered, "left without an answer: {path:?}");
-                assert_eq!(stop.code() == 0, stop == StopReason::Drained);
+                assert_eq!(stop.exit_code() == 0, stop == StopReason::Drained);
             }
-            LifecycleAction::Leave => assert!(self.taking && !self.for_good, "{path:?}"),
-            LifecycleAction::SayReloading | LifecycleAction::SayStopping => {}
+            LifecycleAction::EnterLameDuck => assert!(self.taking && !self.permanent, "{path:?}"),
+            LifecycleAction::NotifyReloading | LifecycleAction::NotifyStopping => {}
         }
     }
 }
@@ -100,7 +100,7 @@
         for act in acts {
             seen.act(act, path);
         }
-        assert_eq!(seen.exits == 1, next.phase() == Phase::Over, "{path:?}");
+        assert_eq!(seen.exits == 1, next.phase() == Phase::Stopped, "{path:?}");
         walk(&next, &seen, later, path, depth - 1, phases);
         path.pop();
     }
@@ -110,47 +110,53 @@
 fn all_orders_of_events() {
     use Phase::*;
     let moves = |leave| {
-        let life = Lifecycle::new(LifecycleTimeouts { start: 5, leave, drain: 10, farewell: 2 }, 0);
+        let life =
+            Lifecycle::new(LifecycleTimeouts { endpoint_wait: 5, lame_duck: leave, drain: 10, flush: 2 }, 0);
         let mut phases = BTreeSet::new();
         let seen = Seen { leaves: leave > 0, ..Seen::default() };
         walk(&life, &seen, 0, &mut Vec::new(), 9, &mut phases);
         phases.into_iter().filter(|(a, b)| a != b).collect::<Vec<(Phase, Phase)>>()
     };
     let expected = [
-        (Starting, Opening),
-        (Starting, Over),
-        (Opening, Ready),
-        (Opening, Over),
-        (Ready, Drained),
-        (Ready, Ending),
-        (Ready, Over),
-        (Drained, Ready),
-        (Drained, Ending),
-        (Drained, Over),
-        (Ending, Farewell),
-        (Ending, Over),
-        (Farewell, Over),
+        (Starting, Binding),
+        (Starting, Stopped),
+        (Binding, Ready),
+        (Binding, Stopped),
+        (Ready, Paused),
+        (Ready, Draining),
+        (Ready, Stopped),
+        (Paused, Ready),
+        (Paused, Draining),
+        (Paused, Stopped),
+        (Draining, Flushing),
+        (Draining, Stopped),
+        (Flushing, Stopped),
     ];
     assert_eq!(moves(0), expected);
     // One that leaves slowly takes what still comes before it ends.
     let slowly = moves(3);
     let more: Vec<_> = slowly.iter().filter(|m| !expected.contains(m)).copied().collect();
-    assert_eq!(more, [(Ready, Leaving), (Leaving, Ending), (Leaving, Farewell), (Leaving, Over)]);
+    assert_eq!(more, [(Ready, LameDuck), (LameDuck, Draining), (LameDuck, Flushing), (LameDuck, Stopped)]);
 }
 
 #[test]
 fn a_second_signal_and_the_drains_time_end_it_with_their_own_codes() {
     let end = |events: &[(u64, LifecycleEvent)]| {
-        let mut life = Lifecycle::new(LifecycleTimeouts { start: 5, leave: 0, drain: 10, farewell: 2 }, 0);
+        let mut life =
+            Lifecycle::new(LifecycleTimeouts { endpoint_wait: 5, lame_duck: 0, drain: 10, flush: 2 }, 0);
         let mut acts = Vec::new();
         for (now, event) in events {
             life.handle(*now, *event, &mut acts);
         }
         acts
     };
-    let up = [(1, LifecycleEvent::Listed), (1, LifecycleEvent::Listening), (2, LifecycleEvent::Terminate)];
+    let up =
+        [(1, LifecycleEvent::EndpointsKnown), (1, LifecycleEvent::Listening), (2, LifecycleEvent::Terminate)];
     let twice = [&up[..], &[(3, LifecycleEvent::Terminate), (4, LifecycleEvent::Idle)]].concat();
-    assert_eq!(end(&twice)[4..], [LifecycleAction::AnswerAll, LifecycleAction::Exit(StopReason::Told)]);
+    assert_eq!(
+        end(&twice)[4..],
+        [LifecycleAction::AnswerOpenRequests, LifecycleAction::Exit(StopReason::TerminatedTwice)]
+    );
     let late = [
         &up[..],
         &[
@@ -161,7 +167,10 @@
         ],
     ]
     .concat();
-    assert_eq!(end(&late)[4..], [LifecycleAction::AnswerAll, LifecycleAction::Exit(StopReason::DrainTimeUp)]);
+    assert_eq!(
+        end(&late)[4..],
+        [LifecycleAction::AnswerOpenRequests, LifecycleAction::Exit(StopReason::DrainTimedOut)]
+    );
     assert_eq!(
         end(&[(1, LifecycleEvent::Reload), (5, LifecycleEvent::Tick), (5, LifecycleEvent::Listening)])[1..]
             .len(),
--- a/crates/state/tests/transitions.rs
+++ b/crates/state/tests/transitions.rs
@@ -10,31 +10,31 @@
 
 const EVENTS: [(LifecycleEvent, &str); 11] = [
     (LifecycleEvent::Tick, "tick"),
-    (LifecycleEvent::Listed, "listed"),
+    (LifecycleEvent::EndpointsKnown, "listed"),
     (LifecycleEvent::Listening, "listening"),
     (LifecycleEvent::ListenFailed, "listen-failed"),
     (LifecycleEvent::Terminate, "terminate"),
     (LifecycleEvent::Drain, "drain"),
     (LifecycleEvent::Undrain, "undrain"),
     (LifecycleEvent::Reload, "reload"),
-    (LifecycleEvent::Succeeded, "succeeded"),
+    (LifecycleEvent::ListenerHandedOver, "succeeded"),
     (LifecycleEvent::Idle, "idle"),
-    (LifecycleEvent::Broken, "broken"),
+    (LifecycleEvent::EventLoopFailed, "broken"),
 ];
 
 fn act(act: &LifecycleAction) -> String {
     match act {
         LifecycleAction::Listen => "listen".into(),
-        LifecycleAction::SayReady => "say-ready".into(),
-        LifecycleAction::SayReloading => "say-reloading".into(),
-        LifecycleAction::SayStopping => "say-stopping".into(),
-        LifecycleAction::Leave => "leave".into(),
-        LifecycleAction::StopTaking { for_good } => format!("stop-taking-{for_good}"),
-        LifecycleAction::TakeAgain => "take-again".into(),
-        LifecycleAction::Reload => "reload".into(),
-        LifecycleAction::AnswerAll => "answer-all".into(),
+        LifecycleAction::NotifyReady => "say-ready".into(),
+        LifecycleAction::NotifyReloading => "say-reloading".into(),
+        LifecycleAction::NotifyStopping => "say-stopping".into(),
+        LifecycleAction::EnterLameDuck => "leave".into(),
+        LifecycleAction::StopAccepting { permanent } => format!("stop-taking-{permanent}"),
+        LifecycleAction::ResumeAccepting => "take-again".into(),
+        LifecycleAction::ReloadSettings => "reload".into(),
+        LifecycleAction::AnswerOpenRequests => "answer-all".into(),
         LifecycleAction::Exit(stop) => {
-            format!("exit-{}-{}", serde_json::to_value(stop).unwrap(), stop.code())
+            format!("exit-{}-{}", serde_json::to_value(stop).unwrap(), stop.exit_code())
         }
     }
 }
@@ -47,7 +47,8 @@
 /// All states that any events lead to, each with the shortest way to it, and all steps from it: at once, and when it is due.
 fn transitions(leave: u64) -> Vec<String> {
     let mut lines = Vec::new();
-    let begun = Lifecycle::new(LifecycleTimeouts { start: 5, leave, drain: 10, farewell: 2 }, 0);
+    let begun =
+        Lifecycle::new(LifecycleTimeouts { endpoint_wait: 5, lame_duck: leave, drain: 10, flush: 2 }, 0);
     let mut waiting = vec![(begun.clone(), 0, String::from("begun"))];
     let mut seen = BTreeSet::from([begun]);
     while !waiting.is_empty() {
@@ -91,27 +92,27 @@
     let printed = |value: serde_json::Value| value.as_str().unwrap().to_owned();
     let phases = [
         (Phase::Starting, "starting"),
-        (Phase::Opening, "opening"),
+        (Phase::Binding, "opening"),
         (Phase::Ready, "ready"),
-        (Phase::Drained, "drained"),
-        (Phase::Leaving, "leaving"),
-        (Phase::Ending, "ending"),
-        (Phase::Farewell, "farewell"),
-        (Phase::Over, "over"),
+        (Phase::Paused, "drained"),
+        (Phase::LameDuck, "leaving"),
+        (Phase::Draining, "ending"),
+        (Phase::Flushing, "farewell"),
+        (Phase::Stopped, "over"),
     ];
     for (phase, name) in phases {
         assert_eq!(printed(serde_json::to_value(phase).unwrap()), name);
     }
     let stops = [
         (StopReason::Drained, "drained", 0),
-        (StopReason::DrainTimeUp, "drain_time_up", 4),
-        (StopReason::Told, "told", 5),
-        (StopReason::NoListening, "no_listening", 1),
-        (StopReason::Broken, "broken", 1),
+        (StopReason::DrainTimedOut, "drain_time_up", 4),
+        (StopReason::TerminatedTwice, "told", 5),
+        (StopReason::ListenFailed, "no_listening", 1),
+        (StopReason::EventLoopFailed, "broken", 1),
     ];
     for (stop, name, code) in stops {
-        assert_eq!(format!("{stop:?}"), logged(name), "the log's `reason`");
+        assert_eq!(stop.log_name(), logged(name), "the log's `reason`");
         assert_eq!(printed(serde_json::to_value(stop).unwrap()), name);
-        assert_eq!(stop.code(), code, "{name}");
+        assert_eq!(stop.exit_code(), code, "{name}");
     }
 }
