--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -15,7 +15,7 @@
 mod proposer;
 mod revision;
 mod seal;
-mod station;
+mod sessions;
 mod subscriber;
 
 pub use acceptor::{Acceptor, Ballot, Vote};
@@ -29,5 +29,5 @@
 pub use proposer::Proposer;
 pub use revision::{Number, Revision, RevisionId};
 pub use seal::{NotGenuine, SiteKey};
-pub use station::{RouterId, Seen, Station, ROUTERS};
+pub use sessions::{Session, SessionId, SubscriberSessions, MAX_SESSIONS};
 pub use subscriber::{Action, Apply, Input, Subscriber, Time};
--- a/crates/control/src/model/mod.rs
+++ b/crates/control/src/model/mod.rs
@@ -16,7 +16,7 @@
 use crate::messages::Message;
 use crate::revision::Number;
 use crate::seal::SiteKey;
-use crate::station::{RouterId, Station};
+use crate::sessions::{SessionId, SubscriberSessions};
 use crate::subscriber::{Input, Subscriber, Time};
 
 /// A second of the model's time.
@@ -39,8 +39,8 @@
 enum Event {
     ToMachine(MachineId, MachineId, Vec<u8>),
     /// On this connection.
-    FromRouter(MachineId, RouterId, Vec<u8>),
-    ToRouter(RouterId, Vec<u8>),
+    FromRouter(MachineId, SessionId, Vec<u8>),
+    ToRouter(SessionId, Vec<u8>),
     Stands(usize, MachineId),
     Fails(usize, MachineId),
     Greet(MachineId),
@@ -57,7 +57,7 @@
     controls: Vec<ControlNode>,
     /// Routers, the even ones in the first region.
     pub routers: Vec<RouterNode>,
-    by_connection: BTreeMap<RouterId, usize>,
+    by_connection: BTreeMap<SessionId, usize>,
     next_connection: u64,
     key: SiteKey,
     check: &'a dyn Check,
@@ -86,7 +86,7 @@
         let history = History::new(Number(0), document.clone(), Retention::default());
         let control = |n: u8| ControlNode {
             machine: Machine::new(MachineId(n), machines, history.clone(), None),
-            station: Station::default(),
+            sessions: SubscriberSessions::default(),
             disk: Disk { history: history.clone(), votes: None },
             up: true,
             asked: None,
@@ -153,7 +153,7 @@
         if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
             control.up = false;
             control.asked = None;
-            control.station = Station::default();
+            control.sessions = SubscriberSessions::default();
         }
         for n in 0..self.routers.len() {
             if self.routers.get(n).is_some_and(|r| r.connection.is_some_and(|(to, _)| to == machine)) {
@@ -202,8 +202,9 @@
             let router = (0..self.routers.len())
                 .filter_map(|n| Some((self.routers.get(n)?.subscriber.next_due(), n)))
                 .min();
-            let station = self.controls.iter().filter(|c| c.up).filter_map(|c| c.station.next_due()).min();
-            let next = [event, router.map(|r| r.0), station].into_iter().flatten().min();
+            let session_due =
+                self.controls.iter().filter(|c| c.up).filter_map(|c| c.sessions.next_due()).min();
+            let next = [event, router.map(|r| r.0), session_due].into_iter().flatten().min();
             let Some(next) = next.filter(|at| *at <= end) else { break };
             self.now = self.now.max(next);
             if event == Some(next) {
@@ -213,7 +214,7 @@
             } else if let Some((_, n)) = router.filter(|(at, _)| *at == next) {
                 self.router_input(n, Input::Tick);
             } else {
-                self.station_ticks();
+                self.session_ticks();
             }
         }
         self.now = end;
@@ -236,7 +237,7 @@
     fn take(&mut self, event: Event) {
         match event {
             Event::ToMachine(from, to, bytes) => self.at_machine(from, to, &bytes),
-            Event::FromRouter(machine, connection, bytes) => self.at_station(machine, connection, &bytes),
+            Event::FromRouter(machine, connection, bytes) => self.at_sessions(machine, connection, &bytes),
             Event::ToRouter(connection, bytes) => {
                 if let Some(n) = self.by_connection.get(&connection).copied() {
                     self.at_router(n, &bytes);
@@ -326,11 +327,11 @@
                 Output::Keep(revision) => {
                     // The disk follows the machine, which has taken it.
                     let _ = control.disk.history.take(revision.clone());
-                    let mut told = Vec::new();
-                    control.station.decided(&revision, &mut told);
+                    let mut messages = Vec::new();
+                    control.sessions.broadcast(&revision, &mut messages);
                     let known = self.decided.insert(revision.number, revision.id());
                     self.conflicts += u64::from(known.is_some_and(|known| known != revision.id()));
-                    self.send_routers(machine, told);
+                    self.send_routers(machine, messages);
                 }
                 Output::KeepWhole(_) => control.disk.history = control.machine.history().clone(),
                 Output::Done(outcome) => {
@@ -345,9 +346,9 @@
         }
     }
 
-    fn send_routers(&mut self, machine: MachineId, told: Vec<(RouterId, Message)>) {
+    fn send_routers(&mut self, machine: MachineId, messages: Vec<(SessionId, Message)>) {
         let mut last: Option<(Message, Vec<u8>)> = None;
-        for (connection, message) in told {
+        for (connection, message) in messages {
             // One message to many is sealed once.
             let bytes = match last.take().filter(|(same, _)| *same == message) {
                 Some((_, bytes)) => bytes,
@@ -361,23 +362,23 @@
         }
     }
 
-    fn station_ticks(&mut self) {
+    fn session_ticks(&mut self) {
         let now = self.now;
         for n in 0..self.controls.len() {
             let Some(control) = self.controls.get_mut(n).filter(|c| c.up) else { continue };
-            let mut told = Vec::new();
-            control.station.tick(now, control.machine.history(), &mut told);
-            self.send_routers(MachineId(n as u8), told);
+            let mut messages = Vec::new();
+            control.sessions.tick(now, control.machine.history(), &mut messages);
+            self.send_routers(MachineId(n as u8), messages);
         }
     }
 
-    fn at_station(&mut self, machine: MachineId, connection: RouterId, bytes: &[u8]) {
+    fn at_sessions(&mut self, machine: MachineId, connection: SessionId, bytes: &[u8]) {
         let Ok(message) = Message::decode(&self.key, bytes) else { return };
         let now = self.now;
         let Some(control) = self.controls.get_mut(usize::from(machine.0)).filter(|c| c.up) else { return };
-        let mut told = Vec::new();
-        control.station.heard(connection, now, message, control.machine.history(), &mut told);
-        self.send_routers(machine, told);
-        self.station_ticks();
+        let mut messages = Vec::new();
+        control.sessions.receive(connection, now, message, control.machine.history(), &mut messages);
+        self.send_routers(machine, messages);
+        self.session_ticks();
     }
 }
--- a/crates/control/src/model/nodes.rs
+++ b/crates/control/src/model/nodes.rs
@@ -7,7 +7,7 @@
 use crate::history::History;
 use crate::machine::{Machine, MachineId};
 use crate::revision::Number;
-use crate::station::{RouterId, Station};
+use crate::sessions::{SessionId, SubscriberSessions};
 use crate::subscriber::{Apply, Subscriber, Time};
 
 /// A router that puts all in force and counts it.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(super) struct ControlNode {
     pub(super) machine: Machine,
-    pub(super) station: Station,
+    pub(super) sessions: SubscriberSessions,
     pub(super) disk: Disk,
     pub(super) up: bool,
     /// The publication under way: when it was asked for, and what it changes.
@@ -55,7 +55,7 @@
     pub subscriber: Subscriber,
     /// What it puts in force.
     pub in_force: InForce,
-    pub(super) connection: Option<(MachineId, RouterId)>,
+    pub(super) connection: Option<(MachineId, SessionId)>,
     /// Bytes that it got and sent.
     pub bytes: u64,
     /// Time that its own work took, ns of the real clock.
--- a/crates/control/src/model/routers.rs
+++ b/crates/control/src/model/routers.rs
@@ -7,7 +7,7 @@
 use crate::machine::MachineId;
 use crate::messages::Message;
 use crate::revision::Number;
-use crate::station::RouterId;
+use crate::sessions::SessionId;
 use crate::subscriber::{Action, Input, Subscriber};
 
 impl Model<'_> {
@@ -18,7 +18,7 @@
         if let Some((machine, connection)) = router.connection.take() {
             self.by_connection.remove(&connection);
             if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
-                control.station.lost(connection);
+                control.sessions.close(connection);
             }
         }
         let (number, document) = match keeps {
@@ -46,10 +46,10 @@
         if !waits {
             return;
         }
-        let connection = RouterId(self.next_connection);
+        let connection = SessionId(self.next_connection);
         self.next_connection += 1;
         let control = self.controls.get_mut(usize::from(machine.0)).filter(|c| c.up);
-        if !control.is_some_and(|c| c.station.connected(connection, now)) {
+        if !control.is_some_and(|c| c.sessions.open(connection, now)) {
             return self.router_input(n, Input::Lost);
         }
         if let Some(router) = self.routers.get_mut(n) {
@@ -66,7 +66,7 @@
             if let Some((machine, connection)) = router.connection.take() {
                 self.by_connection.remove(&connection);
                 if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
-                    control.station.lost(connection);
+                    control.sessions.close(connection);
                 }
             }
         }
@@ -97,7 +97,7 @@
                 if let Some((machine, connection)) = router.connection.take() {
                     self.by_connection.remove(&connection);
                     if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
-                        control.station.lost(connection);
+                        control.sessions.close(connection);
                     }
                 }
             }
--- a/crates/control/src/station.rs
+++ b/crates/control/src/sessions.rs
@@ -10,17 +10,17 @@
 
 /// A router's connection, by a number that is never given twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RouterId(pub u64);
+pub struct SessionId(pub u64);
 
 /// Routers that are connected at most; one more is turned away.
-pub const ROUTERS: usize = 4_096;
+pub const MAX_SESSIONS: usize = 4_096;
 /// Wholes that are on their way at once, and between two of them: a region that comes back with nothing is one burst.
-const WHOLES: usize = 4;
-const WHOLE_PAUSE: Time = 250_000;
+const SNAPSHOTS_PER_WINDOW: usize = 4;
+const SNAPSHOT_WINDOW: Time = 250_000;
 
 /// What a router said last.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct Session {
     /// The number that it holds.
     pub number: Number,
     /// Since when.
@@ -31,52 +31,52 @@
 
 /// All routers of one machine.
 #[derive(Debug, Clone, Default)]
-pub struct Station {
-    routers: BTreeMap<RouterId, Seen>,
+pub struct SubscriberSessions {
+    sessions: BTreeMap<SessionId, Session>,
     /// Those that wait for a whole, and when the last ones were sent.
-    waiting: VecDeque<RouterId>,
-    sent: VecDeque<Time>,
+    awaiting_snapshot: VecDeque<SessionId>,
+    snapshots_sent_at: VecDeque<Time>,
 }
 
-impl Station {
+impl SubscriberSessions {
     /// A router has connected; false: there is no room.
-    pub fn connected(&mut self, router: RouterId, now: Time) -> bool {
-        if self.routers.len() >= ROUTERS {
+    pub fn open(&mut self, session_id: SessionId, now: Time) -> bool {
+        if self.sessions.len() >= MAX_SESSIONS {
             return false;
         }
-        self.routers.insert(router, Seen { number: Number(0), since: now, held_back: None });
+        self.sessions.insert(session_id, Session { number: Number(0), since: now, held_back: None });
         true
     }
 
     /// Its connection has ended.
-    pub fn lost(&mut self, router: RouterId) {
-        self.routers.remove(&router);
-        self.waiting.retain(|waiting| *waiting != router);
+    pub fn close(&mut self, session_id: SessionId) {
+        self.sessions.remove(&session_id);
+        self.awaiting_snapshot.retain(|waiting| *waiting != session_id);
     }
 
     /// Routers that are connected, with what they said last.
-    pub fn routers(&self) -> impl Iterator<Item = (RouterId, &Seen)> {
-        self.routers.iter().map(|(router, seen)| (*router, seen))
+    pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Session)> {
+        self.sessions.iter().map(|(session_id, session)| (*session_id, session))
     }
 
     /// A router says what it holds, or that it can't put something in force.
-    pub fn heard(
+    pub fn receive(
         &mut self,
-        router: RouterId,
+        session_id: SessionId,
         now: Time,
         message: Message,
         history: &History,
-        out: &mut Vec<(RouterId, Message)>,
+        out: &mut Vec<(SessionId, Message)>,
     ) {
-        let Some(seen) = self.routers.get_mut(&router) else { return };
+        let Some(session) = self.sessions.get_mut(&session_id) else { return };
         match message {
             Message::Holds { number, digest } => {
-                if seen.number != number {
-                    (seen.number, seen.since) = (number, now);
+                if session.number != number {
+                    (session.number, session.since) = (number, now);
                 }
-                self.bring_up_to_date(router, number, digest, history, out);
+                self.bring_up_to_date(session_id, number, digest, history, out);
             }
-            Message::CannotApply { number, why } => seen.held_back = Some((number, why)),
+            Message::CannotApply { number, why } => session.held_back = Some((number, why)),
             // Nothing else is a router's to say.
             _ => {}
         }
@@ -84,45 +84,46 @@
 
     fn bring_up_to_date(
         &mut self,
-        router: RouterId,
+        session_id: SessionId,
         number: Number,
         digest: Digest,
         history: &History,
-        out: &mut Vec<(RouterId, Message)>,
+        out: &mut Vec<(SessionId, Message)>,
     ) {
         match history.since(number, digest) {
             CatchUp::Revisions(revisions) => {
-                out.extend(revisions.into_iter().map(|revision| (router, Message::Decided(revision))));
+                out.extend(revisions.into_iter().map(|revision| (session_id, Message::Decided(revision))));
             }
             // One that is ahead of this machine gets no whole: it would go back.
-            CatchUp::Whole if number < history.number() && !self.waiting.contains(&router) => {
-                self.waiting.push_back(router);
+            CatchUp::Whole if number < history.number() && !self.awaiting_snapshot.contains(&session_id) => {
+                self.awaiting_snapshot.push_back(session_id);
             }
             CatchUp::Whole | CatchUp::Current | CatchUp::OtherHistory => {}
         }
         let (number, digest) = (history.number(), history.document().digest());
-        out.push((router, Message::Holds { number, digest }));
+        out.push((session_id, Message::Holds { number, digest }));
     }
 
     /// A number was decided: all routers are told. Who is behind it asks for what is missing.
-    pub fn decided(&self, revision: &Revision, out: &mut Vec<(RouterId, Message)>) {
-        out.extend(self.routers.keys().map(|router| (*router, Message::Decided(revision.clone()))));
+    pub fn broadcast(&self, revision: &Revision, out: &mut Vec<(SessionId, Message)>) {
+        out.extend(self.sessions.keys().map(|session_id| (*session_id, Message::Decided(revision.clone()))));
     }
 
     /// Sends wholes to routers that wait for one, so many at most in each span.
-    pub fn tick(&mut self, now: Time, history: &History, out: &mut Vec<(RouterId, Message)>) {
-        while self.sent.front().is_some_and(|at| at + WHOLE_PAUSE <= now) {
-            self.sent.pop_front();
+    pub fn tick(&mut self, now: Time, history: &History, out: &mut Vec<(SessionId, Message)>) {
+        while self.snapshots_sent_at.front().is_some_and(|at| at + SNAPSHOT_WINDOW <= now) {
+            self.snapshots_sent_at.pop_front();
         }
-        while self.sent.len() < WHOLES {
-            let Some(router) = self.waiting.pop_front() else { return };
-            self.sent.push_back(now);
-            out.push((router, Message::whole(history.number(), history.document())));
+        while self.snapshots_sent_at.len() < SNAPSHOTS_PER_WINDOW {
+            let Some(session_id) = self.awaiting_snapshot.pop_front() else { return };
+            self.snapshots_sent_at.push_back(now);
+            out.push((session_id, Message::whole(history.number(), history.document())));
         }
     }
 
     /// When [`Self::tick`] is next needed, if at all.
     pub fn next_due(&self) -> Option<Time> {
-        (!self.waiting.is_empty()).then(|| self.sent.front().map_or(0, |at| at + WHOLE_PAUSE))
+        (!self.awaiting_snapshot.is_empty())
+            .then(|| self.snapshots_sent_at.front().map_or(0, |at| at + SNAPSHOT_WINDOW))
     }
 }
