--- a/crates/control/src/seal.rs
+++ b/crates/control/src/authentication.rs
@@ -4,7 +4,7 @@
 use sha2::Sha256;
 
 /// Bytes of a seal.
-pub const SEAL_BYTES: usize = 32;
+pub const TAG_BYTES: usize = 32;
 
 /// The key that all control machines and routers of a site share.
 #[derive(Clone)]
@@ -16,11 +16,11 @@
     }
 }
 
-/// The seal does not fit: the bytes were changed or cut, or are another site's, or meant for another purpose.
+/// The seal does not fit: the bytes were changed or cut, or are another site's, or meant for another domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NotGenuine;
+pub struct AuthenticationError;
 
-impl std::fmt::Display for NotGenuine {
+impl std::fmt::Display for AuthenticationError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the seal does not fit: changed, cut short, or sealed under another site's key")
     }
@@ -32,17 +32,17 @@
         Self(bytes)
     }
 
-    fn mac(&self, purpose: &str, bytes: &[u8]) -> Option<Hmac<Sha256>> {
+    fn mac(&self, domain: &str, bytes: &[u8]) -> Option<Hmac<Sha256>> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
-        mac.update(purpose.as_bytes());
+        mac.update(domain.as_bytes());
         mac.update(&[0]);
         mac.update(bytes);
         Some(mac)
     }
 
     /// The bytes with their seal behind them.
-    pub fn seal(&self, purpose: &str, mut bytes: Vec<u8>) -> Vec<u8> {
-        if let Some(mac) = self.mac(purpose, &bytes) {
+    pub fn append_tag(&self, domain: &str, mut bytes: Vec<u8>) -> Vec<u8> {
+        if let Some(mac) = self.mac(domain, &bytes) {
             bytes.extend_from_slice(&mac.finalize().into_bytes());
         }
         bytes
@@ -52,11 +52,15 @@
     ///
     /// # Errors
     /// If it does not fit. Compared in constant time.
-    pub fn open<'a>(&self, purpose: &str, sealed: &'a [u8]) -> Result<&'a [u8], NotGenuine> {
-        let length = sealed.len().checked_sub(SEAL_BYTES).ok_or(NotGenuine)?;
-        let (bytes, seal) = sealed.split_at(length);
-        let mac = self.mac(purpose, bytes).ok_or(NotGenuine)?;
-        mac.verify_slice(seal).map_err(|_| NotGenuine)?;
+    pub fn verify_tag<'a>(
+        &self,
+        domain: &str,
+        authenticated: &'a [u8],
+    ) -> Result<&'a [u8], AuthenticationError> {
+        let length = authenticated.len().checked_sub(TAG_BYTES).ok_or(AuthenticationError)?;
+        let (bytes, tag) = authenticated.split_at(length);
+        let mac = self.mac(domain, bytes).ok_or(AuthenticationError)?;
+        mac.verify_slice(tag).map_err(|_| AuthenticationError)?;
         Ok(bytes)
     }
 }
--- a/crates/control/src/known_good.rs
+++ b/crates/control/src/known_good.rs
@@ -2,15 +2,15 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::authentication::SiteKey;
 use crate::digest::Digest;
 use crate::document::{Document, Entry};
 use crate::revision::Number;
-use crate::seal::SiteKey;
 
 /// The first bytes of the file: what it is, and its format.
 const FORMAT: &[u8; 8] = b"CHALKCF1";
 const FORMAT_NAME: &[u8] = b"CHALKCF";
-const PURPOSE: &str = "chalkyard-known-good-1";
+const DOMAIN: &str = "chalkyard-known-good-1";
 
 /// What is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
     /// The file's bytes.
     pub fn encode(&self, key: &SiteKey) -> Vec<u8> {
         let mut bytes = FORMAT.to_vec();
-        bytes.extend(key.seal(PURPOSE, postcard::to_stdvec(self).unwrap_or_default()));
+        bytes.extend(key.append_tag(DOMAIN, postcard::to_stdvec(self).unwrap_or_default()));
         bytes
     }
 
@@ -64,7 +64,7 @@
     /// # Errors
     /// Says why it is not used.
     pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<(Self, Document), Unreadable> {
-        let Some((format, sealed)) = bytes.split_at_checked(FORMAT.len()) else {
+        let Some((format, authenticated)) = bytes.split_at_checked(FORMAT.len()) else {
             return Err(Unreadable::Foreign);
         };
         match format {
@@ -72,7 +72,7 @@
             _ if format.starts_with(FORMAT_NAME) => return Err(Unreadable::LaterFormat),
             _ => return Err(Unreadable::Foreign),
         }
-        let opened = key.open(PURPOSE, sealed).map_err(|_| Unreadable::Damaged)?;
+        let opened = key.verify_tag(DOMAIN, authenticated).map_err(|_| Unreadable::Damaged)?;
         let kept: Self = postcard::from_bytes(opened).map_err(|_| Unreadable::Damaged)?;
         let document = Document::new(kept.entries.iter().cloned()).map_err(|_| Unreadable::Damaged)?;
         if document.digest() != kept.digest {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -4,6 +4,7 @@
 //! sockets, of the settings' meaning or of routing; `docs/configuration.md` weighs the design.
 
 mod acceptor;
+mod authentication;
 mod digest;
 mod document;
 mod follower;
@@ -14,11 +15,11 @@
 pub mod model;
 mod proposer;
 mod revision;
-mod seal;
 mod sessions;
 mod subscriber;
 
 pub use acceptor::{Acceptor, Ballot, Vote};
+pub use authentication::{AuthenticationError, SiteKey};
 pub use digest::Digest;
 pub use document::{Change, Delta, Document, Entry, NotApplied, CHANGES, DOCUMENT_BYTES, ENTRY_BYTES};
 pub use follower::{Follower, Taken};
@@ -28,6 +29,5 @@
 pub use messages::{Malformed, Message, MESSAGE_BYTES};
 pub use proposer::Proposer;
 pub use revision::{Number, Revision, RevisionId};
-pub use seal::{NotGenuine, SiteKey};
 pub use sessions::{Session, SessionId, SubscriberSessions, MAX_SESSIONS};
 pub use subscriber::{Action, Apply, Input, Subscriber, Time};
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -3,15 +3,15 @@
 use serde::{Deserialize, Serialize};
 
 use crate::acceptor::{Ballot, Vote};
+use crate::authentication::{SiteKey, TAG_BYTES};
 use crate::digest::Digest;
 use crate::document::{Document, Entry, DOCUMENT_BYTES};
 use crate::revision::{Number, Revision};
-use crate::seal::{SiteKey, SEAL_BYTES};
 
 /// A message's bytes with its seal: a whole document, what frames its entries, and some room.
 pub const MESSAGE_BYTES: usize = DOCUMENT_BYTES + DOCUMENT_BYTES / 4;
 
-const PURPOSE: &str = "chalkyard-control-1";
+const DOMAIN: &str = "chalkyard-control-1";
 
 /// A message.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -79,7 +79,7 @@
     /// Longer than [`MESSAGE_BYTES`].
     TooLong,
     /// The seal does not fit.
-    NotGenuine,
+    NotAuthentic,
     /// Sealed, and not understood: of another version.
     Unreadable,
 }
@@ -88,7 +88,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::TooLong => "longer than a message may be",
-            Self::NotGenuine => "the seal does not fit",
+            Self::NotAuthentic => "the seal does not fit",
             Self::Unreadable => "sealed, and not understood: of another version?",
         })
     }
@@ -103,7 +103,7 @@
     /// Its bytes, sealed.
     pub fn encode(&self, key: &SiteKey) -> Vec<u8> {
         // Everything that a message holds can be written.
-        key.seal(PURPOSE, postcard::to_stdvec(self).unwrap_or_default())
+        key.append_tag(DOMAIN, postcard::to_stdvec(self).unwrap_or_default())
     }
 
     /// Reads one.
@@ -111,10 +111,10 @@
     /// # Errors
     /// Says why it is none. Nothing is read of it before its seal was found to fit.
     pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<Self, Malformed> {
-        if bytes.len() > MESSAGE_BYTES + SEAL_BYTES {
+        if bytes.len() > MESSAGE_BYTES + TAG_BYTES {
             return Err(Malformed::TooLong);
         }
-        let opened = key.open(PURPOSE, bytes).map_err(|_| Malformed::NotGenuine)?;
+        let opened = key.verify_tag(DOMAIN, bytes).map_err(|_| Malformed::NotAuthentic)?;
         match postcard::take_from_bytes(opened) {
             Ok((message, [])) => Ok(message),
             _ => Err(Malformed::Unreadable),
--- a/crates/control/src/model/mod.rs
+++ b/crates/control/src/model/mod.rs
@@ -10,12 +10,12 @@
 use self::nodes::{ControlNode, Disk};
 pub use self::nodes::{InForce, RouterNode};
 use crate::acceptor::Acceptor;
+use crate::authentication::SiteKey;
 use crate::document::{Delta, Document};
 use crate::history::{History, Retention};
 use crate::machine::{Check, Machine, MachineId, Outcome, Output};
 use crate::messages::Message;
 use crate::revision::Number;
-use crate::seal::SiteKey;
 use crate::sessions::{SessionId, SubscriberSessions};
 use crate::subscriber::{Input, Subscriber, Time};
 
--- a/crates/control/tests/follower.rs
+++ b/crates/control/tests/follower.rs
@@ -125,10 +125,10 @@
     for at in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[at] ^= 0x10;
-        assert_eq!(Message::decode(&key, &flipped), Err(Malformed::NotGenuine), "byte {at}");
-        assert_eq!(Message::decode(&key, &bytes[..at]), Err(Malformed::NotGenuine), "cut at {at}");
+        assert_eq!(Message::decode(&key, &flipped), Err(Malformed::NotAuthentic), "byte {at}");
+        assert_eq!(Message::decode(&key, &bytes[..at]), Err(Malformed::NotAuthentic), "cut at {at}");
     }
-    assert_eq!(Message::decode(&SiteKey::new([8; 32]), &bytes), Err(Malformed::NotGenuine));
+    assert_eq!(Message::decode(&SiteKey::new([8; 32]), &bytes), Err(Malformed::NotAuthentic));
     let huge = vec![0; MESSAGE_BYTES + 64];
     assert_eq!(Message::decode(&key, &huge), Err(Malformed::TooLong));
 }
@@ -147,7 +147,7 @@
     #[test]
     fn sealed_garbage_is_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let key = SiteKey::new([7; 32]);
-        let sealed = key.seal("chalkyard-control-1", bytes);
+        let sealed = key.append_tag("chalkyard-control-1", bytes);
         if let Ok(read) = Message::decode(&key, &sealed) {
             prop_assert_eq!(Message::decode(&key, &read.encode(&key)), Ok(read));
         }
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -15,8 +15,8 @@
 const SEALED: &str = include_str!("data/sealed.txt");
 const DIGESTS: &str = include_str!("data/digests.txt");
 
-const PURPOSE_OF_MESSAGES: &str = "chalkyard-control-1";
-const PURPOSE_OF_KNOWN_GOOD: &str = "chalkyard-known-good-1";
+const MESSAGE_DOMAIN: &str = "chalkyard-control-1";
+const KNOWN_GOOD_DOMAIN: &str = "chalkyard-known-good-1";
 
 fn key() -> SiteKey {
     SiteKey::new([7; 32])
@@ -162,14 +162,14 @@
     assert_eq!(refusal(&flipped), Unreadable::Damaged);
     assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(Unreadable::Damaged));
     // Genuine, with a digest that is not that of its entries, with garbage, and with an entry past its bound.
-    let sealed = |body: Vec<u8>| [&b"CHALKCF1"[..], &key().seal(PURPOSE_OF_KNOWN_GOOD, body)].concat();
+    let sealed = |body: Vec<u8>| [&b"CHALKCF1"[..], &key().append_tag(KNOWN_GOOD_DOMAIN, body)].concat();
     let other_digest = KnownGood { digest: Digest::default(), ..known_good() };
     assert_eq!(refusal(&other_digest.encode(&key())), Unreadable::Damaged);
     assert_eq!(refusal(&sealed(vec![0xff; 40])), Unreadable::Damaged);
     let long = Entry { key: "a".into(), value: "x".repeat(ENTRY_BYTES).into() };
     let past_bound = KnownGood { entries: vec![long], ..known_good() };
     assert_eq!(refusal(&past_bound.encode(&key())), Unreadable::Damaged);
-    let another_purpose = key().seal(PURPOSE_OF_MESSAGES, postcard::to_stdvec(&known_good()).unwrap());
+    let another_purpose = key().append_tag(MESSAGE_DOMAIN, postcard::to_stdvec(&known_good()).unwrap());
     assert_eq!(refusal(&[&b"CHALKCF1"[..], &another_purpose].concat()), Unreadable::Damaged);
 }
 
@@ -178,41 +178,41 @@
     let refusal = |bytes: &[u8]| Message::decode(&key(), bytes).unwrap_err();
     for (name, _) in messages() {
         let bytes = stored(MESSAGES, name);
-        assert_eq!(refusal(&bytes[1..]), Malformed::NotGenuine, "{name}");
-        assert_eq!(refusal(&bytes[..bytes.len() - 1]), Malformed::NotGenuine, "{name}");
-        let unsealed = key().open(PURPOSE_OF_MESSAGES, &bytes).unwrap();
+        assert_eq!(refusal(&bytes[1..]), Malformed::NotAuthentic, "{name}");
+        assert_eq!(refusal(&bytes[..bytes.len() - 1]), Malformed::NotAuthentic, "{name}");
+        let unsealed = key().verify_tag(MESSAGE_DOMAIN, &bytes).unwrap();
         let longer = [unsealed, &[0]].concat();
-        assert_eq!(refusal(&key().seal(PURPOSE_OF_MESSAGES, longer)), Malformed::Unreadable, "{name}");
+        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, longer)), Malformed::Unreadable, "{name}");
         let shorter = unsealed[..unsealed.len() - 1].to_vec();
-        assert_eq!(refusal(&key().seal(PURPOSE_OF_MESSAGES, shorter)), Malformed::Unreadable, "{name}");
-        let another_purpose = key().seal(PURPOSE_OF_KNOWN_GOOD, unsealed.to_vec());
-        assert_eq!(refusal(&another_purpose), Malformed::NotGenuine, "{name}");
+        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, shorter)), Malformed::Unreadable, "{name}");
+        let another_purpose = key().append_tag(KNOWN_GOOD_DOMAIN, unsealed.to_vec());
+        assert_eq!(refusal(&another_purpose), Malformed::NotAuthentic, "{name}");
     }
-    assert_eq!(refusal(b""), Malformed::NotGenuine);
-    let unknown_variant = key().seal(PURPOSE_OF_MESSAGES, vec![9, 0, 0]);
+    assert_eq!(refusal(b""), Malformed::NotAuthentic);
+    let unknown_variant = key().append_tag(MESSAGE_DOMAIN, vec![9, 0, 0]);
     assert_eq!(refusal(&unknown_variant), Malformed::Unreadable);
     assert_eq!(refusal(&vec![0; MESSAGE_BYTES + 33]), Malformed::TooLong);
-    assert_eq!(refusal(&vec![0; MESSAGE_BYTES + 32]), Malformed::NotGenuine);
+    assert_eq!(refusal(&vec![0; MESSAGE_BYTES + 32]), Malformed::NotAuthentic);
 }
 
 #[test]
 fn sealed_bytes_depend_on_key_purpose_and_content_as_before() {
     let cases = [
-        ("messages-empty", [7; 32], PURPOSE_OF_MESSAGES, &b""[..]),
-        ("messages-content", [7; 32], PURPOSE_OF_MESSAGES, &b"content"[..]),
-        ("known-good-content", [7; 32], PURPOSE_OF_KNOWN_GOOD, &b"content"[..]),
-        ("another-key", [8; 32], PURPOSE_OF_MESSAGES, &b"content"[..]),
+        ("messages-empty", [7; 32], MESSAGE_DOMAIN, &b""[..]),
+        ("messages-content", [7; 32], MESSAGE_DOMAIN, &b"content"[..]),
+        ("known-good-content", [7; 32], KNOWN_GOOD_DOMAIN, &b"content"[..]),
+        ("another-key", [8; 32], MESSAGE_DOMAIN, &b"content"[..]),
     ];
     assert_eq!(lines(SEALED), cases.len());
-    for (name, key, purpose, content) in cases {
-        let sealed = SiteKey::new(key).seal(purpose, content.to_vec());
+    for (name, key, domain, content) in cases {
+        let sealed = SiteKey::new(key).append_tag(domain, content.to_vec());
         assert_eq!(hex(&sealed), hex(&stored(SEALED, name)), "{name}");
-        assert_eq!(SiteKey::new(key).open(purpose, &sealed), Ok(content), "{name}");
+        assert_eq!(SiteKey::new(key).verify_tag(domain, &sealed), Ok(content), "{name}");
     }
     let sealed = stored(SEALED, "messages-content");
-    assert_eq!(key().open(PURPOSE_OF_KNOWN_GOOD, &sealed), Err(NotGenuine));
-    assert_eq!(key().open(PURPOSE_OF_MESSAGES, &sealed[..31]), Err(NotGenuine));
-    assert_eq!(SiteKey::new([8; 32]).open(PURPOSE_OF_MESSAGES, &sealed), Err(NotGenuine));
+    assert_eq!(key().verify_tag(KNOWN_GOOD_DOMAIN, &sealed), Err(AuthenticationError));
+    assert_eq!(key().verify_tag(MESSAGE_DOMAIN, &sealed[..31]), Err(AuthenticationError));
+    assert_eq!(SiteKey::new([8; 32]).verify_tag(MESSAGE_DOMAIN, &sealed), Err(AuthenticationError));
     assert_eq!(format!("{:?}", key()), "SiteKey(..)");
 }
 
@@ -248,7 +248,7 @@
         (NotApplied::NotThere("a".into()).to_string(), "a: to be removed, and not there"),
         (NotApplied::OtherDigest.to_string(), "the result has another digest than the revision says"),
         (Malformed::TooLong.to_string(), "longer than a message may be"),
-        (Malformed::NotGenuine.to_string(), "the seal does not fit"),
+        (Malformed::NotAuthentic.to_string(), "the seal does not fit"),
         (Malformed::Unreadable.to_string(), "sealed, and not understood: of another version?"),
         (Unreadable::Foreign.to_string(), "no kept configuration"),
         (Unreadable::LaterFormat.to_string(), "a kept configuration of a later format"),
@@ -257,7 +257,7 @@
             "a kept configuration that is damaged, cut short or another site's",
         ),
         (
-            NotGenuine.to_string(),
+            AuthenticationError.to_string(),
             "the seal does not fit: changed, cut short, or sealed under another site's key",
         ),
     ];
