--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -1,20 +1,20 @@
-//! One control machine's votes on the next number: single-decree consensus for each number.
+//! One control replica's votes on the next number: single-decree consensus for each number.
 //!
 //! A number's revision is decided once a quorum has accepted it under one ballot. What an acceptor has promised and
 //! accepted is on its disk before it answers.
 
 use serde::{Deserialize, Serialize};
 
-use crate::machine::MachineId;
+use crate::replica::ReplicaId;
 use crate::revision::{Number, Revision};
 
-/// A try to decide a number: the higher one goes first. Never used twice, since it names its machine.
+/// A try to decide a number: the higher one goes first. Never used twice, since it names its replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     /// Counts tries.
     pub round: u64,
     /// Whose try it is.
-    pub machine: MachineId,
+    pub replica: ReplicaId,
 }
 
 /// A revision that an acceptor has accepted, and under which ballot.
--- a/crates/control/src/authentication.rs
+++ b/crates/control/src/authentication.rs
@@ -6,7 +6,7 @@
 /// Bytes of a seal.
 pub const TAG_BYTES: usize = 32;
 
-/// The key that all control machines and routers of a site share.
+/// The key that all control replicas and routers of a site share.
 #[derive(Clone)]
 pub struct SiteKey([u8; 32]);
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! Numbered revisions of the configuration, decided by a quorum of control machines and followed by routers.
+//! Numbered revisions of the configuration, decided by a quorum of control replicas and followed by routers.
 //!
-//! Sans-IO: machines and followers are state machines that take messages and give messages. Nothing here knows of
+//! Sans-IO: replicas and followers are state replicas that take messages and give messages. Nothing here knows of
 //! sockets, of the settings' meaning or of routing; `docs/configuration.md` weighs the design.
 
 mod acceptor;
@@ -10,10 +10,10 @@
 mod follower;
 mod history;
 mod known_good;
-mod machine;
 mod messages;
 pub mod model;
 mod proposer;
+mod replica;
 mod revision;
 mod sessions;
 mod subscriber;
@@ -25,9 +25,9 @@
 pub use follower::{Follower, Taken};
 pub use history::{CatchUp, History, Retention};
 pub use known_good::{KnownGood, Unreadable};
-pub use machine::{Check, Machine, MachineId, Outcome, Output, Quorum};
 pub use messages::{Malformed, Message, MESSAGE_BYTES};
 pub use proposer::Proposer;
+pub use replica::{Check, Outcome, Output, Quorum, Replica, ReplicaId};
 pub use revision::{Number, Revision, RevisionId};
 pub use sessions::{Session, SessionId, SubscriberSessions, MAX_SESSIONS};
 pub use subscriber::{Action, Apply, Input, Subscriber, Time};
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -1,4 +1,4 @@
-//! What passes between control machines and routers.
+//! What passes between control replicas and routers.
 
 use serde::{Deserialize, Serialize};
 
@@ -32,7 +32,7 @@
         /// All entries, in the order of their keys.
         entries: Vec<Entry>,
     },
-    /// Between control machines: take part in nothing older.
+    /// Between control replicas: take part in nothing older.
     Prepare {
         /// The number that is to be decided.
         number: Number,
@@ -48,7 +48,7 @@
         /// What was accepted before.
         vote: Option<Vote>,
     },
-    /// Between control machines: accept this.
+    /// Between control replicas: accept this.
     Accept(Vote),
     /// The answer to it.
     Accepted {
--- a/crates/control/src/model/mod.rs
+++ b/crates/control/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Control machines and routers in fed time, with a network that can be cut: the same code that sockets would drive, the
+//! Control replicas and routers in fed time, with a network that can be cut: the same code that sockets would drive, the
 //! same result for the same seed. Messages are encoded, sealed and read as on a wire.
 
 mod nodes;
@@ -13,8 +13,8 @@
 use crate::authentication::SiteKey;
 use crate::document::{Delta, Document};
 use crate::history::{History, Retention};
-use crate::machine::{Check, Machine, MachineId, Outcome, Output};
 use crate::messages::Message;
+use crate::replica::{Check, Outcome, Output, Replica, ReplicaId};
 use crate::revision::Number;
 use crate::sessions::{SessionId, SubscriberSessions};
 use crate::subscriber::{Input, Subscriber, Time};
@@ -37,16 +37,16 @@
 /// What happens later.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    ToMachine(MachineId, MachineId, Vec<u8>),
+    ToReplica(ReplicaId, ReplicaId, Vec<u8>),
     /// On this connection.
-    FromRouter(MachineId, SessionId, Vec<u8>),
+    FromRouter(ReplicaId, SessionId, Vec<u8>),
     ToRouter(SessionId, Vec<u8>),
-    Stands(usize, MachineId),
-    Fails(usize, MachineId),
-    Greet(MachineId),
-    Publish(MachineId, Delta),
-    Retry(MachineId),
-    GiveUp(MachineId, Time),
+    Stands(usize, ReplicaId),
+    Fails(usize, ReplicaId),
+    Greet(ReplicaId),
+    Publish(ReplicaId, Delta),
+    Retry(ReplicaId),
+    GiveUp(ReplicaId, Time),
 }
 
 /// All of it.
@@ -70,29 +70,29 @@
     pub spread: Vec<Time>,
     /// What came of publications.
     pub outcomes: Vec<Outcome>,
-    /// Told by machines or routers: another content under a number.
+    /// Told by replicas or routers: another content under a number.
     pub diverged: u64,
     /// What was decided, by number.
     decided: BTreeMap<Number, crate::revision::RevisionId>,
     /// Numbers that were decided twice: none.
     pub conflicts: u64,
-    /// Bytes that control machines got and sent.
+    /// Bytes that control replicas got and sent.
     pub control_bytes: u64,
 }
 
 impl<'a> Model<'a> {
-    /// So many machines and routers, all of which hold this.
-    pub fn new(machines: u8, routers: usize, document: &Document, check: &'a dyn Check, seed: u64) -> Self {
+    /// So many replicas and routers, all of which hold this.
+    pub fn new(replicas: u8, routers: usize, document: &Document, check: &'a dyn Check, seed: u64) -> Self {
         let history = History::new(Number(0), document.clone(), Retention::default());
         let control = |n: u8| ControlNode {
-            machine: Machine::new(MachineId(n), machines, history.clone(), None),
+            replica: Replica::new(ReplicaId(n), replicas, history.clone(), None),
             sessions: SubscriberSessions::default(),
             disk: Disk { history: history.clone(), votes: None },
             up: true,
             asked: None,
         };
         let router = |n: usize| RouterNode {
-            subscriber: Subscriber::new(Number(0), document.clone(), machines, seed + n as u64),
+            subscriber: Subscriber::new(Number(0), document.clone(), replicas, seed + n as u64),
             in_force: InForce::default(),
             connection: None,
             bytes: 0,
@@ -104,7 +104,7 @@
             now: SECOND,
             order: 0,
             events: BinaryHeap::new(),
-            controls: (0..machines).map(control).collect(),
+            controls: (0..replicas).map(control).collect(),
             routers: (0..routers).map(router).collect(),
             by_connection: BTreeMap::new(),
             next_connection: 0,
@@ -120,8 +120,8 @@
             conflicts: 0,
             control_bytes: 0,
         };
-        for n in 0..machines {
-            model.later(GREETING / u64::from(machines) * u64::from(n), Event::Greet(MachineId(n)));
+        for n in 0..replicas {
+            model.later(GREETING / u64::from(replicas) * u64::from(n), Event::Greet(ReplicaId(n)));
         }
         model
     }
@@ -143,55 +143,55 @@
         self.events.push(Reverse((self.now + after, self.order, event)));
     }
 
-    /// An operator asks a machine for a change.
-    pub fn publish(&mut self, machine: MachineId, changes: Delta, after: Time) {
-        self.later(after, Event::Publish(machine, changes));
+    /// An operator asks a replica for a change.
+    pub fn publish(&mut self, replica: ReplicaId, changes: Delta, after: Time) {
+        self.later(after, Event::Publish(replica, changes));
     }
 
-    /// A machine's process ends, and its connections with it.
-    pub fn kill(&mut self, machine: MachineId) {
-        if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
+    /// A replica's process ends, and its connections with it.
+    pub fn kill(&mut self, replica: ReplicaId) {
+        if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
             control.up = false;
             control.asked = None;
             control.sessions = SubscriberSessions::default();
         }
         for n in 0..self.routers.len() {
-            if self.routers.get(n).is_some_and(|r| r.connection.is_some_and(|(to, _)| to == machine)) {
+            if self.routers.get(n).is_some_and(|r| r.connection.is_some_and(|(to, _)| to == replica)) {
                 self.router_input(n, Input::Lost);
             }
         }
     }
 
     /// It comes back with its disk, or with a copy of it from a time at which it held an older number.
-    pub fn start(&mut self, machine: MachineId, old_disk: Option<(History, Option<Acceptor>)>) {
-        let machines = self.controls.len() as u8;
-        let Some(control) = self.controls.get_mut(usize::from(machine.0)) else { return };
+    pub fn start(&mut self, replica: ReplicaId, old_disk: Option<(History, Option<Acceptor>)>) {
+        let replicas = self.controls.len() as u8;
+        let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
         if let Some((history, votes)) = old_disk {
             control.disk = Disk { history, votes };
         }
         let disk = control.disk.clone();
-        control.machine = Machine::new(machine, machines, disk.history, disk.votes);
+        control.replica = Replica::new(replica, replicas, disk.history, disk.votes);
         control.up = true;
-        self.later(0, Event::Greet(machine));
+        self.later(0, Event::Greet(replica));
     }
 
-    /// A copy of a machine's disk.
-    pub fn disk(&self, machine: MachineId) -> Option<(History, Option<Acceptor>)> {
-        let control = self.controls.get(usize::from(machine.0))?;
+    /// A copy of a replica's disk.
+    pub fn disk(&self, replica: ReplicaId) -> Option<(History, Option<Acceptor>)> {
+        let control = self.controls.get(usize::from(replica.0))?;
         Some((control.disk.history.clone(), control.disk.votes.clone()))
     }
 
-    /// The newest number that a machine knows.
-    pub fn number(&self, machine: MachineId) -> Option<Number> {
-        self.controls.get(usize::from(machine.0)).map(|c| c.machine.number())
+    /// The newest number that a replica knows.
+    pub fn number(&self, replica: ReplicaId) -> Option<Number> {
+        self.controls.get(usize::from(replica.0)).map(|c| c.replica.number())
     }
 
-    /// The digests of all machines that run and of all routers.
+    /// The digests of all replicas that run and of all routers.
     pub fn digests(&self) -> BTreeSet<(Number, crate::digest::Digest)> {
-        let machines = self.controls.iter().filter(|c| c.up);
-        let machines = machines.map(|c| (c.machine.number(), c.machine.history().document().digest()));
+        let replicas = self.controls.iter().filter(|c| c.up);
+        let replicas = replicas.map(|c| (c.replica.number(), c.replica.history().document().digest()));
         let routers = self.routers.iter().map(|r| (r.subscriber.number(), r.subscriber.document().digest()));
-        machines.chain(routers).collect()
+        replicas.chain(routers).collect()
     }
 
     /// Goes on for a span.
@@ -220,8 +220,8 @@
         self.now = end;
     }
 
-    fn region(&self, machine: MachineId) -> usize {
-        usize::from(usize::from(machine.0) >= self.controls.len().div_ceil(2))
+    fn region(&self, replica: ReplicaId) -> usize {
+        usize::from(usize::from(replica.0) >= self.controls.len().div_ceil(2))
     }
 
     /// How long between two regions; none: they don't reach each other.
@@ -236,48 +236,48 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::ToMachine(from, to, bytes) => self.at_machine(from, to, &bytes),
-            Event::FromRouter(machine, connection, bytes) => self.at_sessions(machine, connection, &bytes),
+            Event::ToReplica(from, to, bytes) => self.at_replica(from, to, &bytes),
+            Event::FromRouter(replica, connection, bytes) => self.at_sessions(replica, connection, &bytes),
             Event::ToRouter(connection, bytes) => {
                 if let Some(n) = self.by_connection.get(&connection).copied() {
                     self.at_router(n, &bytes);
                 }
             }
-            Event::Stands(n, machine) => self.stands(n, machine),
-            Event::Fails(n, machine) => {
-                let waits = self.routers.get(n).is_some_and(|r| r.subscriber.machine() == (machine, false));
+            Event::Stands(n, replica) => self.stands(n, replica),
+            Event::Fails(n, replica) => {
+                let waits = self.routers.get(n).is_some_and(|r| r.subscriber.replica() == (replica, false));
                 if waits {
                     self.router_input(n, Input::Lost);
                 }
             }
-            Event::Greet(machine) => self.greet(machine),
-            Event::Publish(machine, changes) => self.ask(machine, changes),
-            Event::Retry(machine) => self.retry(machine),
-            Event::GiveUp(machine, asked) => {
+            Event::Greet(replica) => self.greet(replica),
+            Event::Publish(replica, changes) => self.ask(replica, changes),
+            Event::Retry(replica) => self.retry(replica),
+            Event::GiveUp(replica, asked) => {
                 let is_same = |c: &&mut ControlNode| c.asked.as_ref().is_some_and(|(at, _)| *at == asked);
-                if let Some(control) = self.controls.get_mut(usize::from(machine.0)).filter(is_same) {
+                if let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(is_same) {
                     let mut out = Vec::new();
-                    control.machine.give_up(&mut out);
-                    self.carry_out(machine, out);
+                    control.replica.give_up(&mut out);
+                    self.carry_out(replica, out);
                 }
             }
         }
     }
 
-    fn greet(&mut self, machine: MachineId) {
-        let Some(control) = self.controls.get(usize::from(machine.0)).filter(|c| c.up) else { return };
-        let greeting = control.machine.greeting();
+    fn greet(&mut self, replica: ReplicaId) {
+        let Some(control) = self.controls.get(usize::from(replica.0)).filter(|c| c.up) else { return };
+        let greeting = control.replica.greeting();
         for n in 0..self.controls.len() as u8 {
-            if MachineId(n) != machine {
-                self.send_machine(machine, MachineId(n), &greeting);
+            if ReplicaId(n) != replica {
+                self.send_replica(replica, ReplicaId(n), &greeting);
             }
         }
-        self.later(GREETING, Event::Greet(machine));
+        self.later(GREETING, Event::Greet(replica));
     }
 
-    fn ask(&mut self, machine: MachineId, changes: Delta) {
+    fn ask(&mut self, replica: ReplicaId, changes: Delta) {
         let (now, check) = (self.now, self.check);
-        let Some(control) = self.controls.get_mut(usize::from(machine.0)).filter(|c| c.up) else {
+        let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up) else {
             return self.outcomes.push(Outcome::NoQuorum);
         };
         if control.asked.is_some() {
@@ -285,55 +285,55 @@
         }
         control.asked = Some((now, changes.clone()));
         let mut out = Vec::new();
-        control.machine.publish(changes, &format!("operator at {}", machine.0), check, &mut out);
-        self.carry_out(machine, out);
+        control.replica.publish(changes, &format!("operator at {}", replica.0), check, &mut out);
+        self.carry_out(replica, out);
         let pause = RETRY + self.draw(RETRY_DRAW);
-        self.later(pause, Event::Retry(machine));
-        self.later(GIVE_UP, Event::GiveUp(machine, now));
+        self.later(pause, Event::Retry(replica));
+        self.later(GIVE_UP, Event::GiveUp(replica, now));
     }
 
-    fn retry(&mut self, machine: MachineId) {
+    fn retry(&mut self, replica: ReplicaId) {
         let check = self.check;
-        let publishing = |c: &&mut ControlNode| c.up && c.machine.is_publishing();
-        let Some(control) = self.controls.get_mut(usize::from(machine.0)).filter(publishing) else { return };
+        let publishing = |c: &&mut ControlNode| c.up && c.replica.is_publishing();
+        let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(publishing) else { return };
         let mut out = Vec::new();
-        control.machine.retry(check, &mut out);
-        self.carry_out(machine, out);
+        control.replica.retry(check, &mut out);
+        self.carry_out(replica, out);
         let pause = RETRY + self.draw(RETRY_DRAW);
-        self.later(pause, Event::Retry(machine));
+        self.later(pause, Event::Retry(replica));
     }
 
-    fn send_machine(&mut self, from: MachineId, to: MachineId, message: &Message) {
+    fn send_replica(&mut self, from: ReplicaId, to: ReplicaId, message: &Message) {
         let Some(way) = self.way(self.region(from), self.region(to)) else { return };
         let bytes = message.encode(&self.key);
         self.control_bytes += 2 * (bytes.len() as u64 + FRAME_BYTES);
-        self.later(way, Event::ToMachine(from, to, bytes));
+        self.later(way, Event::ToReplica(from, to, bytes));
     }
 
-    fn at_machine(&mut self, from: MachineId, to: MachineId, bytes: &[u8]) {
+    fn at_replica(&mut self, from: ReplicaId, to: ReplicaId, bytes: &[u8]) {
         let Ok(message) = Message::decode(&self.key, bytes) else { return };
         let Some(control) = self.controls.get_mut(usize::from(to.0)).filter(|c| c.up) else { return };
         let mut out = Vec::new();
-        control.machine.take(from, message, &mut out);
+        control.replica.take(from, message, &mut out);
         self.carry_out(to, out);
     }
 
-    fn carry_out(&mut self, machine: MachineId, out: Vec<Output>) {
+    fn carry_out(&mut self, replica: ReplicaId, out: Vec<Output>) {
         for output in out {
-            let Some(control) = self.controls.get_mut(usize::from(machine.0)) else { return };
+            let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
             match output {
-                Output::Send(to, message) => self.send_machine(machine, to, &message),
+                Output::Send(to, message) => self.send_replica(replica, to, &message),
                 Output::Persist(votes) => control.disk.votes = Some(votes),
                 Output::Keep(revision) => {
-                    // The disk follows the machine, which has taken it.
+                    // The disk follows the replica, which has taken it.
                     let _ = control.disk.history.take(revision.clone());
                     let mut messages = Vec::new();
                     control.sessions.broadcast(&revision, &mut messages);
                     let known = self.decided.insert(revision.number, revision.id());
                     self.conflicts += u64::from(known.is_some_and(|known| known != revision.id()));
-                    self.send_routers(machine, messages);
+                    self.send_routers(replica, messages);
                 }
-                Output::KeepWhole(_) => control.disk.history = control.machine.history().clone(),
+                Output::KeepWhole(_) => control.disk.history = control.replica.history().clone(),
                 Output::Done(outcome) => {
                     if let (Outcome::Published(number), Some((at, _))) = (&outcome, control.asked.take()) {
                         self.asked.insert(*number, at);
@@ -346,7 +346,7 @@
         }
     }
 
-    fn send_routers(&mut self, machine: MachineId, messages: Vec<(SessionId, Message)>) {
+    fn send_routers(&mut self, replica: ReplicaId, messages: Vec<(SessionId, Message)>) {
         let mut last: Option<(Message, Vec<u8>)> = None;
         for (connection, message) in messages {
             // One message to many is sealed once.
@@ -356,7 +356,7 @@
             };
             last = Some((message, bytes.clone()));
             let Some(n) = self.by_connection.get(&connection).copied() else { continue };
-            let Some(way) = self.way(self.region(machine), n % 2) else { continue };
+            let Some(way) = self.way(self.region(replica), n % 2) else { continue };
             self.control_bytes += bytes.len() as u64 + FRAME_BYTES;
             self.later(way, Event::ToRouter(connection, bytes));
         }
@@ -367,18 +367,18 @@
         for n in 0..self.controls.len() {
             let Some(control) = self.controls.get_mut(n).filter(|c| c.up) else { continue };
             let mut messages = Vec::new();
-            control.sessions.tick(now, control.machine.history(), &mut messages);
-            self.send_routers(MachineId(n as u8), messages);
+            control.sessions.tick(now, control.replica.history(), &mut messages);
+            self.send_routers(ReplicaId(n as u8), messages);
         }
     }
 
-    fn at_sessions(&mut self, machine: MachineId, connection: SessionId, bytes: &[u8]) {
+    fn at_sessions(&mut self, replica: ReplicaId, connection: SessionId, bytes: &[u8]) {
         let Ok(message) = Message::decode(&self.key, bytes) else { return };
         let now = self.now;
-        let Some(control) = self.controls.get_mut(usize::from(machine.0)).filter(|c| c.up) else { return };
+        let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up) else { return };
         let mut messages = Vec::new();
-        control.sessions.receive(connection, now, message, control.machine.history(), &mut messages);
-        self.send_routers(machine, messages);
+        control.sessions.receive(connection, now, message, control.replica.history(), &mut messages);
+        self.send_routers(replica, messages);
         self.session_ticks();
     }
 }
--- a/crates/control/src/model/nodes.rs
+++ b/crates/control/src/model/nodes.rs
@@ -1,11 +1,11 @@
-//! The machines and routers of the model.
+//! The replicas and routers of the model.
 
 use std::collections::BTreeSet;
 
 use crate::acceptor::Acceptor;
 use crate::document::{Delta, Document};
 use crate::history::History;
-use crate::machine::{Machine, MachineId};
+use crate::replica::{Replica, ReplicaId};
 use crate::revision::Number;
 use crate::sessions::{SessionId, SubscriberSessions};
 use crate::subscriber::{Apply, Subscriber, Time};
@@ -30,17 +30,17 @@
     }
 }
 
-/// What a machine has on its disk.
+/// What a replica has on its disk.
 #[derive(Debug, Clone)]
 pub(super) struct Disk {
     pub(super) history: History,
     pub(super) votes: Option<Acceptor>,
 }
 
-/// A control machine of the model.
+/// A control replica of the model.
 #[derive(Debug)]
 pub(super) struct ControlNode {
-    pub(super) machine: Machine,
+    pub(super) replica: Replica,
     pub(super) sessions: SubscriberSessions,
     pub(super) disk: Disk,
     pub(super) up: bool,
@@ -55,7 +55,7 @@
     pub subscriber: Subscriber,
     /// What it puts in force.
     pub in_force: InForce,
-    pub(super) connection: Option<(MachineId, SessionId)>,
+    pub(super) connection: Option<(ReplicaId, SessionId)>,
     /// Bytes that it got and sent.
     pub bytes: u64,
     /// Time that its own work took, ns of the real clock.
--- a/crates/control/src/model/routers.rs
+++ b/crates/control/src/model/routers.rs
@@ -4,8 +4,8 @@
 
 use super::{Event, Model, FRAME_BYTES};
 use crate::document::Document;
-use crate::machine::MachineId;
 use crate::messages::Message;
+use crate::replica::ReplicaId;
 use crate::revision::Number;
 use crate::sessions::SessionId;
 use crate::subscriber::{Action, Input, Subscriber};
@@ -13,11 +13,11 @@
 impl Model<'_> {
     /// A router's process ends and comes back with what it kept, or with nothing.
     pub fn restart_router(&mut self, n: usize, keeps: bool, seed: u64) {
-        let machines = self.controls.len() as u8;
+        let replicas = self.controls.len() as u8;
         let Some(router) = self.routers.get_mut(n) else { return };
-        if let Some((machine, connection)) = router.connection.take() {
+        if let Some((replica, connection)) = router.connection.take() {
             self.by_connection.remove(&connection);
-            if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
+            if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
                 control.sessions.close(connection);
             }
         }
@@ -25,7 +25,7 @@
             true => (router.subscriber.number(), router.subscriber.document().clone()),
             false => (Number(0), Document::default()),
         };
-        router.subscriber = Subscriber::new(number, document, machines, seed);
+        router.subscriber = Subscriber::new(number, document, replicas, seed);
         router.newest = number;
     }
 
@@ -40,20 +40,20 @@
         }
     }
 
-    pub(super) fn stands(&mut self, n: usize, machine: MachineId) {
+    pub(super) fn stands(&mut self, n: usize, replica: ReplicaId) {
         let now = self.now;
-        let waits = self.routers.get(n).is_some_and(|r| r.subscriber.machine() == (machine, false));
+        let waits = self.routers.get(n).is_some_and(|r| r.subscriber.replica() == (replica, false));
         if !waits {
             return;
         }
         let connection = SessionId(self.next_connection);
         self.next_connection += 1;
-        let control = self.controls.get_mut(usize::from(machine.0)).filter(|c| c.up);
+        let control = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up);
         if !control.is_some_and(|c| c.sessions.open(connection, now)) {
             return self.router_input(n, Input::Lost);
         }
         if let Some(router) = self.routers.get_mut(n) {
-            router.connection = Some((machine, connection));
+            router.connection = Some((replica, connection));
         }
         self.by_connection.insert(connection, n);
         self.router_input(n, Input::Connected);
@@ -63,9 +63,9 @@
         let now = self.now;
         let Some(router) = self.routers.get_mut(n) else { return };
         if input == Input::Lost {
-            if let Some((machine, connection)) = router.connection.take() {
+            if let Some((replica, connection)) = router.connection.take() {
                 self.by_connection.remove(&connection);
-                if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
+                if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
                     control.sessions.close(connection);
                 }
             }
@@ -82,11 +82,11 @@
     fn act(&mut self, n: usize, action: Action) {
         let now = self.now;
         match action {
-            Action::Connect(machine) => {
-                let up = self.controls.get(usize::from(machine.0)).is_some_and(|c| c.up);
-                match (self.way(n % 2, self.region(machine)), up) {
-                    (Some(way), true) => self.later(2 * way, Event::Stands(n, machine)),
-                    (Some(way), false) => self.later(2 * way, Event::Fails(n, machine)),
+            Action::Connect(replica) => {
+                let up = self.controls.get(usize::from(replica.0)).is_some_and(|c| c.up);
+                match (self.way(n % 2, self.region(replica)), up) {
+                    (Some(way), true) => self.later(2 * way, Event::Stands(n, replica)),
+                    (Some(way), false) => self.later(2 * way, Event::Fails(n, replica)),
                     // Nothing is said in a cut.
                     (None, _) => {}
                 }
@@ -94,9 +94,9 @@
             Action::Send(message) => self.send_from_router(n, &message),
             Action::Close => {
                 let Some(router) = self.routers.get_mut(n) else { return };
-                if let Some((machine, connection)) = router.connection.take() {
+                if let Some((replica, connection)) = router.connection.take() {
                     self.by_connection.remove(&connection);
-                    if let Some(control) = self.controls.get_mut(usize::from(machine.0)) {
+                    if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
                         control.sessions.close(connection);
                     }
                 }
@@ -118,9 +118,9 @@
         let bytes = message.encode(&self.key);
         let Some(router) = self.routers.get_mut(n) else { return };
         router.bytes += bytes.len() as u64 + FRAME_BYTES;
-        let Some((machine, connection)) = router.connection else { return };
-        let Some(way) = self.way(n % 2, self.region(machine)) else { return };
+        let Some((replica, connection)) = router.connection else { return };
+        let Some(way) = self.way(n % 2, self.region(replica)) else { return };
         self.control_bytes += bytes.len() as u64 + FRAME_BYTES;
-        self.later(way, Event::FromRouter(machine, connection, bytes));
+        self.later(way, Event::FromRouter(replica, connection, bytes));
     }
 }
--- a/crates/control/src/proposer.rs
+++ b/crates/control/src/proposer.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::acceptor::{Ballot, Vote};
-use crate::machine::{MachineId, Quorum};
+use crate::replica::{Quorum, ReplicaId};
 use crate::revision::{Number, Revision};
 
 /// What a try comes to.
@@ -11,7 +11,7 @@
 pub enum Progress {
     /// It goes on.
     Waiting,
-    /// All machines are to be asked to accept this: ours, or one that may be decided already.
+    /// All replicas are to be asked to accept this: ours, or one that may be decided already.
     Propose(Vote),
     /// It is decided.
     Decided(Revision),
@@ -22,9 +22,9 @@
 pub struct Proposer {
     ballot: Ballot,
     ours: Revision,
-    promises: BTreeMap<MachineId, Option<Vote>>,
+    promises: BTreeMap<ReplicaId, Option<Vote>>,
     proposed: Option<Revision>,
-    accepted: BTreeSet<MachineId>,
+    accepted: BTreeSet<ReplicaId>,
 }
 
 impl Proposer {
@@ -43,10 +43,10 @@
         self.ours.number
     }
 
-    /// A machine has promised.
+    /// A replica has promised.
     pub fn promised(
         &mut self,
-        from: MachineId,
+        from: ReplicaId,
         ballot: Ballot,
         vote: Option<Vote>,
         quorum: Quorum,
@@ -65,8 +65,8 @@
         Progress::Propose(Vote { ballot: self.ballot, revision })
     }
 
-    /// A machine has accepted.
-    pub fn accepted(&mut self, from: MachineId, ballot: Ballot, quorum: Quorum) -> Progress {
+    /// A replica has accepted.
+    pub fn accepted(&mut self, from: ReplicaId, ballot: Ballot, quorum: Quorum) -> Progress {
         let Some(revision) = self.proposed.as_ref().filter(|_| ballot == self.ballot) else {
             return Progress::Waiting;
         };
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! A control machine: votes on numbers, publishes, and keeps what was decided.
+//! A control replica: votes on numbers, publishes, and keeps what was decided.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,26 +9,26 @@
 use crate::proposer::{Progress, Proposer};
 use crate::revision::{Number, Revision};
 
-/// A control machine, by its place in the list that all machines of a site hold.
+/// A control replica, by its place in the list that all replicas of a site hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct MachineId(pub u8);
+pub struct ReplicaId(pub u8);
 
-/// How many machines decide.
+/// How many replicas decide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quorum {
-    machines: usize,
+    replicas: usize,
 }
 
 impl Quorum {
-    /// Of so many machines.
-    pub fn of(machines: usize) -> Self {
-        Self { machines }
+    /// Of so many replicas.
+    pub fn of(replicas: usize) -> Self {
+        Self { replicas }
     }
 
-    /// So many that any two quorums share two machines: one that comes back with an old disk, and so without its last
+    /// So many that any two quorums share two replicas: one that comes back with an old disk, and so without its last
     /// votes, decides nothing twice. Three of four; of three or fewer all of them.
     pub fn size(self) -> usize {
-        (self.machines / 2 + 1).max(self.machines.div_ceil(2) + 1).min(self.machines)
+        (self.replicas / 2 + 1).max(self.replicas.div_ceil(2) + 1).min(self.replicas)
     }
 }
 
@@ -52,15 +52,15 @@
     Invalid(String),
     /// Another is on its way here; to be tried again.
     Busy,
-    /// No quorum answered in time. It may be decided all the same, by another machine that finishes it.
+    /// No quorum answered in time. It may be decided all the same, by another replica that finishes it.
     NoQuorum,
 }
 
-/// What is to be done, in order. Nothing that follows a [`Output::Persist`] leaves the machine before it is on the disk.
+/// What is to be done, in order. Nothing that follows a [`Output::Persist`] leaves the replica before it is on the disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send to a machine.
-    Send(MachineId, Message),
+    /// Send to a replica.
+    Send(ReplicaId, Message),
     /// Keep the votes.
     Persist(Acceptor),
     /// Keep a decided revision.
@@ -69,8 +69,8 @@
     KeepWhole(Number),
     /// The publication is over.
     Done(Outcome),
-    /// Another machine holds another content under a number: an operator has to look.
-    Diverged(MachineId, Number),
+    /// Another replica holds another content under a number: an operator has to look.
+    Diverged(ReplicaId, Number),
 }
 
 /// A publication under way.
@@ -81,11 +81,11 @@
     proposer: Proposer,
 }
 
-/// One control machine.
+/// One control replica.
 #[derive(Debug, Clone)]
-pub struct Machine {
-    own: MachineId,
-    machines: Vec<MachineId>,
+pub struct Replica {
+    own: ReplicaId,
+    replicas: Vec<ReplicaId>,
     acceptor: Acceptor,
     history: History,
     publication: Option<Publication>,
@@ -93,24 +93,24 @@
     round: u64,
 }
 
-impl Machine {
-    /// One of `machines` machines, with what its disk holds.
-    pub fn new(own: MachineId, machines: u8, history: History, votes: Option<Acceptor>) -> Self {
+impl Replica {
+    /// One of `replicas` replicas, with what its disk holds.
+    pub fn new(own: ReplicaId, replicas: u8, history: History, votes: Option<Acceptor>) -> Self {
         // Votes on a number that was decided since are of no use; those on a later one can't be.
         let votes = votes.filter(|votes| votes.number() == history.number().next());
         let acceptor = votes.unwrap_or_else(|| Acceptor::after(history.number()));
         let round = acceptor.round();
-        let machines = (0..machines).map(MachineId).collect();
-        Self { own, machines, acceptor, history, publication: None, round }
+        let replicas = (0..replicas).map(ReplicaId).collect();
+        Self { own, replicas, acceptor, history, publication: None, round }
     }
 
     /// One with nothing on its disk.
-    pub fn fresh(own: MachineId, machines: u8) -> Self {
+    pub fn fresh(own: ReplicaId, replicas: u8) -> Self {
         let history = History::new(Number::default(), Document::default(), Retention::default());
-        Self::new(own, machines, history, None)
+        Self::new(own, replicas, history, None)
     }
 
-    /// The newest number that is decided, as far as this machine knows.
+    /// The newest number that is decided, as far as this replica knows.
     pub fn number(&self) -> Number {
         self.history.number()
     }
@@ -121,14 +121,14 @@
     }
 
     fn quorum(&self) -> Quorum {
-        Quorum::of(self.machines.len())
+        Quorum::of(self.replicas.len())
     }
 
-    fn others(&self) -> impl Iterator<Item = MachineId> + '_ {
-        self.machines.iter().copied().filter(|machine| *machine != self.own)
+    fn others(&self) -> impl Iterator<Item = ReplicaId> + '_ {
+        self.replicas.iter().copied().filter(|replica| *replica != self.own)
     }
 
-    /// What this machine tells a peer of itself: as they meet, and from time to time.
+    /// What this replica tells a peer of itself: as they meet, and from time to time.
     pub fn greeting(&self) -> Message {
         Message::Holds { number: self.history.number(), digest: self.history.document().digest() }
     }
@@ -166,7 +166,7 @@
 
     fn propose(&mut self, changes: Delta, author: Box<str>, revision: Revision, out: &mut Vec<Output>) {
         self.round += 1;
-        let ballot = Ballot { round: self.round, machine: self.own };
+        let ballot = Ballot { round: self.round, replica: self.own };
         let number = revision.number;
         self.publication = Some(Publication { changes, author, proposer: Proposer::new(ballot, revision) });
         for other in self.others() {
@@ -197,9 +197,9 @@
         self.publication.is_some()
     }
 
-    /// Takes a message of a machine, or of itself. One that is not on the list has no vote and is told nothing.
-    pub fn take(&mut self, from: MachineId, message: Message, out: &mut Vec<Output>) {
-        if !self.machines.contains(&from) {
+    /// Takes a message of a replica, or of itself. One that is not on the list has no vote and is told nothing.
+    pub fn take(&mut self, from: ReplicaId, message: Message, out: &mut Vec<Output>) {
+        if !self.replicas.contains(&from) {
             return;
         }
         match message {
@@ -233,7 +233,7 @@
         self.publication.as_mut().filter(|p| p.proposer.number() == number)
     }
 
-    fn answer(&mut self, to: MachineId, message: Message, out: &mut Vec<Output>) {
+    fn answer(&mut self, to: ReplicaId, message: Message, out: &mut Vec<Output>) {
         if to == self.own {
             self.take(to, message, out);
         } else {
@@ -241,7 +241,7 @@
         }
     }
 
-    fn prepare(&mut self, from: MachineId, number: Number, ballot: Ballot, out: &mut Vec<Output>) {
+    fn prepare(&mut self, from: ReplicaId, number: Number, ballot: Ballot, out: &mut Vec<Output>) {
         self.round = self.round.max(ballot.round);
         match self.acceptor.prepare(number, ballot) {
             Answer::Promised(vote) => {
@@ -253,7 +253,7 @@
         }
     }
 
-    fn accept(&mut self, from: MachineId, vote: Vote, out: &mut Vec<Output>) {
+    fn accept(&mut self, from: ReplicaId, vote: Vote, out: &mut Vec<Output>) {
         let (number, ballot) = (vote.revision.number, vote.ballot);
         match self.acceptor.accept(vote) {
             Answer::Accepted => {
@@ -265,8 +265,8 @@
         }
     }
 
-    /// One of two machines is behind: each tells what it holds, and the other brings it up to date.
-    fn tell_of_head(&mut self, to: MachineId, number: Number, out: &mut Vec<Output>) {
+    /// One of two replicas is behind: each tells what it holds, and the other brings it up to date.
+    fn tell_of_head(&mut self, to: ReplicaId, number: Number, out: &mut Vec<Output>) {
         if to == self.own {
             return;
         }
@@ -298,7 +298,7 @@
 
     fn bring_up_to_date(
         &mut self,
-        from: MachineId,
+        from: ReplicaId,
         number: Number,
         digest: crate::digest::Digest,
         out: &mut Vec<Output>,
@@ -319,7 +319,7 @@
         }
     }
 
-    fn learn(&mut self, from: MachineId, revision: Revision, out: &mut Vec<Output>) {
+    fn learn(&mut self, from: ReplicaId, revision: Revision, out: &mut Vec<Output>) {
         let number = revision.number;
         let ours = self.history.revision(number).map(|ours| *ours == revision);
         match self.history.take(revision.clone()) {
@@ -357,7 +357,7 @@
 
     fn learn_whole(
         &mut self,
-        from: MachineId,
+        from: ReplicaId,
         number: Number,
         entries: Vec<crate::document::Entry>,
         out: &mut Vec<Output>,
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,4 +1,4 @@
-//! A control machine towards routers: who is there, what each holds, and what is sent to it.
+//! A control replica towards routers: who is there, what each holds, and what is sent to it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -29,7 +29,7 @@
     pub held_back: Option<(Number, Box<str>)>,
 }
 
-/// All routers of one machine.
+/// All routers of one replica.
 #[derive(Debug, Clone, Default)]
 pub struct SubscriberSessions {
     sessions: BTreeMap<SessionId, Session>,
@@ -94,7 +94,7 @@
             CatchUp::Revisions(revisions) => {
                 out.extend(revisions.into_iter().map(|revision| (session_id, Message::Decided(revision))));
             }
-            // One that is ahead of this machine gets no whole: it would go back.
+            // One that is ahead of this replica gets no whole: it would go back.
             CatchUp::Whole if number < history.number() && !self.awaiting_snapshot.contains(&session_id) => {
                 self.awaiting_snapshot.push_back(session_id);
             }
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,17 +1,17 @@
-//! A router's link to the control machines: one connection at a time, moved on from one that is silent.
+//! A router's link to the control replicas: one connection at a time, moved on from one that is silent.
 
 use crate::document::{Delta, Document};
 use crate::follower::{Follower, Taken};
-use crate::machine::MachineId;
 use crate::messages::Message;
+use crate::replica::ReplicaId;
 use crate::revision::Number;
 
 /// A time by a monotonic clock, µs.
 pub type Time = u64;
 
-/// The router says what it holds so often; the machine answers with what it holds itself.
+/// The router says what it holds so often; the replica answers with what it holds itself.
 const GREETING: Time = 3_000_000;
-/// A machine that has said nothing for so long after a greeting is left for the next one.
+/// A replica that has said nothing for so long after a greeting is left for the next one.
 const SILENCE: Time = 2_000_000;
 /// A connection has so long to stand.
 const CONNECT: Time = 1_000_000;
@@ -52,8 +52,8 @@
 /// What is to be done, in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Connect to this machine; there is no other connection.
-    Connect(MachineId),
+    /// Connect to this replica; there is no other connection.
+    Connect(ReplicaId),
     /// Send on the connection.
     Send(Message),
     /// Close the connection.
@@ -62,8 +62,8 @@
     InForce(Number),
     /// This number is held back, for this reason: an operator is told.
     HeldBack(Number, String),
-    /// The machine tells another history than is held: an operator is told, and another machine asked.
-    OtherHistory(MachineId, Number),
+    /// The replica tells another history than is held: an operator is told, and another replica asked.
+    OtherHistory(ReplicaId, Number),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,8 +85,8 @@
 #[derive(Debug, Clone)]
 pub struct Subscriber {
     follower: Follower,
-    machines: u8,
-    machine: MachineId,
+    replicas: u8,
+    replica: ReplicaId,
     connection: Connection,
     tries: u32,
     random: u64,
@@ -94,19 +94,19 @@
 }
 
 impl Subscriber {
-    /// A link that begins with what the router holds. The seed spreads routers over machines and times.
-    pub fn new(number: Number, document: Document, machines: u8, seed: u64) -> Self {
+    /// A link that begins with what the router holds. The seed spreads routers over replicas and times.
+    pub fn new(number: Number, document: Document, replicas: u8, seed: u64) -> Self {
         let mut subscriber = Self {
             follower: Follower::new(number, document),
-            machines: machines.max(1),
-            machine: MachineId(0),
+            replicas: replicas.max(1),
+            replica: ReplicaId(0),
             connection: Connection::None { retry: 0 },
             tries: 0,
             // Never 0, from which nothing is drawn.
             random: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
             held_back: Vec::new(),
         };
-        subscriber.machine = MachineId(subscriber.draw(u64::from(subscriber.machines)) as u8);
+        subscriber.replica = ReplicaId(subscriber.draw(u64::from(subscriber.replicas)) as u8);
         subscriber
     }
 
@@ -125,9 +125,9 @@
         &self.held_back
     }
 
-    /// The machine that is asked, and whether the connection to it stands.
-    pub fn machine(&self) -> (MachineId, bool) {
-        (self.machine, matches!(self.connection, Connection::Open { .. }))
+    /// The replica that is asked, and whether the connection to it stands.
+    pub fn replica(&self) -> (ReplicaId, bool) {
+        (self.replica, matches!(self.connection, Connection::Open { .. }))
     }
 
     /// When [`Input::Tick`] is next needed.
@@ -166,9 +166,9 @@
         actions.push(Action::Send(Message::Holds { number, digest }));
     }
 
-    /// The next machine, after a pause that grows with the tries and is drawn from a span that does.
+    /// The next replica, after a pause that grows with the tries and is drawn from a span that does.
     fn lost(&mut self, now: Time) {
-        self.machine = MachineId((self.machine.0 + 1) % self.machines);
+        self.replica = ReplicaId((self.replica.0 + 1) % self.replicas);
         let span = PAUSE << self.tries.min(PAUSE_DOUBLINGS);
         self.tries = self.tries.saturating_add(1);
         let retry = now + PAUSE + self.draw(span);
@@ -182,7 +182,7 @@
         match self.connection {
             Connection::None { .. } => {
                 self.connection = Connection::Connecting { until: now + CONNECT };
-                actions.push(Action::Connect(self.machine));
+                actions.push(Action::Connect(self.replica));
             }
             Connection::Open { heard, greeted } if heard >= greeted => self.greet(now, heard, actions),
             Connection::Connecting { .. } | Connection::Open { .. } => {
@@ -211,7 +211,7 @@
                 self.taken(now, taken, number, |number| apply.apply_whole(number, &document), actions);
             }
             Message::Holds { number, .. } if number < self.follower.number() => {
-                // A machine that is behind: it will catch up, and tells nothing new until then.
+                // A replica that is behind: it will catch up, and tells nothing new until then.
             }
             _ => {}
         }
@@ -234,7 +234,7 @@
             // What is missing is asked for at once.
             Taken::Gap => self.greet(now, now, actions),
             Taken::OtherHistory => {
-                actions.extend([Action::OtherHistory(self.machine, number), Action::Close]);
+                actions.extend([Action::OtherHistory(self.replica, number), Action::Close]);
                 self.lost(now);
             }
             Taken::NotApplied(why) => {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Control machines and the messages between them, moved by hand.
+//! Control replicas and the messages between them, moved by hand.
 #![allow(
     dead_code,
     clippy::unwrap_used,
@@ -14,7 +14,7 @@
 
 use chalkyard_control::*;
 
-pub const MACHINES: u8 = 4;
+pub const REPLICAS: u8 = 4;
 
 pub fn entry(key: &str, value: &str) -> Entry {
     Entry { key: key.into(), value: value.into() }
@@ -33,40 +33,40 @@
     }
 }
 
-/// What a machine has on its disk.
+/// What a replica has on its disk.
 #[derive(Debug, Clone)]
 pub struct Disk {
     pub history: History,
     pub votes: Option<Acceptor>,
 }
 
-/// All machines, their disks, and the messages on their way.
+/// All replicas, their disks, and the messages on their way.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    pub machines: Vec<Machine>,
+    pub replicas: Vec<Replica>,
     pub disks: Vec<Disk>,
     /// As each disk was a while ago.
     old_disks: Vec<Disk>,
-    on_their_way: Vec<(MachineId, MachineId, Message)>,
-    /// The first half of the machines does not hear the second.
+    on_their_way: Vec<(ReplicaId, ReplicaId, Message)>,
+    /// The first half of the replicas does not hear the second.
     pub cut: bool,
-    /// One machine is out of reach.
+    /// One replica is out of reach.
     pub away: Option<usize>,
     pub outcomes: Vec<Outcome>,
     pub diverged: u64,
-    /// What was decided, by any machine's word.
+    /// What was decided, by any replica's word.
     decided: BTreeMap<Number, RevisionId>,
     conflict: Option<Number>,
     published: u64,
 }
 
 impl Fleet {
-    pub fn new(machines: u8) -> Self {
-        let machines: Vec<Machine> = (0..machines).map(|n| Machine::fresh(MachineId(n), machines)).collect();
-        let disk = Disk { history: machines[0].history().clone(), votes: None };
-        let disks = vec![disk; machines.len()];
+    pub fn new(replicas: u8) -> Self {
+        let replicas: Vec<Replica> = (0..replicas).map(|n| Replica::fresh(ReplicaId(n), replicas)).collect();
+        let disk = Disk { history: replicas[0].history().clone(), votes: None };
+        let disks = vec![disk; replicas.len()];
         Self {
-            machines,
+            replicas,
             old_disks: disks.clone(),
             disks,
             on_their_way: Vec::new(),
@@ -85,48 +85,48 @@
     }
 
     pub fn newest(&self) -> u64 {
-        self.machines.iter().map(|m| m.number().0).max().unwrap_or(0)
+        self.replicas.iter().map(|m| m.number().0).max().unwrap_or(0)
     }
 
-    /// A change of an entry of the machine's own, another one each time.
-    pub fn publish(&mut self, machine: usize) {
+    /// A change of an entry of the replica's own, another one each time.
+    pub fn publish(&mut self, replica: usize) {
         let n = self.published;
         self.published += 1;
         self.publish_change(
-            machine,
-            Change::Set(entry(&format!("m{machine}-{}", n % 5), &format!("value {n}"))),
+            replica,
+            Change::Set(entry(&format!("m{replica}-{}", n % 5), &format!("value {n}"))),
         );
     }
 
-    pub fn publish_change(&mut self, machine: usize, change: Change) {
+    pub fn publish_change(&mut self, replica: usize, change: Change) {
         let mut out = Vec::new();
-        self.machines[machine].publish(
+        self.replicas[replica].publish(
             Delta(vec![change]),
-            &format!("operator {machine}"),
+            &format!("operator {replica}"),
             &NothingBad,
             &mut out,
         );
-        self.carry_out(machine, out);
+        self.carry_out(replica, out);
     }
 
-    pub fn retry(&mut self, machine: usize) {
+    pub fn retry(&mut self, replica: usize) {
         let mut out = Vec::new();
-        self.machines[machine].retry(&NothingBad, &mut out);
-        self.carry_out(machine, out);
+        self.replicas[replica].retry(&NothingBad, &mut out);
+        self.carry_out(replica, out);
     }
 
     pub fn greet(&mut self, from: usize, to: usize) {
-        let message = self.machines[from].greeting();
+        let message = self.replicas[from].greeting();
         self.on_their_way.push((id(from), id(to), message));
     }
 
-    fn carry_out(&mut self, machine: usize, out: Vec<Output>) {
+    fn carry_out(&mut self, replica: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Send(to, message) => self.on_their_way.push((id(machine), to, message)),
+                Output::Send(to, message) => self.on_their_way.push((id(replica), to, message)),
                 Output::Persist(votes) => {
-                    self.old_disks[machine] = self.disks[machine].clone();
-                    self.disks[machine].votes = Some(votes);
+                    self.old_disks[replica] = self.disks[replica].clone();
+                    self.disks[replica].votes = Some(votes);
                 }
                 Output::Keep(revision) => {
                     let known = self.decided.insert(revision.number, revision.id());
@@ -134,11 +134,11 @@
                         self.conflict = Some(revision.number);
                     }
                     let number = revision.number;
-                    let kept = self.disks[machine].history.take(revision);
-                    assert!(kept.is_ok(), "machine {machine} keeps {number}: {kept:?}");
+                    let kept = self.disks[replica].history.take(revision);
+                    assert!(kept.is_ok(), "replica {replica} keeps {number}: {kept:?}");
                 }
                 Output::KeepWhole(_) => {
-                    self.disks[machine].history = self.machines[machine].history().clone()
+                    self.disks[replica].history = self.replicas[replica].history().clone()
                 }
                 Output::Done(outcome) => self.outcomes.push(outcome),
                 Output::Diverged(..) => self.diverged += 1,
@@ -146,10 +146,10 @@
         }
     }
 
-    fn reaches(&self, from: MachineId, to: MachineId) -> bool {
-        let half = self.machines.len() / 2;
-        let side = |m: MachineId| usize::from(m.0) < half;
-        let away = |m: MachineId| self.away == Some(usize::from(m.0));
+    fn reaches(&self, from: ReplicaId, to: ReplicaId) -> bool {
+        let half = self.replicas.len() / 2;
+        let side = |m: ReplicaId| usize::from(m.0) < half;
+        let away = |m: ReplicaId| self.away == Some(usize::from(m.0));
         let apart = self.cut && side(from) != side(to);
         !(apart || away(from) || away(to))
     }
@@ -163,7 +163,7 @@
             return;
         }
         let mut out = Vec::new();
-        self.machines[usize::from(to.0)].take(from, message, &mut out);
+        self.replicas[usize::from(to.0)].take(from, message, &mut out);
         self.carry_out(usize::from(to.0), out);
     }
 
@@ -189,15 +189,15 @@
     }
 
     /// The process ends and comes back with its disk, or with one that is a vote behind.
-    pub fn restart(&mut self, machine: usize, old_disk: bool) {
-        let disk = if old_disk { self.old_disks[machine].clone() } else { self.disks[machine].clone() };
-        let machines = self.machines.len() as u8;
-        self.machines[machine] =
-            Machine::new(id(machine), machines, disk.history.clone(), disk.votes.clone());
-        self.disks[machine] = disk;
+    pub fn restart(&mut self, replica: usize, old_disk: bool) {
+        let disk = if old_disk { self.old_disks[replica].clone() } else { self.disks[replica].clone() };
+        let replicas = self.replicas.len() as u8;
+        self.replicas[replica] =
+            Replica::new(id(replica), replicas, disk.history.clone(), disk.votes.clone());
+        self.disks[replica] = disk;
     }
 
-    /// The digest of all messages on their way, of what each machine holds, and of its votes.
+    /// The digest of all messages on their way, of what each replica holds, and of its votes.
     pub fn fingerprint(&self) -> Vec<u8> {
         let key = SiteKey::new([7; 32]);
         let mut bytes = Vec::new();
@@ -205,27 +205,27 @@
             bytes.extend([from.0, to.0]);
             bytes.extend(message.encode(&key));
         }
-        for (machine, disk) in self.machines.iter().zip(&self.disks) {
-            bytes.extend(machine.number().0.to_le_bytes());
-            bytes.extend(machine.history().document().digest().to_string().into_bytes());
+        for (replica, disk) in self.replicas.iter().zip(&self.disks) {
+            bytes.extend(replica.number().0.to_le_bytes());
+            bytes.extend(replica.history().document().digest().to_string().into_bytes());
             bytes.extend(postcard::to_stdvec(&disk.votes).unwrap());
         }
         Digest::of_bytes(&bytes).to_string().into_bytes()
     }
 
-    /// No number has two contents, and machines that hold the same number hold the same whole.
+    /// No number has two contents, and replicas that hold the same number hold the same whole.
     pub fn check(&self) {
         assert_eq!(self.conflict, None, "a number was decided twice");
         let mut digests: BTreeMap<Number, Digest> = BTreeMap::new();
-        for machine in &self.machines {
-            let digest = machine.history().document().digest();
-            let known = *digests.entry(machine.number()).or_insert(digest);
-            assert_eq!(known, digest, "two contents under {}", machine.number());
+        for replica in &self.replicas {
+            let digest = replica.history().document().digest();
+            let known = *digests.entry(replica.number()).or_insert(digest);
+            assert_eq!(known, digest, "two contents under {}", replica.number());
         }
         assert_eq!(self.diverged, 0);
     }
 }
 
-pub fn id(machine: usize) -> MachineId {
-    MachineId(machine as u8)
+pub fn id(replica: usize) -> ReplicaId {
+    ReplicaId(replica as u8)
 }
--- a/crates/control/tests/recorded_runs.rs
+++ b/crates/control/tests/recorded_runs.rs
@@ -6,7 +6,7 @@
 
 use chalkyard_control::model::{Model, SECOND};
 use chalkyard_control::*;
-use common::{entry, Fleet, NothingBad, MACHINES};
+use common::{entry, Fleet, NothingBad, REPLICAS};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -31,32 +31,32 @@
     outcomes.iter().map(outcome).collect::<Vec<_>>().join(",")
 }
 
-/// Publications at every machine, one that the check refuses, one that a router can't apply, a machine that dies and comes
+/// Publications at every replica, one that the check refuses, one that a router can't apply, a replica that dies and comes
 /// back with an old disk, regions that lose each other, and routers that restart with and without what they kept.
 fn run_of_the_model(seed: u64) -> String {
     let document =
         Document::new((0..40).map(|n| entry(&format!("tenants/tenant[t{n:05}]"), "<tenant/>"))).unwrap();
-    let mut model = Model::new(MACHINES, 12, &document, &NothingBad, seed);
+    let mut model = Model::new(REPLICAS, 12, &document, &NothingBad, seed);
     model.routers[3].in_force.refuses.insert(Number(2));
     model.run(3 * SECOND);
     for n in 0..8 {
-        model.publish(MachineId((n % 4) as u8), change(n), n * SECOND / 4);
+        model.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND / 4);
     }
-    model.publish(MachineId(0), Delta(vec![Change::Set(entry("bad", "x"))]), SECOND);
+    model.publish(ReplicaId(0), Delta(vec![Change::Set(entry("bad", "x"))]), SECOND);
     model.run(10 * SECOND);
-    let old_disk = model.disk(MachineId(2));
-    model.publish(MachineId(0), change(20), 0);
+    let old_disk = model.disk(ReplicaId(2));
+    model.publish(ReplicaId(0), change(20), 0);
     model.run(SECOND / 200);
-    model.kill(MachineId(0));
-    model.publish(MachineId(1), change(21), SECOND / 10);
+    model.kill(ReplicaId(0));
+    model.publish(ReplicaId(1), change(21), SECOND / 10);
     model.run(15 * SECOND);
-    model.start(MachineId(0), None);
-    model.kill(MachineId(2));
-    model.start(MachineId(2), old_disk);
-    model.publish(MachineId(2), change(22), 0);
+    model.start(ReplicaId(0), None);
+    model.kill(ReplicaId(2));
+    model.start(ReplicaId(2), old_disk);
+    model.publish(ReplicaId(2), change(22), 0);
     model.run(15 * SECOND);
     model.cut = true;
-    model.publish(MachineId(3), change(23), SECOND);
+    model.publish(ReplicaId(3), change(23), SECOND);
     model.run(20 * SECOND);
     model.cut = false;
     for n in 0..12 {
@@ -80,19 +80,19 @@
 /// Publications and retries, and messages that are delivered, lost and repeated in any order; crashes and cuts between.
 fn run_by_hand(seed: u64) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut fleet = Fleet::new(MACHINES);
+    let mut fleet = Fleet::new(REPLICAS);
     let mut trace = Vec::new();
     for _ in 0..600 {
-        let machine = random.random_range(0..usize::from(MACHINES));
+        let replica = random.random_range(0..usize::from(REPLICAS));
         let place = random.random_range(0..8);
         match random.random_range(0..100) {
-            0..8 => fleet.publish(machine),
-            8..14 => fleet.retry(machine),
+            0..8 => fleet.publish(replica),
+            8..14 => fleet.retry(replica),
             14..80 => fleet.deliver(place),
             80..88 => fleet.lose(place),
             88..91 => fleet.repeat(place),
-            91..94 => fleet.restart(machine, false),
-            94..96 => fleet.greet(machine, (machine + 1) % 4),
+            91..94 => fleet.restart(replica, false),
+            94..96 => fleet.greet(replica, (replica + 1) % 4),
             96..97 => fleet.cut = true,
             _ => fleet.cut = false,
         }
--- a/crates/control/tests/spread.rs
+++ b/crates/control/tests/spread.rs
@@ -48,7 +48,7 @@
         let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
         model.run(5 * SECOND);
         for n in 0..20 {
-            model.publish(MachineId((n % 4) as u8), change(n), n * SECOND);
+            model.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND);
         }
         model.run(40 * SECOND);
         assert_eq!(published(&model), 20, "seed {seed}: {:?}", model.outcomes);
@@ -58,7 +58,7 @@
     }
 }
 
-/// `two-publishers`: at every machine one, at the same moment, again and again.
+/// `two-publishers`: at every replica one, at the same moment, again and again.
 #[test]
 fn publishers_at_the_same_moment_get_a_number_each() {
     for seed in 0..SEEDS {
@@ -66,10 +66,10 @@
         let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
         model.run(5 * SECOND);
         for round in 0..5 {
-            for machine in 0..CONTROL {
+            for replica in 0..CONTROL {
                 model.publish(
-                    MachineId(machine),
-                    change(round * 4 + u64::from(machine)),
+                    ReplicaId(replica),
+                    change(round * 4 + u64::from(replica)),
                     round * 12 * SECOND,
                 );
             }
@@ -81,21 +81,21 @@
     }
 }
 
-/// `leader-killed`, or what is like it here: the machine that publishes, and that half of a region's routers ask, is gone.
+/// `leader-killed`, or what is like it here: the replica that publishes, and that half of a region's routers ask, is gone.
 #[test]
 fn a_publisher_that_dies_in_the_middle_leaves_one_content_and_its_routers_move_on() {
     for seed in 0..SEEDS {
         let document = document();
         let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
         model.run(5 * SECOND);
-        model.publish(MachineId(0), change(1), 0);
+        model.publish(ReplicaId(0), change(1), 0);
         // Between its first message and its last.
         model.run(SECOND / 100 + seed * SECOND / 500);
-        model.kill(MachineId(0));
-        model.publish(MachineId(1), change(2), SECOND / 10);
+        model.kill(ReplicaId(0));
+        model.publish(ReplicaId(1), change(2), SECOND / 10);
         model.run(30 * SECOND);
-        model.start(MachineId(0), None);
-        model.publish(MachineId(3), change(3), SECOND);
+        model.start(ReplicaId(0), None);
+        model.publish(ReplicaId(3), change(3), SECOND);
         model.run(30 * SECOND);
         assert!(published(&model) >= 2, "seed {seed}: {:?}", model.outcomes);
         in_time(&model, IN_FORCE, seed);
@@ -103,33 +103,33 @@
     }
 }
 
-/// `old-disk`: a machine comes back from a copy of its disk, ten revisions old.
+/// `old-disk`: a replica comes back from a copy of its disk, ten revisions old.
 #[test]
 fn a_machine_with_an_old_disk_is_brought_up_to_date_and_gives_no_number_twice() {
     for seed in 0..SEEDS {
         let document = document();
         let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
         model.run(3 * SECOND);
-        let old = model.disk(MachineId(2));
+        let old = model.disk(ReplicaId(2));
         for n in 0..10 {
-            model.publish(MachineId(1), change(n), n * SECOND);
+            model.publish(ReplicaId(1), change(n), n * SECOND);
         }
         model.run(20 * SECOND);
-        model.kill(MachineId(2));
+        model.kill(ReplicaId(2));
         model.run(SECOND);
-        model.start(MachineId(2), old);
+        model.start(ReplicaId(2), old);
         // At once, before it has heard of what it lost.
-        model.publish(MachineId(2), change(100), 0);
-        model.publish(MachineId(0), change(101), 0);
+        model.publish(ReplicaId(2), change(100), 0);
+        model.publish(ReplicaId(0), change(101), 0);
         model.run(30 * SECOND);
-        assert_eq!(model.number(MachineId(2)), model.number(MachineId(0)));
+        assert_eq!(model.number(ReplicaId(2)), model.number(ReplicaId(0)));
         assert!(published(&model) >= 11, "seed {seed}: {:?}", model.outcomes);
         in_time(&model, IN_FORCE, seed);
         sound(&model, seed);
     }
 }
 
-/// `regions-apart`: an hour in which two machines of four can't be reached. Nothing is decided on either side, what is in
+/// `regions-apart`: an hour in which two replicas of four can't be reached. Nothing is decided on either side, what is in
 /// force stays, and afterwards all is as before.
 #[test]
 fn regions_that_lose_each_other_keep_what_they_have_and_join_again() {
@@ -137,20 +137,20 @@
     for seed in 0..3 {
         let document = document();
         let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
-        model.publish(MachineId(0), change(0), 5 * SECOND);
+        model.publish(ReplicaId(0), change(0), 5 * SECOND);
         model.run(10 * SECOND);
         model.cut = true;
-        model.publish(MachineId(0), change(1), SECOND);
-        model.publish(MachineId(3), change(2), SECOND);
+        model.publish(ReplicaId(0), change(1), SECOND);
+        model.publish(ReplicaId(3), change(2), SECOND);
         model.run(3_600 * SECOND);
         assert_eq!(model.outcomes.last(), Some(&Outcome::NoQuorum), "seed {seed}");
         assert!(model.routers.iter().all(|r| r.subscriber.number() == Number(1)), "seed {seed}");
         assert!(
-            model.routers.iter().all(|r| r.subscriber.machine().1),
-            "each router has a machine of its region"
+            model.routers.iter().all(|r| r.subscriber.replica().1),
+            "each router has a replica of its region"
         );
         model.cut = false;
-        model.publish(MachineId(2), change(3), 2 * SECOND);
+        model.publish(ReplicaId(2), change(3), 2 * SECOND);
         model.run(30 * SECOND);
         assert!(
             matches!(model.outcomes.last(), Some(Outcome::Published(_))),
@@ -168,7 +168,7 @@
         let document = document();
         let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
         for n in 0..3 {
-            model.publish(MachineId(0), change(n), 5 * SECOND + n * SECOND);
+            model.publish(ReplicaId(0), change(n), 5 * SECOND + n * SECOND);
         }
         model.run(15 * SECOND);
         for n in 0..ROUTERS {
@@ -188,9 +188,9 @@
     let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, 1);
     model.routers[5].in_force.refuses.insert(Number(1));
     model.run(5 * SECOND);
-    model.publish(MachineId(0), Delta(vec![Change::Set(entry("bad", "x"))]), 0);
+    model.publish(ReplicaId(0), Delta(vec![Change::Set(entry("bad", "x"))]), 0);
     for n in 0..3 {
-        model.publish(MachineId(0), change(n), (n + 1) * SECOND);
+        model.publish(ReplicaId(0), change(n), (n + 1) * SECOND);
     }
     model.run(15 * SECOND);
     assert!(matches!(model.outcomes.first(), Some(Outcome::Invalid(_))));
@@ -207,7 +207,7 @@
     let document = document();
     let mut model = Model::new(CONTROL, ROUTERS, &document, &NothingBad, 1);
     for n in 0..100 {
-        model.publish(MachineId((n % 4) as u8), change(n), n * SECOND / 2);
+        model.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND / 2);
     }
     let span = 60;
     model.run(span * SECOND);
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -42,8 +42,8 @@
     Revision { number: Number(300), before: before.digest(), after, delta, author: "operator at 1".into() }
 }
 
-fn ballot(round: u64, machine: u8) -> Ballot {
-    Ballot { round, machine: MachineId(machine) }
+fn ballot(round: u64, replica: u8) -> Ballot {
+    Ballot { round, replica: ReplicaId(replica) }
 }
 
 fn vote() -> Vote {
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Numbers are decided once: every order of a few events on four control machines, and long random walks, with machines that
+//! Numbers are decided once: every order of a few events on four control replicas, and long random walks, with replicas that
 //! crash, come back with an old disk, are cut off and pause, and several publishers at once.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
@@ -26,22 +26,22 @@
 
 fn walk(seed: u64, steps: usize, may_lose_disks: bool) -> Fleet {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut fleet = Fleet::new(MACHINES);
+    let mut fleet = Fleet::new(REPLICAS);
     let mut old_disks = 0;
     for _ in 0..steps {
-        let machine = random.random_range(0..usize::from(MACHINES));
+        let replica = random.random_range(0..usize::from(REPLICAS));
         let place = random.random_range(0..8);
         let step = match random.random_range(0..100) {
-            0..8 => Step::Publish(machine),
-            8..14 => Step::Retry(machine),
+            0..8 => Step::Publish(replica),
+            8..14 => Step::Retry(replica),
             14..80 => Step::Deliver(place),
             80..88 => Step::Lose(place),
             88..92 => Step::Repeat(place),
-            92..96 => Step::Crash(machine),
+            92..96 => Step::Crash(replica),
             // One at a time: a second one waits until a number was decided since.
             96..97 if may_lose_disks && fleet.newest() >= old_disks => {
                 old_disks = fleet.newest() + 1;
-                Step::OldDisk(machine)
+                Step::OldDisk(replica)
             }
             97..98 => Step::Cut,
             _ => Step::Heal,
@@ -54,13 +54,13 @@
 
 fn take(fleet: &mut Fleet, step: Step) {
     match step {
-        Step::Publish(machine) => fleet.publish(machine),
-        Step::Retry(machine) => fleet.retry(machine),
+        Step::Publish(replica) => fleet.publish(replica),
+        Step::Retry(replica) => fleet.retry(replica),
         Step::Deliver(place) => fleet.deliver(place),
         Step::Lose(place) => fleet.lose(place),
         Step::Repeat(place) => fleet.repeat(place),
-        Step::Crash(machine) => fleet.restart(machine, false),
-        Step::OldDisk(machine) => fleet.restart(machine, true),
+        Step::Crash(replica) => fleet.restart(replica, false),
+        Step::OldDisk(replica) => fleet.restart(replica, true),
         Step::Cut => fleet.cut = true,
         Step::Heal => fleet.cut = false,
     }
@@ -85,7 +85,7 @@
 /// Every order of the deliveries and losses of two publications at once, to this depth.
 #[test]
 fn every_order_of_two_publications_at_once_decides_one_content() {
-    let mut begun = Fleet::new(MACHINES);
+    let mut begun = Fleet::new(REPLICAS);
     begun.publish(0);
     begun.publish(3);
     let mut explored = 0;
@@ -113,7 +113,7 @@
 
 #[test]
 fn two_publishers_at_once_both_get_a_number_in_the_end() {
-    let mut fleet = Fleet::new(MACHINES);
+    let mut fleet = Fleet::new(REPLICAS);
     fleet.publish(0);
     fleet.publish(3);
     for _ in 0..50 {
@@ -126,14 +126,14 @@
     fleet.check();
     assert_eq!(fleet.newest(), 2);
     assert_eq!(fleet.outcomes.iter().filter(|o| matches!(o, Outcome::Published(_))).count(), 2);
-    let digests: Vec<Digest> = fleet.machines.iter().map(|m| m.history().document().digest()).collect();
+    let digests: Vec<Digest> = fleet.replicas.iter().map(|m| m.history().document().digest()).collect();
     assert!(digests.iter().all(|d| *d == digests[0]));
 }
 
 /// Two and two: neither side decides, and once they meet again both go on.
 #[test]
 fn in_a_cut_of_two_and_two_nothing_is_decided_and_afterwards_all_is_the_same() {
-    let mut fleet = Fleet::new(MACHINES);
+    let mut fleet = Fleet::new(REPLICAS);
     fleet.publish(1);
     fleet.deliver_all();
     assert_eq!(fleet.newest(), 1);
@@ -161,24 +161,24 @@
 #[test]
 fn a_machine_that_was_away_is_brought_up_to_date_by_revisions_or_by_the_whole() {
     for numbers in [3, 700] {
-        let mut fleet = Fleet::new(MACHINES);
+        let mut fleet = Fleet::new(REPLICAS);
         fleet.away = Some(2);
         for _ in 0..numbers {
             fleet.publish(0);
             fleet.deliver_all();
         }
-        assert_eq!(fleet.machines[2].number(), Number(0));
+        assert_eq!(fleet.replicas[2].number(), Number(0));
         fleet.away = None;
         fleet.greet(2, 0);
         fleet.deliver_all();
-        assert_eq!(fleet.machines[2].number(), Number(numbers));
+        assert_eq!(fleet.replicas[2].number(), Number(numbers));
         fleet.check();
     }
 }
 
 #[test]
 fn a_change_that_the_check_refuses_takes_no_number() {
-    let mut fleet = Fleet::new(MACHINES);
+    let mut fleet = Fleet::new(REPLICAS);
     fleet.publish_change(0, Change::Set(entry("bad", "x")));
     assert_eq!(fleet.outcomes, [Outcome::Invalid("`bad` is not known; take another name".into())]);
     fleet.publish_change(0, Change::Remove("nobody".into()));
@@ -198,28 +198,28 @@
 /// Machines whose histories differ, as none of the above brings about: told, and neither takes the other's.
 #[test]
 fn another_content_under_a_number_is_told_and_not_taken() {
-    let mut fleet = Fleet::new(MACHINES);
+    let mut fleet = Fleet::new(REPLICAS);
     fleet.publish(0);
     fleet.deliver_all();
-    let mut other = Fleet::new(MACHINES);
+    let mut other = Fleet::new(REPLICAS);
     other.publish(1);
     other.deliver_all();
-    fleet.machines[2] = other.machines[2].clone();
+    fleet.replicas[2] = other.replicas[2].clone();
     fleet.publish(0);
     fleet.deliver_all();
     fleet.greet(2, 0);
     fleet.greet(0, 2);
     fleet.deliver_all();
     assert!(fleet.diverged > 0);
-    assert_eq!(fleet.machines[2].number(), Number(1), "it keeps what it had");
+    assert_eq!(fleet.replicas[2].number(), Number(1), "it keeps what it had");
 }
 
-/// Were its answers counted, two machines and a stranger would be a quorum.
+/// Were its answers counted, two replicas and a stranger would be a quorum.
 #[test]
 fn a_machine_that_is_not_on_the_list_has_no_vote() {
-    let mut machine = Machine::fresh(MachineId(0), MACHINES);
+    let mut replica = Replica::fresh(ReplicaId(0), REPLICAS);
     let mut out = Vec::new();
-    machine.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &NothingBad, &mut out);
+    replica.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &NothingBad, &mut out);
     let prepared = out.iter().find_map(|o| match o {
         Output::Send(_, Message::Prepare { number, ballot }) => Some((*number, *ballot)),
         _ => None,
@@ -227,19 +227,19 @@
     let (number, ballot) = prepared.expect("the others are asked");
     let promise = Message::Promise { number, ballot, vote: None };
     out.clear();
-    machine.take(MachineId(1), promise.clone(), &mut out);
-    machine.take(MachineId(9), promise.clone(), &mut out);
+    replica.take(ReplicaId(1), promise.clone(), &mut out);
+    replica.take(ReplicaId(9), promise.clone(), &mut out);
     assert_eq!(out, [], "two of four and a stranger");
-    machine.take(MachineId(2), promise, &mut out);
+    replica.take(ReplicaId(2), promise, &mut out);
     assert!(out.iter().any(|o| matches!(o, Output::Send(_, Message::Accept(_)))), "three of four");
 }
 
 #[test]
 fn a_quorum_shares_two_machines_with_any_other() {
-    for machines in 1..=9_usize {
-        let size = Quorum::of(machines).size();
-        assert!(size <= machines);
-        assert!(size == machines || 2 * size - machines >= 2, "{size} of {machines}");
+    for replicas in 1..=9_usize {
+        let size = Quorum::of(replicas).size();
+        assert!(size <= replicas);
+        assert!(size == replicas || 2 * size - replicas >= 2, "{size} of {replicas}");
     }
     assert_eq!(Quorum::of(4).size(), 3);
 }
--- a/crates/load/src/scale/revisions.rs
+++ b/crates/load/src/scale/revisions.rs
@@ -3,7 +3,7 @@
 
 use chalkyard_control::model::{Model, SECOND};
 use chalkyard_control::{
-    Change, Check, Delta, Document, Entry, MachineId, Message, Number, Outcome, Subscriber,
+    Change, Check, Delta, Document, Entry, Message, Number, Outcome, ReplicaId, Subscriber,
 };
 
 use super::figure::{Figure, Value};
@@ -47,7 +47,7 @@
     model.run(BEFORE_S * SECOND);
     for n in 0..CHANGES {
         let change = Delta(vec![Change::Set(tenant(n as usize * 97 % size.tenants, 2_000_000 + n))]);
-        model.publish(MachineId((n % u64::from(CONTROL)) as u8), change, n * SECOND);
+        model.publish(ReplicaId((n % u64::from(CONTROL)) as u8), change, n * SECOND);
     }
     model.run((SPAN_S - BEFORE_S) * SECOND);
     let published = model.outcomes.iter().filter(|o| matches!(o, Outcome::Published(_))).count();
