--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -11,7 +11,7 @@
 /// A try to decide a number: the higher one goes first. Never used twice, since it names its replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts tries.
+    /// Counts attempts.
     pub round: u64,
     /// Whose try it is.
     pub replica: ReplicaId,
@@ -34,7 +34,7 @@
     /// It has accepted.
     Accepted,
     /// It has promised a newer ballot.
-    Refused(Ballot),
+    Rejected(Ballot),
     /// The number is decided, or not the next one here.
     NotNext,
 }
@@ -69,7 +69,7 @@
             return Answer::NotNext;
         }
         match self.promised.filter(|promised| *promised > ballot) {
-            Some(newer) => Answer::Refused(newer),
+            Some(newer) => Answer::Rejected(newer),
             None => {
                 self.promised = Some(ballot);
                 Answer::Promised(self.accepted.clone())
@@ -83,7 +83,7 @@
             return Answer::NotNext;
         }
         match self.promised.filter(|promised| *promised > vote.ballot) {
-            Some(newer) => Answer::Refused(newer),
+            Some(newer) => Answer::Rejected(newer),
             None => {
                 self.promised = Some(vote.ballot);
                 self.accepted = Some(vote);
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -6,7 +6,7 @@
 use crate::document::{Change, Document, NotApplied};
 use crate::revision::{Number, Revision};
 
-/// How much of the past is kept: who is further behind gets the whole.
+/// How much of the past is kept: who is further behind gets the snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Retention {
     /// Revisions.
@@ -30,9 +30,9 @@
     /// These, in order.
     Revisions(Vec<Revision>),
     /// The whole: it is further behind than is kept.
-    Whole,
+    Snapshot,
     /// Nothing: what it holds under its number is not what was decided.
-    OtherHistory,
+    Diverged,
 }
 
 /// Why a revision is not taken.
@@ -41,7 +41,7 @@
     /// It is not the next number.
     NotNext(Number),
     /// It follows another configuration than this one: two histories.
-    OtherHistory,
+    Diverged,
     /// It can't be applied.
     NotApplied(NotApplied),
 }
@@ -65,7 +65,7 @@
 }
 
 impl History {
-    /// One that begins with a whole.
+    /// One that begins with a snapshot.
     pub fn new(number: Number, document: Document, retention: Retention) -> Self {
         Self { document, number, past: VecDeque::new(), past_bytes: 0, retention }
     }
@@ -84,12 +84,12 @@
     ///
     /// # Errors
     /// Says why it is not taken.
-    pub fn take(&mut self, revision: Revision) -> Result<(), NotTaken> {
+    pub fn append(&mut self, revision: Revision) -> Result<(), NotTaken> {
         if revision.number != self.number.next() {
             return Err(NotTaken::NotNext(self.number));
         }
         if revision.before != self.document.digest() {
-            return Err(NotTaken::OtherHistory);
+            return Err(NotTaken::Diverged);
         }
         self.document.apply(&revision.delta, revision.after).map_err(NotTaken::NotApplied)?;
         self.number = revision.number;
@@ -110,7 +110,7 @@
     }
 
     /// What brings one up to date that holds this.
-    pub fn since(&self, number: Number, digest: Digest) -> CatchUp {
+    pub fn catch_up(&self, number: Number, digest: Digest) -> CatchUp {
         if number == self.number && digest == self.document.digest() {
             return CatchUp::Current;
         }
@@ -119,10 +119,10 @@
                 CatchUp::Revisions(self.past.iter().filter(|r| r.number > number).cloned().collect())
             }
             // Number 0 is nothing at all, which anything follows.
-            Some(_) if number == Number::default() => CatchUp::Whole,
-            Some(_) => CatchUp::OtherHistory,
-            None if number == self.number && number > Number::default() => CatchUp::OtherHistory,
-            None => CatchUp::Whole,
+            Some(_) if number == Number::default() => CatchUp::Snapshot,
+            Some(_) => CatchUp::Diverged,
+            None if number == self.number && number > Number::default() => CatchUp::Diverged,
+            None => CatchUp::Snapshot,
         }
     }
 }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/learner.rs
@@ -4,28 +4,28 @@
 use crate::history::{History, NotTaken, Retention};
 use crate::revision::{Number, Revision};
 
-/// What came of a revision or a whole.
+/// What came of a revision or a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum LearnOutcome {
     /// It is held now.
-    Held,
+    Applied,
     /// It is older than what is held, or the same.
-    Old,
-    /// Something is missing before it: the whole, or what is missing, has to be asked for.
+    Stale,
+    /// Something is missing before it: the snapshot, or what is missing, has to be asked for.
     Gap,
     /// It says something else of a number that is held already, or follows another history: never taken, and told.
-    OtherHistory,
-    /// It can't be applied: told, and what follows is asked for as a whole.
-    NotApplied(String),
+    Diverged,
+    /// It can't be applied: told, and what follows is asked for as a snapshot.
+    Invalid(String),
 }
 
 /// What a router holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Follower {
+pub struct Learner {
     history: History,
 }
 
-impl Follower {
+impl Learner {
     /// One that starts with its last known good, or with nothing at number 0.
     pub fn new(number: Number, document: Document) -> Self {
         // Routers pass nothing on: one revision is kept, to tell a repeat from another content.
@@ -44,31 +44,31 @@
     }
 
     /// Takes a revision.
-    pub fn take(&mut self, revision: Revision) -> Taken {
-        let held = self.history.number();
-        if revision.number <= held {
+    pub fn learn(&mut self, revision: Revision) -> LearnOutcome {
+        let current = self.history.number();
+        if revision.number <= current {
             let same = self.history.revision(revision.number).is_none_or(|ours| *ours == revision);
-            return if same { Taken::Old } else { Taken::OtherHistory };
+            return if same { LearnOutcome::Stale } else { LearnOutcome::Diverged };
         }
-        match self.history.take(revision) {
-            Ok(()) => Taken::Held,
-            Err(NotTaken::NotNext(_)) => Taken::Gap,
-            Err(NotTaken::OtherHistory) => Taken::OtherHistory,
-            Err(NotTaken::NotApplied(why)) => Taken::NotApplied(why.to_string()),
+        match self.history.append(revision) {
+            Ok(()) => LearnOutcome::Applied,
+            Err(NotTaken::NotNext(_)) => LearnOutcome::Gap,
+            Err(NotTaken::Diverged) => LearnOutcome::Diverged,
+            Err(NotTaken::NotApplied(reason)) => LearnOutcome::Invalid(reason.to_string()),
         }
     }
 
     /// Takes a whole: only a newer one, whatever came between.
-    pub fn take_whole(&mut self, number: Number, document: Document) -> Taken {
-        let held = self.history.number();
-        if number < held {
-            return Taken::Old;
+    pub fn learn_snapshot(&mut self, number: Number, document: Document) -> LearnOutcome {
+        let current = self.history.number();
+        if number < current {
+            return LearnOutcome::Stale;
         }
-        if number == held {
+        if number == current {
             let same = document.digest() == self.history.document().digest();
-            return if same { Taken::Old } else { Taken::OtherHistory };
+            return if same { LearnOutcome::Stale } else { LearnOutcome::Diverged };
         }
         *self = Self::new(number, document);
-        Taken::Held
+        LearnOutcome::Applied
     }
 }
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -17,16 +17,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// What the sender holds. Answered with what brings it up to date, if that is not all there is.
-    Holds {
+    Heartbeat {
         /// Its newest number.
         number: Number,
-        /// The digest of its whole.
+        /// The digest of its snapshot.
         digest: Digest,
     },
     /// A decided revision.
     Decided(Revision),
-    /// The whole, as decided under this number.
-    Whole {
+    /// The snapshot, as decided under this number.
+    Snapshot {
         /// The number.
         number: Number,
         /// All entries, in the order of their keys.
@@ -58,7 +58,7 @@
         ballot: Ballot,
     },
     /// A newer try was promised.
-    Refused {
+    Rejected {
         /// The number.
         number: Number,
         /// The newer try.
@@ -69,7 +69,7 @@
         /// The number.
         number: Number,
         /// In words.
-        why: Box<str>,
+        reason: Box<str>,
     },
 }
 
@@ -96,8 +96,8 @@
 
 impl Message {
     /// The whole as a message.
-    pub fn whole(number: Number, document: &Document) -> Self {
-        Self::Whole { number, entries: document.entries().collect() }
+    pub fn snapshot(number: Number, document: &Document) -> Self {
+        Self::Snapshot { number, entries: document.entries().collect() }
     }
 
     /// Its bytes, sealed.
--- a/crates/control/src/model/mod.rs
+++ b/crates/control/src/model/mod.rs
@@ -25,7 +25,7 @@
 const NEAR: Time = 1_000;
 const FAR: Time = 10_000;
 /// Machines greet each other so often.
-const GREETING: Time = SECOND;
+const HEARTBEAT_INTERVAL: Time = SECOND;
 /// A publication that is not decided is tried again after so long, and so much more by a draw.
 const RETRY: Time = 200_000;
 const RETRY_DRAW: Time = 300_000;
@@ -43,7 +43,7 @@
     ToRouter(SessionId, Vec<u8>),
     Stands(usize, ReplicaId),
     Fails(usize, ReplicaId),
-    Greet(ReplicaId),
+    Heartbeat(ReplicaId),
     Publish(ReplicaId, Delta),
     Retry(ReplicaId),
     GiveUp(ReplicaId, Time),
@@ -121,7 +121,10 @@
             control_bytes: 0,
         };
         for n in 0..replicas {
-            model.later(GREETING / u64::from(replicas) * u64::from(n), Event::Greet(ReplicaId(n)));
+            model.later(
+                HEARTBEAT_INTERVAL / u64::from(replicas) * u64::from(n),
+                Event::Heartbeat(ReplicaId(n)),
+            );
         }
         model
     }
@@ -157,7 +160,7 @@
         }
         for n in 0..self.routers.len() {
             if self.routers.get(n).is_some_and(|r| r.connection.is_some_and(|(to, _)| to == replica)) {
-                self.router_input(n, Input::Lost);
+                self.router_input(n, Input::Disconnected);
             }
         }
     }
@@ -172,7 +175,7 @@
         let disk = control.disk.clone();
         control.replica = Replica::new(replica, replicas, disk.history, disk.votes);
         control.up = true;
-        self.later(0, Event::Greet(replica));
+        self.later(0, Event::Heartbeat(replica));
     }
 
     /// A copy of a replica's disk.
@@ -247,32 +250,32 @@
             Event::Fails(n, replica) => {
                 let waits = self.routers.get(n).is_some_and(|r| r.subscriber.replica() == (replica, false));
                 if waits {
-                    self.router_input(n, Input::Lost);
+                    self.router_input(n, Input::Disconnected);
                 }
             }
-            Event::Greet(replica) => self.greet(replica),
+            Event::Heartbeat(replica) => self.send_heartbeat(replica),
             Event::Publish(replica, changes) => self.ask(replica, changes),
             Event::Retry(replica) => self.retry(replica),
             Event::GiveUp(replica, asked) => {
                 let is_same = |c: &&mut ControlNode| c.asked.as_ref().is_some_and(|(at, _)| *at == asked);
                 if let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(is_same) {
                     let mut out = Vec::new();
-                    control.replica.give_up(&mut out);
+                    control.replica.abandon(&mut out);
                     self.carry_out(replica, out);
                 }
             }
         }
     }
 
-    fn greet(&mut self, replica: ReplicaId) {
+    fn send_heartbeat(&mut self, replica: ReplicaId) {
         let Some(control) = self.controls.get(usize::from(replica.0)).filter(|c| c.up) else { return };
-        let greeting = control.replica.greeting();
+        let greeting = control.replica.heartbeat();
         for n in 0..self.controls.len() as u8 {
             if ReplicaId(n) != replica {
                 self.send_replica(replica, ReplicaId(n), &greeting);
             }
         }
-        self.later(GREETING, Event::Greet(replica));
+        self.later(HEARTBEAT_INTERVAL, Event::Heartbeat(replica));
     }
 
     fn ask(&mut self, replica: ReplicaId, changes: Delta) {
@@ -314,7 +317,7 @@
         let Ok(message) = Message::decode(&self.key, bytes) else { return };
         let Some(control) = self.controls.get_mut(usize::from(to.0)).filter(|c| c.up) else { return };
         let mut out = Vec::new();
-        control.replica.take(from, message, &mut out);
+        control.replica.receive(from, message, &mut out);
         self.carry_out(to, out);
     }
 
@@ -323,18 +326,18 @@
             let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
             match output {
                 Output::Send(to, message) => self.send_replica(replica, to, &message),
-                Output::Persist(votes) => control.disk.votes = Some(votes),
-                Output::Keep(revision) => {
+                Output::PersistVotes(votes) => control.disk.votes = Some(votes),
+                Output::PersistRevision(revision) => {
                     // The disk follows the replica, which has taken it.
-                    let _ = control.disk.history.take(revision.clone());
+                    let _ = control.disk.history.append(revision.clone());
                     let mut messages = Vec::new();
                     control.sessions.broadcast(&revision, &mut messages);
                     let known = self.decided.insert(revision.number, revision.id());
                     self.conflicts += u64::from(known.is_some_and(|known| known != revision.id()));
                     self.send_routers(replica, messages);
                 }
-                Output::KeepWhole(_) => control.disk.history = control.replica.history().clone(),
-                Output::Done(outcome) => {
+                Output::PersistSnapshot(_) => control.disk.history = control.replica.history().clone(),
+                Output::PublicationEnded(outcome) => {
                     if let (Outcome::Published(number), Some((at, _))) = (&outcome, control.asked.take()) {
                         self.asked.insert(*number, at);
                     }
--- a/crates/control/src/model/nodes.rs
+++ b/crates/control/src/model/nodes.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    fn apply_whole(&mut self, _number: Number, _document: &Document) -> Result<(), String> {
+    fn apply_snapshot(&mut self, _number: Number, _document: &Document) -> Result<(), String> {
         Ok(())
     }
 }
--- a/crates/control/src/model/routers.rs
+++ b/crates/control/src/model/routers.rs
@@ -50,7 +50,7 @@
         self.next_connection += 1;
         let control = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up);
         if !control.is_some_and(|c| c.sessions.open(connection, now)) {
-            return self.router_input(n, Input::Lost);
+            return self.router_input(n, Input::Disconnected);
         }
         if let Some(router) = self.routers.get_mut(n) {
             router.connection = Some((replica, connection));
@@ -62,7 +62,7 @@
     pub(super) fn router_input(&mut self, n: usize, input: Input) {
         let now = self.now;
         let Some(router) = self.routers.get_mut(n) else { return };
-        if input == Input::Lost {
+        if input == Input::Disconnected {
             if let Some((replica, connection)) = router.connection.take() {
                 self.by_connection.remove(&connection);
                 if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
@@ -101,7 +101,7 @@
                     }
                 }
             }
-            Action::InForce(number) => {
+            Action::Applied(number) => {
                 let asked = self.asked.get(&number).copied();
                 if let Some(router) = self.routers.get_mut(n) {
                     router.went_back += u64::from(number <= router.newest);
@@ -109,8 +109,8 @@
                 }
                 self.spread.extend(asked.map(|at| now - at));
             }
-            Action::HeldBack(..) => {}
-            Action::OtherHistory(..) => self.diverged += 1,
+            Action::Rejected(..) => {}
+            Action::Diverged(..) => self.diverged += 1,
         }
     }
 
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -56,19 +56,19 @@
     NoQuorum,
 }
 
-/// What is to be done, in order. Nothing that follows a [`Output::Persist`] leaves the replica before it is on the disk.
+/// What is to be done, in order. Nothing that follows a [`Output::PersistVotes`] leaves the replica before it is on the disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send to a replica.
     Send(ReplicaId, Message),
     /// Keep the votes.
-    Persist(Acceptor),
+    PersistVotes(Acceptor),
     /// Keep a decided revision.
-    Keep(Revision),
-    /// Keep a whole, which replaces all that was kept.
-    KeepWhole(Number),
+    PersistRevision(Revision),
+    /// Keep a snapshot, which replaces all that was kept.
+    PersistSnapshot(Number),
     /// The publication is over.
-    Done(Outcome),
+    PublicationEnded(Outcome),
     /// Another replica holds another content under a number: an operator has to look.
     Diverged(ReplicaId, Number),
 }
@@ -129,31 +129,31 @@
     }
 
     /// What this replica tells a peer of itself: as they meet, and from time to time.
-    pub fn greeting(&self) -> Message {
-        Message::Holds { number: self.history.number(), digest: self.history.document().digest() }
+    pub fn heartbeat(&self) -> Message {
+        Message::Heartbeat { number: self.history.number(), digest: self.history.document().digest() }
     }
 
     /// Publishes changes. They are checked whole before anything is asked of others.
     pub fn publish(&mut self, changes: Delta, author: &str, check: &dyn Check, out: &mut Vec<Output>) {
         if self.publication.is_some() {
-            return out.push(Output::Done(Outcome::Busy));
+            return out.push(Output::PublicationEnded(Outcome::Busy));
         }
         match self.revision(&changes, author, check) {
             Ok(revision) => self.propose(changes, author.into(), revision, out),
-            Err(outcome) => out.push(Output::Done(outcome)),
+            Err(outcome) => out.push(Output::PublicationEnded(outcome)),
         }
     }
 
     /// The revision that changes make of the present configuration.
     fn revision(&self, changes: &Delta, author: &str, check: &dyn Check) -> Result<Revision, Outcome> {
         let document = self.history.document();
-        let invalid = |why: String| Outcome::Invalid(why);
-        let after = document.preview(changes).map_err(|why| invalid(why.to_string()))?;
+        let invalid = |reason: String| Outcome::Invalid(reason);
+        let after = document.preview(changes).map_err(|reason| invalid(reason.to_string()))?;
         if after == document.digest() {
             return Err(Outcome::NoChange);
         }
         let mut changed = document.clone();
-        changed.apply(changes, after).map_err(|why| invalid(why.to_string()))?;
+        changed.apply(changes, after).map_err(|reason| invalid(reason.to_string()))?;
         check.check(&changed).map_err(invalid)?;
         Ok(Revision {
             number: self.history.number().next(),
@@ -172,7 +172,7 @@
         for other in self.others() {
             out.push(Output::Send(other, Message::Prepare { number, ballot }));
         }
-        self.take(self.own, Message::Prepare { number, ballot }, out);
+        self.receive(self.own, Message::Prepare { number, ballot }, out);
     }
 
     /// Tries the publication under way once more: a refusal or a silence is no answer. `check` is asked again if another
@@ -181,14 +181,14 @@
         let Some(Publication { changes, author, .. }) = self.publication.take() else { return };
         match self.revision(&changes, &author, check) {
             Ok(revision) => self.propose(changes, author, revision, out),
-            Err(outcome) => out.push(Output::Done(outcome)),
+            Err(outcome) => out.push(Output::PublicationEnded(outcome)),
         }
     }
 
     /// Gives the publication under way up.
-    pub fn give_up(&mut self, out: &mut Vec<Output>) {
+    pub fn abandon(&mut self, out: &mut Vec<Output>) {
         if self.publication.take().is_some() {
-            out.push(Output::Done(Outcome::NoQuorum));
+            out.push(Output::PublicationEnded(Outcome::NoQuorum));
         }
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Takes a message of a replica, or of itself. One that is not on the list has no vote and is told nothing.
-    pub fn take(&mut self, from: ReplicaId, message: Message, out: &mut Vec<Output>) {
+    pub fn receive(&mut self, from: ReplicaId, message: Message, out: &mut Vec<Output>) {
         if !self.replicas.contains(&from) {
             return;
         }
@@ -217,14 +217,14 @@
                 let progress = publication.proposer.accepted(from, ballot, quorum);
                 self.progress(progress, out);
             }
-            Message::Refused { number, newer } => {
+            Message::Rejected { number, newer } => {
                 if number == self.acceptor.number() {
                     self.round = self.round.max(newer.round);
                 }
             }
-            Message::Holds { number, digest } => self.bring_up_to_date(from, number, digest, out),
+            Message::Heartbeat { number, digest } => self.bring_up_to_date(from, number, digest, out),
             Message::Decided(revision) => self.learn(from, revision, out),
-            Message::Whole { number, entries } => self.learn_whole(from, number, entries, out),
+            Message::Snapshot { number, entries } => self.learn_snapshot(from, number, entries, out),
             Message::CannotApply { .. } => {}
         }
     }
@@ -235,7 +235,7 @@
 
     fn answer(&mut self, to: ReplicaId, message: Message, out: &mut Vec<Output>) {
         if to == self.own {
-            self.take(to, message, out);
+            self.receive(to, message, out);
         } else {
             out.push(Output::Send(to, message));
         }
@@ -245,11 +245,11 @@
         self.round = self.round.max(ballot.round);
         match self.acceptor.prepare(number, ballot) {
             Answer::Promised(vote) => {
-                out.push(Output::Persist(self.acceptor.clone()));
+                out.push(Output::PersistVotes(self.acceptor.clone()));
                 self.answer(from, Message::Promise { number, ballot, vote }, out);
             }
-            Answer::Refused(newer) => self.answer(from, Message::Refused { number, newer }, out),
-            Answer::Accepted | Answer::NotNext => self.tell_of_head(from, number, out),
+            Answer::Rejected(newer) => self.answer(from, Message::Rejected { number, newer }, out),
+            Answer::Accepted | Answer::NotNext => self.announce_head(from, number, out),
         }
     }
 
@@ -257,16 +257,16 @@
         let (number, ballot) = (vote.revision.number, vote.ballot);
         match self.acceptor.accept(vote) {
             Answer::Accepted => {
-                out.push(Output::Persist(self.acceptor.clone()));
+                out.push(Output::PersistVotes(self.acceptor.clone()));
                 self.answer(from, Message::Accepted { number, ballot }, out);
             }
-            Answer::Refused(newer) => self.answer(from, Message::Refused { number, newer }, out),
-            Answer::Promised(_) | Answer::NotNext => self.tell_of_head(from, number, out),
+            Answer::Rejected(newer) => self.answer(from, Message::Rejected { number, newer }, out),
+            Answer::Promised(_) | Answer::NotNext => self.announce_head(from, number, out),
         }
     }
 
     /// One of two replicas is behind: each tells what it holds, and the other brings it up to date.
-    fn tell_of_head(&mut self, to: ReplicaId, number: Number, out: &mut Vec<Output>) {
+    fn announce_head(&mut self, to: ReplicaId, number: Number, out: &mut Vec<Output>) {
         if to == self.own {
             return;
         }
@@ -275,7 +275,7 @@
                 return out.push(Output::Send(to, Message::Decided(decided.clone())));
             }
         }
-        out.push(Output::Send(to, self.greeting()));
+        out.push(Output::Send(to, self.heartbeat()));
     }
 
     fn progress(&mut self, progress: Progress, out: &mut Vec<Output>) {
@@ -285,7 +285,7 @@
                 for other in self.others() {
                     out.push(Output::Send(other, Message::Accept(vote.clone())));
                 }
-                self.take(self.own, Message::Accept(vote), out);
+                self.receive(self.own, Message::Accept(vote), out);
             }
             Progress::Decided(revision) => {
                 for other in self.others() {
@@ -304,17 +304,17 @@
         out: &mut Vec<Output>,
     ) {
         if number > self.history.number() {
-            return out.push(Output::Send(from, self.greeting()));
+            return out.push(Output::Send(from, self.heartbeat()));
         }
-        match self.history.since(number, digest) {
+        match self.history.catch_up(number, digest) {
             CatchUp::Current => {}
             CatchUp::Revisions(revisions) => {
                 out.extend(revisions.into_iter().map(|r| Output::Send(from, Message::Decided(r))));
             }
-            CatchUp::OtherHistory => out.push(Output::Diverged(from, number)),
-            CatchUp::Whole => {
-                let whole = Message::whole(self.history.number(), self.history.document());
-                out.push(Output::Send(from, whole));
+            CatchUp::Diverged => out.push(Output::Diverged(from, number)),
+            CatchUp::Snapshot => {
+                let snapshot = Message::snapshot(self.history.number(), self.history.document());
+                out.push(Output::Send(from, snapshot));
             }
         }
     }
@@ -322,18 +322,18 @@
     fn learn(&mut self, from: ReplicaId, revision: Revision, out: &mut Vec<Output>) {
         let number = revision.number;
         let ours = self.history.revision(number).map(|ours| *ours == revision);
-        match self.history.take(revision.clone()) {
+        match self.history.append(revision.clone()) {
             Ok(()) => {
-                out.push(Output::Keep(revision.clone()));
+                out.push(Output::PersistRevision(revision.clone()));
                 self.advance(out);
-                self.settle(&revision, out);
+                self.end_own_publication(&revision, out);
             }
             Err(NotTaken::NotNext(_)) if ours == Some(false) => out.push(Output::Diverged(from, number)),
             Err(NotTaken::NotNext(held)) if held < number && from != self.own => {
-                out.push(Output::Send(from, self.greeting()));
+                out.push(Output::Send(from, self.heartbeat()));
             }
             Err(NotTaken::NotNext(_)) => {}
-            Err(NotTaken::OtherHistory | NotTaken::NotApplied(_)) => out.push(Output::Diverged(from, number)),
+            Err(NotTaken::Diverged | NotTaken::NotApplied(_)) => out.push(Output::Diverged(from, number)),
         }
     }
 
@@ -341,21 +341,21 @@
     fn advance(&mut self, out: &mut Vec<Output>) {
         self.acceptor = Acceptor::after(self.history.number());
         self.round = 0;
-        out.push(Output::Persist(self.acceptor.clone()));
+        out.push(Output::PersistVotes(self.acceptor.clone()));
     }
 
     /// A number is decided: our publication is over if it was ours, and waits for its next try if not.
-    fn settle(&mut self, decided: &Revision, out: &mut Vec<Output>) {
+    fn end_own_publication(&mut self, decided: &Revision, out: &mut Vec<Output>) {
         let ours = self.publication.as_ref().is_some_and(|p| {
             p.proposer.number() == decided.number && p.changes == decided.delta && p.author == decided.author
         });
         if ours {
             self.publication = None;
-            out.push(Output::Done(Outcome::Published(decided.number)));
+            out.push(Output::PublicationEnded(Outcome::Published(decided.number)));
         }
     }
 
-    fn learn_whole(
+    fn learn_snapshot(
         &mut self,
         from: ReplicaId,
         number: Number,
@@ -369,7 +369,7 @@
             return out.push(Output::Diverged(from, number));
         };
         self.history = History::new(number, document, Retention::default());
-        out.push(Output::KeepWhole(number));
+        out.push(Output::PersistSnapshot(number));
         self.advance(out);
     }
 }
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -26,14 +26,14 @@
     /// Since when.
     pub since: Time,
     /// The last number that it could not put in force, and why.
-    pub held_back: Option<(Number, Box<str>)>,
+    pub rejected: Option<(Number, Box<str>)>,
 }
 
 /// All routers of one replica.
 #[derive(Debug, Clone, Default)]
 pub struct SubscriberSessions {
     sessions: BTreeMap<SessionId, Session>,
-    /// Those that wait for a whole, and when the last ones were sent.
+    /// Those that wait for a snapshot, and when the last ones were sent.
     awaiting_snapshot: VecDeque<SessionId>,
     snapshots_sent_at: VecDeque<Time>,
 }
@@ -44,7 +44,7 @@
         if self.sessions.len() >= MAX_SESSIONS {
             return false;
         }
-        self.sessions.insert(session_id, Session { number: Number(0), since: now, held_back: None });
+        self.sessions.insert(session_id, Session { number: Number(0), since: now, rejected: None });
         true
     }
 
@@ -70,13 +70,13 @@
     ) {
         let Some(session) = self.sessions.get_mut(&session_id) else { return };
         match message {
-            Message::Holds { number, digest } => {
+            Message::Heartbeat { number, digest } => {
                 if session.number != number {
                     (session.number, session.since) = (number, now);
                 }
                 self.bring_up_to_date(session_id, number, digest, history, out);
             }
-            Message::CannotApply { number, why } => session.held_back = Some((number, why)),
+            Message::CannotApply { number, reason } => session.rejected = Some((number, reason)),
             // Nothing else is a router's to say.
             _ => {}
         }
@@ -90,18 +90,20 @@
         history: &History,
         out: &mut Vec<(SessionId, Message)>,
     ) {
-        match history.since(number, digest) {
+        match history.catch_up(number, digest) {
             CatchUp::Revisions(revisions) => {
                 out.extend(revisions.into_iter().map(|revision| (session_id, Message::Decided(revision))));
             }
             // One that is ahead of this replica gets no whole: it would go back.
-            CatchUp::Whole if number < history.number() && !self.awaiting_snapshot.contains(&session_id) => {
+            CatchUp::Snapshot
+                if number < history.number() && !self.awaiting_snapshot.contains(&session_id) =>
+            {
                 self.awaiting_snapshot.push_back(session_id);
             }
-            CatchUp::Whole | CatchUp::Current | CatchUp::OtherHistory => {}
+            CatchUp::Snapshot | CatchUp::Current | CatchUp::Diverged => {}
         }
         let (number, digest) = (history.number(), history.document().digest());
-        out.push((session_id, Message::Holds { number, digest }));
+        out.push((session_id, Message::Heartbeat { number, digest }));
     }
 
     /// A number was decided: all routers are told. Who is behind it asks for what is missing.
@@ -117,7 +119,7 @@
         while self.snapshots_sent_at.len() < SNAPSHOTS_PER_WINDOW {
             let Some(session_id) = self.awaiting_snapshot.pop_front() else { return };
             self.snapshots_sent_at.push_back(now);
-            out.push((session_id, Message::whole(history.number(), history.document())));
+            out.push((session_id, Message::snapshot(history.number(), history.document())));
         }
     }
 
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,7 +1,7 @@
 //! A router's link to the control replicas: one connection at a time, moved on from one that is silent.
 
 use crate::document::{Delta, Document};
-use crate::follower::{Follower, Taken};
+use crate::learner::{LearnOutcome, Learner};
 use crate::messages::Message;
 use crate::replica::ReplicaId;
 use crate::revision::Number;
@@ -10,16 +10,16 @@
 pub type Time = u64;
 
 /// The router says what it holds so often; the replica answers with what it holds itself.
-const GREETING: Time = 3_000_000;
+const HEARTBEAT_INTERVAL: Time = 3_000_000;
 /// A replica that has said nothing for so long after a greeting is left for the next one.
-const SILENCE: Time = 2_000_000;
+const HEARTBEAT_TIMEOUT: Time = 2_000_000;
 /// A connection has so long to stand.
-const CONNECT: Time = 1_000_000;
+const CONNECT_TIMEOUT: Time = 1_000_000;
 /// Before the next try after a lost connection: so long at least, and up to twice as long for each try in a row.
-const PAUSE: Time = 250_000;
-const PAUSE_DOUBLINGS: u32 = 3;
+const MIN_BACKOFF: Time = 250_000;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Numbers that are held back are remembered up to so many; the oldest go first.
-const HELD_BACK: usize = 64;
+const MAX_REJECTED: usize = 64;
 
 /// What puts a configuration in force.
 pub trait Apply {
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// Says why this router can't.
-    fn apply_whole(&mut self, number: Number, document: &Document) -> Result<(), String>;
+    fn apply_snapshot(&mut self, number: Number, document: &Document) -> Result<(), String>;
 }
 
 /// What happens.
@@ -42,7 +42,7 @@
     /// The connection that was asked for stands.
     Connected,
     /// It does not, or is lost.
-    Lost,
+    Disconnected,
     /// A message came on it.
     Message(Box<Message>),
     /// Time has passed.
@@ -59,11 +59,11 @@
     /// Close the connection.
     Close,
     /// This number is in force since now: keep it as the last known good.
-    InForce(Number),
+    Applied(Number),
     /// This number is held back, for this reason: an operator is told.
-    HeldBack(Number, String),
+    Rejected(Number, String),
     /// The replica tells another history than is held: an operator is told, and another replica asked.
-    OtherHistory(ReplicaId, Number),
+    Diverged(ReplicaId, Number),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,35 +76,35 @@
         until: Time,
     },
     Open {
-        heard: Time,
-        greeted: Time,
+        received_at: Time,
+        heartbeat_sent_at: Time,
     },
 }
 
 /// One router's link.
 #[derive(Debug, Clone)]
 pub struct Subscriber {
-    follower: Follower,
+    learner: Learner,
     replicas: u8,
     replica: ReplicaId,
     connection: Connection,
-    tries: u32,
+    attempts: u32,
     random: u64,
-    held_back: Vec<Number>,
+    rejected: Vec<Number>,
 }
 
 impl Subscriber {
     /// A link that begins with what the router holds. The seed spreads routers over replicas and times.
     pub fn new(number: Number, document: Document, replicas: u8, seed: u64) -> Self {
         let mut subscriber = Self {
-            follower: Follower::new(number, document),
+            learner: Learner::new(number, document),
             replicas: replicas.max(1),
             replica: ReplicaId(0),
             connection: Connection::None { retry: 0 },
-            tries: 0,
+            attempts: 0,
             // Never 0, from which nothing is drawn.
             random: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
-            held_back: Vec::new(),
+            rejected: Vec::new(),
         };
         subscriber.replica = ReplicaId(subscriber.draw(u64::from(subscriber.replicas)) as u8);
         subscriber
@@ -112,17 +112,17 @@
 
     /// The newest number that is held.
     pub fn number(&self) -> Number {
-        self.follower.number()
+        self.learner.number()
     }
 
     /// What is held.
     pub fn document(&self) -> &Document {
-        self.follower.document()
+        self.learner.document()
     }
 
     /// Numbers that could not be put in force.
-    pub fn held_back(&self) -> &[Number] {
-        &self.held_back
+    pub fn rejected(&self) -> &[Number] {
+        &self.rejected
     }
 
     /// The replica that is asked, and whether the connection to it stands.
@@ -135,8 +135,10 @@
         match self.connection {
             Connection::None { retry } => retry,
             Connection::Connecting { until } => until,
-            Connection::Open { heard, greeted } if heard < greeted => greeted + SILENCE,
-            Connection::Open { greeted, .. } => greeted + GREETING,
+            Connection::Open { received_at, heartbeat_sent_at } if received_at < heartbeat_sent_at => {
+                heartbeat_sent_at + HEARTBEAT_TIMEOUT
+            }
+            Connection::Open { heartbeat_sent_at, .. } => heartbeat_sent_at + HEARTBEAT_INTERVAL,
         }
     }
 
@@ -151,27 +153,28 @@
     /// Takes an input.
     pub fn handle(&mut self, now: Time, input: Input, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
         match input {
-            Input::Connected => self.greet(now, now, actions),
-            Input::Lost => self.lost(now),
+            Input::Connected => self.send_heartbeat(now, now, actions),
+            Input::Disconnected => self.lost(now),
             Input::Message(message) => self.message(now, *message, apply, actions),
             Input::Tick => self.tick(now, actions),
         }
     }
 
-    fn greet(&mut self, now: Time, heard: Time, actions: &mut Vec<Action>) {
-        let (number, digest) = (self.follower.number(), self.follower.document().digest());
+    fn send_heartbeat(&mut self, now: Time, received_at: Time, actions: &mut Vec<Action>) {
+        let (number, digest) = (self.learner.number(), self.learner.document().digest());
         // A greeting later than it is: routers that began together get out of step.
-        let jitter = self.draw(GREETING / 10);
-        self.connection = Connection::Open { heard, greeted: now.saturating_sub(jitter).max(1) };
-        actions.push(Action::Send(Message::Holds { number, digest }));
+        let jitter = self.draw(HEARTBEAT_INTERVAL / 10);
+        self.connection =
+            Connection::Open { received_at, heartbeat_sent_at: now.saturating_sub(jitter).max(1) };
+        actions.push(Action::Send(Message::Heartbeat { number, digest }));
     }
 
-    /// The next replica, after a pause that grows with the tries and is drawn from a span that does.
+    /// The next replica, after a pause that grows with the attempts and is drawn from a span that does.
     fn lost(&mut self, now: Time) {
         self.replica = ReplicaId((self.replica.0 + 1) % self.replicas);
-        let span = PAUSE << self.tries.min(PAUSE_DOUBLINGS);
-        self.tries = self.tries.saturating_add(1);
-        let retry = now + PAUSE + self.draw(span);
+        let span = MIN_BACKOFF << self.attempts.min(MAX_BACKOFF_DOUBLINGS);
+        self.attempts = self.attempts.saturating_add(1);
+        let retry = now + MIN_BACKOFF + self.draw(span);
         self.connection = Connection::None { retry };
     }
 
@@ -181,10 +184,12 @@
         }
         match self.connection {
             Connection::None { .. } => {
-                self.connection = Connection::Connecting { until: now + CONNECT };
+                self.connection = Connection::Connecting { until: now + CONNECT_TIMEOUT };
                 actions.push(Action::Connect(self.replica));
             }
-            Connection::Open { heard, greeted } if heard >= greeted => self.greet(now, heard, actions),
+            Connection::Open { received_at, heartbeat_sent_at } if received_at >= heartbeat_sent_at => {
+                self.send_heartbeat(now, received_at, actions)
+            }
             Connection::Connecting { .. } | Connection::Open { .. } => {
                 actions.push(Action::Close);
                 self.lost(now);
@@ -193,64 +198,64 @@
     }
 
     fn message(&mut self, now: Time, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
-        let Connection::Open { greeted, .. } = self.connection else { return };
-        self.connection = Connection::Open { heard: now.max(greeted), greeted };
-        self.tries = 0;
+        let Connection::Open { heartbeat_sent_at, .. } = self.connection else { return };
+        self.connection = Connection::Open { received_at: now.max(heartbeat_sent_at), heartbeat_sent_at };
+        self.attempts = 0;
         match message {
             Message::Decided(revision) => {
                 let (number, delta) = (revision.number, revision.delta.clone());
-                let taken = self.follower.take(revision);
-                self.taken(now, taken, number, |number| apply.apply(number, &delta), actions);
+                let outcome = self.learner.learn(revision);
+                self.learned(now, outcome, number, |number| apply.apply(number, &delta), actions);
             }
-            Message::Whole { number, entries } => {
-                let taken = match Document::new(entries) {
-                    Ok(document) => self.follower.take_whole(number, document),
-                    Err(why) => Taken::NotApplied(why.to_string()),
+            Message::Snapshot { number, entries } => {
+                let outcome = match Document::new(entries) {
+                    Ok(document) => self.learner.learn_snapshot(number, document),
+                    Err(reason) => LearnOutcome::Invalid(reason.to_string()),
                 };
-                let document = self.follower.document().clone();
-                self.taken(now, taken, number, |number| apply.apply_whole(number, &document), actions);
+                let document = self.learner.document().clone();
+                self.learned(now, outcome, number, |number| apply.apply_snapshot(number, &document), actions);
             }
-            Message::Holds { number, .. } if number < self.follower.number() => {
+            Message::Heartbeat { number, .. } if number < self.learner.number() => {
                 // A replica that is behind: it will catch up, and tells nothing new until then.
             }
             _ => {}
         }
     }
 
-    fn taken(
+    fn learned(
         &mut self,
         now: Time,
-        taken: Taken,
+        outcome: LearnOutcome,
         number: Number,
         apply: impl FnOnce(Number) -> Result<(), String>,
         actions: &mut Vec<Action>,
     ) {
-        match taken {
-            Taken::Held => match apply(number) {
-                Ok(()) => actions.push(Action::InForce(number)),
-                Err(why) => self.hold_back(number, why, actions),
+        match outcome {
+            LearnOutcome::Applied => match apply(number) {
+                Ok(()) => actions.push(Action::Applied(number)),
+                Err(reason) => self.reject(number, reason, actions),
             },
-            Taken::Old => {}
+            LearnOutcome::Stale => {}
             // What is missing is asked for at once.
-            Taken::Gap => self.greet(now, now, actions),
-            Taken::OtherHistory => {
-                actions.extend([Action::OtherHistory(self.replica, number), Action::Close]);
+            LearnOutcome::Gap => self.send_heartbeat(now, now, actions),
+            LearnOutcome::Diverged => {
+                actions.extend([Action::Diverged(self.replica, number), Action::Close]);
                 self.lost(now);
             }
-            Taken::NotApplied(why) => {
-                self.hold_back(number, why, actions);
+            LearnOutcome::Invalid(reason) => {
+                self.reject(number, reason, actions);
                 actions.push(Action::Close);
                 self.lost(now);
             }
         }
     }
 
-    fn hold_back(&mut self, number: Number, why: String, actions: &mut Vec<Action>) {
-        if self.held_back.len() >= HELD_BACK {
-            self.held_back.remove(0);
+    fn reject(&mut self, number: Number, reason: String, actions: &mut Vec<Action>) {
+        if self.rejected.len() >= MAX_REJECTED {
+            self.rejected.remove(0);
         }
-        self.held_back.push(number);
-        actions.push(Action::Send(Message::CannotApply { number, why: why.as_str().into() }));
-        actions.push(Action::HeldBack(number, why));
+        self.rejected.push(number);
+        actions.push(Action::Send(Message::CannotApply { number, reason: reason.as_str().into() }));
+        actions.push(Action::Rejected(number, reason));
     }
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -115,8 +115,8 @@
         self.carry_out(replica, out);
     }
 
-    pub fn greet(&mut self, from: usize, to: usize) {
-        let message = self.replicas[from].greeting();
+    pub fn send_heartbeat(&mut self, from: usize, to: usize) {
+        let message = self.replicas[from].heartbeat();
         self.on_their_way.push((id(from), id(to), message));
     }
 
@@ -124,23 +124,23 @@
         for output in out {
             match output {
                 Output::Send(to, message) => self.on_their_way.push((id(replica), to, message)),
-                Output::Persist(votes) => {
+                Output::PersistVotes(votes) => {
                     self.old_disks[replica] = self.disks[replica].clone();
                     self.disks[replica].votes = Some(votes);
                 }
-                Output::Keep(revision) => {
+                Output::PersistRevision(revision) => {
                     let known = self.decided.insert(revision.number, revision.id());
                     if known.is_some_and(|known| known != revision.id()) {
                         self.conflict = Some(revision.number);
                     }
                     let number = revision.number;
-                    let kept = self.disks[replica].history.take(revision);
+                    let kept = self.disks[replica].history.append(revision);
                     assert!(kept.is_ok(), "replica {replica} keeps {number}: {kept:?}");
                 }
-                Output::KeepWhole(_) => {
+                Output::PersistSnapshot(_) => {
                     self.disks[replica].history = self.replicas[replica].history().clone()
                 }
-                Output::Done(outcome) => self.outcomes.push(outcome),
+                Output::PublicationEnded(outcome) => self.outcomes.push(outcome),
                 Output::Diverged(..) => self.diverged += 1,
             }
         }
@@ -163,7 +163,7 @@
             return;
         }
         let mut out = Vec::new();
-        self.replicas[usize::from(to.0)].take(from, message, &mut out);
+        self.replicas[usize::from(to.0)].receive(from, message, &mut out);
         self.carry_out(usize::from(to.0), out);
     }
 
@@ -213,7 +213,7 @@
         Digest::of_bytes(&bytes).to_string().into_bytes()
     }
 
-    /// No number has two contents, and replicas that hold the same number hold the same whole.
+    /// No number has two contents, and replicas that hold the same number hold the same snapshot.
     pub fn check(&self) {
         assert_eq!(self.conflict, None, "a number was decided twice");
         let mut digests: BTreeMap<Number, Digest> = BTreeMap::new();
--- a/crates/control/tests/follower.rs
+++ b/crates/control/tests/learner.rs
@@ -19,59 +19,62 @@
 }
 
 /// A follower with three revisions, and these.
-fn followed() -> (Follower, Vec<Revision>) {
-    let mut follower = Follower::new(Number(0), Document::default());
+fn learned() -> (Learner, Vec<Revision>) {
+    let mut learner = Learner::new(Number(0), Document::default());
     let mut revisions = Vec::new();
     for n in 0..3 {
-        let revision = next(follower.number(), follower.document(), set(n, "value"));
+        let revision = next(learner.number(), learner.document(), set(n, "value"));
         revisions.push(revision.clone());
-        assert_eq!(follower.take(revision), Taken::Held);
+        assert_eq!(learner.learn(revision), LearnOutcome::Applied);
     }
-    (follower, revisions)
+    (learner, revisions)
 }
 
 #[test]
 fn revisions_are_taken_in_order_and_older_ones_change_nothing() {
-    let (mut follower, revisions) = followed();
-    let digest = follower.document().digest();
+    let (mut learner, revisions) = learned();
+    let digest = learner.document().digest();
     for old in &revisions {
-        assert_eq!(follower.take(old.clone()), Taken::Old);
+        assert_eq!(learner.learn(old.clone()), LearnOutcome::Stale);
     }
-    assert_eq!(follower.take_whole(Number(2), Document::default()), Taken::Old);
-    assert_eq!((follower.number(), follower.document().digest()), (Number(3), digest));
-    let fourth = next(Number(3), follower.document(), set(9, "x"));
-    let mut document = follower.document().clone();
+    assert_eq!(learner.learn_snapshot(Number(2), Document::default()), LearnOutcome::Stale);
+    assert_eq!((learner.number(), learner.document().digest()), (Number(3), digest));
+    let fourth = next(Number(3), learner.document(), set(9, "x"));
+    let mut document = learner.document().clone();
     document.apply(&fourth.delta, fourth.after).unwrap();
     let fifth = next(Number(4), &document, set(10, "y"));
-    assert_eq!(follower.take(fifth.clone()), Taken::Gap);
-    assert_eq!((follower.take(fourth), follower.take(fifth)), (Taken::Held, Taken::Held));
+    assert_eq!(learner.learn(fifth.clone()), LearnOutcome::Gap);
+    assert_eq!((learner.learn(fourth), learner.learn(fifth)), (LearnOutcome::Applied, LearnOutcome::Applied));
 }
 
 #[test]
 fn another_content_under_a_held_number_and_another_history_are_refused() {
-    let (mut follower, revisions) = followed();
+    let (mut learner, revisions) = learned();
     let mut other = revisions[2].clone();
     other.author = "another".into();
-    assert_eq!(follower.take(other), Taken::OtherHistory);
+    assert_eq!(learner.learn(other), LearnOutcome::Diverged);
     let elsewhere = next(Number(3), &Document::new([entry(1, "other")]).unwrap(), set(4, "x"));
-    assert_eq!(follower.take(elsewhere), Taken::OtherHistory);
-    assert_eq!(follower.take_whole(Number(3), Document::default()), Taken::OtherHistory);
-    assert_eq!(follower.number(), Number(3));
+    assert_eq!(learner.learn(elsewhere), LearnOutcome::Diverged);
+    assert_eq!(learner.learn_snapshot(Number(3), Document::default()), LearnOutcome::Diverged);
+    assert_eq!(learner.number(), Number(3));
 }
 
 #[test]
 fn a_revision_that_does_not_fit_its_digest_changes_nothing_and_the_whole_brings_it_on() {
-    let (mut follower, _) = followed();
-    let before = follower.clone();
-    let mut wrong = next(Number(3), follower.document(), set(5, "x"));
+    let (mut learner, _) = learned();
+    let before = learner.clone();
+    let mut wrong = next(Number(3), learner.document(), set(5, "x"));
     wrong.delta = set(5, "y");
-    assert!(matches!(follower.take(wrong), Taken::NotApplied(_)));
-    let mut missing = next(Number(3), follower.document(), set(5, "x"));
+    assert!(matches!(learner.learn(wrong), LearnOutcome::Invalid(_)));
+    let mut missing = next(Number(3), learner.document(), set(5, "x"));
     missing.delta = Delta(vec![Change::Remove("nobody".into())]);
-    assert!(matches!(follower.take(missing), Taken::NotApplied(why) if why.contains("nobody")));
-    assert_eq!(follower, before);
-    assert_eq!(follower.take_whole(Number(7), Document::new([entry(1, "all")]).unwrap()), Taken::Held);
-    assert_eq!(follower.number(), Number(7));
+    assert!(matches!(learner.learn(missing), LearnOutcome::Invalid(reason) if reason.contains("nobody")));
+    assert_eq!(learner, before);
+    assert_eq!(
+        learner.learn_snapshot(Number(7), Document::new([entry(1, "all")]).unwrap()),
+        LearnOutcome::Applied
+    );
+    assert_eq!(learner.number(), Number(7));
 }
 
 #[test]
@@ -92,11 +95,11 @@
 #[test]
 fn what_was_kept_is_read_again_and_a_damaged_foreign_or_later_copy_is_refused_by_name() {
     let key = SiteKey::new([7; 32]);
-    let (follower, _) = followed();
-    let kept = KnownGood::new(follower.number(), follower.document(), 123);
+    let (learner, _) = learned();
+    let kept = KnownGood::new(learner.number(), learner.document(), 123);
     let bytes = kept.encode(&key);
     let (read, document) = KnownGood::decode(&key, &bytes).unwrap();
-    assert_eq!((read, &document), (kept, follower.document()));
+    assert_eq!((read, &document), (kept, learner.document()));
     for at in 8..bytes.len() {
         let mut damaged = bytes.clone();
         damaged[at] ^= 1;
@@ -113,8 +116,8 @@
 }
 
 fn message() -> Message {
-    let (follower, _) = followed();
-    Message::Decided(next(follower.number(), follower.document(), set(8, "a value")))
+    let (learner, _) = learned();
+    Message::Decided(next(learner.number(), learner.document(), set(8, "a value")))
 }
 
 #[test]
--- a/crates/control/tests/recorded_runs.rs
+++ b/crates/control/tests/recorded_runs.rs
@@ -21,7 +21,7 @@
     match outcome {
         Outcome::Published(number) => format!("published-{number}"),
         Outcome::NoChange => "no-change".into(),
-        Outcome::Invalid(why) => format!("invalid-{}", Digest::of_bytes(why.as_bytes())),
+        Outcome::Invalid(reason) => format!("invalid-{}", Digest::of_bytes(reason.as_bytes())),
         Outcome::Busy => "busy".into(),
         Outcome::NoQuorum => "no-quorum".into(),
     }
@@ -92,7 +92,7 @@
             80..88 => fleet.lose(place),
             88..91 => fleet.repeat(place),
             91..94 => fleet.restart(replica, false),
-            94..96 => fleet.greet(replica, (replica + 1) % 4),
+            94..96 => fleet.send_heartbeat(replica, (replica + 1) % 4),
             96..97 => fleet.cut = true,
             _ => fleet.cut = false,
         }
--- a/crates/control/tests/spread.rs
+++ b/crates/control/tests/spread.rs
@@ -118,7 +118,7 @@
         model.kill(ReplicaId(2));
         model.run(SECOND);
         model.start(ReplicaId(2), old);
-        // At once, before it has heard of what it lost.
+        // At once, before it has received_at of what it lost.
         model.publish(ReplicaId(2), change(100), 0);
         model.publish(ReplicaId(0), change(101), 0);
         model.run(30 * SECOND);
@@ -195,7 +195,7 @@
     model.run(15 * SECOND);
     assert!(matches!(model.outcomes.first(), Some(Outcome::Invalid(_))));
     assert_eq!(published(&model), 3);
-    assert_eq!(model.routers[5].subscriber.held_back(), [Number(1)]);
+    assert_eq!(model.routers[5].subscriber.rejected(), [Number(1)]);
     assert_eq!(model.routers[5].newest, Number(3));
     sound(&model, 1);
 }
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -54,16 +54,16 @@
     let digest = document().digest();
     let number = Number(300);
     vec![
-        ("holds", Message::Holds { number: Number(299), digest }),
+        ("holds", Message::Heartbeat { number: Number(299), digest }),
         ("decided", Message::Decided(revision())),
-        ("whole", Message::whole(Number(299), &document())),
+        ("whole", Message::snapshot(Number(299), &document())),
         ("prepare", Message::Prepare { number, ballot: ballot(5, 2) }),
         ("promise-of-nothing", Message::Promise { number, ballot: ballot(6, 0), vote: None }),
         ("promise", Message::Promise { number, ballot: ballot(6, 0), vote: Some(vote()) }),
         ("accept", Message::Accept(vote())),
         ("accepted", Message::Accepted { number, ballot: ballot(5, 2) }),
-        ("refused", Message::Refused { number, newer: ballot(70_000, 3) }),
-        ("cannot-apply", Message::CannotApply { number, why: "no such tenant".into() }),
+        ("refused", Message::Rejected { number, newer: ballot(70_000, 3) }),
+        ("cannot-apply", Message::CannotApply { number, reason: "no such tenant".into() }),
     ]
 }
 
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -169,7 +169,7 @@
         }
         assert_eq!(fleet.replicas[2].number(), Number(0));
         fleet.away = None;
-        fleet.greet(2, 0);
+        fleet.send_heartbeat(2, 0);
         fleet.deliver_all();
         assert_eq!(fleet.replicas[2].number(), Number(numbers));
         fleet.check();
@@ -183,7 +183,7 @@
     assert_eq!(fleet.outcomes, [Outcome::Invalid("`bad` is not known; take another name".into())]);
     fleet.publish_change(0, Change::Remove("nobody".into()));
     assert!(
-        matches!(&fleet.outcomes[1], Outcome::Invalid(why) if why.contains("nobody")),
+        matches!(&fleet.outcomes[1], Outcome::Invalid(reason) if reason.contains("nobody")),
         "{:?}",
         fleet.outcomes
     );
@@ -207,8 +207,8 @@
     fleet.replicas[2] = other.replicas[2].clone();
     fleet.publish(0);
     fleet.deliver_all();
-    fleet.greet(2, 0);
-    fleet.greet(0, 2);
+    fleet.send_heartbeat(2, 0);
+    fleet.send_heartbeat(0, 2);
     fleet.deliver_all();
     assert!(fleet.diverged > 0);
     assert_eq!(fleet.replicas[2].number(), Number(1), "it keeps what it had");
@@ -227,10 +227,10 @@
     let (number, ballot) = prepared.expect("the others are asked");
     let promise = Message::Promise { number, ballot, vote: None };
     out.clear();
-    replica.take(ReplicaId(1), promise.clone(), &mut out);
-    replica.take(ReplicaId(9), promise.clone(), &mut out);
+    replica.receive(ReplicaId(1), promise.clone(), &mut out);
+    replica.receive(ReplicaId(9), promise.clone(), &mut out);
     assert_eq!(out, [], "two of four and a stranger");
-    replica.take(ReplicaId(2), promise, &mut out);
+    replica.receive(ReplicaId(2), promise, &mut out);
     assert!(out.iter().any(|o| matches!(o, Output::Send(_, Message::Accept(_)))), "three of four");
 }
 
--- a/crates/load/src/scale/revisions.rs
+++ b/crates/load/src/scale/revisions.rs
@@ -14,7 +14,7 @@
 /// A burst: a change a second, where the mean of the whole size is one in 27 s.
 const CHANGES: u64 = 40;
 const SPAN_S: u64 = 60;
-/// Routers connect and are greeted first.
+/// Routers connect and are heartbeat_sent_at first.
 const BEFORE_S: u64 = 5;
 
 /// Checks are the control machine's, once for each change: `ReadTime` tells their cost.
@@ -37,12 +37,12 @@
 /// Measures a burst of changes at one size.
 pub fn measure(size: &Size, seed: u64) -> Result<Vec<Value>, Error> {
     let entries = (0..size.tenants).map(|n| tenant(n, 1_000_000));
-    let document = Document::new(entries).map_err(|why| why.to_string())?;
+    let document = Document::new(entries).map_err(|reason| reason.to_string())?;
     let before = ALLOCATOR.allocated();
     let one = Subscriber::new(Number(0), document.clone(), CONTROL, seed);
     let memory = ALLOCATOR.allocated() - before;
     drop(one);
-    let whole = postcard_bytes(&document);
+    let snapshot = postcard_bytes(&document);
     let mut model = Model::new(CONTROL, size.routers, &document, &Unchecked, seed);
     model.run(BEFORE_S * SECOND);
     for n in 0..CHANGES {
@@ -69,11 +69,11 @@
             Figure::RevisionControlBytes,
             model.control_bytes as f64 / f64::from(CONTROL) / SPAN_S as f64,
         ),
-        Value::new(Figure::WholeBytes, whole as f64 / 1e6),
+        Value::new(Figure::WholeBytes, snapshot as f64 / 1e6),
     ])
 }
 
 fn postcard_bytes(document: &Document) -> usize {
     let key = chalkyard_control::SiteKey::new([7; 32]);
-    Message::whole(Number(1), document).encode(&key).len()
+    Message::snapshot(Number(1), document).encode(&key).len()
 }
