--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::replica::ReplicaId;
-use crate::revision::{Number, Revision};
+use crate::revision::{Revision, RevisionNumber};
 
 /// A try to decide a number: the higher one goes first. Never used twice, since it names its replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -42,19 +42,19 @@
 /// The votes on one number. Those on numbers that are decided are forgotten.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Acceptor {
-    number: Number,
+    number: RevisionNumber,
     promised: Option<Ballot>,
     accepted: Option<Vote>,
 }
 
 impl Acceptor {
     /// One that votes on the number after `decided`.
-    pub fn after(decided: Number) -> Self {
+    pub fn after(decided: RevisionNumber) -> Self {
         Self { number: decided.next(), promised: None, accepted: None }
     }
 
     /// The number that it votes on.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> RevisionNumber {
         self.number
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// A ballot wants to be the newest.
-    pub fn prepare(&mut self, number: Number, ballot: Ballot) -> Answer {
+    pub fn prepare(&mut self, number: RevisionNumber, ballot: Ballot) -> Answer {
         if number != self.number {
             return Answer::NotNext;
         }
--- a/crates/control/src/document.rs
+++ b/crates/control/src/document.rs
@@ -7,11 +7,11 @@
 use crate::digest::Digest;
 
 /// Bytes of one entry's key and value together.
-pub const ENTRY_BYTES: usize = 64 * 1024;
+pub const MAX_ENTRY_BYTES: usize = 64 * 1024;
 /// Changes of one revision.
-pub const CHANGES: usize = 10_000;
+pub const MAX_CHANGES: usize = 10_000;
 /// Bytes of a whole document.
-pub const DOCUMENT_BYTES: usize = 32 * 1024 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 32 * 1024 * 1024;
 
 /// One entry: a part of the settings that is changed as one, such as a tenant.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -53,30 +53,30 @@
 
 /// Why a delta is not applied. Nothing of it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotApplied {
-    /// More changes than [`CHANGES`].
+pub enum DocumentError {
+    /// More changes than [`MAX_CHANGES`].
     TooManyChanges(usize),
-    /// An entry is longer than [`ENTRY_BYTES`].
+    /// An entry is longer than [`MAX_ENTRY_BYTES`].
     EntryTooLong(Box<str>),
-    /// The document would be longer than [`DOCUMENT_BYTES`].
+    /// The document would be longer than [`MAX_DOCUMENT_BYTES`].
     DocumentTooLong,
     /// An entry is named twice.
-    Twice(Box<str>),
+    DuplicateKey(Box<str>),
     /// An entry is to be removed that is not there.
-    NotThere(Box<str>),
+    MissingKey(Box<str>),
     /// The result has another digest than the revision says.
-    OtherDigest,
+    DigestMismatch,
 }
 
-impl std::fmt::Display for NotApplied {
+impl std::fmt::Display for DocumentError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::TooManyChanges(n) => write!(f, "{n} changes, at most {CHANGES}"),
-            Self::EntryTooLong(key) => write!(f, "{key}: longer than {ENTRY_BYTES} bytes"),
-            Self::DocumentTooLong => write!(f, "the whole would be longer than {DOCUMENT_BYTES} bytes"),
-            Self::Twice(key) => write!(f, "{key}: named twice"),
-            Self::NotThere(key) => write!(f, "{key}: to be removed, and not there"),
-            Self::OtherDigest => write!(f, "the result has another digest than the revision says"),
+            Self::TooManyChanges(n) => write!(f, "{n} changes, at most {MAX_CHANGES}"),
+            Self::EntryTooLong(key) => write!(f, "{key}: longer than {MAX_ENTRY_BYTES} bytes"),
+            Self::DocumentTooLong => write!(f, "the whole would be longer than {MAX_DOCUMENT_BYTES} bytes"),
+            Self::DuplicateKey(key) => write!(f, "{key}: named twice"),
+            Self::MissingKey(key) => write!(f, "{key}: to be removed, and not there"),
+            Self::DigestMismatch => write!(f, "the result has another digest than the revision says"),
         }
     }
 }
@@ -94,15 +94,15 @@
     ///
     /// # Errors
     /// Past a bound.
-    pub fn new(entries: impl IntoIterator<Item = Entry>) -> Result<Self, NotApplied> {
+    pub fn new(entries: impl IntoIterator<Item = Entry>) -> Result<Self, DocumentError> {
         let mut document = Self::default();
         for entry in entries {
-            if entry.bytes() > ENTRY_BYTES {
-                return Err(NotApplied::EntryTooLong(entry.key));
+            if entry.bytes() > MAX_ENTRY_BYTES {
+                return Err(DocumentError::EntryTooLong(entry.key));
             }
             document.set(entry);
-            if document.bytes > DOCUMENT_BYTES {
-                return Err(NotApplied::DocumentTooLong);
+            if document.bytes > MAX_DOCUMENT_BYTES {
+                return Err(DocumentError::DocumentTooLong);
             }
         }
         Ok(document)
@@ -150,16 +150,16 @@
     ///
     /// # Errors
     /// Says why it can't be applied.
-    pub fn preview(&self, delta: &Delta) -> Result<Digest, NotApplied> {
-        if delta.0.len() > CHANGES {
-            return Err(NotApplied::TooManyChanges(delta.0.len()));
+    pub fn preview(&self, delta: &Delta) -> Result<Digest, DocumentError> {
+        if delta.0.len() > MAX_CHANGES {
+            return Err(DocumentError::TooManyChanges(delta.0.len()));
         }
         let mut keys = std::collections::BTreeSet::new();
         let (mut digest, mut bytes) = (self.digest, self.bytes);
         for change in &delta.0 {
             let key = change.key();
             if !keys.insert(key) {
-                return Err(NotApplied::Twice(key.into()));
+                return Err(DocumentError::DuplicateKey(key.into()));
             }
             let old = self.get(key);
             if let Some(old) = old {
@@ -167,19 +167,19 @@
                 bytes -= key.len() + old.len();
             }
             match change {
-                Change::Set(entry) if entry.bytes() > ENTRY_BYTES => {
-                    return Err(NotApplied::EntryTooLong(key.into()));
+                Change::Set(entry) if entry.bytes() > MAX_ENTRY_BYTES => {
+                    return Err(DocumentError::EntryTooLong(key.into()));
                 }
                 Change::Set(entry) => {
                     digest = digest.with(Digest::of_entry(key, &entry.value));
                     bytes += entry.bytes();
                 }
-                Change::Remove(_) if old.is_none() => return Err(NotApplied::NotThere(key.into())),
+                Change::Remove(_) if old.is_none() => return Err(DocumentError::MissingKey(key.into())),
                 Change::Remove(_) => {}
             }
         }
-        if bytes > DOCUMENT_BYTES {
-            return Err(NotApplied::DocumentTooLong);
+        if bytes > MAX_DOCUMENT_BYTES {
+            return Err(DocumentError::DocumentTooLong);
         }
         Ok(digest)
     }
@@ -188,9 +188,9 @@
     ///
     /// # Errors
     /// Says why nothing was applied.
-    pub fn apply(&mut self, delta: &Delta, digest: Digest) -> Result<(), NotApplied> {
+    pub fn apply(&mut self, delta: &Delta, digest: Digest) -> Result<(), DocumentError> {
         if self.preview(delta)? != digest {
-            return Err(NotApplied::OtherDigest);
+            return Err(DocumentError::DigestMismatch);
         }
         for change in &delta.0 {
             match change {
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use crate::digest::Digest;
-use crate::document::{Change, Document, NotApplied};
-use crate::revision::{Number, Revision};
+use crate::document::{Change, Document, DocumentError};
+use crate::revision::{Revision, RevisionNumber};
 
 /// How much of the past is kept: who is further behind gets the snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,20 +37,20 @@
 
 /// Why a revision is not taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum HistoryError {
     /// It is not the next number.
-    NotNext(Number),
+    NotNext(RevisionNumber),
     /// It follows another configuration than this one: two histories.
     Diverged,
     /// It can't be applied.
-    NotApplied(NotApplied),
+    Invalid(DocumentError),
 }
 
 /// All of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct History {
     document: Document,
-    number: Number,
+    number: RevisionNumber,
     past: VecDeque<Revision>,
     past_bytes: usize,
     retention: Retention,
@@ -66,12 +66,12 @@
 
 impl History {
     /// One that begins with a snapshot.
-    pub fn new(number: Number, document: Document, retention: Retention) -> Self {
+    pub fn new(number: RevisionNumber, document: Document, retention: Retention) -> Self {
         Self { document, number, past: VecDeque::new(), past_bytes: 0, retention }
     }
 
     /// The newest number.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> RevisionNumber {
         self.number
     }
 
@@ -84,14 +84,14 @@
     ///
     /// # Errors
     /// Says why it is not taken.
-    pub fn append(&mut self, revision: Revision) -> Result<(), NotTaken> {
+    pub fn append(&mut self, revision: Revision) -> Result<(), HistoryError> {
         if revision.number != self.number.next() {
-            return Err(NotTaken::NotNext(self.number));
+            return Err(HistoryError::NotNext(self.number));
         }
         if revision.before != self.document.digest() {
-            return Err(NotTaken::Diverged);
+            return Err(HistoryError::Diverged);
         }
-        self.document.apply(&revision.delta, revision.after).map_err(NotTaken::NotApplied)?;
+        self.document.apply(&revision.delta, revision.after).map_err(HistoryError::Invalid)?;
         self.number = revision.number;
         self.past_bytes += bytes(&revision);
         self.past.push_back(revision);
@@ -103,14 +103,14 @@
     }
 
     /// A revision that is kept.
-    pub fn revision(&self, number: Number) -> Option<&Revision> {
+    pub fn revision(&self, number: RevisionNumber) -> Option<&Revision> {
         let first = self.past.front()?.number;
         let place = usize::try_from(number.0.checked_sub(first.0)?).ok()?;
         self.past.get(place)
     }
 
     /// What brings one up to date that holds this.
-    pub fn catch_up(&self, number: Number, digest: Digest) -> CatchUp {
+    pub fn catch_up(&self, number: RevisionNumber, digest: Digest) -> CatchUp {
         if number == self.number && digest == self.document.digest() {
             return CatchUp::Current;
         }
@@ -119,9 +119,9 @@
                 CatchUp::Revisions(self.past.iter().filter(|r| r.number > number).cloned().collect())
             }
             // Number 0 is nothing at all, which anything follows.
-            Some(_) if number == Number::default() => CatchUp::Snapshot,
+            Some(_) if number == RevisionNumber::default() => CatchUp::Snapshot,
             Some(_) => CatchUp::Diverged,
-            None if number == self.number && number > Number::default() => CatchUp::Diverged,
+            None if number == self.number && number > RevisionNumber::default() => CatchUp::Diverged,
             None => CatchUp::Snapshot,
         }
     }
--- a/crates/control/src/known_good.rs
+++ b/crates/control/src/known_good.rs
@@ -5,7 +5,7 @@
 use crate::authentication::SiteKey;
 use crate::digest::Digest;
 use crate::document::{Document, Entry};
-use crate::revision::Number;
+use crate::revision::RevisionNumber;
 
 /// The first bytes of the file: what it is, and its format.
 const FORMAT: &[u8; 8] = b"CHALKCF1";
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownGood {
     /// Its number.
-    pub number: Number,
+    pub number: RevisionNumber,
     /// Its digest.
     pub digest: Digest,
     /// When it was put in force, µs since 1970 by its router's clock.
@@ -27,28 +27,28 @@
 
 /// Why a copy is not used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum KnownGoodError {
     /// It is no such copy.
-    Foreign,
+    UnknownFormat,
     /// It is of a later format.
-    LaterFormat,
+    UnsupportedVersion,
     /// It was changed or cut, or is another site's.
-    Damaged,
+    Corrupt,
 }
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for KnownGoodError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::Foreign => "no kept configuration",
-            Self::LaterFormat => "a kept configuration of a later format",
-            Self::Damaged => "a kept configuration that is damaged, cut short or another site's",
+            Self::UnknownFormat => "no kept configuration",
+            Self::UnsupportedVersion => "a kept configuration of a later format",
+            Self::Corrupt => "a kept configuration that is damaged, cut short or another site's",
         })
     }
 }
 
 impl KnownGood {
     /// Of a document.
-    pub fn new(number: Number, document: &Document, since: u64) -> Self {
+    pub fn new(number: RevisionNumber, document: &Document, since: u64) -> Self {
         Self { number, digest: document.digest(), since, entries: document.entries().collect() }
     }
 
@@ -63,20 +63,20 @@
     ///
     /// # Errors
     /// Says why it is not used.
-    pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<(Self, Document), Unreadable> {
+    pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<(Self, Document), KnownGoodError> {
         let Some((format, authenticated)) = bytes.split_at_checked(FORMAT.len()) else {
-            return Err(Unreadable::Foreign);
+            return Err(KnownGoodError::UnknownFormat);
         };
         match format {
             _ if format == FORMAT => {}
-            _ if format.starts_with(FORMAT_NAME) => return Err(Unreadable::LaterFormat),
-            _ => return Err(Unreadable::Foreign),
+            _ if format.starts_with(FORMAT_NAME) => return Err(KnownGoodError::UnsupportedVersion),
+            _ => return Err(KnownGoodError::UnknownFormat),
         }
-        let opened = key.verify_tag(DOMAIN, authenticated).map_err(|_| Unreadable::Damaged)?;
-        let kept: Self = postcard::from_bytes(opened).map_err(|_| Unreadable::Damaged)?;
-        let document = Document::new(kept.entries.iter().cloned()).map_err(|_| Unreadable::Damaged)?;
+        let opened = key.verify_tag(DOMAIN, authenticated).map_err(|_| KnownGoodError::Corrupt)?;
+        let kept: Self = postcard::from_bytes(opened).map_err(|_| KnownGoodError::Corrupt)?;
+        let document = Document::new(kept.entries.iter().cloned()).map_err(|_| KnownGoodError::Corrupt)?;
         if document.digest() != kept.digest {
-            return Err(Unreadable::Damaged);
+            return Err(KnownGoodError::Corrupt);
         }
         Ok((kept, document))
     }
--- a/crates/control/src/learner.rs
+++ b/crates/control/src/learner.rs
@@ -1,8 +1,8 @@
 //! A router's side: it follows revisions one by one, and never goes back.
 
 use crate::document::Document;
-use crate::history::{History, NotTaken, Retention};
-use crate::revision::{Number, Revision};
+use crate::history::{History, HistoryError, Retention};
+use crate::revision::{Revision, RevisionNumber};
 
 /// What came of a revision or a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -27,14 +27,14 @@
 
 impl Learner {
     /// One that starts with its last known good, or with nothing at number 0.
-    pub fn new(number: Number, document: Document) -> Self {
+    pub fn new(number: RevisionNumber, document: Document) -> Self {
         // Routers pass nothing on: one revision is kept, to tell a repeat from another content.
         let retention = Retention { revisions: 1, bytes: usize::MAX };
         Self { history: History::new(number, document, retention) }
     }
 
     /// The number that is held.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> RevisionNumber {
         self.history.number()
     }
 
@@ -52,14 +52,14 @@
         }
         match self.history.append(revision) {
             Ok(()) => LearnOutcome::Applied,
-            Err(NotTaken::NotNext(_)) => LearnOutcome::Gap,
-            Err(NotTaken::Diverged) => LearnOutcome::Diverged,
-            Err(NotTaken::NotApplied(reason)) => LearnOutcome::Invalid(reason.to_string()),
+            Err(HistoryError::NotNext(_)) => LearnOutcome::Gap,
+            Err(HistoryError::Diverged) => LearnOutcome::Diverged,
+            Err(HistoryError::Invalid(reason)) => LearnOutcome::Invalid(reason.to_string()),
         }
     }
 
     /// Takes a whole: only a newer one, whatever came between.
-    pub fn learn_snapshot(&mut self, number: Number, document: Document) -> LearnOutcome {
+    pub fn learn_snapshot(&mut self, number: RevisionNumber, document: Document) -> LearnOutcome {
         let current = self.history.number();
         if number < current {
             return LearnOutcome::Stale;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -11,23 +11,25 @@
 mod known_good;
 mod learner;
 mod messages;
-pub mod model;
 mod proposer;
 mod replica;
 mod revision;
 mod sessions;
+pub mod simulation;
 mod subscriber;
 
 pub use acceptor::{Acceptor, Ballot, Vote};
 pub use authentication::{AuthenticationError, SiteKey};
 pub use digest::Digest;
-pub use document::{Change, Delta, Document, Entry, NotApplied, CHANGES, DOCUMENT_BYTES, ENTRY_BYTES};
+pub use document::{
+    Change, Delta, Document, DocumentError, Entry, MAX_CHANGES, MAX_DOCUMENT_BYTES, MAX_ENTRY_BYTES,
+};
 pub use history::{CatchUp, History, Retention};
-pub use known_good::{KnownGood, Unreadable};
+pub use known_good::{KnownGood, KnownGoodError};
 pub use learner::{LearnOutcome, Learner};
-pub use messages::{Malformed, Message, MESSAGE_BYTES};
+pub use messages::{Message, MessageError, MAX_MESSAGE_BYTES};
 pub use proposer::Proposer;
-pub use replica::{Check, Outcome, Output, Quorum, Replica, ReplicaId};
-pub use revision::{Number, Revision, RevisionId};
+pub use replica::{PublishOutcome, Quorum, Replica, ReplicaAction, ReplicaId, Validator};
+pub use revision::{Revision, RevisionId, RevisionNumber};
 pub use sessions::{Session, SessionId, SubscriberSessions, MAX_SESSIONS};
-pub use subscriber::{Action, Apply, Input, Subscriber, Time};
+pub use subscriber::{Action, Apply, Input, Micros, Subscriber};
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -5,11 +5,11 @@
 use crate::acceptor::{Ballot, Vote};
 use crate::authentication::{SiteKey, TAG_BYTES};
 use crate::digest::Digest;
-use crate::document::{Document, Entry, DOCUMENT_BYTES};
-use crate::revision::{Number, Revision};
+use crate::document::{Document, Entry, MAX_DOCUMENT_BYTES};
+use crate::revision::{Revision, RevisionNumber};
 
 /// A message's bytes with its seal: a whole document, what frames its entries, and some room.
-pub const MESSAGE_BYTES: usize = DOCUMENT_BYTES + DOCUMENT_BYTES / 4;
+pub const MAX_MESSAGE_BYTES: usize = MAX_DOCUMENT_BYTES + MAX_DOCUMENT_BYTES / 4;
 
 const DOMAIN: &str = "chalkyard-control-1";
 
@@ -19,7 +19,7 @@
     /// What the sender holds. Answered with what brings it up to date, if that is not all there is.
     Heartbeat {
         /// Its newest number.
-        number: Number,
+        number: RevisionNumber,
         /// The digest of its snapshot.
         digest: Digest,
     },
@@ -28,21 +28,21 @@
     /// The snapshot, as decided under this number.
     Snapshot {
         /// The number.
-        number: Number,
+        number: RevisionNumber,
         /// All entries, in the order of their keys.
         entries: Vec<Entry>,
     },
     /// Between control replicas: take part in nothing older.
     Prepare {
         /// The number that is to be decided.
-        number: Number,
+        number: RevisionNumber,
         /// The try.
         ballot: Ballot,
     },
     /// The answer to it.
     Promise {
         /// The number.
-        number: Number,
+        number: RevisionNumber,
         /// The try.
         ballot: Ballot,
         /// What was accepted before.
@@ -53,21 +53,21 @@
     /// The answer to it.
     Accepted {
         /// The number.
-        number: Number,
+        number: RevisionNumber,
         /// The try.
         ballot: Ballot,
     },
     /// A newer try was promised.
     Rejected {
         /// The number.
-        number: Number,
+        number: RevisionNumber,
         /// The newer try.
         newer: Ballot,
     },
     /// A router can't put this number in force, and says why: it holds it back, and follows what comes later.
     CannotApply {
         /// The number.
-        number: Number,
+        number: RevisionNumber,
         /// In words.
         reason: Box<str>,
     },
@@ -75,28 +75,28 @@
 
 /// Why bytes are no message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Malformed {
-    /// Longer than [`MESSAGE_BYTES`].
+pub enum MessageError {
+    /// Longer than [`MAX_MESSAGE_BYTES`].
     TooLong,
     /// The seal does not fit.
     NotAuthentic,
     /// Sealed, and not understood: of another version.
-    Unreadable,
+    Undecodable,
 }
 
-impl std::fmt::Display for Malformed {
+impl std::fmt::Display for MessageError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::TooLong => "longer than a message may be",
             Self::NotAuthentic => "the seal does not fit",
-            Self::Unreadable => "sealed, and not understood: of another version?",
+            Self::Undecodable => "sealed, and not understood: of another version?",
         })
     }
 }
 
 impl Message {
     /// The whole as a message.
-    pub fn snapshot(number: Number, document: &Document) -> Self {
+    pub fn snapshot(number: RevisionNumber, document: &Document) -> Self {
         Self::Snapshot { number, entries: document.entries().collect() }
     }
 
@@ -110,14 +110,14 @@
     ///
     /// # Errors
     /// Says why it is none. Nothing is read of it before its seal was found to fit.
-    pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<Self, Malformed> {
-        if bytes.len() > MESSAGE_BYTES + TAG_BYTES {
-            return Err(Malformed::TooLong);
+    pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<Self, MessageError> {
+        if bytes.len() > MAX_MESSAGE_BYTES + TAG_BYTES {
+            return Err(MessageError::TooLong);
         }
-        let opened = key.verify_tag(DOMAIN, bytes).map_err(|_| Malformed::NotAuthentic)?;
+        let opened = key.verify_tag(DOMAIN, bytes).map_err(|_| MessageError::NotAuthentic)?;
         match postcard::take_from_bytes(opened) {
             Ok((message, [])) => Ok(message),
-            _ => Err(Malformed::Unreadable),
+            _ => Err(MessageError::Undecodable),
         }
     }
 }
--- a/crates/control/src/proposer.rs
+++ b/crates/control/src/proposer.rs
@@ -4,7 +4,7 @@
 
 use crate::acceptor::{Ballot, Vote};
 use crate::replica::{Quorum, ReplicaId};
-use crate::revision::{Number, Revision};
+use crate::revision::{Revision, RevisionNumber};
 
 /// What a try comes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     }
 
     /// The number that it is about.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> RevisionNumber {
         self.ours.number
     }
 
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -4,10 +4,10 @@
 
 use crate::acceptor::{Acceptor, Answer, Ballot, Vote};
 use crate::document::{Delta, Document};
-use crate::history::{CatchUp, History, NotTaken, Retention};
+use crate::history::{CatchUp, History, HistoryError, Retention};
 use crate::messages::Message;
 use crate::proposer::{Progress, Proposer};
-use crate::revision::{Number, Revision};
+use crate::revision::{Revision, RevisionNumber};
 
 /// A control replica, by its place in the list that all replicas of a site hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -33,19 +33,19 @@
 }
 
 /// The check that a configuration has to pass before it gets a number.
-pub trait Check {
+pub trait Validator {
     /// Says what is wrong, with its place and remedy.
     ///
     /// # Errors
     /// If the configuration can't be put in force.
-    fn check(&self, document: &Document) -> Result<(), String>;
+    fn validate(&self, document: &Document) -> Result<(), String>;
 }
 
 /// What came of a publication.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Outcome {
+pub enum PublishOutcome {
     /// Decided under this number.
-    Published(Number),
+    Published(RevisionNumber),
     /// It changes nothing.
     NoChange,
     /// The check, or a bound, refuses it; it has no number.
@@ -56,9 +56,9 @@
     NoQuorum,
 }
 
-/// What is to be done, in order. Nothing that follows a [`Output::PersistVotes`] leaves the replica before it is on the disk.
+/// What is to be done, in order. Nothing that follows a [`ReplicaAction::PersistVotes`] leaves the replica before it is on the disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Output {
+pub enum ReplicaAction {
     /// Send to a replica.
     Send(ReplicaId, Message),
     /// Keep the votes.
@@ -66,11 +66,11 @@
     /// Keep a decided revision.
     PersistRevision(Revision),
     /// Keep a snapshot, which replaces all that was kept.
-    PersistSnapshot(Number),
+    PersistSnapshot(RevisionNumber),
     /// The publication is over.
-    PublicationEnded(Outcome),
+    PublicationEnded(PublishOutcome),
     /// Another replica holds another content under a number: an operator has to look.
-    Diverged(ReplicaId, Number),
+    Diverged(ReplicaId, RevisionNumber),
 }
 
 /// A publication under way.
@@ -106,12 +106,12 @@
 
     /// One with nothing on its disk.
     pub fn fresh(own: ReplicaId, replicas: u8) -> Self {
-        let history = History::new(Number::default(), Document::default(), Retention::default());
+        let history = History::new(RevisionNumber::default(), Document::default(), Retention::default());
         Self::new(own, replicas, history, None)
     }
 
     /// The newest number that is decided, as far as this replica knows.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> RevisionNumber {
         self.history.number()
     }
 
@@ -134,27 +134,38 @@
     }
 
     /// Publishes changes. They are checked whole before anything is asked of others.
-    pub fn publish(&mut self, changes: Delta, author: &str, check: &dyn Check, out: &mut Vec<Output>) {
+    pub fn publish(
+        &mut self,
+        changes: Delta,
+        author: &str,
+        validator: &dyn Validator,
+        out: &mut Vec<ReplicaAction>,
+    ) {
         if self.publication.is_some() {
-            return out.push(Output::PublicationEnded(Outcome::Busy));
+            return out.push(ReplicaAction::PublicationEnded(PublishOutcome::Busy));
         }
-        match self.revision(&changes, author, check) {
+        match self.revision(&changes, author, validator) {
             Ok(revision) => self.propose(changes, author.into(), revision, out),
-            Err(outcome) => out.push(Output::PublicationEnded(outcome)),
+            Err(outcome) => out.push(ReplicaAction::PublicationEnded(outcome)),
         }
     }
 
     /// The revision that changes make of the present configuration.
-    fn revision(&self, changes: &Delta, author: &str, check: &dyn Check) -> Result<Revision, Outcome> {
+    fn revision(
+        &self,
+        changes: &Delta,
+        author: &str,
+        validator: &dyn Validator,
+    ) -> Result<Revision, PublishOutcome> {
         let document = self.history.document();
-        let invalid = |reason: String| Outcome::Invalid(reason);
+        let invalid = |reason: String| PublishOutcome::Invalid(reason);
         let after = document.preview(changes).map_err(|reason| invalid(reason.to_string()))?;
         if after == document.digest() {
-            return Err(Outcome::NoChange);
+            return Err(PublishOutcome::NoChange);
         }
         let mut changed = document.clone();
         changed.apply(changes, after).map_err(|reason| invalid(reason.to_string()))?;
-        check.check(&changed).map_err(invalid)?;
+        validator.validate(&changed).map_err(invalid)?;
         Ok(Revision {
             number: self.history.number().next(),
             before: document.digest(),
@@ -164,31 +175,37 @@
         })
     }
 
-    fn propose(&mut self, changes: Delta, author: Box<str>, revision: Revision, out: &mut Vec<Output>) {
+    fn propose(
+        &mut self,
+        changes: Delta,
+        author: Box<str>,
+        revision: Revision,
+        out: &mut Vec<ReplicaAction>,
+    ) {
         self.round += 1;
         let ballot = Ballot { round: self.round, replica: self.own };
         let number = revision.number;
         self.publication = Some(Publication { changes, author, proposer: Proposer::new(ballot, revision) });
         for other in self.others() {
-            out.push(Output::Send(other, Message::Prepare { number, ballot }));
+            out.push(ReplicaAction::Send(other, Message::Prepare { number, ballot }));
         }
         self.receive(self.own, Message::Prepare { number, ballot }, out);
     }
 
     /// Tries the publication under way once more: a refusal or a silence is no answer. `check` is asked again if another
     /// revision was decided meanwhile.
-    pub fn retry(&mut self, check: &dyn Check, out: &mut Vec<Output>) {
+    pub fn retry(&mut self, validator: &dyn Validator, out: &mut Vec<ReplicaAction>) {
         let Some(Publication { changes, author, .. }) = self.publication.take() else { return };
-        match self.revision(&changes, &author, check) {
+        match self.revision(&changes, &author, validator) {
             Ok(revision) => self.propose(changes, author, revision, out),
-            Err(outcome) => out.push(Output::PublicationEnded(outcome)),
+            Err(outcome) => out.push(ReplicaAction::PublicationEnded(outcome)),
         }
     }
 
     /// Gives the publication under way up.
-    pub fn abandon(&mut self, out: &mut Vec<Output>) {
+    pub fn abandon(&mut self, out: &mut Vec<ReplicaAction>) {
         if self.publication.take().is_some() {
-            out.push(Output::PublicationEnded(Outcome::NoQuorum));
+            out.push(ReplicaAction::PublicationEnded(PublishOutcome::NoQuorum));
         }
     }
 
@@ -198,7 +215,7 @@
     }
 
     /// Takes a message of a replica, or of itself. One that is not on the list has no vote and is told nothing.
-    pub fn receive(&mut self, from: ReplicaId, message: Message, out: &mut Vec<Output>) {
+    pub fn receive(&mut self, from: ReplicaId, message: Message, out: &mut Vec<ReplicaAction>) {
         if !self.replicas.contains(&from) {
             return;
         }
@@ -229,23 +246,29 @@
         }
     }
 
-    fn publication_on(&mut self, number: Number) -> Option<&mut Publication> {
+    fn publication_on(&mut self, number: RevisionNumber) -> Option<&mut Publication> {
         self.publication.as_mut().filter(|p| p.proposer.number() == number)
     }
 
-    fn answer(&mut self, to: ReplicaId, message: Message, out: &mut Vec<Output>) {
+    fn answer(&mut self, to: ReplicaId, message: Message, out: &mut Vec<ReplicaAction>) {
         if to == self.own {
             self.receive(to, message, out);
         } else {
-            out.push(Output::Send(to, message));
+            out.push(ReplicaAction::Send(to, message));
         }
     }
 
-    fn prepare(&mut self, from: ReplicaId, number: Number, ballot: Ballot, out: &mut Vec<Output>) {
+    fn prepare(
+        &mut self,
+        from: ReplicaId,
+        number: RevisionNumber,
+        ballot: Ballot,
+        out: &mut Vec<ReplicaAction>,
+    ) {
         self.round = self.round.max(ballot.round);
         match self.acceptor.prepare(number, ballot) {
             Answer::Promised(vote) => {
-                out.push(Output::PersistVotes(self.acceptor.clone()));
+                out.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
                 self.answer(from, Message::Promise { number, ballot, vote }, out);
             }
             Answer::Rejected(newer) => self.answer(from, Message::Rejected { number, newer }, out),
@@ -253,11 +276,11 @@
         }
     }
 
-    fn accept(&mut self, from: ReplicaId, vote: Vote, out: &mut Vec<Output>) {
+    fn accept(&mut self, from: ReplicaId, vote: Vote, out: &mut Vec<ReplicaAction>) {
         let (number, ballot) = (vote.revision.number, vote.ballot);
         match self.acceptor.accept(vote) {
             Answer::Accepted => {
-                out.push(Output::PersistVotes(self.acceptor.clone()));
+                out.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
                 self.answer(from, Message::Accepted { number, ballot }, out);
             }
             Answer::Rejected(newer) => self.answer(from, Message::Rejected { number, newer }, out),
@@ -266,30 +289,30 @@
     }
 
     /// One of two replicas is behind: each tells what it holds, and the other brings it up to date.
-    fn announce_head(&mut self, to: ReplicaId, number: Number, out: &mut Vec<Output>) {
+    fn announce_head(&mut self, to: ReplicaId, number: RevisionNumber, out: &mut Vec<ReplicaAction>) {
         if to == self.own {
             return;
         }
         if number <= self.history.number() {
             if let Some(decided) = self.history.revision(number) {
-                return out.push(Output::Send(to, Message::Decided(decided.clone())));
+                return out.push(ReplicaAction::Send(to, Message::Decided(decided.clone())));
             }
         }
-        out.push(Output::Send(to, self.heartbeat()));
+        out.push(ReplicaAction::Send(to, self.heartbeat()));
     }
 
-    fn progress(&mut self, progress: Progress, out: &mut Vec<Output>) {
+    fn progress(&mut self, progress: Progress, out: &mut Vec<ReplicaAction>) {
         match progress {
             Progress::Waiting => {}
             Progress::Propose(vote) => {
                 for other in self.others() {
-                    out.push(Output::Send(other, Message::Accept(vote.clone())));
+                    out.push(ReplicaAction::Send(other, Message::Accept(vote.clone())));
                 }
                 self.receive(self.own, Message::Accept(vote), out);
             }
             Progress::Decided(revision) => {
                 for other in self.others() {
-                    out.push(Output::Send(other, Message::Decided(revision.clone())));
+                    out.push(ReplicaAction::Send(other, Message::Decided(revision.clone())));
                 }
                 self.learn(self.own, revision, out);
             }
@@ -299,77 +322,81 @@
     fn bring_up_to_date(
         &mut self,
         from: ReplicaId,
-        number: Number,
+        number: RevisionNumber,
         digest: crate::digest::Digest,
-        out: &mut Vec<Output>,
+        out: &mut Vec<ReplicaAction>,
     ) {
         if number > self.history.number() {
-            return out.push(Output::Send(from, self.heartbeat()));
+            return out.push(ReplicaAction::Send(from, self.heartbeat()));
         }
         match self.history.catch_up(number, digest) {
             CatchUp::Current => {}
             CatchUp::Revisions(revisions) => {
-                out.extend(revisions.into_iter().map(|r| Output::Send(from, Message::Decided(r))));
+                out.extend(revisions.into_iter().map(|r| ReplicaAction::Send(from, Message::Decided(r))));
             }
-            CatchUp::Diverged => out.push(Output::Diverged(from, number)),
+            CatchUp::Diverged => out.push(ReplicaAction::Diverged(from, number)),
             CatchUp::Snapshot => {
                 let snapshot = Message::snapshot(self.history.number(), self.history.document());
-                out.push(Output::Send(from, snapshot));
+                out.push(ReplicaAction::Send(from, snapshot));
             }
         }
     }
 
-    fn learn(&mut self, from: ReplicaId, revision: Revision, out: &mut Vec<Output>) {
+    fn learn(&mut self, from: ReplicaId, revision: Revision, out: &mut Vec<ReplicaAction>) {
         let number = revision.number;
         let ours = self.history.revision(number).map(|ours| *ours == revision);
         match self.history.append(revision.clone()) {
             Ok(()) => {
-                out.push(Output::PersistRevision(revision.clone()));
+                out.push(ReplicaAction::PersistRevision(revision.clone()));
                 self.advance(out);
                 self.end_own_publication(&revision, out);
             }
-            Err(NotTaken::NotNext(_)) if ours == Some(false) => out.push(Output::Diverged(from, number)),
-            Err(NotTaken::NotNext(held)) if held < number && from != self.own => {
-                out.push(Output::Send(from, self.heartbeat()));
+            Err(HistoryError::NotNext(_)) if ours == Some(false) => {
+                out.push(ReplicaAction::Diverged(from, number))
+            }
+            Err(HistoryError::NotNext(held)) if held < number && from != self.own => {
+                out.push(ReplicaAction::Send(from, self.heartbeat()));
+            }
+            Err(HistoryError::NotNext(_)) => {}
+            Err(HistoryError::Diverged | HistoryError::Invalid(_)) => {
+                out.push(ReplicaAction::Diverged(from, number))
             }
-            Err(NotTaken::NotNext(_)) => {}
-            Err(NotTaken::Diverged | NotTaken::NotApplied(_)) => out.push(Output::Diverged(from, number)),
         }
     }
 
     /// Votes are on the next number from now on.
-    fn advance(&mut self, out: &mut Vec<Output>) {
+    fn advance(&mut self, out: &mut Vec<ReplicaAction>) {
         self.acceptor = Acceptor::after(self.history.number());
         self.round = 0;
-        out.push(Output::PersistVotes(self.acceptor.clone()));
+        out.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
     }
 
     /// A number is decided: our publication is over if it was ours, and waits for its next try if not.
-    fn end_own_publication(&mut self, decided: &Revision, out: &mut Vec<Output>) {
+    fn end_own_publication(&mut self, decided: &Revision, out: &mut Vec<ReplicaAction>) {
         let ours = self.publication.as_ref().is_some_and(|p| {
             p.proposer.number() == decided.number && p.changes == decided.delta && p.author == decided.author
         });
         if ours {
             self.publication = None;
-            out.push(Output::PublicationEnded(Outcome::Published(decided.number)));
+            out.push(ReplicaAction::PublicationEnded(PublishOutcome::Published(decided.number)));
         }
     }
 
     fn learn_snapshot(
         &mut self,
         from: ReplicaId,
-        number: Number,
+        number: RevisionNumber,
         entries: Vec<crate::document::Entry>,
-        out: &mut Vec<Output>,
+        out: &mut Vec<ReplicaAction>,
     ) {
         if number <= self.history.number() {
             return;
         }
         let Ok(document) = Document::new(entries) else {
-            return out.push(Output::Diverged(from, number));
+            return out.push(ReplicaAction::Diverged(from, number));
         };
         self.history = History::new(number, document, Retention::default());
-        out.push(Output::PersistSnapshot(number));
+        out.push(ReplicaAction::PersistSnapshot(number));
         self.advance(out);
     }
 }
--- a/crates/control/src/revision.rs
+++ b/crates/control/src/revision.rs
@@ -7,9 +7,9 @@
 
 /// A revision's number. The empty configuration is number 0; each revision is one more than the one before.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number(pub u64);
+pub struct RevisionNumber(pub u64);
 
-impl Number {
+impl RevisionNumber {
     /// The next one.
     #[must_use]
     pub fn next(self) -> Self {
@@ -17,7 +17,7 @@
     }
 }
 
-impl std::fmt::Display for Number {
+impl std::fmt::Display for RevisionNumber {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0.fmt(f)
     }
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision {
     /// One more than that of the revision before.
-    pub number: Number,
+    pub number: RevisionNumber,
     /// The digest of the whole before it.
     pub before: Digest,
     /// The digest of the whole after it.
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -5,8 +5,8 @@
 use crate::digest::Digest;
 use crate::history::{CatchUp, History};
 use crate::messages::Message;
-use crate::revision::{Number, Revision};
-use crate::subscriber::Time;
+use crate::revision::{Revision, RevisionNumber};
+use crate::subscriber::Micros;
 
 /// A router's connection, by a number that is never given twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -16,17 +16,17 @@
 pub const MAX_SESSIONS: usize = 4_096;
 /// Wholes that are on their way at once, and between two of them: a region that comes back with nothing is one burst.
 const SNAPSHOTS_PER_WINDOW: usize = 4;
-const SNAPSHOT_WINDOW: Time = 250_000;
+const SNAPSHOT_WINDOW: Micros = 250_000;
 
 /// What a router said last.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Session {
     /// The number that it holds.
-    pub number: Number,
+    pub number: RevisionNumber,
     /// Since when.
-    pub since: Time,
+    pub since: Micros,
     /// The last number that it could not put in force, and why.
-    pub rejected: Option<(Number, Box<str>)>,
+    pub rejected: Option<(RevisionNumber, Box<str>)>,
 }
 
 /// All routers of one replica.
@@ -35,16 +35,16 @@
     sessions: BTreeMap<SessionId, Session>,
     /// Those that wait for a snapshot, and when the last ones were sent.
     awaiting_snapshot: VecDeque<SessionId>,
-    snapshots_sent_at: VecDeque<Time>,
+    snapshots_sent_at: VecDeque<Micros>,
 }
 
 impl SubscriberSessions {
     /// A router has connected; false: there is no room.
-    pub fn open(&mut self, session_id: SessionId, now: Time) -> bool {
+    pub fn open(&mut self, session_id: SessionId, now: Micros) -> bool {
         if self.sessions.len() >= MAX_SESSIONS {
             return false;
         }
-        self.sessions.insert(session_id, Session { number: Number(0), since: now, rejected: None });
+        self.sessions.insert(session_id, Session { number: RevisionNumber(0), since: now, rejected: None });
         true
     }
 
@@ -63,7 +63,7 @@
     pub fn receive(
         &mut self,
         session_id: SessionId,
-        now: Time,
+        now: Micros,
         message: Message,
         history: &History,
         out: &mut Vec<(SessionId, Message)>,
@@ -85,7 +85,7 @@
     fn bring_up_to_date(
         &mut self,
         session_id: SessionId,
-        number: Number,
+        number: RevisionNumber,
         digest: Digest,
         history: &History,
         out: &mut Vec<(SessionId, Message)>,
@@ -112,7 +112,7 @@
     }
 
     /// Sends wholes to routers that wait for one, so many at most in each span.
-    pub fn tick(&mut self, now: Time, history: &History, out: &mut Vec<(SessionId, Message)>) {
+    pub fn tick(&mut self, now: Micros, history: &History, out: &mut Vec<(SessionId, Message)>) {
         while self.snapshots_sent_at.front().is_some_and(|at| at + SNAPSHOT_WINDOW <= now) {
             self.snapshots_sent_at.pop_front();
         }
@@ -124,7 +124,7 @@
     }
 
     /// When [`Self::tick`] is next needed, if at all.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Micros> {
         (!self.awaiting_snapshot.is_empty())
             .then(|| self.snapshots_sent_at.front().map_or(0, |at| at + SNAPSHOT_WINDOW))
     }
--- a/crates/control/src/model/mod.rs
+++ b/crates/control/src/simulation/mod.rs
@@ -14,23 +14,23 @@
 use crate::document::{Delta, Document};
 use crate::history::{History, Retention};
 use crate::messages::Message;
-use crate::replica::{Check, Outcome, Output, Replica, ReplicaId};
-use crate::revision::Number;
+use crate::replica::{PublishOutcome, Replica, ReplicaAction, ReplicaId, Validator};
+use crate::revision::RevisionNumber;
 use crate::sessions::{SessionId, SubscriberSessions};
-use crate::subscriber::{Input, Subscriber, Time};
+use crate::subscriber::{Input, Micros, Subscriber};
 
 /// A second of the model's time.
-pub const SECOND: Time = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 /// On the way within a region, and between two.
-const NEAR: Time = 1_000;
-const FAR: Time = 10_000;
+const NEAR: Micros = 1_000;
+const FAR: Micros = 10_000;
 /// Machines greet each other so often.
-const HEARTBEAT_INTERVAL: Time = SECOND;
+const HEARTBEAT_INTERVAL: Micros = SECOND;
 /// A publication that is not decided is tried again after so long, and so much more by a draw.
-const RETRY: Time = 200_000;
-const RETRY_DRAW: Time = 300_000;
+const RETRY: Micros = 200_000;
+const RETRY_DRAW: Micros = 300_000;
 /// ... and given up after so long.
-const GIVE_UP: Time = 10 * SECOND;
+const GIVE_UP: Micros = 10 * SECOND;
 /// Bytes of a frame before its message.
 const FRAME_BYTES: u64 = 4;
 
@@ -46,44 +46,50 @@
     Heartbeat(ReplicaId),
     Publish(ReplicaId, Delta),
     Retry(ReplicaId),
-    GiveUp(ReplicaId, Time),
+    GiveUp(ReplicaId, Micros),
 }
 
 /// All of it.
-pub struct Model<'a> {
-    now: Time,
+pub struct Simulation<'a> {
+    now: Micros,
     order: u64,
-    events: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     controls: Vec<ControlNode>,
     /// Routers, the even ones in the first region.
     pub routers: Vec<RouterNode>,
     by_connection: BTreeMap<SessionId, usize>,
     next_connection: u64,
     key: SiteKey,
-    check: &'a dyn Check,
+    validator: &'a dyn Validator,
     random: u64,
     /// The regions do not reach each other.
     pub cut: bool,
     /// When each number's change was asked for.
-    pub asked: BTreeMap<Number, Time>,
+    pub asked: BTreeMap<RevisionNumber, Micros>,
     /// How long each change took to be in force at each router, µs.
-    pub spread: Vec<Time>,
+    pub spread: Vec<Micros>,
     /// What came of publications.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<PublishOutcome>,
     /// Told by replicas or routers: another content under a number.
     pub diverged: u64,
     /// What was decided, by number.
-    decided: BTreeMap<Number, crate::revision::RevisionId>,
+    decided: BTreeMap<RevisionNumber, crate::revision::RevisionId>,
     /// Numbers that were decided twice: none.
     pub conflicts: u64,
     /// Bytes that control replicas got and sent.
     pub control_bytes: u64,
 }
 
-impl<'a> Model<'a> {
+impl<'a> Simulation<'a> {
     /// So many replicas and routers, all of which hold this.
-    pub fn new(replicas: u8, routers: usize, document: &Document, check: &'a dyn Check, seed: u64) -> Self {
-        let history = History::new(Number(0), document.clone(), Retention::default());
+    pub fn new(
+        replicas: u8,
+        routers: usize,
+        document: &Document,
+        validator: &'a dyn Validator,
+        seed: u64,
+    ) -> Self {
+        let history = History::new(RevisionNumber(0), document.clone(), Retention::default());
         let control = |n: u8| ControlNode {
             replica: Replica::new(ReplicaId(n), replicas, history.clone(), None),
             sessions: SubscriberSessions::default(),
@@ -92,15 +98,15 @@
             asked: None,
         };
         let router = |n: usize| RouterNode {
-            subscriber: Subscriber::new(Number(0), document.clone(), replicas, seed + n as u64),
+            subscriber: Subscriber::new(RevisionNumber(0), document.clone(), replicas, seed + n as u64),
             in_force: InForce::default(),
             connection: None,
             bytes: 0,
             work_ns: 0,
-            newest: Number(0),
+            newest: RevisionNumber(0),
             went_back: 0,
         };
-        let mut model = Self {
+        let mut simulation = Self {
             now: SECOND,
             order: 0,
             events: BinaryHeap::new(),
@@ -109,7 +115,7 @@
             by_connection: BTreeMap::new(),
             next_connection: 0,
             key: SiteKey::new([7; 32]),
-            check,
+            validator,
             random: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
             cut: false,
             asked: BTreeMap::new(),
@@ -121,16 +127,16 @@
             control_bytes: 0,
         };
         for n in 0..replicas {
-            model.later(
+            simulation.later(
                 HEARTBEAT_INTERVAL / u64::from(replicas) * u64::from(n),
                 Event::Heartbeat(ReplicaId(n)),
             );
         }
-        model
+        simulation
     }
 
     /// The model's time.
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Micros {
         self.now
     }
 
@@ -141,13 +147,13 @@
         self.random % most.max(1)
     }
 
-    fn later(&mut self, after: Time, event: Event) {
+    fn later(&mut self, after: Micros, event: Event) {
         self.order += 1;
         self.events.push(Reverse((self.now + after, self.order, event)));
     }
 
     /// An operator asks a replica for a change.
-    pub fn publish(&mut self, replica: ReplicaId, changes: Delta, after: Time) {
+    pub fn publish(&mut self, replica: ReplicaId, changes: Delta, after: Micros) {
         self.later(after, Event::Publish(replica, changes));
     }
 
@@ -185,12 +191,12 @@
     }
 
     /// The newest number that a replica knows.
-    pub fn number(&self, replica: ReplicaId) -> Option<Number> {
+    pub fn number(&self, replica: ReplicaId) -> Option<RevisionNumber> {
         self.controls.get(usize::from(replica.0)).map(|c| c.replica.number())
     }
 
     /// The digests of all replicas that run and of all routers.
-    pub fn digests(&self) -> BTreeSet<(Number, crate::digest::Digest)> {
+    pub fn digests(&self) -> BTreeSet<(RevisionNumber, crate::digest::Digest)> {
         let replicas = self.controls.iter().filter(|c| c.up);
         let replicas = replicas.map(|c| (c.replica.number(), c.replica.history().document().digest()));
         let routers = self.routers.iter().map(|r| (r.subscriber.number(), r.subscriber.document().digest()));
@@ -198,7 +204,7 @@
     }
 
     /// Goes on for a span.
-    pub fn run(&mut self, span: Time) {
+    pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             let event = self.events.peek().map(|Reverse((at, ..))| *at);
@@ -228,7 +234,7 @@
     }
 
     /// How long between two regions; none: they don't reach each other.
-    fn way(&mut self, a: usize, b: usize) -> Option<Time> {
+    fn way(&mut self, a: usize, b: usize) -> Option<Micros> {
         let far = a != b;
         if far && self.cut {
             return None;
@@ -279,16 +285,16 @@
     }
 
     fn ask(&mut self, replica: ReplicaId, changes: Delta) {
-        let (now, check) = (self.now, self.check);
+        let (now, validator) = (self.now, self.validator);
         let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up) else {
-            return self.outcomes.push(Outcome::NoQuorum);
+            return self.outcomes.push(PublishOutcome::NoQuorum);
         };
         if control.asked.is_some() {
-            return self.outcomes.push(Outcome::Busy);
+            return self.outcomes.push(PublishOutcome::Busy);
         }
         control.asked = Some((now, changes.clone()));
         let mut out = Vec::new();
-        control.replica.publish(changes, &format!("operator at {}", replica.0), check, &mut out);
+        control.replica.publish(changes, &format!("operator at {}", replica.0), validator, &mut out);
         self.carry_out(replica, out);
         let pause = RETRY + self.draw(RETRY_DRAW);
         self.later(pause, Event::Retry(replica));
@@ -296,11 +302,11 @@
     }
 
     fn retry(&mut self, replica: ReplicaId) {
-        let check = self.check;
+        let validator = self.validator;
         let publishing = |c: &&mut ControlNode| c.up && c.replica.is_publishing();
         let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(publishing) else { return };
         let mut out = Vec::new();
-        control.replica.retry(check, &mut out);
+        control.replica.retry(validator, &mut out);
         self.carry_out(replica, out);
         let pause = RETRY + self.draw(RETRY_DRAW);
         self.later(pause, Event::Retry(replica));
@@ -321,13 +327,13 @@
         self.carry_out(to, out);
     }
 
-    fn carry_out(&mut self, replica: ReplicaId, out: Vec<Output>) {
+    fn carry_out(&mut self, replica: ReplicaId, out: Vec<ReplicaAction>) {
         for output in out {
             let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
             match output {
-                Output::Send(to, message) => self.send_replica(replica, to, &message),
-                Output::PersistVotes(votes) => control.disk.votes = Some(votes),
-                Output::PersistRevision(revision) => {
+                ReplicaAction::Send(to, message) => self.send_replica(replica, to, &message),
+                ReplicaAction::PersistVotes(votes) => control.disk.votes = Some(votes),
+                ReplicaAction::PersistRevision(revision) => {
                     // The disk follows the replica, which has taken it.
                     let _ = control.disk.history.append(revision.clone());
                     let mut messages = Vec::new();
@@ -336,15 +342,17 @@
                     self.conflicts += u64::from(known.is_some_and(|known| known != revision.id()));
                     self.send_routers(replica, messages);
                 }
-                Output::PersistSnapshot(_) => control.disk.history = control.replica.history().clone(),
-                Output::PublicationEnded(outcome) => {
-                    if let (Outcome::Published(number), Some((at, _))) = (&outcome, control.asked.take()) {
+                ReplicaAction::PersistSnapshot(_) => control.disk.history = control.replica.history().clone(),
+                ReplicaAction::PublicationEnded(outcome) => {
+                    if let (PublishOutcome::Published(number), Some((at, _))) =
+                        (&outcome, control.asked.take())
+                    {
                         self.asked.insert(*number, at);
                     }
                     control.asked = None;
                     self.outcomes.push(outcome);
                 }
-                Output::Diverged(..) => self.diverged += 1,
+                ReplicaAction::Diverged(..) => self.diverged += 1,
             }
         }
     }
--- a/crates/control/src/model/nodes.rs
+++ b/crates/control/src/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! The replicas and routers of the model.
+//! The replicas and routers of the simulation.
 
 use std::collections::BTreeSet;
 
@@ -6,26 +6,26 @@
 use crate::document::{Delta, Document};
 use crate::history::History;
 use crate::replica::{Replica, ReplicaId};
-use crate::revision::Number;
+use crate::revision::RevisionNumber;
 use crate::sessions::{SessionId, SubscriberSessions};
-use crate::subscriber::{Apply, Subscriber, Time};
+use crate::subscriber::{Apply, Micros, Subscriber};
 
 /// A router that puts all in force and counts it.
 #[derive(Debug, Clone, Default)]
 pub struct InForce {
     /// Numbers that this router can't put in force.
-    pub refuses: BTreeSet<Number>,
+    pub refuses: BTreeSet<RevisionNumber>,
 }
 
 impl Apply for InForce {
-    fn apply(&mut self, number: Number, _delta: &Delta) -> Result<(), String> {
+    fn apply(&mut self, number: RevisionNumber, _delta: &Delta) -> Result<(), String> {
         match self.refuses.contains(&number) {
             true => Err("this router can't".into()),
             false => Ok(()),
         }
     }
 
-    fn apply_snapshot(&mut self, _number: Number, _document: &Document) -> Result<(), String> {
+    fn apply_snapshot(&mut self, _number: RevisionNumber, _document: &Document) -> Result<(), String> {
         Ok(())
     }
 }
@@ -37,7 +37,7 @@
     pub(super) votes: Option<Acceptor>,
 }
 
-/// A control replica of the model.
+/// A control replica of the simulation.
 #[derive(Debug)]
 pub(super) struct ControlNode {
     pub(super) replica: Replica,
@@ -45,10 +45,10 @@
     pub(super) disk: Disk,
     pub(super) up: bool,
     /// The publication under way: when it was asked for, and what it changes.
-    pub(super) asked: Option<(Time, Delta)>,
+    pub(super) asked: Option<(Micros, Delta)>,
 }
 
-/// A router of the model.
+/// A router of the simulation.
 #[derive(Debug)]
 pub struct RouterNode {
     /// Its link.
@@ -58,10 +58,10 @@
     pub(super) connection: Option<(ReplicaId, SessionId)>,
     /// Bytes that it got and sent.
     pub bytes: u64,
-    /// Time that its own work took, ns of the real clock.
+    /// Micros that its own work took, ns of the real clock.
     pub work_ns: u64,
     /// The newest number in force, and those that went back.
-    pub newest: Number,
+    pub newest: RevisionNumber,
     /// How often an older number was put in force: never.
     pub went_back: u64,
 }
--- a/crates/control/src/model/routers.rs
+++ b/crates/control/src/simulation/routers.rs
@@ -2,15 +2,15 @@
 
 use std::time::Instant;
 
-use super::{Event, Model, FRAME_BYTES};
+use super::{Event, Simulation, FRAME_BYTES};
 use crate::document::Document;
 use crate::messages::Message;
 use crate::replica::ReplicaId;
-use crate::revision::Number;
+use crate::revision::RevisionNumber;
 use crate::sessions::SessionId;
 use crate::subscriber::{Action, Input, Subscriber};
 
-impl Model<'_> {
+impl Simulation<'_> {
     /// A router's process ends and comes back with what it kept, or with nothing.
     pub fn restart_router(&mut self, n: usize, keeps: bool, seed: u64) {
         let replicas = self.controls.len() as u8;
@@ -23,7 +23,7 @@
         }
         let (number, document) = match keeps {
             true => (router.subscriber.number(), router.subscriber.document().clone()),
-            false => (Number(0), Document::default()),
+            false => (RevisionNumber(0), Document::default()),
         };
         router.subscriber = Subscriber::new(number, document, replicas, seed);
         router.newest = number;
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -4,19 +4,19 @@
 use crate::learner::{LearnOutcome, Learner};
 use crate::messages::Message;
 use crate::replica::ReplicaId;
-use crate::revision::Number;
+use crate::revision::RevisionNumber;
 
 /// A time by a monotonic clock, µs.
-pub type Time = u64;
+pub type Micros = u64;
 
 /// The router says what it holds so often; the replica answers with what it holds itself.
-const HEARTBEAT_INTERVAL: Time = 3_000_000;
+const HEARTBEAT_INTERVAL: Micros = 3_000_000;
 /// A replica that has said nothing for so long after a greeting is left for the next one.
-const HEARTBEAT_TIMEOUT: Time = 2_000_000;
+const HEARTBEAT_TIMEOUT: Micros = 2_000_000;
 /// A connection has so long to stand.
-const CONNECT_TIMEOUT: Time = 1_000_000;
+const CONNECT_TIMEOUT: Micros = 1_000_000;
 /// Before the next try after a lost connection: so long at least, and up to twice as long for each try in a row.
-const MIN_BACKOFF: Time = 250_000;
+const MIN_BACKOFF: Micros = 250_000;
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Numbers that are held back are remembered up to so many; the oldest go first.
 const MAX_REJECTED: usize = 64;
@@ -27,13 +27,13 @@
     ///
     /// # Errors
     /// Says why this router can't.
-    fn apply(&mut self, number: Number, delta: &Delta) -> Result<(), String>;
+    fn apply(&mut self, number: RevisionNumber, delta: &Delta) -> Result<(), String>;
 
     /// Puts a whole in force.
     ///
     /// # Errors
     /// Says why this router can't.
-    fn apply_snapshot(&mut self, number: Number, document: &Document) -> Result<(), String>;
+    fn apply_snapshot(&mut self, number: RevisionNumber, document: &Document) -> Result<(), String>;
 }
 
 /// What happens.
@@ -59,25 +59,25 @@
     /// Close the connection.
     Close,
     /// This number is in force since now: keep it as the last known good.
-    Applied(Number),
+    Applied(RevisionNumber),
     /// This number is held back, for this reason: an operator is told.
-    Rejected(Number, String),
+    Rejected(RevisionNumber, String),
     /// The replica tells another history than is held: an operator is told, and another replica asked.
-    Diverged(ReplicaId, Number),
+    Diverged(ReplicaId, RevisionNumber),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Connection {
     /// None; the next try is due then.
     None {
-        retry: Time,
+        retry: Micros,
     },
     Connecting {
-        until: Time,
+        until: Micros,
     },
     Open {
-        received_at: Time,
-        heartbeat_sent_at: Time,
+        received_at: Micros,
+        heartbeat_sent_at: Micros,
     },
 }
 
@@ -90,12 +90,12 @@
     connection: Connection,
     attempts: u32,
     random: u64,
-    rejected: Vec<Number>,
+    rejected: Vec<RevisionNumber>,
 }
 
 impl Subscriber {
     /// A link that begins with what the router holds. The seed spreads routers over replicas and times.
-    pub fn new(number: Number, document: Document, replicas: u8, seed: u64) -> Self {
+    pub fn new(number: RevisionNumber, document: Document, replicas: u8, seed: u64) -> Self {
         let mut subscriber = Self {
             learner: Learner::new(number, document),
             replicas: replicas.max(1),
@@ -111,7 +111,7 @@
     }
 
     /// The newest number that is held.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> RevisionNumber {
         self.learner.number()
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Numbers that could not be put in force.
-    pub fn rejected(&self) -> &[Number] {
+    pub fn rejected(&self) -> &[RevisionNumber] {
         &self.rejected
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// When [`Input::Tick`] is next needed.
-    pub fn next_due(&self) -> Time {
+    pub fn next_due(&self) -> Micros {
         match self.connection {
             Connection::None { retry } => retry,
             Connection::Connecting { until } => until,
@@ -151,7 +151,7 @@
     }
 
     /// Takes an input.
-    pub fn handle(&mut self, now: Time, input: Input, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Micros, input: Input, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
         match input {
             Input::Connected => self.send_heartbeat(now, now, actions),
             Input::Disconnected => self.lost(now),
@@ -160,7 +160,7 @@
         }
     }
 
-    fn send_heartbeat(&mut self, now: Time, received_at: Time, actions: &mut Vec<Action>) {
+    fn send_heartbeat(&mut self, now: Micros, received_at: Micros, actions: &mut Vec<Action>) {
         let (number, digest) = (self.learner.number(), self.learner.document().digest());
         // A greeting later than it is: routers that began together get out of step.
         let jitter = self.draw(HEARTBEAT_INTERVAL / 10);
@@ -170,7 +170,7 @@
     }
 
     /// The next replica, after a pause that grows with the attempts and is drawn from a span that does.
-    fn lost(&mut self, now: Time) {
+    fn lost(&mut self, now: Micros) {
         self.replica = ReplicaId((self.replica.0 + 1) % self.replicas);
         let span = MIN_BACKOFF << self.attempts.min(MAX_BACKOFF_DOUBLINGS);
         self.attempts = self.attempts.saturating_add(1);
@@ -178,7 +178,7 @@
         self.connection = Connection::None { retry };
     }
 
-    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if now < self.next_due() {
             return;
         }
@@ -197,7 +197,7 @@
         }
     }
 
-    fn message(&mut self, now: Time, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
+    fn message(&mut self, now: Micros, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
         let Connection::Open { heartbeat_sent_at, .. } = self.connection else { return };
         self.connection = Connection::Open { received_at: now.max(heartbeat_sent_at), heartbeat_sent_at };
         self.attempts = 0;
@@ -224,10 +224,10 @@
 
     fn learned(
         &mut self,
-        now: Time,
+        now: Micros,
         outcome: LearnOutcome,
-        number: Number,
-        apply: impl FnOnce(Number) -> Result<(), String>,
+        number: RevisionNumber,
+        apply: impl FnOnce(RevisionNumber) -> Result<(), String>,
         actions: &mut Vec<Action>,
     ) {
         match outcome {
@@ -250,7 +250,7 @@
         }
     }
 
-    fn reject(&mut self, number: Number, reason: String, actions: &mut Vec<Action>) {
+    fn reject(&mut self, number: RevisionNumber, reason: String, actions: &mut Vec<Action>) {
         if self.rejected.len() >= MAX_REJECTED {
             self.rejected.remove(0);
         }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -24,8 +24,8 @@
 #[derive(Debug, Clone, Copy)]
 pub struct NothingBad;
 
-impl Check for NothingBad {
-    fn check(&self, document: &Document) -> Result<(), String> {
+impl Validator for NothingBad {
+    fn validate(&self, document: &Document) -> Result<(), String> {
         match document.get("bad") {
             Some(_) => Err("`bad` is not known; take another name".into()),
             None => Ok(()),
@@ -52,11 +52,11 @@
     pub cut: bool,
     /// One replica is out of reach.
     pub away: Option<usize>,
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<PublishOutcome>,
     pub diverged: u64,
     /// What was decided, by any replica's word.
-    decided: BTreeMap<Number, RevisionId>,
-    conflict: Option<Number>,
+    decided: BTreeMap<RevisionNumber, RevisionId>,
+    conflict: Option<RevisionNumber>,
     published: u64,
 }
 
@@ -120,15 +120,15 @@
         self.on_their_way.push((id(from), id(to), message));
     }
 
-    fn carry_out(&mut self, replica: usize, out: Vec<Output>) {
+    fn carry_out(&mut self, replica: usize, out: Vec<ReplicaAction>) {
         for output in out {
             match output {
-                Output::Send(to, message) => self.on_their_way.push((id(replica), to, message)),
-                Output::PersistVotes(votes) => {
+                ReplicaAction::Send(to, message) => self.on_their_way.push((id(replica), to, message)),
+                ReplicaAction::PersistVotes(votes) => {
                     self.old_disks[replica] = self.disks[replica].clone();
                     self.disks[replica].votes = Some(votes);
                 }
-                Output::PersistRevision(revision) => {
+                ReplicaAction::PersistRevision(revision) => {
                     let known = self.decided.insert(revision.number, revision.id());
                     if known.is_some_and(|known| known != revision.id()) {
                         self.conflict = Some(revision.number);
@@ -137,11 +137,11 @@
                     let kept = self.disks[replica].history.append(revision);
                     assert!(kept.is_ok(), "replica {replica} keeps {number}: {kept:?}");
                 }
-                Output::PersistSnapshot(_) => {
+                ReplicaAction::PersistSnapshot(_) => {
                     self.disks[replica].history = self.replicas[replica].history().clone()
                 }
-                Output::PublicationEnded(outcome) => self.outcomes.push(outcome),
-                Output::Diverged(..) => self.diverged += 1,
+                ReplicaAction::PublicationEnded(outcome) => self.outcomes.push(outcome),
+                ReplicaAction::Diverged(..) => self.diverged += 1,
             }
         }
     }
@@ -216,7 +216,7 @@
     /// No number has two contents, and replicas that hold the same number hold the same snapshot.
     pub fn check(&self) {
         assert_eq!(self.conflict, None, "a number was decided twice");
-        let mut digests: BTreeMap<Number, Digest> = BTreeMap::new();
+        let mut digests: BTreeMap<RevisionNumber, Digest> = BTreeMap::new();
         for replica in &self.replicas {
             let digest = replica.history().document().digest();
             let known = *digests.entry(replica.number()).or_insert(digest);
--- a/crates/control/tests/learner.rs
+++ b/crates/control/tests/learner.rs
@@ -13,14 +13,14 @@
     Delta(vec![Change::Set(entry(n, value))])
 }
 
-fn next(number: Number, document: &Document, delta: Delta) -> Revision {
+fn next(number: RevisionNumber, document: &Document, delta: Delta) -> Revision {
     let after = document.preview(&delta).unwrap();
     Revision { number: number.next(), before: document.digest(), after, delta, author: "operator".into() }
 }
 
 /// A follower with three revisions, and these.
 fn learned() -> (Learner, Vec<Revision>) {
-    let mut learner = Learner::new(Number(0), Document::default());
+    let mut learner = Learner::new(RevisionNumber(0), Document::default());
     let mut revisions = Vec::new();
     for n in 0..3 {
         let revision = next(learner.number(), learner.document(), set(n, "value"));
@@ -37,12 +37,12 @@
     for old in &revisions {
         assert_eq!(learner.learn(old.clone()), LearnOutcome::Stale);
     }
-    assert_eq!(learner.learn_snapshot(Number(2), Document::default()), LearnOutcome::Stale);
-    assert_eq!((learner.number(), learner.document().digest()), (Number(3), digest));
-    let fourth = next(Number(3), learner.document(), set(9, "x"));
+    assert_eq!(learner.learn_snapshot(RevisionNumber(2), Document::default()), LearnOutcome::Stale);
+    assert_eq!((learner.number(), learner.document().digest()), (RevisionNumber(3), digest));
+    let fourth = next(RevisionNumber(3), learner.document(), set(9, "x"));
     let mut document = learner.document().clone();
     document.apply(&fourth.delta, fourth.after).unwrap();
-    let fifth = next(Number(4), &document, set(10, "y"));
+    let fifth = next(RevisionNumber(4), &document, set(10, "y"));
     assert_eq!(learner.learn(fifth.clone()), LearnOutcome::Gap);
     assert_eq!((learner.learn(fourth), learner.learn(fifth)), (LearnOutcome::Applied, LearnOutcome::Applied));
 }
@@ -53,43 +53,43 @@
     let mut other = revisions[2].clone();
     other.author = "another".into();
     assert_eq!(learner.learn(other), LearnOutcome::Diverged);
-    let elsewhere = next(Number(3), &Document::new([entry(1, "other")]).unwrap(), set(4, "x"));
+    let elsewhere = next(RevisionNumber(3), &Document::new([entry(1, "other")]).unwrap(), set(4, "x"));
     assert_eq!(learner.learn(elsewhere), LearnOutcome::Diverged);
-    assert_eq!(learner.learn_snapshot(Number(3), Document::default()), LearnOutcome::Diverged);
-    assert_eq!(learner.number(), Number(3));
+    assert_eq!(learner.learn_snapshot(RevisionNumber(3), Document::default()), LearnOutcome::Diverged);
+    assert_eq!(learner.number(), RevisionNumber(3));
 }
 
 #[test]
 fn a_revision_that_does_not_fit_its_digest_changes_nothing_and_the_whole_brings_it_on() {
     let (mut learner, _) = learned();
     let before = learner.clone();
-    let mut wrong = next(Number(3), learner.document(), set(5, "x"));
+    let mut wrong = next(RevisionNumber(3), learner.document(), set(5, "x"));
     wrong.delta = set(5, "y");
     assert!(matches!(learner.learn(wrong), LearnOutcome::Invalid(_)));
-    let mut missing = next(Number(3), learner.document(), set(5, "x"));
+    let mut missing = next(RevisionNumber(3), learner.document(), set(5, "x"));
     missing.delta = Delta(vec![Change::Remove("nobody".into())]);
     assert!(matches!(learner.learn(missing), LearnOutcome::Invalid(reason) if reason.contains("nobody")));
     assert_eq!(learner, before);
     assert_eq!(
-        learner.learn_snapshot(Number(7), Document::new([entry(1, "all")]).unwrap()),
+        learner.learn_snapshot(RevisionNumber(7), Document::new([entry(1, "all")]).unwrap()),
         LearnOutcome::Applied
     );
-    assert_eq!(learner.number(), Number(7));
+    assert_eq!(learner.number(), RevisionNumber(7));
 }
 
 #[test]
 fn bounds_of_a_document_and_a_delta_are_kept() {
     let long = "x".repeat(64 * 1024);
-    assert!(matches!(Document::new([entry(1, &long)]), Err(NotApplied::EntryTooLong(_))));
+    assert!(matches!(Document::new([entry(1, &long)]), Err(DocumentError::EntryTooLong(_))));
     let document = Document::default();
-    assert!(matches!(document.preview(&set(1, &long)), Err(NotApplied::EntryTooLong(_))));
+    assert!(matches!(document.preview(&set(1, &long)), Err(DocumentError::EntryTooLong(_))));
     let many = Delta((0..10_001).map(|n| Change::Set(entry(n, "x"))).collect());
-    assert_eq!(document.preview(&many), Err(NotApplied::TooManyChanges(10_001)));
+    assert_eq!(document.preview(&many), Err(DocumentError::TooManyChanges(10_001)));
     let twice = Delta(vec![Change::Set(entry(1, "x")), Change::Set(entry(1, "y"))]);
-    assert!(matches!(document.preview(&twice), Err(NotApplied::Twice(_))));
+    assert!(matches!(document.preview(&twice), Err(DocumentError::DuplicateKey(_))));
     let big = "x".repeat(60 * 1024);
     let too_long = (0..600).map(|n| entry(n, &big));
-    assert_eq!(Document::new(too_long), Err(NotApplied::DocumentTooLong));
+    assert_eq!(Document::new(too_long), Err(DocumentError::DocumentTooLong));
 }
 
 #[test]
@@ -103,16 +103,16 @@
     for at in 8..bytes.len() {
         let mut damaged = bytes.clone();
         damaged[at] ^= 1;
-        assert_eq!(KnownGood::decode(&key, &damaged), Err(Unreadable::Damaged), "byte {at}");
+        assert_eq!(KnownGood::decode(&key, &damaged), Err(KnownGoodError::Corrupt), "byte {at}");
     }
     for length in 0..bytes.len() {
         assert!(KnownGood::decode(&key, &bytes[..length]).is_err(), "cut at {length}");
     }
     let mut later = bytes.clone();
     later[7] = b'2';
-    assert_eq!(KnownGood::decode(&key, &later), Err(Unreadable::LaterFormat));
-    assert_eq!(KnownGood::decode(&key, b"<chalkyard/>"), Err(Unreadable::Foreign));
-    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(Unreadable::Damaged));
+    assert_eq!(KnownGood::decode(&key, &later), Err(KnownGoodError::UnsupportedVersion));
+    assert_eq!(KnownGood::decode(&key, b"<chalkyard/>"), Err(KnownGoodError::UnknownFormat));
+    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(KnownGoodError::Corrupt));
 }
 
 fn message() -> Message {
@@ -128,12 +128,12 @@
     for at in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[at] ^= 0x10;
-        assert_eq!(Message::decode(&key, &flipped), Err(Malformed::NotAuthentic), "byte {at}");
-        assert_eq!(Message::decode(&key, &bytes[..at]), Err(Malformed::NotAuthentic), "cut at {at}");
+        assert_eq!(Message::decode(&key, &flipped), Err(MessageError::NotAuthentic), "byte {at}");
+        assert_eq!(Message::decode(&key, &bytes[..at]), Err(MessageError::NotAuthentic), "cut at {at}");
     }
-    assert_eq!(Message::decode(&SiteKey::new([8; 32]), &bytes), Err(Malformed::NotAuthentic));
-    let huge = vec![0; MESSAGE_BYTES + 64];
-    assert_eq!(Message::decode(&key, &huge), Err(Malformed::TooLong));
+    assert_eq!(Message::decode(&SiteKey::new([8; 32]), &bytes), Err(MessageError::NotAuthentic));
+    let huge = vec![0; MAX_MESSAGE_BYTES + 64];
+    assert_eq!(Message::decode(&key, &huge), Err(MessageError::TooLong));
 }
 
 proptest! {
--- a/crates/control/tests/recorded_runs.rs
+++ b/crates/control/tests/recorded_runs.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use chalkyard_control::model::{Model, SECOND};
+use chalkyard_control::simulation::{Simulation, SECOND};
 use chalkyard_control::*;
 use common::{entry, Fleet, NothingBad, REPLICAS};
 use rand::{Rng, SeedableRng};
@@ -17,61 +17,62 @@
     Delta(vec![Change::Set(entry(&key, &format!("<tenant n='{n}'/>")))])
 }
 
-fn outcome(outcome: &Outcome) -> String {
+fn outcome(outcome: &PublishOutcome) -> String {
     match outcome {
-        Outcome::Published(number) => format!("published-{number}"),
-        Outcome::NoChange => "no-change".into(),
-        Outcome::Invalid(reason) => format!("invalid-{}", Digest::of_bytes(reason.as_bytes())),
-        Outcome::Busy => "busy".into(),
-        Outcome::NoQuorum => "no-quorum".into(),
+        PublishOutcome::Published(number) => format!("published-{number}"),
+        PublishOutcome::NoChange => "no-change".into(),
+        PublishOutcome::Invalid(reason) => format!("invalid-{}", Digest::of_bytes(reason.as_bytes())),
+        PublishOutcome::Busy => "busy".into(),
+        PublishOutcome::NoQuorum => "no-quorum".into(),
     }
 }
 
-fn outcomes(outcomes: &[Outcome]) -> String {
+fn outcomes(outcomes: &[PublishOutcome]) -> String {
     outcomes.iter().map(outcome).collect::<Vec<_>>().join(",")
 }
 
 /// Publications at every replica, one that the check refuses, one that a router can't apply, a replica that dies and comes
 /// back with an old disk, regions that lose each other, and routers that restart with and without what they kept.
-fn run_of_the_model(seed: u64) -> String {
+fn simulated_run(seed: u64) -> String {
     let document =
         Document::new((0..40).map(|n| entry(&format!("tenants/tenant[t{n:05}]"), "<tenant/>"))).unwrap();
-    let mut model = Model::new(REPLICAS, 12, &document, &NothingBad, seed);
-    model.routers[3].in_force.refuses.insert(Number(2));
-    model.run(3 * SECOND);
+    let mut simulation = Simulation::new(REPLICAS, 12, &document, &NothingBad, seed);
+    simulation.routers[3].in_force.refuses.insert(RevisionNumber(2));
+    simulation.run(3 * SECOND);
     for n in 0..8 {
-        model.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND / 4);
+        simulation.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND / 4);
     }
-    model.publish(ReplicaId(0), Delta(vec![Change::Set(entry("bad", "x"))]), SECOND);
-    model.run(10 * SECOND);
-    let old_disk = model.disk(ReplicaId(2));
-    model.publish(ReplicaId(0), change(20), 0);
-    model.run(SECOND / 200);
-    model.kill(ReplicaId(0));
-    model.publish(ReplicaId(1), change(21), SECOND / 10);
-    model.run(15 * SECOND);
-    model.start(ReplicaId(0), None);
-    model.kill(ReplicaId(2));
-    model.start(ReplicaId(2), old_disk);
-    model.publish(ReplicaId(2), change(22), 0);
-    model.run(15 * SECOND);
-    model.cut = true;
-    model.publish(ReplicaId(3), change(23), SECOND);
-    model.run(20 * SECOND);
-    model.cut = false;
+    simulation.publish(ReplicaId(0), Delta(vec![Change::Set(entry("bad", "x"))]), SECOND);
+    simulation.run(10 * SECOND);
+    let old_disk = simulation.disk(ReplicaId(2));
+    simulation.publish(ReplicaId(0), change(20), 0);
+    simulation.run(SECOND / 200);
+    simulation.kill(ReplicaId(0));
+    simulation.publish(ReplicaId(1), change(21), SECOND / 10);
+    simulation.run(15 * SECOND);
+    simulation.start(ReplicaId(0), None);
+    simulation.kill(ReplicaId(2));
+    simulation.start(ReplicaId(2), old_disk);
+    simulation.publish(ReplicaId(2), change(22), 0);
+    simulation.run(15 * SECOND);
+    simulation.cut = true;
+    simulation.publish(ReplicaId(3), change(23), SECOND);
+    simulation.run(20 * SECOND);
+    simulation.cut = false;
     for n in 0..12 {
-        model.restart_router(n, n % 2 == 0, 1_000 + seed * 100 + n as u64);
+        simulation.restart_router(n, n % 2 == 0, 1_000 + seed * 100 + n as u64);
     }
-    model.run(20 * SECOND);
-    let spread: Vec<u8> = model.spread.iter().flat_map(|took| took.to_le_bytes()).collect();
-    let router_bytes: u64 = model.routers.iter().map(|r| r.bytes).sum();
-    let digests: Vec<String> = model.digests().iter().map(|(n, digest)| format!("{n}:{digest}")).collect();
+    simulation.run(20 * SECOND);
+    let spread: Vec<u8> = simulation.spread.iter().flat_map(|took| took.to_le_bytes()).collect();
+    let router_bytes: u64 = simulation.routers.iter().map(|r| r.bytes).sum();
+    let digests: Vec<String> =
+        simulation.digests().iter().map(|(n, digest)| format!("{n}:{digest}")).collect();
     format!(
         "model-{seed} {} {} {} {} {} {}",
-        outcomes(&model.outcomes),
+        outcomes(&simulation.outcomes),
         Digest::of_bytes(&spread),
-        model.spread.len(),
-        model.control_bytes,
+        simulation.spread.len(),
+        simulation.control_bytes,
         router_bytes,
         digests.join(",")
     )
@@ -105,7 +106,7 @@
 #[test]
 fn runs_of_the_model_go_as_recorded() {
     let recorded: Vec<&str> = RECORDED.lines().filter(|line| line.starts_with("model-")).collect();
-    let runs: Vec<String> = (1..=6).map(run_of_the_model).collect();
+    let runs: Vec<String> = (1..=6).map(simulated_run).collect();
     assert_eq!(runs, recorded);
 }
 
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -39,7 +39,13 @@
     ]);
     let before = document();
     let after = before.preview(&delta).unwrap();
-    Revision { number: Number(300), before: before.digest(), after, delta, author: "operator at 1".into() }
+    Revision {
+        number: RevisionNumber(300),
+        before: before.digest(),
+        after,
+        delta,
+        author: "operator at 1".into(),
+    }
 }
 
 fn ballot(round: u64, replica: u8) -> Ballot {
@@ -52,11 +58,11 @@
 
 fn messages() -> Vec<(&'static str, Message)> {
     let digest = document().digest();
-    let number = Number(300);
+    let number = RevisionNumber(300);
     vec![
-        ("holds", Message::Heartbeat { number: Number(299), digest }),
+        ("holds", Message::Heartbeat { number: RevisionNumber(299), digest }),
         ("decided", Message::Decided(revision())),
-        ("whole", Message::snapshot(Number(299), &document())),
+        ("whole", Message::snapshot(RevisionNumber(299), &document())),
         ("prepare", Message::Prepare { number, ballot: ballot(5, 2) }),
         ("promise-of-nothing", Message::Promise { number, ballot: ballot(6, 0), vote: None }),
         ("promise", Message::Promise { number, ballot: ballot(6, 0), vote: Some(vote()) }),
@@ -68,13 +74,13 @@
 }
 
 fn votes() -> Vec<(&'static str, Acceptor)> {
-    let untouched = Acceptor::after(Number(299));
+    let untouched = Acceptor::after(RevisionNumber(299));
     let mut promised = untouched.clone();
-    promised.prepare(Number(300), ballot(5, 2));
+    promised.prepare(RevisionNumber(300), ballot(5, 2));
     let mut accepted = promised.clone();
     accepted.accept(vote());
     let mut promised_since = accepted.clone();
-    promised_since.prepare(Number(300), ballot(6, 0));
+    promised_since.prepare(RevisionNumber(300), ballot(6, 0));
     vec![
         ("untouched", untouched),
         ("promised", promised),
@@ -84,7 +90,7 @@
 }
 
 fn known_good() -> KnownGood {
-    KnownGood::new(Number(299), &document(), 1_764_687_600_000_000)
+    KnownGood::new(RevisionNumber(299), &document(), 1_764_687_600_000_000)
 }
 
 #[test]
@@ -107,7 +113,7 @@
         let read: Acceptor = postcard::from_bytes(&bytes).unwrap();
         assert_eq!(read, acceptor, "{name}");
         assert_eq!(hex(&postcard::to_stdvec(&acceptor).unwrap()), hex(&bytes), "{name}");
-        assert_eq!(read.number(), Number(300), "{name}");
+        assert_eq!(read.number(), RevisionNumber(300), "{name}");
     }
     let round = |name| postcard::from_bytes::<Acceptor>(&stored(VOTES, name)).unwrap().round();
     assert_eq!((round("untouched"), round("accepted"), round("promised-since")), (0, 5, 6));
@@ -117,7 +123,7 @@
 fn stored_revisions_are_read_with_their_values_and_written_with_the_same_bytes() {
     assert_eq!(lines(REVISIONS), 2);
     let empty = Revision {
-        number: Number(1),
+        number: RevisionNumber(1),
         before: Digest::default(),
         after: Digest::default(),
         delta: Delta::default(),
@@ -135,7 +141,7 @@
     let bytes = stored(KNOWN_GOOD, "known-good");
     let (read, read_document) = KnownGood::decode(&key(), &bytes).unwrap();
     assert_eq!(read, known_good());
-    assert_eq!(read.number, Number(299));
+    assert_eq!(read.number, RevisionNumber(299));
     assert_eq!(read.since, 1_764_687_600_000_000);
     assert_eq!(read.digest, document().digest());
     assert_eq!(read.entries.len(), 3);
@@ -149,28 +155,28 @@
 fn a_broken_known_good_is_refused_by_its_kind() {
     let bytes = stored(KNOWN_GOOD, "known-good");
     let refusal = |bytes: &[u8]| KnownGood::decode(&key(), bytes).unwrap_err();
-    assert_eq!(refusal(b""), Unreadable::Foreign);
-    assert_eq!(refusal(&bytes[..7]), Unreadable::Foreign);
-    assert_eq!(refusal(b"<?xml version=\"1.0\"?>"), Unreadable::Foreign);
+    assert_eq!(refusal(b""), KnownGoodError::UnknownFormat);
+    assert_eq!(refusal(&bytes[..7]), KnownGoodError::UnknownFormat);
+    assert_eq!(refusal(b"<?xml version=\"1.0\"?>"), KnownGoodError::UnknownFormat);
     let mut later = bytes.clone();
     later[7] = b'9';
-    assert_eq!(refusal(&later), Unreadable::LaterFormat);
-    assert_eq!(refusal(&bytes[..8]), Unreadable::Damaged);
-    assert_eq!(refusal(&bytes[..bytes.len() - 1]), Unreadable::Damaged);
+    assert_eq!(refusal(&later), KnownGoodError::UnsupportedVersion);
+    assert_eq!(refusal(&bytes[..8]), KnownGoodError::Corrupt);
+    assert_eq!(refusal(&bytes[..bytes.len() - 1]), KnownGoodError::Corrupt);
     let mut flipped = bytes.clone();
     flipped[20] ^= 1;
-    assert_eq!(refusal(&flipped), Unreadable::Damaged);
-    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(Unreadable::Damaged));
+    assert_eq!(refusal(&flipped), KnownGoodError::Corrupt);
+    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(KnownGoodError::Corrupt));
     // Genuine, with a digest that is not that of its entries, with garbage, and with an entry past its bound.
     let sealed = |body: Vec<u8>| [&b"CHALKCF1"[..], &key().append_tag(KNOWN_GOOD_DOMAIN, body)].concat();
     let other_digest = KnownGood { digest: Digest::default(), ..known_good() };
-    assert_eq!(refusal(&other_digest.encode(&key())), Unreadable::Damaged);
-    assert_eq!(refusal(&sealed(vec![0xff; 40])), Unreadable::Damaged);
-    let long = Entry { key: "a".into(), value: "x".repeat(ENTRY_BYTES).into() };
+    assert_eq!(refusal(&other_digest.encode(&key())), KnownGoodError::Corrupt);
+    assert_eq!(refusal(&sealed(vec![0xff; 40])), KnownGoodError::Corrupt);
+    let long = Entry { key: "a".into(), value: "x".repeat(MAX_ENTRY_BYTES).into() };
     let past_bound = KnownGood { entries: vec![long], ..known_good() };
-    assert_eq!(refusal(&past_bound.encode(&key())), Unreadable::Damaged);
+    assert_eq!(refusal(&past_bound.encode(&key())), KnownGoodError::Corrupt);
     let another_purpose = key().append_tag(MESSAGE_DOMAIN, postcard::to_stdvec(&known_good()).unwrap());
-    assert_eq!(refusal(&[&b"CHALKCF1"[..], &another_purpose].concat()), Unreadable::Damaged);
+    assert_eq!(refusal(&[&b"CHALKCF1"[..], &another_purpose].concat()), KnownGoodError::Corrupt);
 }
 
 #[test]
@@ -178,21 +184,21 @@
     let refusal = |bytes: &[u8]| Message::decode(&key(), bytes).unwrap_err();
     for (name, _) in messages() {
         let bytes = stored(MESSAGES, name);
-        assert_eq!(refusal(&bytes[1..]), Malformed::NotAuthentic, "{name}");
-        assert_eq!(refusal(&bytes[..bytes.len() - 1]), Malformed::NotAuthentic, "{name}");
+        assert_eq!(refusal(&bytes[1..]), MessageError::NotAuthentic, "{name}");
+        assert_eq!(refusal(&bytes[..bytes.len() - 1]), MessageError::NotAuthentic, "{name}");
         let unsealed = key().verify_tag(MESSAGE_DOMAIN, &bytes).unwrap();
         let longer = [unsealed, &[0]].concat();
-        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, longer)), Malformed::Unreadable, "{name}");
+        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, longer)), MessageError::Undecodable, "{name}");
         let shorter = unsealed[..unsealed.len() - 1].to_vec();
-        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, shorter)), Malformed::Unreadable, "{name}");
+        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, shorter)), MessageError::Undecodable, "{name}");
         let another_purpose = key().append_tag(KNOWN_GOOD_DOMAIN, unsealed.to_vec());
-        assert_eq!(refusal(&another_purpose), Malformed::NotAuthentic, "{name}");
+        assert_eq!(refusal(&another_purpose), MessageError::NotAuthentic, "{name}");
     }
-    assert_eq!(refusal(b""), Malformed::NotAuthentic);
+    assert_eq!(refusal(b""), MessageError::NotAuthentic);
     let unknown_variant = key().append_tag(MESSAGE_DOMAIN, vec![9, 0, 0]);
-    assert_eq!(refusal(&unknown_variant), Malformed::Unreadable);
-    assert_eq!(refusal(&vec![0; MESSAGE_BYTES + 33]), Malformed::TooLong);
-    assert_eq!(refusal(&vec![0; MESSAGE_BYTES + 32]), Malformed::NotAuthentic);
+    assert_eq!(refusal(&unknown_variant), MessageError::Undecodable);
+    assert_eq!(refusal(&vec![0; MAX_MESSAGE_BYTES + 33]), MessageError::TooLong);
+    assert_eq!(refusal(&vec![0; MAX_MESSAGE_BYTES + 32]), MessageError::NotAuthentic);
 }
 
 #[test]
@@ -241,19 +247,19 @@
 #[test]
 fn refusals_are_worded_as_before() {
     let worded = [
-        (NotApplied::TooManyChanges(10_001).to_string(), "10001 changes, at most 10000"),
-        (NotApplied::EntryTooLong("a".into()).to_string(), "a: longer than 65536 bytes"),
-        (NotApplied::DocumentTooLong.to_string(), "the whole would be longer than 33554432 bytes"),
-        (NotApplied::Twice("a".into()).to_string(), "a: named twice"),
-        (NotApplied::NotThere("a".into()).to_string(), "a: to be removed, and not there"),
-        (NotApplied::OtherDigest.to_string(), "the result has another digest than the revision says"),
-        (Malformed::TooLong.to_string(), "longer than a message may be"),
-        (Malformed::NotAuthentic.to_string(), "the seal does not fit"),
-        (Malformed::Unreadable.to_string(), "sealed, and not understood: of another version?"),
-        (Unreadable::Foreign.to_string(), "no kept configuration"),
-        (Unreadable::LaterFormat.to_string(), "a kept configuration of a later format"),
+        (DocumentError::TooManyChanges(10_001).to_string(), "10001 changes, at most 10000"),
+        (DocumentError::EntryTooLong("a".into()).to_string(), "a: longer than 65536 bytes"),
+        (DocumentError::DocumentTooLong.to_string(), "the whole would be longer than 33554432 bytes"),
+        (DocumentError::DuplicateKey("a".into()).to_string(), "a: named twice"),
+        (DocumentError::MissingKey("a".into()).to_string(), "a: to be removed, and not there"),
+        (DocumentError::DigestMismatch.to_string(), "the result has another digest than the revision says"),
+        (MessageError::TooLong.to_string(), "longer than a message may be"),
+        (MessageError::NotAuthentic.to_string(), "the seal does not fit"),
+        (MessageError::Undecodable.to_string(), "sealed, and not understood: of another version?"),
+        (KnownGoodError::UnknownFormat.to_string(), "no kept configuration"),
+        (KnownGoodError::UnsupportedVersion.to_string(), "a kept configuration of a later format"),
         (
-            Unreadable::Damaged.to_string(),
+            KnownGoodError::Corrupt.to_string(),
             "a kept configuration that is damaged, cut short or another site's",
         ),
         (
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -125,7 +125,7 @@
     }
     fleet.check();
     assert_eq!(fleet.newest(), 2);
-    assert_eq!(fleet.outcomes.iter().filter(|o| matches!(o, Outcome::Published(_))).count(), 2);
+    assert_eq!(fleet.outcomes.iter().filter(|o| matches!(o, PublishOutcome::Published(_))).count(), 2);
     let digests: Vec<Digest> = fleet.replicas.iter().map(|m| m.history().document().digest()).collect();
     assert!(digests.iter().all(|d| *d == digests[0]));
 }
@@ -167,11 +167,11 @@
             fleet.publish(0);
             fleet.deliver_all();
         }
-        assert_eq!(fleet.replicas[2].number(), Number(0));
+        assert_eq!(fleet.replicas[2].number(), RevisionNumber(0));
         fleet.away = None;
         fleet.send_heartbeat(2, 0);
         fleet.deliver_all();
-        assert_eq!(fleet.replicas[2].number(), Number(numbers));
+        assert_eq!(fleet.replicas[2].number(), RevisionNumber(numbers));
         fleet.check();
     }
 }
@@ -180,10 +180,10 @@
 fn a_change_that_the_check_refuses_takes_no_number() {
     let mut fleet = Fleet::new(REPLICAS);
     fleet.publish_change(0, Change::Set(entry("bad", "x")));
-    assert_eq!(fleet.outcomes, [Outcome::Invalid("`bad` is not known; take another name".into())]);
+    assert_eq!(fleet.outcomes, [PublishOutcome::Invalid("`bad` is not known; take another name".into())]);
     fleet.publish_change(0, Change::Remove("nobody".into()));
     assert!(
-        matches!(&fleet.outcomes[1], Outcome::Invalid(reason) if reason.contains("nobody")),
+        matches!(&fleet.outcomes[1], PublishOutcome::Invalid(reason) if reason.contains("nobody")),
         "{:?}",
         fleet.outcomes
     );
@@ -192,7 +192,7 @@
     fleet.deliver_all();
     assert_eq!(fleet.newest(), 1);
     fleet.publish_change(0, Change::Set(entry("m0-0", "value 0")));
-    assert_eq!(fleet.outcomes.last(), Some(&Outcome::NoChange));
+    assert_eq!(fleet.outcomes.last(), Some(&PublishOutcome::NoChange));
 }
 
 /// Machines whose histories differ, as none of the above brings about: told, and neither takes the other's.
@@ -211,7 +211,7 @@
     fleet.send_heartbeat(0, 2);
     fleet.deliver_all();
     assert!(fleet.diverged > 0);
-    assert_eq!(fleet.replicas[2].number(), Number(1), "it keeps what it had");
+    assert_eq!(fleet.replicas[2].number(), RevisionNumber(1), "it keeps what it had");
 }
 
 /// Were its answers counted, two replicas and a stranger would be a quorum.
@@ -221,7 +221,7 @@
     let mut out = Vec::new();
     replica.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &NothingBad, &mut out);
     let prepared = out.iter().find_map(|o| match o {
-        Output::Send(_, Message::Prepare { number, ballot }) => Some((*number, *ballot)),
+        ReplicaAction::Send(_, Message::Prepare { number, ballot }) => Some((*number, *ballot)),
         _ => None,
     });
     let (number, ballot) = prepared.expect("the others are asked");
@@ -231,7 +231,7 @@
     replica.receive(ReplicaId(9), promise.clone(), &mut out);
     assert_eq!(out, [], "two of four and a stranger");
     replica.receive(ReplicaId(2), promise, &mut out);
-    assert!(out.iter().any(|o| matches!(o, Output::Send(_, Message::Accept(_)))), "three of four");
+    assert!(out.iter().any(|o| matches!(o, ReplicaAction::Send(_, Message::Accept(_)))), "three of four");
 }
 
 #[test]
