--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -5,26 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::replica::ReplicaId;
-use crate::revision::{Revision, RevisionNumber};
-
-/// A try to decide a number: the higher one goes first. Never used twice, since it names its replica.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ballot {
-    /// Counts attempts.
-    pub round: u64,
-    /// Whose try it is.
-    pub replica: ReplicaId,
-}
-
-/// A revision that an acceptor has accepted, and under which ballot.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Vote {
-    /// The ballot.
-    pub ballot: Ballot,
-    /// What it is for.
-    pub revision: Revision,
-}
+use crate::ballot::{Ballot, Vote};
+use crate::revision::RevisionNumber;
 
 /// An acceptor's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -5,21 +5,26 @@
 
 mod acceptor;
 mod authentication;
+mod ballot;
 mod digest;
 mod document;
 mod history;
 mod known_good;
 mod learner;
-mod messages;
+mod message;
 mod proposer;
+mod publication;
+mod quorum;
 mod replica;
 mod revision;
 mod sessions;
 pub mod simulation;
 mod subscriber;
+mod time;
 
-pub use acceptor::{Acceptor, Ballot, Vote};
+pub use acceptor::Acceptor;
 pub use authentication::{AuthenticationError, SiteKey};
+pub use ballot::{Ballot, ReplicaId, Vote};
 pub use digest::Digest;
 pub use document::{
     Change, Delta, Document, DocumentError, Entry, MAX_CHANGES, MAX_DOCUMENT_BYTES, MAX_ENTRY_BYTES,
@@ -27,9 +32,12 @@
 pub use history::{CatchUp, History, Retention};
 pub use known_good::{KnownGood, KnownGoodError};
 pub use learner::{LearnOutcome, Learner};
-pub use messages::{Message, MessageError, MAX_MESSAGE_BYTES};
+pub use message::{Message, MessageError, MAX_MESSAGE_BYTES};
 pub use proposer::Proposer;
-pub use replica::{PublishOutcome, Quorum, Replica, ReplicaAction, ReplicaId, Validator};
+pub use publication::{PublishOutcome, Validator};
+pub use quorum::Quorum;
+pub use replica::{Replica, ReplicaAction};
 pub use revision::{Revision, RevisionId, RevisionNumber};
 pub use sessions::{Session, SessionId, SubscriberSessions, MAX_SESSIONS};
-pub use subscriber::{Action, Apply, Input, Micros, Subscriber};
+pub use subscriber::{Action, Apply, Input, Subscriber};
+pub use time::Micros;
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/message.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::acceptor::{Ballot, Vote};
 use crate::authentication::{SiteKey, TAG_BYTES};
+use crate::ballot::{Ballot, Vote};
 use crate::digest::Digest;
 use crate::document::{Document, Entry, MAX_DOCUMENT_BYTES};
 use crate::revision::{Revision, RevisionNumber};
--- a/crates/control/src/proposer.rs
+++ b/crates/control/src/proposer.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::acceptor::{Ballot, Vote};
-use crate::replica::{Quorum, ReplicaId};
+use crate::ballot::{Ballot, ReplicaId, Vote};
+use crate::quorum::Quorum;
 use crate::revision::{Revision, RevisionNumber};
 
 /// What a try comes to.
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,61 +1,15 @@
 //! A control replica: votes on numbers, publishes, and keeps what was decided.
 
-use serde::{Deserialize, Serialize};
-
-use crate::acceptor::{Acceptor, Answer, Ballot, Vote};
+use crate::acceptor::{Acceptor, Answer};
+use crate::ballot::{Ballot, ReplicaId, Vote};
 use crate::document::{Delta, Document};
 use crate::history::{CatchUp, History, HistoryError, Retention};
-use crate::messages::Message;
+use crate::message::Message;
 use crate::proposer::{Progress, Proposer};
+use crate::publication::{Publication, PublishOutcome, Validator};
+use crate::quorum::Quorum;
 use crate::revision::{Revision, RevisionNumber};
 
-/// A control replica, by its place in the list that all replicas of a site hold.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ReplicaId(pub u8);
-
-/// How many replicas decide.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Quorum {
-    replicas: usize,
-}
-
-impl Quorum {
-    /// Of so many replicas.
-    pub fn of(replicas: usize) -> Self {
-        Self { replicas }
-    }
-
-    /// So many that any two quorums share two replicas: one that comes back with an old disk, and so without its last
-    /// votes, decides nothing twice. Three of four; of three or fewer all of them.
-    pub fn size(self) -> usize {
-        (self.replicas / 2 + 1).max(self.replicas.div_ceil(2) + 1).min(self.replicas)
-    }
-}
-
-/// The check that a configuration has to pass before it gets a number.
-pub trait Validator {
-    /// Says what is wrong, with its place and remedy.
-    ///
-    /// # Errors
-    /// If the configuration can't be put in force.
-    fn validate(&self, document: &Document) -> Result<(), String>;
-}
-
-/// What came of a publication.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum PublishOutcome {
-    /// Decided under this number.
-    Published(RevisionNumber),
-    /// It changes nothing.
-    NoChange,
-    /// The check, or a bound, refuses it; it has no number.
-    Invalid(String),
-    /// Another is on its way here; to be tried again.
-    Busy,
-    /// No quorum answered in time. It may be decided all the same, by another replica that finishes it.
-    NoQuorum,
-}
-
 /// What is to be done, in order. Nothing that follows a [`ReplicaAction::PersistVotes`] leaves the replica before it is on the disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaAction {
@@ -73,14 +27,6 @@
     Diverged(ReplicaId, RevisionNumber),
 }
 
-/// A publication under way.
-#[derive(Debug, Clone)]
-struct Publication {
-    changes: Delta,
-    author: Box<str>,
-    proposer: Proposer,
-}
-
 /// One control replica.
 #[derive(Debug, Clone)]
 pub struct Replica {
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -4,9 +4,9 @@
 
 use crate::digest::Digest;
 use crate::history::{CatchUp, History};
-use crate::messages::Message;
+use crate::message::Message;
 use crate::revision::{Revision, RevisionNumber};
-use crate::subscriber::Micros;
+use crate::time::Micros;
 
 /// A router's connection, by a number that is never given twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/control/src/simulation/mod.rs
+++ b/crates/control/src/simulation/mod.rs
@@ -11,13 +11,16 @@
 pub use self::nodes::{InForce, RouterNode};
 use crate::acceptor::Acceptor;
 use crate::authentication::SiteKey;
+use crate::ballot::ReplicaId;
 use crate::document::{Delta, Document};
 use crate::history::{History, Retention};
-use crate::messages::Message;
-use crate::replica::{PublishOutcome, Replica, ReplicaAction, ReplicaId, Validator};
+use crate::message::Message;
+use crate::publication::{PublishOutcome, Validator};
+use crate::replica::{Replica, ReplicaAction};
 use crate::revision::RevisionNumber;
 use crate::sessions::{SessionId, SubscriberSessions};
-use crate::subscriber::{Input, Micros, Subscriber};
+use crate::subscriber::{Input, Subscriber};
+use crate::time::Micros;
 
 /// A second of the model's time.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/control/src/simulation/nodes.rs
+++ b/crates/control/src/simulation/nodes.rs
@@ -3,12 +3,14 @@
 use std::collections::BTreeSet;
 
 use crate::acceptor::Acceptor;
+use crate::ballot::ReplicaId;
 use crate::document::{Delta, Document};
 use crate::history::History;
-use crate::replica::{Replica, ReplicaId};
+use crate::replica::Replica;
 use crate::revision::RevisionNumber;
 use crate::sessions::{SessionId, SubscriberSessions};
-use crate::subscriber::{Apply, Micros, Subscriber};
+use crate::subscriber::{Apply, Subscriber};
+use crate::time::Micros;
 
 /// A router that puts all in force and counts it.
 #[derive(Debug, Clone, Default)]
--- a/crates/control/src/simulation/routers.rs
+++ b/crates/control/src/simulation/routers.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use super::{Event, Simulation, FRAME_BYTES};
+use crate::ballot::ReplicaId;
 use crate::document::Document;
-use crate::messages::Message;
-use crate::replica::ReplicaId;
+use crate::message::Message;
 use crate::revision::RevisionNumber;
 use crate::sessions::SessionId;
 use crate::subscriber::{Action, Input, Subscriber};
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,13 +1,11 @@
 //! A router's link to the control replicas: one connection at a time, moved on from one that is silent.
 
+use crate::ballot::ReplicaId;
 use crate::document::{Delta, Document};
 use crate::learner::{LearnOutcome, Learner};
-use crate::messages::Message;
-use crate::replica::ReplicaId;
+use crate::message::Message;
 use crate::revision::RevisionNumber;
-
-/// A time by a monotonic clock, µs.
-pub type Micros = u64;
+use crate::time::Micros;
 
 /// The router says what it holds so often; the replica answers with what it holds itself.
 const HEARTBEAT_INTERVAL: Micros = 3_000_000;
--- /dev/null
+++ b/crates/control/src/time.rs
@@ -0,0 +1,4 @@
+//! Time as the state machines of this package see it.
+
+/// A time by a monotonic clock, µs.
+pub type Micros = u64;
