--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -1,27 +1,27 @@
-//! One control replica's votes on the next number: single-decree consensus for each number.
+//! A replica's votes on the next revision number: the acceptor of single-decree Paxos, one instance for each number.
 //!
-//! A number's revision is decided once a quorum has accepted it under one ballot. What an acceptor has promised and
-//! accepted is on its disk before it answers.
+//! A revision is decided once a quorum has accepted it under one ballot. The acceptor's state has to be on the replica's
+//! disk before its answer is sent.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ballot::{Ballot, Vote};
 use crate::revision::RevisionNumber;
 
-/// An acceptor's answer.
+/// An acceptor's answer to a proposer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
-    /// It takes part in nothing older; what it has accepted before, if anything.
+pub enum AcceptorReply {
+    /// It takes part in no older ballot. Carries what it has accepted before, if anything.
     Promised(Option<Vote>),
-    /// It has accepted.
+    /// It has accepted the revision.
     Accepted,
-    /// It has promised a newer ballot.
+    /// It has promised this newer ballot.
     Rejected(Ballot),
-    /// The number is decided, or not the next one here.
+    /// The number is decided already, or is not the next one at this replica.
     NotNext,
 }
 
-/// The votes on one number. Those on numbers that are decided are forgotten.
+/// The votes on one revision number. Votes on decided numbers are dropped.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Acceptor {
     number: RevisionNumber,
@@ -30,7 +30,7 @@
 }
 
 impl Acceptor {
-    /// One that votes on the number after `decided`.
+    /// An acceptor without votes for the number after `decided`.
     pub fn after(decided: RevisionNumber) -> Self {
         Self { number: decided.next(), promised: None, accepted: None }
     }
@@ -40,37 +40,37 @@
         self.number
     }
 
-    /// The highest round that it has seen.
+    /// The highest round that it has promised.
     pub fn round(&self) -> u64 {
         self.promised.map_or(0, |ballot| ballot.round)
     }
 
-    /// A ballot wants to be the newest.
-    pub fn prepare(&mut self, number: RevisionNumber, ballot: Ballot) -> Answer {
+    /// Answers a proposer that wants to open a ballot.
+    pub fn prepare(&mut self, number: RevisionNumber, ballot: Ballot) -> AcceptorReply {
         if number != self.number {
-            return Answer::NotNext;
+            return AcceptorReply::NotNext;
         }
-        match self.promised.filter(|promised| *promised > ballot) {
-            Some(newer) => Answer::Rejected(newer),
-            None => {
-                self.promised = Some(ballot);
-                Answer::Promised(self.accepted.clone())
-            }
+        if let Some(newer) = self.promise_newer_than(ballot) {
+            return AcceptorReply::Rejected(newer);
         }
+        self.promised = Some(ballot);
+        AcceptorReply::Promised(self.accepted.clone())
     }
 
-    /// A ballot wants its revision accepted.
-    pub fn accept(&mut self, vote: Vote) -> Answer {
+    /// Answers a proposer that wants its revision accepted.
+    pub fn accept(&mut self, vote: Vote) -> AcceptorReply {
         if vote.revision.number != self.number {
-            return Answer::NotNext;
+            return AcceptorReply::NotNext;
         }
-        match self.promised.filter(|promised| *promised > vote.ballot) {
-            Some(newer) => Answer::Rejected(newer),
-            None => {
-                self.promised = Some(vote.ballot);
-                self.accepted = Some(vote);
-                Answer::Accepted
-            }
+        if let Some(newer) = self.promise_newer_than(vote.ballot) {
+            return AcceptorReply::Rejected(newer);
         }
+        self.promised = Some(vote.ballot);
+        self.accepted = Some(vote);
+        AcceptorReply::Accepted
+    }
+
+    fn promise_newer_than(&self, ballot: Ballot) -> Option<Ballot> {
+        self.promised.filter(|promised| *promised > ballot)
     }
 }
--- a/crates/control/src/authentication.rs
+++ b/crates/control/src/authentication.rs
@@ -1,37 +1,35 @@
-//! Messages and files of one site: sealed under its key, for one purpose each.
+//! Authentication of messages and files: a keyed MAC over the bytes and the domain they are meant for.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Bytes of a seal.
+/// Bytes of an authentication tag.
 pub const TAG_BYTES: usize = 32;
 
 /// The key that all control replicas and routers of a site share.
 #[derive(Clone)]
 pub struct SiteKey([u8; 32]);
 
+/// Never prints the key.
 impl std::fmt::Debug for SiteKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("SiteKey(..)")
     }
 }
 
-/// The seal does not fit: the bytes were changed or cut, or are another site's, or meant for another domain.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// The authentication tag does not match: the bytes were changed or truncated, or tagged with another site's key or for
+/// another domain.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("the seal does not fit: changed, cut short, or sealed under another site's key")]
 pub struct AuthenticationError;
 
-impl std::fmt::Display for AuthenticationError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the seal does not fit: changed, cut short, or sealed under another site's key")
-    }
-}
-
 impl SiteKey {
-    /// From its bytes.
+    /// The key with these bytes.
     pub fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 
+    /// The domain is part of the input, so that a file can't be passed off as a message. No domain holds a zero byte.
     fn mac(&self, domain: &str, bytes: &[u8]) -> Option<Hmac<Sha256>> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
         mac.update(domain.as_bytes());
@@ -40,7 +38,7 @@
         Some(mac)
     }
 
-    /// The bytes with their seal behind them.
+    /// The bytes followed by their tag.
     pub fn append_tag(&self, domain: &str, mut bytes: Vec<u8>) -> Vec<u8> {
         if let Some(mac) = self.mac(domain, &bytes) {
             bytes.extend_from_slice(&mac.finalize().into_bytes());
@@ -48,17 +46,13 @@
         bytes
     }
 
-    /// The bytes without their seal.
+    /// The bytes without their tag, which is compared in constant time.
     ///
     /// # Errors
-    /// If it does not fit. Compared in constant time.
-    pub fn verify_tag<'a>(
-        &self,
-        domain: &str,
-        authenticated: &'a [u8],
-    ) -> Result<&'a [u8], AuthenticationError> {
-        let length = authenticated.len().checked_sub(TAG_BYTES).ok_or(AuthenticationError)?;
-        let (bytes, tag) = authenticated.split_at(length);
+    /// The tag is missing or does not match.
+    pub fn verify_tag<'a>(&self, domain: &str, tagged: &'a [u8]) -> Result<&'a [u8], AuthenticationError> {
+        let length = tagged.len().checked_sub(TAG_BYTES).ok_or(AuthenticationError)?;
+        let (bytes, tag) = tagged.split_at(length);
         let mac = self.mac(domain, bytes).ok_or(AuthenticationError)?;
         mac.verify_slice(tag).map_err(|_| AuthenticationError)?;
         Ok(bytes)
--- a/crates/control/src/digest.rs
+++ b/crates/control/src/digest.rs
@@ -1,11 +1,13 @@
-//! The digest of a set of entries, kept up to date by what changes.
+//! Digests that are updated by what changes.
 
 use serde::{Deserialize, Serialize};
 
 const LANES: usize = 4;
 
-/// A sum of the entries' BLAKE3 hashes, in four lanes of 64 bits. Adding or taking out an entry costs one hash, however
-/// many there are. It finds faults, not forgeries: those are the signature's matter.
+/// The digest of a set of entries: the sum of their BLAKE3 hashes in four lanes of 64 bits.
+///
+/// Adding or removing an entry costs one hash, however many entries there are. It detects faults, not forgeries: messages
+/// and files are authenticated by [`crate::SiteKey`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest([u64; LANES]);
 
@@ -25,6 +27,7 @@
         Self::of_hash(blake3::hash(bytes))
     }
 
+    /// Each lane is eight bytes of the hash in little-endian order.
     fn of_hash(hash: blake3::Hash) -> Self {
         let mut lanes = [0; LANES];
         for (lane, bytes) in lanes.iter_mut().zip(hash.as_bytes().chunks_exact(8)) {
@@ -33,26 +36,27 @@
         Self(lanes)
     }
 
-    /// With one entry more.
+    /// The digest of the set with one more entry.
     #[must_use]
     pub fn with(self, entry: Self) -> Self {
-        self.lanes(entry, u64::wrapping_add)
+        self.combine(entry, u64::wrapping_add)
     }
 
-    /// With one entry less.
+    /// The digest of the set without an entry that is part of it.
     #[must_use]
     pub fn without(self, entry: Self) -> Self {
-        self.lanes(entry, u64::wrapping_sub)
+        self.combine(entry, u64::wrapping_sub)
     }
 
-    fn lanes(mut self, other: Self, of: fn(u64, u64) -> u64) -> Self {
-        for (lane, other) in self.0.iter_mut().zip(other.0) {
-            *lane = of(*lane, other);
+    fn combine(mut self, other: Self, operation: fn(u64, u64) -> u64) -> Self {
+        for (lane, other_lane) in self.0.iter_mut().zip(other.0) {
+            *lane = operation(*lane, other_lane);
         }
         self
     }
 }
 
+/// In hexadecimal digits.
 impl std::fmt::Display for Digest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0.iter().try_for_each(|lane| write!(f, "{lane:016x}"))
--- a/crates/control/src/document.rs
+++ b/crates/control/src/document.rs
@@ -1,22 +1,22 @@
-//! The configuration as entries, and what differs between two states of it.
+//! The configuration as a set of entries, and the difference between two states of it.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use crate::digest::Digest;
 
-/// Bytes of one entry's key and value together.
+/// Limit of one entry's key and value together.
 pub const MAX_ENTRY_BYTES: usize = 64 * 1024;
-/// Changes of one revision.
+/// Limit of the changes in one revision.
 pub const MAX_CHANGES: usize = 10_000;
-/// Bytes of a whole document.
+/// Limit of a document's keys and values together.
 pub const MAX_DOCUMENT_BYTES: usize = 32 * 1024 * 1024;
 
-/// One entry: a part of the settings that is changed as one, such as a tenant.
+/// One entry: a part of the settings that changes as a unit, such as a tenant.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place, such as `tenants/tenant[acme]`.
+    /// Its path, such as `tenants/tenant[acme]`.
     pub key: Box<str>,
     /// Its text.
     pub value: Box<str>,
@@ -28,60 +28,78 @@
     }
 }
 
-/// What becomes of an entry.
+/// A change of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// It is there, with this value.
+    /// Adds the entry or replaces its value.
     Set(Entry),
-    /// It is there no more.
+    /// Removes the entry with this key.
     Remove(Box<str>),
 }
 
 impl Change {
-    /// The entry that is changed.
+    /// The key of the entry that changes.
     pub fn key(&self) -> &str {
         match self {
             Self::Set(entry) => &entry.key,
             Self::Remove(key) => key,
         }
     }
+
+    fn bytes(&self) -> usize {
+        match self {
+            Self::Set(entry) => entry.bytes(),
+            Self::Remove(key) => key.len(),
+        }
+    }
 }
 
-/// What differs between two states, each entry once.
+/// The difference between two states of the configuration. Names each entry at most once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Delta(pub Vec<Change>);
 
-/// Why a delta is not applied. Nothing of it is.
-#[derive(Debug, Clone, PartialEq, Eq)]
+impl Delta {
+    pub(crate) fn bytes(&self) -> usize {
+        self.0.iter().map(Change::bytes).sum()
+    }
+}
+
+/// Why a document can't be built, or a delta not applied to it. A delta with an error changes nothing.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum DocumentError {
-    /// More changes than [`MAX_CHANGES`].
-    TooManyChanges(usize),
+    /// The delta has more than [`MAX_CHANGES`] changes.
+    #[error("{count} changes, at most {max}", max = MAX_CHANGES)]
+    TooManyChanges {
+        /// How many it has.
+        count: usize,
+    },
     /// An entry is longer than [`MAX_ENTRY_BYTES`].
-    EntryTooLong(Box<str>),
+    #[error("{key}: longer than {max} bytes", max = MAX_ENTRY_BYTES)]
+    EntryTooLong {
+        /// The entry's key.
+        key: Box<str>,
+    },
     /// The document would be longer than [`MAX_DOCUMENT_BYTES`].
+    #[error("the whole would be longer than {max} bytes", max = MAX_DOCUMENT_BYTES)]
     DocumentTooLong,
-    /// An entry is named twice.
-    DuplicateKey(Box<str>),
-    /// An entry is to be removed that is not there.
-    MissingKey(Box<str>),
-    /// The result has another digest than the revision says.
+    /// The delta names an entry twice.
+    #[error("{key}: named twice")]
+    DuplicateKey {
+        /// The entry's key.
+        key: Box<str>,
+    },
+    /// The delta removes an entry that does not exist.
+    #[error("{key}: to be removed, and not there")]
+    MissingKey {
+        /// The entry's key.
+        key: Box<str>,
+    },
+    /// The result does not have the digest that the revision names.
+    #[error("the result has another digest than the revision says")]
     DigestMismatch,
 }
 
-impl std::fmt::Display for DocumentError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Self::TooManyChanges(n) => write!(f, "{n} changes, at most {MAX_CHANGES}"),
-            Self::EntryTooLong(key) => write!(f, "{key}: longer than {MAX_ENTRY_BYTES} bytes"),
-            Self::DocumentTooLong => write!(f, "the whole would be longer than {MAX_DOCUMENT_BYTES} bytes"),
-            Self::DuplicateKey(key) => write!(f, "{key}: named twice"),
-            Self::MissingKey(key) => write!(f, "{key}: to be removed, and not there"),
-            Self::DigestMismatch => write!(f, "the result has another digest than the revision says"),
-        }
-    }
-}
-
-/// All entries, with their digest.
+/// All entries of the configuration, with their digest.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Document {
     entries: BTreeMap<Box<str>, Box<str>>,
@@ -90,15 +108,15 @@
 }
 
 impl Document {
-    /// From entries; a later one replaces an earlier one of its key.
+    /// A document of these entries; a later one replaces an earlier one with the same key.
     ///
     /// # Errors
-    /// Past a bound.
+    /// An entry or the document is longer than its limit.
     pub fn new(entries: impl IntoIterator<Item = Entry>) -> Result<Self, DocumentError> {
         let mut document = Self::default();
         for entry in entries {
             if entry.bytes() > MAX_ENTRY_BYTES {
-                return Err(DocumentError::EntryTooLong(entry.key));
+                return Err(DocumentError::EntryTooLong { key: entry.key });
             }
             document.set(entry);
             if document.bytes > MAX_DOCUMENT_BYTES {
@@ -118,12 +136,12 @@
         self.bytes
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -138,43 +156,48 @@
         self.entries.iter().map(|(key, value)| Entry { key: key.clone(), value: value.clone() })
     }
 
-    /// What makes this document into another.
-    pub fn difference(&self, to: &Self) -> Delta {
-        let gone = self.entries.keys().filter(|key| !to.entries.contains_key(*key));
-        let removed = gone.map(|key| Change::Remove(key.clone()));
-        let fresh = to.entries().filter(|entry| self.get(&entry.key) != Some(&*entry.value));
-        Delta(removed.chain(fresh.map(Change::Set)).collect())
+    /// The delta that turns this document into `target`.
+    pub fn difference(&self, target: &Self) -> Delta {
+        let removed = self.entries.keys().filter(|key| !target.entries.contains_key(*key));
+        let removals = removed.cloned().map(Change::Remove);
+        let is_changed = |entry: &Entry| self.get(&entry.key) != Some(&*entry.value);
+        let additions = target.entries().filter(is_changed).map(Change::Set);
+        Delta(removals.chain(additions).collect())
     }
 
-    /// Checks a delta: what the digest and the length would be. Costs what the delta does, not what the document does.
+    /// Checks a delta and returns the digest that the result would have. Costs as much as the delta is long, not the
+    /// document.
     ///
     /// # Errors
-    /// Says why it can't be applied.
+    /// The delta can't be applied.
     pub fn preview(&self, delta: &Delta) -> Result<Digest, DocumentError> {
         if delta.0.len() > MAX_CHANGES {
-            return Err(DocumentError::TooManyChanges(delta.0.len()));
+            return Err(DocumentError::TooManyChanges { count: delta.0.len() });
         }
-        let mut keys = std::collections::BTreeSet::new();
-        let (mut digest, mut bytes) = (self.digest, self.bytes);
+        let mut keys = BTreeSet::new();
+        let mut digest = self.digest;
+        let mut bytes = self.bytes;
         for change in &delta.0 {
             let key = change.key();
             if !keys.insert(key) {
-                return Err(DocumentError::DuplicateKey(key.into()));
+                return Err(DocumentError::DuplicateKey { key: key.into() });
             }
-            let old = self.get(key);
-            if let Some(old) = old {
-                digest = digest.without(Digest::of_entry(key, old));
-                bytes -= key.len() + old.len();
+            let old_value = self.get(key);
+            if let Some(old_value) = old_value {
+                digest = digest.without(Digest::of_entry(key, old_value));
+                bytes -= key.len() + old_value.len();
             }
             match change {
                 Change::Set(entry) if entry.bytes() > MAX_ENTRY_BYTES => {
-                    return Err(DocumentError::EntryTooLong(key.into()));
+                    return Err(DocumentError::EntryTooLong { key: key.into() });
                 }
                 Change::Set(entry) => {
                     digest = digest.with(Digest::of_entry(key, &entry.value));
                     bytes += entry.bytes();
                 }
-                Change::Remove(_) if old.is_none() => return Err(DocumentError::MissingKey(key.into())),
+                Change::Remove(_) if old_value.is_none() => {
+                    return Err(DocumentError::MissingKey { key: key.into() });
+                }
                 Change::Remove(_) => {}
             }
         }
@@ -187,7 +210,7 @@
     /// Applies a delta whose result has this digest: all of it or nothing.
     ///
     /// # Errors
-    /// Says why nothing was applied.
+    /// The delta can't be applied, or its result has another digest.
     pub fn apply(&mut self, delta: &Delta, digest: Digest) -> Result<(), DocumentError> {
         if self.preview(delta)? != digest {
             return Err(DocumentError::DigestMismatch);
@@ -209,9 +232,9 @@
     }
 
     fn remove(&mut self, key: &str) {
-        if let Some(old) = self.entries.remove(key) {
-            self.digest = self.digest.without(Digest::of_entry(key, &old));
-            self.bytes -= key.len() + old.len();
+        if let Some(old_value) = self.entries.remove(key) {
+            self.digest = self.digest.without(Digest::of_entry(key, &old_value));
+            self.bytes -= key.len() + old_value.len();
         }
     }
 }
--- a/crates/control/src/known_good.rs
+++ b/crates/control/src/known_good.rs
@@ -1,53 +1,73 @@
-//! The last known good configuration, as it is kept on a disk.
+//! The last known good configuration as a file: a router starts from it when no control replica can be reached.
 
 use serde::{Deserialize, Serialize};
 
-use crate::authentication::SiteKey;
+use crate::authentication::{AuthenticationError, SiteKey};
 use crate::digest::Digest;
-use crate::document::{Document, Entry};
+use crate::document::{Document, DocumentError, Entry};
 use crate::revision::RevisionNumber;
 
-/// The first bytes of the file: what it is, and its format.
+/// The first bytes of the file: its kind, and the version of its format.
 const FORMAT: &[u8; 8] = b"CHALKCF1";
-const FORMAT_NAME: &[u8] = b"CHALKCF";
+const FORMAT_WITHOUT_VERSION: &[u8] = b"CHALKCF";
 const DOMAIN: &str = "chalkyard-known-good-1";
 
-/// What is kept.
+/// The content of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownGood {
-    /// Its number.
+    /// The configuration's number.
     pub number: RevisionNumber,
-    /// Its digest.
+    /// The configuration's digest.
     pub digest: Digest,
-    /// When it was put in force, µs since 1970 by its router's clock.
+    /// When it came into force, in µs since 1970 by the router's clock.
     pub since: u64,
-    /// All entries.
+    /// All entries of the configuration.
     pub entries: Vec<Entry>,
 }
 
-/// Why a copy is not used.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why a file is not used.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KnownGoodError {
-    /// It is no such copy.
+    /// It is not a file of this kind.
+    #[error("no kept configuration")]
     UnknownFormat,
-    /// It is of a later format.
+    /// Its format is of another version.
+    #[error("a kept configuration of a later format")]
     UnsupportedVersion,
-    /// It was changed or cut, or is another site's.
-    Corrupt,
+    /// It was changed or truncated, or belongs to another site.
+    #[error("a kept configuration that is damaged, cut short or another site's")]
+    Corrupt {
+        /// How that shows.
+        #[source]
+        cause: CorruptionCause,
+    },
 }
 
-impl std::fmt::Display for KnownGoodError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Self::UnknownFormat => "no kept configuration",
-            Self::UnsupportedVersion => "a kept configuration of a later format",
-            Self::Corrupt => "a kept configuration that is damaged, cut short or another site's",
-        })
+/// How a damaged file is recognized.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum CorruptionCause {
+    /// Its authentication tag does not match.
+    #[error(transparent)]
+    NotAuthentic(#[from] AuthenticationError),
+    /// Its content can't be decoded.
+    #[error("the content can't be decoded")]
+    Undecodable,
+    /// Its entries form no document.
+    #[error(transparent)]
+    InvalidDocument(#[from] DocumentError),
+    /// Its entries have another digest than it names.
+    #[error("the entries have another digest than the file says")]
+    DigestMismatch,
+}
+
+impl From<CorruptionCause> for KnownGoodError {
+    fn from(cause: CorruptionCause) -> Self {
+        Self::Corrupt { cause }
     }
 }
 
 impl KnownGood {
-    /// Of a document.
+    /// The file's content for a document that came into force at `since`.
     pub fn new(number: RevisionNumber, document: &Document, since: u64) -> Self {
         Self { number, digest: document.digest(), since, entries: document.entries().collect() }
     }
@@ -55,29 +75,37 @@
     /// The file's bytes.
     pub fn encode(&self, key: &SiteKey) -> Vec<u8> {
         let mut bytes = FORMAT.to_vec();
+        // Serialization can't fail: the content holds no type that postcard rejects.
         bytes.extend(key.append_tag(DOMAIN, postcard::to_stdvec(self).unwrap_or_default()));
         bytes
     }
 
-    /// Reads a file.
+    /// Reads a file. Nothing is decoded before its tag was verified.
     ///
     /// # Errors
-    /// Says why it is not used.
+    /// The file is of another kind or version, or is corrupt.
     pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<(Self, Document), KnownGoodError> {
-        let Some((format, authenticated)) = bytes.split_at_checked(FORMAT.len()) else {
+        let Some((format, tagged)) = bytes.split_at_checked(FORMAT.len()) else {
             return Err(KnownGoodError::UnknownFormat);
         };
-        match format {
-            _ if format == FORMAT => {}
-            _ if format.starts_with(FORMAT_NAME) => return Err(KnownGoodError::UnsupportedVersion),
-            _ => return Err(KnownGoodError::UnknownFormat),
-        }
-        let opened = key.verify_tag(DOMAIN, authenticated).map_err(|_| KnownGoodError::Corrupt)?;
-        let kept: Self = postcard::from_bytes(opened).map_err(|_| KnownGoodError::Corrupt)?;
-        let document = Document::new(kept.entries.iter().cloned()).map_err(|_| KnownGoodError::Corrupt)?;
-        if document.digest() != kept.digest {
-            return Err(KnownGoodError::Corrupt);
+        check_format(format)?;
+        let content = key.verify_tag(DOMAIN, tagged).map_err(CorruptionCause::from)?;
+        let known_good: Self = postcard::from_bytes(content).map_err(|_| CorruptionCause::Undecodable)?;
+        let entries = known_good.entries.iter().cloned();
+        let document = Document::new(entries).map_err(CorruptionCause::from)?;
+        if document.digest() != known_good.digest {
+            return Err(CorruptionCause::DigestMismatch.into());
         }
-        Ok((kept, document))
+        Ok((known_good, document))
+    }
+}
+
+fn check_format(format: &[u8]) -> Result<(), KnownGoodError> {
+    if format == FORMAT {
+        Ok(())
+    } else if format.starts_with(FORMAT_WITHOUT_VERSION) {
+        Err(KnownGoodError::UnsupportedVersion)
+    } else {
+        Err(KnownGoodError::UnknownFormat)
     }
 }
--- a/crates/control/src/learner.rs
+++ b/crates/control/src/learner.rs
@@ -1,72 +1,71 @@
-//! A router's side: it follows revisions one by one, and never goes back.
+//! What a router has learned of the configuration: revisions are applied one after another, and never undone.
 
-use crate::document::Document;
+use crate::document::{Document, DocumentError};
 use crate::history::{History, HistoryError, Retention};
 use crate::revision::{Revision, RevisionNumber};
 
-/// What came of a revision or a snapshot.
+/// What became of a revision or a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LearnOutcome {
-    /// It is held now.
+    /// It is the newest one now.
     Applied,
-    /// It is older than what is held, or the same.
+    /// It is older than the newest one, or the same.
     Stale,
-    /// Something is missing before it: the snapshot, or what is missing, has to be asked for.
+    /// Revisions before it are missing and have to be requested.
     Gap,
-    /// It says something else of a number that is held already, or follows another history: never taken, and told.
+    /// It contradicts a number that is known already, or follows another history. Never applied.
     Diverged,
-    /// It can't be applied: told, and what follows is asked for as a snapshot.
-    Invalid(String),
+    /// It can't be applied. A snapshot is needed to go on.
+    Invalid(DocumentError),
 }
 
-/// What a router holds.
+/// The newest configuration that a router has learned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Learner {
     history: History,
 }
 
 impl Learner {
-    /// One that starts with its last known good, or with nothing at number 0.
+    /// A learner that starts with its last known good configuration, or with the empty one at number 0.
     pub fn new(number: RevisionNumber, document: Document) -> Self {
-        // Routers pass nothing on: one revision is kept, to tell a repeat from another content.
+        // Routers forward nothing. One revision is retained, to tell a repeated one from one with other content.
         let retention = Retention { revisions: 1, bytes: usize::MAX };
         Self { history: History::new(number, document, retention) }
     }
 
-    /// The number that is held.
+    /// The newest number.
     pub fn number(&self) -> RevisionNumber {
         self.history.number()
     }
 
-    /// The configuration that is held.
+    /// The newest configuration.
     pub fn document(&self) -> &Document {
         self.history.document()
     }
 
-    /// Takes a revision.
+    /// Learns a decided revision.
     pub fn learn(&mut self, revision: Revision) -> LearnOutcome {
-        let current = self.history.number();
-        if revision.number <= current {
-            let same = self.history.revision(revision.number).is_none_or(|ours| *ours == revision);
-            return if same { LearnOutcome::Stale } else { LearnOutcome::Diverged };
+        if revision.number <= self.history.number() {
+            let is_same = self.history.revision(revision.number).is_none_or(|known| *known == revision);
+            return if is_same { LearnOutcome::Stale } else { LearnOutcome::Diverged };
         }
         match self.history.append(revision) {
             Ok(()) => LearnOutcome::Applied,
-            Err(HistoryError::NotNext(_)) => LearnOutcome::Gap,
-            Err(HistoryError::Diverged) => LearnOutcome::Diverged,
-            Err(HistoryError::Invalid(reason)) => LearnOutcome::Invalid(reason.to_string()),
+            Err(HistoryError::NotNext { .. }) => LearnOutcome::Gap,
+            Err(HistoryError::Diverged { .. }) => LearnOutcome::Diverged,
+            Err(HistoryError::Invalid { cause, .. }) => LearnOutcome::Invalid(cause),
         }
     }
 
-    /// Takes a whole: only a newer one, whatever came between.
+    /// Learns a snapshot. It replaces everything if it is newer, whatever revisions lie between.
     pub fn learn_snapshot(&mut self, number: RevisionNumber, document: Document) -> LearnOutcome {
         let current = self.history.number();
         if number < current {
             return LearnOutcome::Stale;
         }
         if number == current {
-            let same = document.digest() == self.history.document().digest();
-            return if same { LearnOutcome::Stale } else { LearnOutcome::Diverged };
+            let is_same = document.digest() == self.history.document().digest();
+            return if is_same { LearnOutcome::Stale } else { LearnOutcome::Diverged };
         }
         *self = Self::new(number, document);
         LearnOutcome::Applied
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,17 @@
-//! Numbered revisions of the configuration, decided by a quorum of control replicas and followed by routers.
+//! Replication of the configuration: numbered revisions, decided by a quorum of control replicas and followed by routers.
 //!
-//! Sans-IO: replicas and followers are state replicas that take messages and give messages. Nothing here knows of
-//! sockets, of the settings' meaning or of routing; `docs/configuration.md` weighs the design.
+//! All parts are state machines without input or output of their own: they are given messages and the time, and return what
+//! the caller has to send and store. Nothing here depends on sockets, on the meaning of the settings or on routing.
+//! `docs/configuration.md` explains the design.
+//!
+//! From the bottom up: a [`Document`] of entries and its [`Digest`]; a [`Revision`] that changes it and a [`History`] of
+//! them; consensus on the next revision by [`Proposer`] and [`Acceptor`] under a [`Ballot`]; the [`Message`]s that carry all
+//! of these; a [`Replica`] that decides, its [`SubscriberSessions`] with routers, and a router's [`Subscriber`].
 
 mod acceptor;
 mod authentication;
 mod ballot;
+mod connection;
 mod digest;
 mod document;
 mod history;
@@ -15,6 +21,7 @@
 mod proposer;
 mod publication;
 mod quorum;
+mod random;
 mod replica;
 mod revision;
 mod sessions;
@@ -22,22 +29,24 @@
 mod subscriber;
 mod time;
 
-pub use acceptor::Acceptor;
+pub use acceptor::{Acceptor, AcceptorReply};
 pub use authentication::{AuthenticationError, SiteKey};
 pub use ballot::{Ballot, ReplicaId, Vote};
 pub use digest::Digest;
 pub use document::{
     Change, Delta, Document, DocumentError, Entry, MAX_CHANGES, MAX_DOCUMENT_BYTES, MAX_ENTRY_BYTES,
 };
-pub use history::{CatchUp, History, Retention};
-pub use known_good::{KnownGood, KnownGoodError};
+pub use history::{CatchUp, History, HistoryError, Retention};
+pub use known_good::{CorruptionCause, KnownGood, KnownGoodError};
 pub use learner::{LearnOutcome, Learner};
 pub use message::{Message, MessageError, MAX_MESSAGE_BYTES};
-pub use proposer::Proposer;
-pub use publication::{PublishOutcome, Validator};
+pub use proposer::{Progress, Proposer};
+pub use publication::{InvalidChangeError, PublishOutcome, ValidationError, Validator};
 pub use quorum::Quorum;
 pub use replica::{Replica, ReplicaAction};
 pub use revision::{Revision, RevisionId, RevisionNumber};
-pub use sessions::{Session, SessionId, SubscriberSessions, MAX_SESSIONS};
-pub use subscriber::{Action, Apply, Input, Subscriber};
+pub use sessions::{
+    RejectedRevision, Session, SessionId, SessionLimitError, SessionMessage, SubscriberSessions, MAX_SESSIONS,
+};
+pub use subscriber::{Action, Apply, ApplyError, Input, RejectedRevisionError, Subscriber};
 pub use time::Micros;
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,4 @@
-//! What passes between control replicas and routers.
+//! Messages between control replicas, and between them and routers.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,114 +8,107 @@
 use crate::document::{Document, Entry, MAX_DOCUMENT_BYTES};
 use crate::revision::{Revision, RevisionNumber};
 
-/// A message's bytes with its seal: a whole document, what frames its entries, and some room.
+/// Limit of an encoded message without its tag: a complete document and the framing of its entries.
 pub const MAX_MESSAGE_BYTES: usize = MAX_DOCUMENT_BYTES + MAX_DOCUMENT_BYTES / 4;
 
 const DOMAIN: &str = "chalkyard-control-1";
 
-/// A message.
+/// A message. Postcard encodes the position of each variant and field: new ones go to the end.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// What the sender holds. Answered with what brings it up to date, if that is not all there is.
+    /// The newest revision that the sender has. Answered with what brings it up to date, unless it is.
     Heartbeat {
-        /// Its newest number.
+        /// The sender's newest number.
         number: RevisionNumber,
-        /// The digest of its snapshot.
+        /// The digest of its document.
         digest: Digest,
     },
     /// A decided revision.
     Decided(Revision),
-    /// The snapshot, as decided under this number.
+    /// The complete document.
     Snapshot {
-        /// The number.
+        /// The number under which it was decided.
         number: RevisionNumber,
         /// All entries, in the order of their keys.
         entries: Vec<Entry>,
     },
-    /// Between control replicas: take part in nothing older.
+    /// From a proposer to the acceptors: take part in no older ballot.
     Prepare {
-        /// The number that is to be decided.
+        /// The number to be decided.
         number: RevisionNumber,
-        /// The try.
+        /// The proposer's ballot.
         ballot: Ballot,
     },
-    /// The answer to it.
+    /// The answer to [`Message::Prepare`].
     Promise {
-        /// The number.
+        /// The number to be decided.
         number: RevisionNumber,
-        /// The try.
+        /// The ballot that is promised.
         ballot: Ballot,
-        /// What was accepted before.
+        /// What the acceptor had accepted before.
         vote: Option<Vote>,
     },
-    /// Between control replicas: accept this.
+    /// From a proposer to the acceptors: accept this revision.
     Accept(Vote),
-    /// The answer to it.
+    /// The answer to [`Message::Accept`].
     Accepted {
-        /// The number.
+        /// The number to be decided.
         number: RevisionNumber,
-        /// The try.
+        /// The ballot of the accepted revision.
         ballot: Ballot,
     },
-    /// A newer try was promised.
+    /// The answer of an acceptor that has promised a newer ballot.
     Rejected {
-        /// The number.
+        /// The number to be decided.
         number: RevisionNumber,
-        /// The newer try.
+        /// The newer ballot.
         newer: Ballot,
     },
-    /// A router can't put this number in force, and says why: it holds it back, and follows what comes later.
+    /// From a router: it can't apply this revision. It skips it and goes on with later ones.
     CannotApply {
-        /// The number.
+        /// The revision's number.
         number: RevisionNumber,
-        /// In words.
+        /// What is wrong, for an operator.
         reason: Box<str>,
     },
 }
 
-/// Why bytes are no message.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why bytes are not a message.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than [`MAX_MESSAGE_BYTES`].
+    /// They are longer than [`MAX_MESSAGE_BYTES`] and a tag.
+    #[error("longer than a message may be")]
     TooLong,
-    /// The seal does not fit.
+    /// Their authentication tag does not match.
+    #[error("the seal does not fit")]
     NotAuthentic,
-    /// Sealed, and not understood: of another version.
+    /// They are authentic, but can't be decoded: the sender has another version.
+    #[error("sealed, and not understood: of another version?")]
     Undecodable,
 }
 
-impl std::fmt::Display for MessageError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Self::TooLong => "longer than a message may be",
-            Self::NotAuthentic => "the seal does not fit",
-            Self::Undecodable => "sealed, and not understood: of another version?",
-        })
-    }
-}
-
 impl Message {
-    /// The whole as a message.
+    /// A snapshot of a document.
     pub fn snapshot(number: RevisionNumber, document: &Document) -> Self {
         Self::Snapshot { number, entries: document.entries().collect() }
     }
 
-    /// Its bytes, sealed.
+    /// The message's bytes with their tag.
     pub fn encode(&self, key: &SiteKey) -> Vec<u8> {
-        // Everything that a message holds can be written.
+        // Serialization can't fail: a message holds no type that postcard rejects.
         key.append_tag(DOMAIN, postcard::to_stdvec(self).unwrap_or_default())
     }
 
-    /// Reads one.
+    /// Reads a message. Nothing is decoded before its tag was verified.
     ///
     /// # Errors
-    /// Says why it is none. Nothing is read of it before its seal was found to fit.
+    /// The bytes are too long, not authentic, or of another version.
     pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<Self, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES + TAG_BYTES {
             return Err(MessageError::TooLong);
         }
-        let opened = key.verify_tag(DOMAIN, bytes).map_err(|_| MessageError::NotAuthentic)?;
-        match postcard::take_from_bytes(opened) {
+        let content = key.verify_tag(DOMAIN, bytes).map_err(|_| MessageError::NotAuthentic)?;
+        match postcard::take_from_bytes(content) {
             Ok((message, [])) => Ok(message),
             _ => Err(MessageError::Undecodable),
         }
--- a/crates/control/src/proposer.rs
+++ b/crates/control/src/proposer.rs
@@ -1,4 +1,4 @@
-//! One try to have a revision decided under the next number.
+//! One attempt to have a revision decided: the proposer of single-decree Paxos, under one ballot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,31 +6,31 @@
 use crate::quorum::Quorum;
 use crate::revision::{Revision, RevisionNumber};
 
-/// What a try comes to.
+/// What follows from an answer of an acceptor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
-    /// It goes on.
+    /// More answers are needed.
     Waiting,
-    /// All replicas are to be asked to accept this: ours, or one that may be decided already.
+    /// All replicas are to be asked to accept this: the proposer's own revision, or one that may be decided already.
     Propose(Vote),
-    /// It is decided.
+    /// The revision is decided.
     Decided(Revision),
 }
 
-/// A try under one ballot.
+/// A proposal under one ballot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
     ballot: Ballot,
-    ours: Revision,
+    own_revision: Revision,
     promises: BTreeMap<ReplicaId, Option<Vote>>,
     proposed: Option<Revision>,
-    accepted: BTreeSet<ReplicaId>,
+    accepted_by: BTreeSet<ReplicaId>,
 }
 
 impl Proposer {
-    /// A try for this revision.
-    pub fn new(ballot: Ballot, ours: Revision) -> Self {
-        Self { ballot, ours, promises: BTreeMap::new(), proposed: None, accepted: BTreeSet::new() }
+    /// A proposal of this revision that no replica has answered yet.
+    pub fn new(ballot: Ballot, own_revision: Revision) -> Self {
+        Self { ballot, own_revision, promises: BTreeMap::new(), proposed: None, accepted_by: BTreeSet::new() }
     }
 
     /// Its ballot.
@@ -38,12 +38,12 @@
         self.ballot
     }
 
-    /// The number that it is about.
+    /// The number that it wants to decide.
     pub fn number(&self) -> RevisionNumber {
-        self.ours.number
+        self.own_revision.number
     }
 
-    /// A replica has promised.
+    /// A replica has promised the ballot; `vote` is what it had accepted before.
     pub fn promised(
         &mut self,
         from: ReplicaId,
@@ -58,20 +58,21 @@
         if self.promises.len() < quorum.size() {
             return Progress::Waiting;
         }
-        // What the newest ballot has proposed may be decided: it must be proposed again, not ours.
-        let newest = self.promises.values().flatten().max_by_key(|vote| vote.ballot);
-        let revision = newest.map_or(&self.ours, |vote| &vote.revision).clone();
+        // A revision accepted under the newest ballot may be decided already, so it has to be proposed in place of ours.
+        let newest_vote = self.promises.values().flatten().max_by_key(|vote| vote.ballot);
+        let revision = newest_vote.map_or(&self.own_revision, |vote| &vote.revision).clone();
         self.proposed = Some(revision.clone());
         Progress::Propose(Vote { ballot: self.ballot, revision })
     }
 
-    /// A replica has accepted.
+    /// A replica has accepted the proposal.
     pub fn accepted(&mut self, from: ReplicaId, ballot: Ballot, quorum: Quorum) -> Progress {
-        let Some(revision) = self.proposed.as_ref().filter(|_| ballot == self.ballot) else {
+        if ballot != self.ballot {
             return Progress::Waiting;
-        };
-        self.accepted.insert(from);
-        if self.accepted.len() < quorum.size() {
+        }
+        let Some(revision) = &self.proposed else { return Progress::Waiting };
+        self.accepted_by.insert(from);
+        if self.accepted_by.len() < quorum.size() {
             return Progress::Waiting;
         }
         Progress::Decided(revision.clone())
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,124 +1,157 @@
-//! A control replica: votes on numbers, publishes, and keeps what was decided.
+//! A control replica: votes on the next revision, publishes changes, and stores what was decided.
 
-use crate::acceptor::{Acceptor, Answer};
+use crate::acceptor::{Acceptor, AcceptorReply};
 use crate::ballot::{Ballot, ReplicaId, Vote};
-use crate::document::{Delta, Document};
+use crate::digest::Digest;
+use crate::document::{Delta, Document, Entry};
 use crate::history::{CatchUp, History, HistoryError, Retention};
 use crate::message::Message;
 use crate::proposer::{Progress, Proposer};
-use crate::publication::{Publication, PublishOutcome, Validator};
+use crate::publication::{InvalidChangeError, Publication, PublishOutcome, Validator};
 use crate::quorum::Quorum;
 use crate::revision::{Revision, RevisionNumber};
 
-/// What is to be done, in order. Nothing that follows a [`ReplicaAction::PersistVotes`] leaves the replica before it is on the disk.
+/// What the caller has to do, in order. Nothing that follows a [`ReplicaAction::PersistVotes`] may leave the replica before
+/// the votes are on its disk: a vote that is forgotten could let a number be decided twice.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaAction {
-    /// Send to a replica.
-    Send(ReplicaId, Message),
-    /// Keep the votes.
+    /// Send a message to another replica.
+    Send {
+        /// The receiver.
+        to: ReplicaId,
+        /// The message.
+        message: Message,
+    },
+    /// Store the votes.
     PersistVotes(Acceptor),
-    /// Keep a decided revision.
+    /// Store a decided revision.
     PersistRevision(Revision),
-    /// Keep a snapshot, which replaces all that was kept.
+    /// Store the current document, which replaces all that was stored before.
     PersistSnapshot(RevisionNumber),
-    /// The publication is over.
+    /// The publication has ended.
     PublicationEnded(PublishOutcome),
-    /// Another replica holds another content under a number: an operator has to look.
-    Diverged(ReplicaId, RevisionNumber),
+    /// Another replica has other content under a number: an operator has to look.
+    Diverged {
+        /// The other replica.
+        replica: ReplicaId,
+        /// The number.
+        number: RevisionNumber,
+    },
 }
 
-/// One control replica.
+/// One control replica, without input or output of its own.
 #[derive(Debug, Clone)]
 pub struct Replica {
-    own: ReplicaId,
+    id: ReplicaId,
     replicas: Vec<ReplicaId>,
     acceptor: Acceptor,
     history: History,
     publication: Option<Publication>,
-    /// The highest round seen of the present number.
+    /// The highest round seen for the next number.
     round: u64,
 }
 
 impl Replica {
-    /// One of `replicas` replicas, with what its disk holds.
-    pub fn new(own: ReplicaId, replicas: u8, history: History, votes: Option<Acceptor>) -> Self {
-        // Votes on a number that was decided since are of no use; those on a later one can't be.
+    /// The replica `id` of `replicas`, with what its disk holds.
+    pub fn new(id: ReplicaId, replicas: u8, history: History, votes: Option<Acceptor>) -> Self {
+        // Votes on a number that was decided since are obsolete. Votes on a later number can't exist.
         let votes = votes.filter(|votes| votes.number() == history.number().next());
         let acceptor = votes.unwrap_or_else(|| Acceptor::after(history.number()));
         let round = acceptor.round();
         let replicas = (0..replicas).map(ReplicaId).collect();
-        Self { own, replicas, acceptor, history, publication: None, round }
+        Self { id, replicas, acceptor, history, publication: None, round }
     }
 
-    /// One with nothing on its disk.
-    pub fn fresh(own: ReplicaId, replicas: u8) -> Self {
+    /// A replica with an empty disk.
+    pub fn fresh(id: ReplicaId, replicas: u8) -> Self {
         let history = History::new(RevisionNumber::default(), Document::default(), Retention::default());
-        Self::new(own, replicas, history, None)
+        Self::new(id, replicas, history, None)
     }
 
-    /// The newest number that is decided, as far as this replica knows.
+    /// The newest number that this replica knows to be decided.
     pub fn number(&self) -> RevisionNumber {
         self.history.number()
     }
 
-    /// What was decided.
+    /// The decided configuration and its past.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    fn quorum(&self) -> Quorum {
-        Quorum::of(self.replicas.len())
-    }
-
-    fn others(&self) -> impl Iterator<Item = ReplicaId> + '_ {
-        self.replicas.iter().copied().filter(|replica| *replica != self.own)
-    }
-
-    /// What this replica tells a peer of itself: as they meet, and from time to time.
+    /// The message that a replica sends to each other one when they connect, and periodically.
     pub fn heartbeat(&self) -> Message {
         Message::Heartbeat { number: self.history.number(), digest: self.history.document().digest() }
     }
 
-    /// Publishes changes. They are checked whole before anything is asked of others.
+    /// Whether a publication is in progress.
+    pub fn is_publishing(&self) -> bool {
+        self.publication.is_some()
+    }
+
+    /// Publishes changes. They are validated before any other replica is asked.
     pub fn publish(
         &mut self,
         changes: Delta,
         author: &str,
         validator: &dyn Validator,
-        out: &mut Vec<ReplicaAction>,
+        actions: &mut Vec<ReplicaAction>,
     ) {
         if self.publication.is_some() {
-            return out.push(ReplicaAction::PublicationEnded(PublishOutcome::Busy));
+            return actions.push(ReplicaAction::PublicationEnded(PublishOutcome::Busy));
         }
-        match self.revision(&changes, author, validator) {
-            Ok(revision) => self.propose(changes, author.into(), revision, out),
-            Err(outcome) => out.push(ReplicaAction::PublicationEnded(outcome)),
+        self.start_publication(changes, author.into(), validator, actions);
+    }
+
+    /// Attempts the publication in progress once more, under a new ballot: a rejection or a timeout decides nothing. The
+    /// changes are validated again, since another revision may have been decided meanwhile.
+    pub fn retry(&mut self, validator: &dyn Validator, actions: &mut Vec<ReplicaAction>) {
+        let Some(Publication { changes, author, .. }) = self.publication.take() else { return };
+        self.start_publication(changes, author, validator, actions);
+    }
+
+    /// Stops waiting for the publication in progress.
+    pub fn abandon(&mut self, actions: &mut Vec<ReplicaAction>) {
+        if self.publication.take().is_some() {
+            actions.push(ReplicaAction::PublicationEnded(PublishOutcome::NoQuorum));
+        }
+    }
+
+    fn start_publication(
+        &mut self,
+        changes: Delta,
+        author: Box<str>,
+        validator: &dyn Validator,
+        actions: &mut Vec<ReplicaAction>,
+    ) {
+        match self.next_revision(&changes, &author, validator) {
+            Ok(Some(revision)) => self.propose(changes, author, revision, actions),
+            Ok(None) => actions.push(ReplicaAction::PublicationEnded(PublishOutcome::NoChange)),
+            Err(error) => actions.push(ReplicaAction::PublicationEnded(PublishOutcome::Invalid(error))),
         }
     }
 
-    /// The revision that changes make of the present configuration.
-    fn revision(
+    /// The revision that the changes make of the current configuration, or none if they leave it as it is.
+    fn next_revision(
         &self,
         changes: &Delta,
         author: &str,
         validator: &dyn Validator,
-    ) -> Result<Revision, PublishOutcome> {
+    ) -> Result<Option<Revision>, InvalidChangeError> {
         let document = self.history.document();
-        let invalid = |reason: String| PublishOutcome::Invalid(reason);
-        let after = document.preview(changes).map_err(|reason| invalid(reason.to_string()))?;
+        let after = document.preview(changes)?;
         if after == document.digest() {
-            return Err(PublishOutcome::NoChange);
+            return Ok(None);
         }
         let mut changed = document.clone();
-        changed.apply(changes, after).map_err(|reason| invalid(reason.to_string()))?;
-        validator.validate(&changed).map_err(invalid)?;
-        Ok(Revision {
+        changed.apply(changes, after)?;
+        validator.validate(&changed)?;
+        Ok(Some(Revision {
             number: self.history.number().next(),
             before: document.digest(),
             after,
             delta: changes.clone(),
             author: author.into(),
-        })
+        }))
     }
 
     fn propose(
@@ -126,223 +159,213 @@
         changes: Delta,
         author: Box<str>,
         revision: Revision,
-        out: &mut Vec<ReplicaAction>,
+        actions: &mut Vec<ReplicaAction>,
     ) {
         self.round += 1;
-        let ballot = Ballot { round: self.round, replica: self.own };
+        let ballot = Ballot { round: self.round, replica: self.id };
         let number = revision.number;
         self.publication = Some(Publication { changes, author, proposer: Proposer::new(ballot, revision) });
-        for other in self.others() {
-            out.push(ReplicaAction::Send(other, Message::Prepare { number, ballot }));
-        }
-        self.receive(self.own, Message::Prepare { number, ballot }, out);
+        let prepare = Message::Prepare { number, ballot };
+        self.send_to_others(&prepare, actions);
+        self.receive(self.id, prepare, actions);
     }
 
-    /// Tries the publication under way once more: a refusal or a silence is no answer. `check` is asked again if another
-    /// revision was decided meanwhile.
-    pub fn retry(&mut self, validator: &dyn Validator, out: &mut Vec<ReplicaAction>) {
-        let Some(Publication { changes, author, .. }) = self.publication.take() else { return };
-        match self.revision(&changes, &author, validator) {
-            Ok(revision) => self.propose(changes, author, revision, out),
-            Err(outcome) => out.push(ReplicaAction::PublicationEnded(outcome)),
-        }
-    }
-
-    /// Gives the publication under way up.
-    pub fn abandon(&mut self, out: &mut Vec<ReplicaAction>) {
-        if self.publication.take().is_some() {
-            out.push(ReplicaAction::PublicationEnded(PublishOutcome::NoQuorum));
-        }
-    }
-
-    /// Whether a publication waits.
-    pub fn is_publishing(&self) -> bool {
-        self.publication.is_some()
-    }
-
-    /// Takes a message of a replica, or of itself. One that is not on the list has no vote and is told nothing.
-    pub fn receive(&mut self, from: ReplicaId, message: Message, out: &mut Vec<ReplicaAction>) {
+    /// Handles a message of another replica, or of this one to itself. A replica that is not part of the site has no vote
+    /// and gets no answer.
+    pub fn receive(&mut self, from: ReplicaId, message: Message, actions: &mut Vec<ReplicaAction>) {
         if !self.replicas.contains(&from) {
             return;
         }
         match message {
-            Message::Prepare { number, ballot } => self.prepare(from, number, ballot, out),
-            Message::Accept(vote) => self.accept(from, vote, out),
+            Message::Prepare { number, ballot } => self.handle_prepare(from, number, ballot, actions),
+            Message::Accept(vote) => self.handle_accept(from, vote, actions),
             Message::Promise { number, ballot, vote } => {
                 let quorum = self.quorum();
-                let Some(publication) = self.publication_on(number) else { return };
+                let Some(publication) = self.publication_of(number) else { return };
                 let progress = publication.proposer.promised(from, ballot, vote, quorum);
-                self.progress(progress, out);
+                self.advance_proposal(progress, actions);
             }
             Message::Accepted { number, ballot } => {
                 let quorum = self.quorum();
-                let Some(publication) = self.publication_on(number) else { return };
+                let Some(publication) = self.publication_of(number) else { return };
                 let progress = publication.proposer.accepted(from, ballot, quorum);
-                self.progress(progress, out);
+                self.advance_proposal(progress, actions);
             }
             Message::Rejected { number, newer } => {
                 if number == self.acceptor.number() {
                     self.round = self.round.max(newer.round);
                 }
             }
-            Message::Heartbeat { number, digest } => self.bring_up_to_date(from, number, digest, out),
-            Message::Decided(revision) => self.learn(from, revision, out),
-            Message::Snapshot { number, entries } => self.learn_snapshot(from, number, entries, out),
+            Message::Heartbeat { number, digest } => self.bring_up_to_date(from, number, digest, actions),
+            Message::Decided(revision) => self.learn(from, revision, actions),
+            Message::Snapshot { number, entries } => self.learn_snapshot(from, number, entries, actions),
+            // Only routers send it, and only to their session.
             Message::CannotApply { .. } => {}
         }
     }
 
-    fn publication_on(&mut self, number: RevisionNumber) -> Option<&mut Publication> {
-        self.publication.as_mut().filter(|p| p.proposer.number() == number)
-    }
-
-    fn answer(&mut self, to: ReplicaId, message: Message, out: &mut Vec<ReplicaAction>) {
-        if to == self.own {
-            self.receive(to, message, out);
-        } else {
-            out.push(ReplicaAction::Send(to, message));
-        }
-    }
-
-    fn prepare(
+    fn handle_prepare(
         &mut self,
         from: ReplicaId,
         number: RevisionNumber,
         ballot: Ballot,
-        out: &mut Vec<ReplicaAction>,
+        actions: &mut Vec<ReplicaAction>,
     ) {
         self.round = self.round.max(ballot.round);
         match self.acceptor.prepare(number, ballot) {
-            Answer::Promised(vote) => {
-                out.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
-                self.answer(from, Message::Promise { number, ballot, vote }, out);
+            AcceptorReply::Promised(vote) => {
+                actions.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
+                self.answer(from, Message::Promise { number, ballot, vote }, actions);
+            }
+            AcceptorReply::Rejected(newer) => {
+                self.answer(from, Message::Rejected { number, newer }, actions);
             }
-            Answer::Rejected(newer) => self.answer(from, Message::Rejected { number, newer }, out),
-            Answer::Accepted | Answer::NotNext => self.announce_head(from, number, out),
+            AcceptorReply::Accepted | AcceptorReply::NotNext => self.announce_newest(from, number, actions),
         }
     }
 
-    fn accept(&mut self, from: ReplicaId, vote: Vote, out: &mut Vec<ReplicaAction>) {
-        let (number, ballot) = (vote.revision.number, vote.ballot);
+    fn handle_accept(&mut self, from: ReplicaId, vote: Vote, actions: &mut Vec<ReplicaAction>) {
+        let number = vote.revision.number;
+        let ballot = vote.ballot;
         match self.acceptor.accept(vote) {
-            Answer::Accepted => {
-                out.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
-                self.answer(from, Message::Accepted { number, ballot }, out);
+            AcceptorReply::Accepted => {
+                actions.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
+                self.answer(from, Message::Accepted { number, ballot }, actions);
+            }
+            AcceptorReply::Rejected(newer) => {
+                self.answer(from, Message::Rejected { number, newer }, actions);
+            }
+            AcceptorReply::Promised(_) | AcceptorReply::NotNext => {
+                self.announce_newest(from, number, actions);
             }
-            Answer::Rejected(newer) => self.answer(from, Message::Rejected { number, newer }, out),
-            Answer::Promised(_) | Answer::NotNext => self.announce_head(from, number, out),
         }
     }
 
-    /// One of two replicas is behind: each tells what it holds, and the other brings it up to date.
-    fn announce_head(&mut self, to: ReplicaId, number: RevisionNumber, out: &mut Vec<ReplicaAction>) {
-        if to == self.own {
+    /// One of two replicas is behind. Each announces its newest revision, and the one ahead brings the other up to date.
+    fn announce_newest(&self, to: ReplicaId, number: RevisionNumber, actions: &mut Vec<ReplicaAction>) {
+        if to == self.id {
             return;
         }
-        if number <= self.history.number() {
-            if let Some(decided) = self.history.revision(number) {
-                return out.push(ReplicaAction::Send(to, Message::Decided(decided.clone())));
-            }
-        }
-        out.push(ReplicaAction::Send(to, self.heartbeat()));
+        let message = match self.history.revision(number) {
+            Some(decided) => Message::Decided(decided.clone()),
+            None => self.heartbeat(),
+        };
+        actions.push(ReplicaAction::Send { to, message });
     }
 
-    fn progress(&mut self, progress: Progress, out: &mut Vec<ReplicaAction>) {
+    fn advance_proposal(&mut self, progress: Progress, actions: &mut Vec<ReplicaAction>) {
         match progress {
             Progress::Waiting => {}
             Progress::Propose(vote) => {
-                for other in self.others() {
-                    out.push(ReplicaAction::Send(other, Message::Accept(vote.clone())));
-                }
-                self.receive(self.own, Message::Accept(vote), out);
+                let accept = Message::Accept(vote);
+                self.send_to_others(&accept, actions);
+                self.receive(self.id, accept, actions);
             }
             Progress::Decided(revision) => {
-                for other in self.others() {
-                    out.push(ReplicaAction::Send(other, Message::Decided(revision.clone())));
-                }
-                self.learn(self.own, revision, out);
+                self.send_to_others(&Message::Decided(revision.clone()), actions);
+                self.learn(self.id, revision, actions);
             }
         }
     }
 
     fn bring_up_to_date(
-        &mut self,
-        from: ReplicaId,
+        &self,
+        to: ReplicaId,
         number: RevisionNumber,
-        digest: crate::digest::Digest,
-        out: &mut Vec<ReplicaAction>,
+        digest: Digest,
+        actions: &mut Vec<ReplicaAction>,
     ) {
         if number > self.history.number() {
-            return out.push(ReplicaAction::Send(from, self.heartbeat()));
+            return actions.push(ReplicaAction::Send { to, message: self.heartbeat() });
         }
         match self.history.catch_up(number, digest) {
             CatchUp::Current => {}
             CatchUp::Revisions(revisions) => {
-                out.extend(revisions.into_iter().map(|r| ReplicaAction::Send(from, Message::Decided(r))));
+                let send = |revision| ReplicaAction::Send { to, message: Message::Decided(revision) };
+                actions.extend(revisions.into_iter().map(send));
             }
-            CatchUp::Diverged => out.push(ReplicaAction::Diverged(from, number)),
+            CatchUp::Diverged => actions.push(ReplicaAction::Diverged { replica: to, number }),
             CatchUp::Snapshot => {
-                let snapshot = Message::snapshot(self.history.number(), self.history.document());
-                out.push(ReplicaAction::Send(from, snapshot));
+                let message = Message::snapshot(self.history.number(), self.history.document());
+                actions.push(ReplicaAction::Send { to, message });
             }
         }
     }
 
-    fn learn(&mut self, from: ReplicaId, revision: Revision, out: &mut Vec<ReplicaAction>) {
+    fn learn(&mut self, from: ReplicaId, revision: Revision, actions: &mut Vec<ReplicaAction>) {
         let number = revision.number;
-        let ours = self.history.revision(number).map(|ours| *ours == revision);
+        let contradicts_known = self.history.revision(number).is_some_and(|known| *known != revision);
         match self.history.append(revision.clone()) {
             Ok(()) => {
-                out.push(ReplicaAction::PersistRevision(revision.clone()));
-                self.advance(out);
-                self.end_own_publication(&revision, out);
+                actions.push(ReplicaAction::PersistRevision(revision.clone()));
+                self.start_next_number(actions);
+                self.end_publication_of(&revision, actions);
             }
-            Err(HistoryError::NotNext(_)) if ours == Some(false) => {
-                out.push(ReplicaAction::Diverged(from, number))
+            Err(HistoryError::NotNext { .. }) if contradicts_known => {
+                actions.push(ReplicaAction::Diverged { replica: from, number });
             }
-            Err(HistoryError::NotNext(held)) if held < number && from != self.own => {
-                out.push(ReplicaAction::Send(from, self.heartbeat()));
+            Err(HistoryError::NotNext { current, .. }) if current < number && from != self.id => {
+                actions.push(ReplicaAction::Send { to: from, message: self.heartbeat() });
             }
-            Err(HistoryError::NotNext(_)) => {}
-            Err(HistoryError::Diverged | HistoryError::Invalid(_)) => {
-                out.push(ReplicaAction::Diverged(from, number))
+            Err(HistoryError::NotNext { .. }) => {}
+            Err(HistoryError::Diverged { .. } | HistoryError::Invalid { .. }) => {
+                actions.push(ReplicaAction::Diverged { replica: from, number });
             }
         }
     }
 
-    /// Votes are on the next number from now on.
-    fn advance(&mut self, out: &mut Vec<ReplicaAction>) {
-        self.acceptor = Acceptor::after(self.history.number());
-        self.round = 0;
-        out.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
-    }
-
-    /// A number is decided: our publication is over if it was ours, and waits for its next try if not.
-    fn end_own_publication(&mut self, decided: &Revision, out: &mut Vec<ReplicaAction>) {
-        let ours = self.publication.as_ref().is_some_and(|p| {
-            p.proposer.number() == decided.number && p.changes == decided.delta && p.author == decided.author
-        });
-        if ours {
-            self.publication = None;
-            out.push(ReplicaAction::PublicationEnded(PublishOutcome::Published(decided.number)));
-        }
-    }
-
     fn learn_snapshot(
         &mut self,
         from: ReplicaId,
         number: RevisionNumber,
-        entries: Vec<crate::document::Entry>,
-        out: &mut Vec<ReplicaAction>,
+        entries: Vec<Entry>,
+        actions: &mut Vec<ReplicaAction>,
     ) {
         if number <= self.history.number() {
             return;
         }
         let Ok(document) = Document::new(entries) else {
-            return out.push(ReplicaAction::Diverged(from, number));
+            return actions.push(ReplicaAction::Diverged { replica: from, number });
         };
         self.history = History::new(number, document, Retention::default());
-        out.push(ReplicaAction::PersistSnapshot(number));
-        self.advance(out);
+        actions.push(ReplicaAction::PersistSnapshot(number));
+        self.start_next_number(actions);
+    }
+
+    /// A number was decided: from now on, votes are on the next one.
+    fn start_next_number(&mut self, actions: &mut Vec<ReplicaAction>) {
+        self.acceptor = Acceptor::after(self.history.number());
+        self.round = 0;
+        actions.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
+    }
+
+    /// Ends the publication in progress if the decided revision is its own; otherwise it waits for its next attempt.
+    fn end_publication_of(&mut self, decided: &Revision, actions: &mut Vec<ReplicaAction>) {
+        if self.publication.as_ref().is_some_and(|publication| publication.is_decided_by(decided)) {
+            self.publication = None;
+            let outcome = PublishOutcome::Published(decided.number);
+            actions.push(ReplicaAction::PublicationEnded(outcome));
+        }
+    }
+
+    fn quorum(&self) -> Quorum {
+        Quorum::of(self.replicas.len())
+    }
+
+    fn publication_of(&mut self, number: RevisionNumber) -> Option<&mut Publication> {
+        self.publication.as_mut().filter(|publication| publication.proposer.number() == number)
+    }
+
+    fn send_to_others(&self, message: &Message, actions: &mut Vec<ReplicaAction>) {
+        let others = self.replicas.iter().copied().filter(|replica| *replica != self.id);
+        actions.extend(others.map(|to| ReplicaAction::Send { to, message: message.clone() }));
+    }
+
+    fn answer(&mut self, to: ReplicaId, message: Message, actions: &mut Vec<ReplicaAction>) {
+        if to == self.id {
+            self.receive(to, message, actions);
+        } else {
+            actions.push(ReplicaAction::Send { to, message });
+        }
     }
 }
--- /dev/null
+++ b/crates/control/src/simulation/control.rs
@@ -0,0 +1,175 @@
+//! What happens at the simulated control replicas.
+
+use super::network::Event;
+use super::nodes::{ControlNode, Disk};
+use super::{Simulation, HEARTBEAT_INTERVAL, SECOND};
+use crate::ballot::ReplicaId;
+use crate::document::Delta;
+use crate::message::Message;
+use crate::publication::PublishOutcome;
+use crate::replica::{Replica, ReplicaAction};
+use crate::revision::Revision;
+use crate::sessions::{SessionId, SubscriberSessions};
+use crate::subscriber::Input;
+use crate::time::Micros;
+
+/// A publication that is not decided is retried after at least this, and a random time more.
+const MIN_RETRY_DELAY: Micros = 200_000;
+const RETRY_JITTER: Micros = 300_000;
+/// It is abandoned after this.
+const PUBLICATION_TIMEOUT: Micros = 10 * SECOND;
+
+impl Simulation<'_> {
+    /// A replica's process ends, and its connections with it.
+    pub fn kill(&mut self, replica: ReplicaId) {
+        if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
+            control.is_running = false;
+            control.requested_at = None;
+            control.sessions = SubscriberSessions::default();
+        }
+        for index in 0..self.routers.len() {
+            if self.routers.get(index).is_some_and(|router| router.is_connected_to(replica)) {
+                self.router_input(index, Input::Disconnected);
+            }
+        }
+    }
+
+    /// A replica's process starts again from its disk, or from an older copy of it.
+    pub fn start(&mut self, replica: ReplicaId, old_disk: Option<Disk>) {
+        let replicas = self.controls.len() as u8;
+        let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
+        if let Some(old_disk) = old_disk {
+            control.disk = old_disk;
+        }
+        let Disk { history, votes } = control.disk.clone();
+        control.replica = Replica::new(replica, replicas, history, votes);
+        control.is_running = true;
+        self.schedule(0, Event::Heartbeat { replica });
+    }
+
+    /// A copy of a replica's disk.
+    pub fn disk(&self, replica: ReplicaId) -> Option<Disk> {
+        self.controls.get(usize::from(replica.0)).map(|control| control.disk.clone())
+    }
+
+    fn running(&mut self, replica: ReplicaId) -> Option<&mut ControlNode> {
+        self.controls.get_mut(usize::from(replica.0)).filter(|control| control.is_running)
+    }
+
+    pub(super) fn send_heartbeat(&mut self, replica: ReplicaId) {
+        let Some(control) = self.running(replica) else { return };
+        let heartbeat = control.replica.heartbeat();
+        for other in (0..self.controls.len() as u8).map(ReplicaId) {
+            if other != replica {
+                self.send_to_replica(replica, other, &heartbeat);
+            }
+        }
+        self.schedule(HEARTBEAT_INTERVAL, Event::Heartbeat { replica });
+    }
+
+    pub(super) fn start_publication(&mut self, replica: ReplicaId, changes: Delta) {
+        let requested_at = self.now;
+        let validator = self.validator;
+        let Some(control) = self.running(replica) else {
+            return self.outcomes.push(PublishOutcome::NoQuorum);
+        };
+        if control.requested_at.is_some() {
+            return self.outcomes.push(PublishOutcome::Busy);
+        }
+        control.requested_at = Some(requested_at);
+        let mut actions = Vec::new();
+        let author = format!("operator at {}", replica.0);
+        control.replica.publish(changes, &author, validator, &mut actions);
+        self.carry_out(replica, actions);
+        self.schedule_retry(replica);
+        self.schedule(PUBLICATION_TIMEOUT, Event::Abandon { replica, requested_at });
+    }
+
+    pub(super) fn retry_publication(&mut self, replica: ReplicaId) {
+        let validator = self.validator;
+        let Some(control) = self.running(replica).filter(|control| control.replica.is_publishing()) else {
+            return;
+        };
+        let mut actions = Vec::new();
+        control.replica.retry(validator, &mut actions);
+        self.carry_out(replica, actions);
+        self.schedule_retry(replica);
+    }
+
+    fn schedule_retry(&mut self, replica: ReplicaId) {
+        let delay = MIN_RETRY_DELAY + self.random.below(RETRY_JITTER);
+        self.schedule(delay, Event::Retry { replica });
+    }
+
+    pub(super) fn abandon_publication(&mut self, replica: ReplicaId, requested_at: Micros) {
+        let is_same = |control: &&mut ControlNode| control.requested_at == Some(requested_at);
+        let control = self.controls.get_mut(usize::from(replica.0)).filter(is_same);
+        let Some(control) = control else { return };
+        let mut actions = Vec::new();
+        control.replica.abandon(&mut actions);
+        self.carry_out(replica, actions);
+    }
+
+    pub(super) fn replica_receives(&mut self, from: ReplicaId, to: ReplicaId, bytes: &[u8]) {
+        let Ok(message) = Message::decode(&self.key, bytes) else { return };
+        let Some(control) = self.running(to) else { return };
+        let mut actions = Vec::new();
+        control.replica.receive(from, message, &mut actions);
+        self.carry_out(to, actions);
+    }
+
+    fn carry_out(&mut self, replica: ReplicaId, actions: Vec<ReplicaAction>) {
+        for action in actions {
+            let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
+            match action {
+                ReplicaAction::Send { to, message } => self.send_to_replica(replica, to, &message),
+                ReplicaAction::PersistVotes(votes) => control.disk.votes = Some(votes),
+                ReplicaAction::PersistRevision(revision) => self.persist_revision(replica, &revision),
+                ReplicaAction::PersistSnapshot(_) => control.disk.history = control.replica.history().clone(),
+                ReplicaAction::PublicationEnded(outcome) => self.end_publication(replica, outcome),
+                ReplicaAction::Diverged { .. } => self.diverged += 1,
+            }
+        }
+    }
+
+    fn persist_revision(&mut self, replica: ReplicaId, revision: &Revision) {
+        let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
+        // Can't fail where the replica itself has appended it.
+        let _ = control.disk.history.append(revision.clone());
+        let mut messages = Vec::new();
+        control.sessions.broadcast(revision, &mut messages);
+        let known = self.decided.insert(revision.number, revision.id());
+        self.conflicts += u64::from(known.is_some_and(|known| known != revision.id()));
+        self.send_to_routers(replica, messages);
+    }
+
+    fn end_publication(&mut self, replica: ReplicaId, outcome: PublishOutcome) {
+        let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
+        if let (PublishOutcome::Published(number), Some(requested_at)) =
+            (&outcome, control.requested_at.take())
+        {
+            self.requested_at.insert(*number, requested_at);
+        }
+        self.outcomes.push(outcome);
+    }
+
+    pub(super) fn tick_sessions(&mut self) {
+        let now = self.now;
+        for replica in (0..self.controls.len() as u8).map(ReplicaId) {
+            let Some(control) = self.running(replica) else { continue };
+            let mut messages = Vec::new();
+            control.sessions.tick(now, control.replica.history(), &mut messages);
+            self.send_to_routers(replica, messages);
+        }
+    }
+
+    pub(super) fn session_receives(&mut self, replica: ReplicaId, session: SessionId, bytes: &[u8]) {
+        let Ok(message) = Message::decode(&self.key, bytes) else { return };
+        let now = self.now;
+        let Some(control) = self.running(replica) else { return };
+        let mut messages = Vec::new();
+        control.sessions.receive(session, now, message, control.replica.history(), &mut messages);
+        self.send_to_routers(replica, messages);
+        self.tick_sessions();
+    }
+}
--- a/crates/control/src/simulation/mod.rs
+++ b/crates/control/src/simulation/mod.rs
@@ -1,90 +1,73 @@
-//! Control replicas and routers in fed time, with a network that can be cut: the same code that sockets would drive, the
-//! same result for the same seed. Messages are encoded, sealed and read as on a wire.
+//! A deterministic simulation of control replicas and routers: time is fed, the network can be partitioned, and the same seed
+//! gives the same run. The code is the same that sockets would drive; messages are encoded, tagged and decoded as on a wire.
 
+mod control;
+mod network;
 mod nodes;
 mod routers;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use self::nodes::{ControlNode, Disk};
-pub use self::nodes::{InForce, RouterNode};
-use crate::acceptor::Acceptor;
+use self::network::Event;
+use self::nodes::ControlNode;
+pub use self::nodes::{Disk, Head, RecordingApplier, RouterNode};
 use crate::authentication::SiteKey;
 use crate::ballot::ReplicaId;
 use crate::document::{Delta, Document};
 use crate::history::{History, Retention};
-use crate::message::Message;
 use crate::publication::{PublishOutcome, Validator};
-use crate::replica::{Replica, ReplicaAction};
-use crate::revision::RevisionNumber;
-use crate::sessions::{SessionId, SubscriberSessions};
-use crate::subscriber::{Input, Subscriber};
+use crate::random::Xorshift64;
+use crate::revision::{RevisionId, RevisionNumber};
+use crate::sessions::SessionId;
+use crate::subscriber::Input;
 use crate::time::Micros;
 
-/// A second of the model's time.
+/// A second of simulated time.
 pub const SECOND: Micros = 1_000_000;
-/// On the way within a region, and between two.
-const NEAR: Micros = 1_000;
-const FAR: Micros = 10_000;
-/// Machines greet each other so often.
+/// Replicas send heartbeats to each other this often.
 const HEARTBEAT_INTERVAL: Micros = SECOND;
-/// A publication that is not decided is tried again after so long, and so much more by a draw.
-const RETRY: Micros = 200_000;
-const RETRY_DRAW: Micros = 300_000;
-/// ... and given up after so long.
-const GIVE_UP: Micros = 10 * SECOND;
-/// Bytes of a frame before its message.
-const FRAME_BYTES: u64 = 4;
 
-/// What happens later.
+/// An event with its time. Events of the same time happen in the order in which they were scheduled.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Event {
-    ToReplica(ReplicaId, ReplicaId, Vec<u8>),
-    /// On this connection.
-    FromRouter(ReplicaId, SessionId, Vec<u8>),
-    ToRouter(SessionId, Vec<u8>),
-    Stands(usize, ReplicaId),
-    Fails(usize, ReplicaId),
-    Heartbeat(ReplicaId),
-    Publish(ReplicaId, Delta),
-    Retry(ReplicaId),
-    GiveUp(ReplicaId, Micros),
+struct ScheduledEvent {
+    at: Micros,
+    sequence: u64,
+    event: Event,
 }
 
-/// All of it.
+/// Control replicas, routers and the network between them.
 pub struct Simulation<'a> {
     now: Micros,
-    order: u64,
-    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    scheduled: u64,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     controls: Vec<ControlNode>,
-    /// Routers, the even ones in the first region.
+    /// All routers; those with an even index are in the first region.
     pub routers: Vec<RouterNode>,
-    by_connection: BTreeMap<SessionId, usize>,
-    next_connection: u64,
+    router_by_session: BTreeMap<SessionId, usize>,
+    next_session: u64,
     key: SiteKey,
     validator: &'a dyn Validator,
-    random: u64,
-    /// The regions do not reach each other.
-    pub cut: bool,
-    /// When each number's change was asked for.
-    pub asked: BTreeMap<RevisionNumber, Micros>,
-    /// How long each change took to be in force at each router, µs.
-    pub spread: Vec<Micros>,
-    /// What came of publications.
+    random: Xorshift64,
+    /// Whether the two regions are cut off from each other.
+    pub partitioned: bool,
+    /// When each revision was requested.
+    pub requested_at: BTreeMap<RevisionNumber, Micros>,
+    /// For each revision and router, the time from the request until the router applied it.
+    pub apply_delays: Vec<Micros>,
+    /// How each publication ended.
     pub outcomes: Vec<PublishOutcome>,
-    /// Told by replicas or routers: another content under a number.
+    /// How often a replica or a router reported other content under a number.
     pub diverged: u64,
-    /// What was decided, by number.
-    decided: BTreeMap<RevisionNumber, crate::revision::RevisionId>,
-    /// Numbers that were decided twice: none.
+    decided: BTreeMap<RevisionNumber, RevisionId>,
+    /// How often a number was decided with other content than before: has to stay 0.
     pub conflicts: u64,
-    /// Bytes that control replicas got and sent.
+    /// Bytes that control replicas received and sent.
     pub control_bytes: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// So many replicas and routers, all of which hold this.
+    /// So many replicas and routers, all of which have this document.
     pub fn new(
         replicas: u8,
         routers: usize,
@@ -93,306 +76,102 @@
         seed: u64,
     ) -> Self {
         let history = History::new(RevisionNumber(0), document.clone(), Retention::default());
-        let control = |n: u8| ControlNode {
-            replica: Replica::new(ReplicaId(n), replicas, history.clone(), None),
-            sessions: SubscriberSessions::default(),
-            disk: Disk { history: history.clone(), votes: None },
-            up: true,
-            asked: None,
-        };
-        let router = |n: usize| RouterNode {
-            subscriber: Subscriber::new(RevisionNumber(0), document.clone(), replicas, seed + n as u64),
-            in_force: InForce::default(),
-            connection: None,
-            bytes: 0,
-            work_ns: 0,
-            newest: RevisionNumber(0),
-            went_back: 0,
-        };
+        let control = |index: u8| ControlNode::new(ReplicaId(index), replicas, &history);
+        let router = |index: usize| RouterNode::new(document, replicas, seed + index as u64);
         let mut simulation = Self {
             now: SECOND,
-            order: 0,
+            scheduled: 0,
             events: BinaryHeap::new(),
             controls: (0..replicas).map(control).collect(),
             routers: (0..routers).map(router).collect(),
-            by_connection: BTreeMap::new(),
-            next_connection: 0,
+            router_by_session: BTreeMap::new(),
+            next_session: 0,
             key: SiteKey::new([7; 32]),
             validator,
-            random: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
-            cut: false,
-            asked: BTreeMap::new(),
-            spread: Vec::new(),
+            random: Xorshift64::new(seed),
+            partitioned: false,
+            requested_at: BTreeMap::new(),
+            apply_delays: Vec::new(),
             outcomes: Vec::new(),
             diverged: 0,
             decided: BTreeMap::new(),
             conflicts: 0,
             control_bytes: 0,
         };
-        for n in 0..replicas {
-            simulation.later(
-                HEARTBEAT_INTERVAL / u64::from(replicas) * u64::from(n),
-                Event::Heartbeat(ReplicaId(n)),
-            );
+        for index in 0..replicas {
+            let after = HEARTBEAT_INTERVAL / u64::from(replicas) * u64::from(index);
+            simulation.schedule(after, Event::Heartbeat { replica: ReplicaId(index) });
         }
         simulation
     }
 
-    /// The model's time.
+    /// The simulated time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    fn draw(&mut self, most: u64) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random % most.max(1)
-    }
-
-    fn later(&mut self, after: Micros, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((self.now + after, self.order, event)));
-    }
-
-    /// An operator asks a replica for a change.
+    /// An operator requests a change of a replica, `after` from now.
     pub fn publish(&mut self, replica: ReplicaId, changes: Delta, after: Micros) {
-        self.later(after, Event::Publish(replica, changes));
-    }
-
-    /// A replica's process ends, and its connections with it.
-    pub fn kill(&mut self, replica: ReplicaId) {
-        if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
-            control.up = false;
-            control.asked = None;
-            control.sessions = SubscriberSessions::default();
-        }
-        for n in 0..self.routers.len() {
-            if self.routers.get(n).is_some_and(|r| r.connection.is_some_and(|(to, _)| to == replica)) {
-                self.router_input(n, Input::Disconnected);
-            }
-        }
-    }
-
-    /// It comes back with its disk, or with a copy of it from a time at which it held an older number.
-    pub fn start(&mut self, replica: ReplicaId, old_disk: Option<(History, Option<Acceptor>)>) {
-        let replicas = self.controls.len() as u8;
-        let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
-        if let Some((history, votes)) = old_disk {
-            control.disk = Disk { history, votes };
-        }
-        let disk = control.disk.clone();
-        control.replica = Replica::new(replica, replicas, disk.history, disk.votes);
-        control.up = true;
-        self.later(0, Event::Heartbeat(replica));
-    }
-
-    /// A copy of a replica's disk.
-    pub fn disk(&self, replica: ReplicaId) -> Option<(History, Option<Acceptor>)> {
-        let control = self.controls.get(usize::from(replica.0))?;
-        Some((control.disk.history.clone(), control.disk.votes.clone()))
+        self.schedule(after, Event::Publish { replica, changes });
     }
 
     /// The newest number that a replica knows.
     pub fn number(&self, replica: ReplicaId) -> Option<RevisionNumber> {
-        self.controls.get(usize::from(replica.0)).map(|c| c.replica.number())
+        self.controls.get(usize::from(replica.0)).map(|control| control.replica.number())
     }
 
-    /// The digests of all replicas that run and of all routers.
-    pub fn digests(&self) -> BTreeSet<(RevisionNumber, crate::digest::Digest)> {
-        let replicas = self.controls.iter().filter(|c| c.up);
-        let replicas = replicas.map(|c| (c.replica.number(), c.replica.history().document().digest()));
-        let routers = self.routers.iter().map(|r| (r.subscriber.number(), r.subscriber.document().digest()));
+    /// The different states of all running replicas and of all routers: one if all agree.
+    pub fn heads(&self) -> BTreeSet<Head> {
+        let running = self.controls.iter().filter(|control| control.is_running);
+        let replicas = running.map(|control| Head::of_history(control.replica.history()));
+        let routers = self.routers.iter().map(|router| Head::of_subscriber(&router.subscriber));
         replicas.chain(routers).collect()
     }
 
-    /// Goes on for a span.
+    /// Runs for a span of simulated time.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
-            let event = self.events.peek().map(|Reverse((at, ..))| *at);
-            let router = (0..self.routers.len())
-                .filter_map(|n| Some((self.routers.get(n)?.subscriber.next_due(), n)))
-                .min();
-            let session_due =
-                self.controls.iter().filter(|c| c.up).filter_map(|c| c.sessions.next_due()).min();
-            let next = [event, router.map(|r| r.0), session_due].into_iter().flatten().min();
+            let event_due = self.events.peek().map(|Reverse(next)| next.at);
+            let router_due = self.next_due_router();
+            let sessions_due = self.next_due_sessions();
+            let router_due_at = router_due.map(|due| due.at);
+            let next = [event_due, router_due_at, sessions_due].into_iter().flatten().min();
             let Some(next) = next.filter(|at| *at <= end) else { break };
             self.now = self.now.max(next);
-            if event == Some(next) {
-                if let Some(Reverse((_, _, event))) = self.events.pop() {
-                    self.take(event);
+            if event_due == Some(next) {
+                if let Some(Reverse(scheduled)) = self.events.pop() {
+                    self.handle(scheduled.event);
                 }
-            } else if let Some((_, n)) = router.filter(|(at, _)| *at == next) {
-                self.router_input(n, Input::Tick);
+            } else if let Some(due) = router_due.filter(|due| due.at == next) {
+                self.router_input(due.router, Input::Tick);
             } else {
-                self.session_ticks();
+                self.tick_sessions();
             }
         }
         self.now = end;
     }
 
-    fn region(&self, replica: ReplicaId) -> usize {
-        usize::from(usize::from(replica.0) >= self.controls.len().div_ceil(2))
-    }
-
-    /// How long between two regions; none: they don't reach each other.
-    fn way(&mut self, a: usize, b: usize) -> Option<Micros> {
-        let far = a != b;
-        if far && self.cut {
-            return None;
-        }
-        let way = if far { FAR } else { NEAR };
-        Some(way + self.draw(way))
-    }
-
-    fn take(&mut self, event: Event) {
-        match event {
-            Event::ToReplica(from, to, bytes) => self.at_replica(from, to, &bytes),
-            Event::FromRouter(replica, connection, bytes) => self.at_sessions(replica, connection, &bytes),
-            Event::ToRouter(connection, bytes) => {
-                if let Some(n) = self.by_connection.get(&connection).copied() {
-                    self.at_router(n, &bytes);
-                }
-            }
-            Event::Stands(n, replica) => self.stands(n, replica),
-            Event::Fails(n, replica) => {
-                let waits = self.routers.get(n).is_some_and(|r| r.subscriber.replica() == (replica, false));
-                if waits {
-                    self.router_input(n, Input::Disconnected);
-                }
-            }
-            Event::Heartbeat(replica) => self.send_heartbeat(replica),
-            Event::Publish(replica, changes) => self.ask(replica, changes),
-            Event::Retry(replica) => self.retry(replica),
-            Event::GiveUp(replica, asked) => {
-                let is_same = |c: &&mut ControlNode| c.asked.as_ref().is_some_and(|(at, _)| *at == asked);
-                if let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(is_same) {
-                    let mut out = Vec::new();
-                    control.replica.abandon(&mut out);
-                    self.carry_out(replica, out);
-                }
-            }
-        }
-    }
-
-    fn send_heartbeat(&mut self, replica: ReplicaId) {
-        let Some(control) = self.controls.get(usize::from(replica.0)).filter(|c| c.up) else { return };
-        let greeting = control.replica.heartbeat();
-        for n in 0..self.controls.len() as u8 {
-            if ReplicaId(n) != replica {
-                self.send_replica(replica, ReplicaId(n), &greeting);
-            }
-        }
-        self.later(HEARTBEAT_INTERVAL, Event::Heartbeat(replica));
-    }
-
-    fn ask(&mut self, replica: ReplicaId, changes: Delta) {
-        let (now, validator) = (self.now, self.validator);
-        let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up) else {
-            return self.outcomes.push(PublishOutcome::NoQuorum);
-        };
-        if control.asked.is_some() {
-            return self.outcomes.push(PublishOutcome::Busy);
-        }
-        control.asked = Some((now, changes.clone()));
-        let mut out = Vec::new();
-        control.replica.publish(changes, &format!("operator at {}", replica.0), validator, &mut out);
-        self.carry_out(replica, out);
-        let pause = RETRY + self.draw(RETRY_DRAW);
-        self.later(pause, Event::Retry(replica));
-        self.later(GIVE_UP, Event::GiveUp(replica, now));
-    }
-
-    fn retry(&mut self, replica: ReplicaId) {
-        let validator = self.validator;
-        let publishing = |c: &&mut ControlNode| c.up && c.replica.is_publishing();
-        let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(publishing) else { return };
-        let mut out = Vec::new();
-        control.replica.retry(validator, &mut out);
-        self.carry_out(replica, out);
-        let pause = RETRY + self.draw(RETRY_DRAW);
-        self.later(pause, Event::Retry(replica));
-    }
-
-    fn send_replica(&mut self, from: ReplicaId, to: ReplicaId, message: &Message) {
-        let Some(way) = self.way(self.region(from), self.region(to)) else { return };
-        let bytes = message.encode(&self.key);
-        self.control_bytes += 2 * (bytes.len() as u64 + FRAME_BYTES);
-        self.later(way, Event::ToReplica(from, to, bytes));
+    fn next_due_router(&self) -> Option<DueRouter> {
+        let due = |(router, node): (usize, &RouterNode)| DueRouter { at: node.subscriber.next_due(), router };
+        self.routers.iter().enumerate().map(due).min()
     }
 
-    fn at_replica(&mut self, from: ReplicaId, to: ReplicaId, bytes: &[u8]) {
-        let Ok(message) = Message::decode(&self.key, bytes) else { return };
-        let Some(control) = self.controls.get_mut(usize::from(to.0)).filter(|c| c.up) else { return };
-        let mut out = Vec::new();
-        control.replica.receive(from, message, &mut out);
-        self.carry_out(to, out);
+    fn next_due_sessions(&self) -> Option<Micros> {
+        let running = self.controls.iter().filter(|control| control.is_running);
+        running.filter_map(|control| control.sessions.next_due()).min()
     }
 
-    fn carry_out(&mut self, replica: ReplicaId, out: Vec<ReplicaAction>) {
-        for output in out {
-            let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
-            match output {
-                ReplicaAction::Send(to, message) => self.send_replica(replica, to, &message),
-                ReplicaAction::PersistVotes(votes) => control.disk.votes = Some(votes),
-                ReplicaAction::PersistRevision(revision) => {
-                    // The disk follows the replica, which has taken it.
-                    let _ = control.disk.history.append(revision.clone());
-                    let mut messages = Vec::new();
-                    control.sessions.broadcast(&revision, &mut messages);
-                    let known = self.decided.insert(revision.number, revision.id());
-                    self.conflicts += u64::from(known.is_some_and(|known| known != revision.id()));
-                    self.send_routers(replica, messages);
-                }
-                ReplicaAction::PersistSnapshot(_) => control.disk.history = control.replica.history().clone(),
-                ReplicaAction::PublicationEnded(outcome) => {
-                    if let (PublishOutcome::Published(number), Some((at, _))) =
-                        (&outcome, control.asked.take())
-                    {
-                        self.asked.insert(*number, at);
-                    }
-                    control.asked = None;
-                    self.outcomes.push(outcome);
-                }
-                ReplicaAction::Diverged(..) => self.diverged += 1,
-            }
-        }
-    }
-
-    fn send_routers(&mut self, replica: ReplicaId, messages: Vec<(SessionId, Message)>) {
-        let mut last: Option<(Message, Vec<u8>)> = None;
-        for (connection, message) in messages {
-            // One message to many is sealed once.
-            let bytes = match last.take().filter(|(same, _)| *same == message) {
-                Some((_, bytes)) => bytes,
-                None => message.encode(&self.key),
-            };
-            last = Some((message, bytes.clone()));
-            let Some(n) = self.by_connection.get(&connection).copied() else { continue };
-            let Some(way) = self.way(self.region(replica), n % 2) else { continue };
-            self.control_bytes += bytes.len() as u64 + FRAME_BYTES;
-            self.later(way, Event::ToRouter(connection, bytes));
-        }
-    }
-
-    fn session_ticks(&mut self) {
-        let now = self.now;
-        for n in 0..self.controls.len() {
-            let Some(control) = self.controls.get_mut(n).filter(|c| c.up) else { continue };
-            let mut messages = Vec::new();
-            control.sessions.tick(now, control.replica.history(), &mut messages);
-            self.send_routers(ReplicaId(n as u8), messages);
-        }
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.scheduled += 1;
+        let at = self.now + after;
+        self.events.push(Reverse(ScheduledEvent { at, sequence: self.scheduled, event }));
     }
+}
 
-    fn at_sessions(&mut self, replica: ReplicaId, connection: SessionId, bytes: &[u8]) {
-        let Ok(message) = Message::decode(&self.key, bytes) else { return };
-        let now = self.now;
-        let Some(control) = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up) else { return };
-        let mut messages = Vec::new();
-        control.sessions.receive(connection, now, message, control.replica.history(), &mut messages);
-        self.send_routers(replica, messages);
-        self.session_ticks();
-    }
+/// The router that is due first; the one with the lower index if two are due at the same time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct DueRouter {
+    at: Micros,
+    router: usize,
 }
--- a/crates/control/src/simulation/nodes.rs
+++ b/crates/control/src/simulation/nodes.rs
@@ -1,69 +1,128 @@
-//! The replicas and routers of the simulation.
+//! The state of the simulated replicas and routers.
 
 use std::collections::BTreeSet;
 
 use crate::acceptor::Acceptor;
 use crate::ballot::ReplicaId;
+use crate::digest::Digest;
 use crate::document::{Delta, Document};
 use crate::history::History;
 use crate::replica::Replica;
 use crate::revision::RevisionNumber;
 use crate::sessions::{SessionId, SubscriberSessions};
-use crate::subscriber::{Apply, Subscriber};
+use crate::subscriber::{Apply, ApplyError, Subscriber};
 use crate::time::Micros;
 
-/// A router that puts all in force and counts it.
+/// A router's configuration, which accepts every revision except chosen ones.
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
-    /// Numbers that this router can't put in force.
-    pub refuses: BTreeSet<RevisionNumber>,
+pub struct RecordingApplier {
+    /// The revisions that this router can't apply.
+    pub rejects: BTreeSet<RevisionNumber>,
 }
 
-impl Apply for InForce {
-    fn apply(&mut self, number: RevisionNumber, _delta: &Delta) -> Result<(), String> {
-        match self.refuses.contains(&number) {
-            true => Err("this router can't".into()),
-            false => Ok(()),
+impl Apply for RecordingApplier {
+    fn apply(&mut self, number: RevisionNumber, _delta: &Delta) -> Result<(), ApplyError> {
+        if self.rejects.contains(&number) {
+            return Err(ApplyError::new("this router can't"));
         }
+        Ok(())
     }
 
-    fn apply_snapshot(&mut self, _number: RevisionNumber, _document: &Document) -> Result<(), String> {
+    fn apply_snapshot(&mut self, _number: RevisionNumber, _document: &Document) -> Result<(), ApplyError> {
         Ok(())
     }
 }
 
-/// What a replica has on its disk.
+/// What a replica has stored.
 #[derive(Debug, Clone)]
-pub(super) struct Disk {
-    pub(super) history: History,
-    pub(super) votes: Option<Acceptor>,
+pub struct Disk {
+    /// The decided revisions.
+    pub history: History,
+    /// The votes on the next one.
+    pub votes: Option<Acceptor>,
+}
+
+/// The newest revision of a replica or router, and the digest of its document.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Head {
+    /// The revision's number.
+    pub number: RevisionNumber,
+    /// The document's digest.
+    pub digest: Digest,
+}
+
+impl Head {
+    pub(super) fn of_history(history: &History) -> Self {
+        Self { number: history.number(), digest: history.document().digest() }
+    }
+
+    pub(super) fn of_subscriber(subscriber: &Subscriber) -> Self {
+        Self { number: subscriber.number(), digest: subscriber.document().digest() }
+    }
 }
 
-/// A control replica of the simulation.
+/// A simulated control replica.
 #[derive(Debug)]
 pub(super) struct ControlNode {
     pub(super) replica: Replica,
     pub(super) sessions: SubscriberSessions,
     pub(super) disk: Disk,
-    pub(super) up: bool,
-    /// The publication under way: when it was asked for, and what it changes.
-    pub(super) asked: Option<(Micros, Delta)>,
+    pub(super) is_running: bool,
+    /// When the publication in progress was requested.
+    pub(super) requested_at: Option<Micros>,
+}
+
+impl ControlNode {
+    pub(super) fn new(id: ReplicaId, replicas: u8, history: &History) -> Self {
+        Self {
+            replica: Replica::new(id, replicas, history.clone(), None),
+            sessions: SubscriberSessions::default(),
+            disk: Disk { history: history.clone(), votes: None },
+            is_running: true,
+            requested_at: None,
+        }
+    }
 }
 
-/// A router of the simulation.
+/// The connection of a simulated router.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct RouterConnection {
+    pub(super) replica: ReplicaId,
+    pub(super) session: SessionId,
+}
+
+/// A simulated router.
 #[derive(Debug)]
 pub struct RouterNode {
-    /// Its link.
+    /// Its subscription.
     pub subscriber: Subscriber,
-    /// What it puts in force.
-    pub in_force: InForce,
-    pub(super) connection: Option<(ReplicaId, SessionId)>,
-    /// Bytes that it got and sent.
+    /// Its configuration.
+    pub applier: RecordingApplier,
+    pub(super) connection: Option<RouterConnection>,
+    /// Bytes that it received and sent.
     pub bytes: u64,
-    /// Micros that its own work took, ns of the real clock.
+    /// Real time that its own work took, in ns.
     pub work_ns: u64,
-    /// The newest number in force, and those that went back.
+    /// The newest revision that it applied.
     pub newest: RevisionNumber,
-    /// How often an older number was put in force: never.
-    pub went_back: u64,
+    /// How often it applied a revision that was not newer: has to stay 0.
+    pub regressions: u64,
+}
+
+impl RouterNode {
+    pub(super) fn new(document: &Document, replicas: u8, seed: u64) -> Self {
+        Self {
+            subscriber: Subscriber::new(RevisionNumber(0), document.clone(), replicas, seed),
+            applier: RecordingApplier::default(),
+            connection: None,
+            bytes: 0,
+            work_ns: 0,
+            newest: RevisionNumber(0),
+            regressions: 0,
+        }
+    }
+
+    pub(super) fn is_connected_to(&self, replica: ReplicaId) -> bool {
+        self.connection.is_some_and(|connection| connection.replica == replica)
+    }
 }
--- a/crates/control/src/simulation/routers.rs
+++ b/crates/control/src/simulation/routers.rs
@@ -1,8 +1,10 @@
-//! What happens at the model's routers.
+//! What happens at the simulated routers.
 
 use std::time::Instant;
 
-use super::{Event, Simulation, FRAME_BYTES};
+use super::network::{region_of_router, Event, FRAME_BYTES};
+use super::nodes::RouterConnection;
+use super::Simulation;
 use crate::ballot::ReplicaId;
 use crate::document::Document;
 use crate::message::Message;
@@ -11,116 +13,124 @@
 use crate::subscriber::{Action, Input, Subscriber};
 
 impl Simulation<'_> {
-    /// A router's process ends and comes back with what it kept, or with nothing.
-    pub fn restart_router(&mut self, n: usize, keeps: bool, seed: u64) {
+    /// A router's process restarts with the configuration that it has stored, or with none.
+    pub fn restart_router(&mut self, index: usize, has_stored: bool, seed: u64) {
         let replicas = self.controls.len() as u8;
-        let Some(router) = self.routers.get_mut(n) else { return };
-        if let Some((replica, connection)) = router.connection.take() {
-            self.by_connection.remove(&connection);
-            if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
-                control.sessions.close(connection);
-            }
-        }
-        let (number, document) = match keeps {
-            true => (router.subscriber.number(), router.subscriber.document().clone()),
-            false => (RevisionNumber(0), Document::default()),
+        self.close_session(index);
+        let Some(router) = self.routers.get_mut(index) else { return };
+        let (number, document) = if has_stored {
+            (router.subscriber.number(), router.subscriber.document().clone())
+        } else {
+            (RevisionNumber(0), Document::default())
         };
         router.subscriber = Subscriber::new(number, document, replicas, seed);
         router.newest = number;
     }
 
-    pub(super) fn at_router(&mut self, n: usize, bytes: &[u8]) {
-        let Some(router) = self.routers.get_mut(n) else { return };
+    /// Ends the connection of a router at both sides, without reporting it to the router.
+    fn close_session(&mut self, index: usize) {
+        let Some(router) = self.routers.get_mut(index) else { return };
+        let Some(RouterConnection { replica, session }) = router.connection.take() else { return };
+        self.router_by_session.remove(&session);
+        if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
+            control.sessions.close(session);
+        }
+    }
+
+    pub(super) fn router_receives(&mut self, index: usize, bytes: &[u8]) {
+        let Some(router) = self.routers.get_mut(index) else { return };
         router.bytes += bytes.len() as u64 + FRAME_BYTES;
-        let start = Instant::now();
+        let started = Instant::now();
         let message = Message::decode(&self.key, bytes);
-        router.work_ns += start.elapsed().as_nanos() as u64;
+        router.work_ns += started.elapsed().as_nanos() as u64;
         if let Ok(message) = message {
-            self.router_input(n, Input::Message(Box::new(message)));
+            self.router_input(index, Input::Message(Box::new(message)));
         }
     }
 
-    pub(super) fn stands(&mut self, n: usize, replica: ReplicaId) {
-        let now = self.now;
-        let waits = self.routers.get(n).is_some_and(|r| r.subscriber.replica() == (replica, false));
-        if !waits {
+    /// Whether a router still waits for a connection to this replica.
+    pub(super) fn is_connecting(&self, index: usize, replica: ReplicaId) -> bool {
+        let Some(router) = self.routers.get(index) else { return false };
+        router.subscriber.replica() == replica && !router.subscriber.is_connected()
+    }
+
+    pub(super) fn router_connected(&mut self, index: usize, replica: ReplicaId) {
+        if !self.is_connecting(index, replica) {
             return;
         }
-        let connection = SessionId(self.next_connection);
-        self.next_connection += 1;
-        let control = self.controls.get_mut(usize::from(replica.0)).filter(|c| c.up);
-        if !control.is_some_and(|c| c.sessions.open(connection, now)) {
-            return self.router_input(n, Input::Disconnected);
+        let now = self.now;
+        let session = SessionId(self.next_session);
+        self.next_session += 1;
+        let control = self.controls.get_mut(usize::from(replica.0)).filter(|control| control.is_running);
+        let is_open = control.is_some_and(|control| control.sessions.open(session, now).is_ok());
+        if !is_open {
+            return self.router_input(index, Input::Disconnected);
         }
-        if let Some(router) = self.routers.get_mut(n) {
-            router.connection = Some((replica, connection));
+        if let Some(router) = self.routers.get_mut(index) {
+            router.connection = Some(RouterConnection { replica, session });
         }
-        self.by_connection.insert(connection, n);
-        self.router_input(n, Input::Connected);
+        self.router_by_session.insert(session, index);
+        self.router_input(index, Input::Connected);
     }
 
-    pub(super) fn router_input(&mut self, n: usize, input: Input) {
+    pub(super) fn router_input(&mut self, index: usize, input: Input) {
         let now = self.now;
-        let Some(router) = self.routers.get_mut(n) else { return };
         if input == Input::Disconnected {
-            if let Some((replica, connection)) = router.connection.take() {
-                self.by_connection.remove(&connection);
-                if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
-                    control.sessions.close(connection);
-                }
-            }
+            self.close_session(index);
         }
+        let Some(router) = self.routers.get_mut(index) else { return };
         let mut actions = Vec::new();
-        let start = Instant::now();
-        router.subscriber.handle(now, input, &mut router.in_force, &mut actions);
-        router.work_ns += start.elapsed().as_nanos() as u64;
+        let started = Instant::now();
+        router.subscriber.handle(now, input, &mut router.applier, &mut actions);
+        router.work_ns += started.elapsed().as_nanos() as u64;
         for action in actions {
-            self.act(n, action);
+            self.carry_out_for_router(index, action);
         }
     }
 
-    fn act(&mut self, n: usize, action: Action) {
-        let now = self.now;
+    fn carry_out_for_router(&mut self, index: usize, action: Action) {
         match action {
-            Action::Connect(replica) => {
-                let up = self.controls.get(usize::from(replica.0)).is_some_and(|c| c.up);
-                match (self.way(n % 2, self.region(replica)), up) {
-                    (Some(way), true) => self.later(2 * way, Event::Stands(n, replica)),
-                    (Some(way), false) => self.later(2 * way, Event::Fails(n, replica)),
-                    // Nothing is said in a cut.
-                    (None, _) => {}
-                }
-            }
-            Action::Send(message) => self.send_from_router(n, &message),
-            Action::Close => {
-                let Some(router) = self.routers.get_mut(n) else { return };
-                if let Some((replica, connection)) = router.connection.take() {
-                    self.by_connection.remove(&connection);
-                    if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
-                        control.sessions.close(connection);
-                    }
-                }
-            }
-            Action::Applied(number) => {
-                let asked = self.asked.get(&number).copied();
-                if let Some(router) = self.routers.get_mut(n) {
-                    router.went_back += u64::from(number <= router.newest);
-                    router.newest = number;
-                }
-                self.spread.extend(asked.map(|at| now - at));
-            }
-            Action::Rejected(..) => {}
-            Action::Diverged(..) => self.diverged += 1,
+            Action::Connect(replica) => self.connect(index, replica),
+            Action::Send(message) => self.send_from_router(index, &message),
+            Action::Close => self.close_session(index),
+            Action::Applied(number) => self.record_applied(index, number),
+            Action::Rejected { .. } => {}
+            Action::Diverged { .. } => self.diverged += 1,
         }
     }
 
-    fn send_from_router(&mut self, n: usize, message: &Message) {
+    /// A connection takes a round trip. Within a partition nothing arrives, and the router runs into its timeout.
+    fn connect(&mut self, index: usize, replica: ReplicaId) {
+        let control = self.controls.get(usize::from(replica.0));
+        let is_running = control.is_some_and(|control| control.is_running);
+        let delay = self.delay(region_of_router(index), self.region_of_replica(replica));
+        let Some(delay) = delay else { return };
+        let event = if is_running {
+            Event::Connected { router: index, replica }
+        } else {
+            Event::ConnectFailed { router: index, replica }
+        };
+        self.schedule(2 * delay, event);
+    }
+
+    fn record_applied(&mut self, index: usize, number: RevisionNumber) {
+        let requested_at = self.requested_at.get(&number).copied();
+        if let Some(router) = self.routers.get_mut(index) {
+            router.regressions += u64::from(number <= router.newest);
+            router.newest = number;
+        }
+        self.apply_delays.extend(requested_at.map(|requested_at| self.now - requested_at));
+    }
+
+    fn send_from_router(&mut self, index: usize, message: &Message) {
         let bytes = message.encode(&self.key);
-        let Some(router) = self.routers.get_mut(n) else { return };
+        let Some(router) = self.routers.get_mut(index) else { return };
         router.bytes += bytes.len() as u64 + FRAME_BYTES;
-        let Some((replica, connection)) = router.connection else { return };
-        let Some(way) = self.way(n % 2, self.region(replica)) else { return };
+        let Some(RouterConnection { replica, session }) = router.connection else { return };
+        let Some(delay) = self.delay(region_of_router(index), self.region_of_replica(replica)) else {
+            return;
+        };
         self.control_bytes += bytes.len() as u64 + FRAME_BYTES;
-        self.later(way, Event::FromRouter(replica, connection, bytes));
+        self.schedule(delay, Event::SessionReceives { replica, session, bytes });
     }
 }
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,179 +1,194 @@
-//! A router's link to the control replicas: one connection at a time, moved on from one that is silent.
+//! A router's subscription to the configuration: it follows one control replica at a time and fails over to the next.
 
 use crate::ballot::ReplicaId;
-use crate::document::{Delta, Document};
+use crate::connection::{Connection, CONNECT_TIMEOUT, HEARTBEAT_INTERVAL};
+use crate::document::{Delta, Document, DocumentError, Entry};
 use crate::learner::{LearnOutcome, Learner};
 use crate::message::Message;
-use crate::revision::RevisionNumber;
+use crate::random::Xorshift64;
+use crate::revision::{Revision, RevisionNumber};
 use crate::time::Micros;
 
-/// The router says what it holds so often; the replica answers with what it holds itself.
-const HEARTBEAT_INTERVAL: Micros = 3_000_000;
-/// A replica that has said nothing for so long after a greeting is left for the next one.
-const HEARTBEAT_TIMEOUT: Micros = 2_000_000;
-/// A connection has so long to stand.
-const CONNECT_TIMEOUT: Micros = 1_000_000;
-/// Before the next try after a lost connection: so long at least, and up to twice as long for each try in a row.
+/// The backoff before a reconnection: at least this long, and a random part that doubles with each failed attempt.
 const MIN_BACKOFF: Micros = 250_000;
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Numbers that are held back are remembered up to so many; the oldest go first.
+/// How many rejected revisions are remembered; the oldest are dropped first.
 const MAX_REJECTED: usize = 64;
 
-/// What puts a configuration in force.
+/// Applies a configuration to the router.
 pub trait Apply {
-    /// Puts changes in force, all of them or none. Costs what the changes do.
+    /// Applies the changes of a revision: all of them or none. Should cost as much as the changes, not the configuration.
     ///
     /// # Errors
-    /// Says why this router can't.
-    fn apply(&mut self, number: RevisionNumber, delta: &Delta) -> Result<(), String>;
+    /// This router can't apply them.
+    fn apply(&mut self, number: RevisionNumber, delta: &Delta) -> Result<(), ApplyError>;
 
-    /// Puts a whole in force.
+    /// Replaces the configuration by a complete one.
     ///
     /// # Errors
-    /// Says why this router can't.
-    fn apply_snapshot(&mut self, number: RevisionNumber, document: &Document) -> Result<(), String>;
+    /// This router can't apply it.
+    fn apply_snapshot(&mut self, number: RevisionNumber, document: &Document) -> Result<(), ApplyError>;
 }
 
-/// What happens.
+/// Why a router can't apply a configuration.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{message}")]
+pub struct ApplyError {
+    /// What is wrong, for an operator.
+    pub message: String,
+}
+
+impl ApplyError {
+    /// An error with this message.
+    pub fn new(message: impl Into<String>) -> Self {
+        Self { message: message.into() }
+    }
+}
+
+/// Why a revision or a snapshot is skipped.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum RejectedRevisionError {
+    /// It does not fit the configuration before it, or exceeds a limit.
+    #[error(transparent)]
+    Invalid(#[from] DocumentError),
+    /// The router can't apply it.
+    #[error(transparent)]
+    NotApplicable(#[from] ApplyError),
+}
+
+/// What the caller reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// The connection that was asked for stands.
+    /// The requested connection is established.
     Connected,
-    /// It does not, or is lost.
+    /// The connection failed or was closed by the other side.
     Disconnected,
-    /// A message came on it.
+    /// A message was received.
     Message(Box<Message>),
     /// Time has passed.
     Tick,
 }
 
-/// What is to be done, in order.
+/// What the caller has to do, in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Connect to this replica; there is no other connection.
     Connect(ReplicaId),
-    /// Send on the connection.
+    /// Send a message on the connection.
     Send(Message),
     /// Close the connection.
     Close,
-    /// This number is in force since now: keep it as the last known good.
+    /// This revision was applied: store the configuration as the last known good one.
     Applied(RevisionNumber),
-    /// This number is held back, for this reason: an operator is told.
-    Rejected(RevisionNumber, String),
-    /// The replica tells another history than is held: an operator is told, and another replica asked.
-    Diverged(ReplicaId, RevisionNumber),
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Connection {
-    /// None; the next try is due then.
-    None {
-        retry: Micros,
-    },
-    Connecting {
-        until: Micros,
+    /// This revision is skipped: notify an operator.
+    Rejected {
+        /// The revision's number.
+        number: RevisionNumber,
+        /// What is wrong with it.
+        error: RejectedRevisionError,
     },
-    Open {
-        received_at: Micros,
-        heartbeat_sent_at: Micros,
+    /// The replica has another history than this router: notify an operator. Another replica is tried.
+    Diverged {
+        /// The replica.
+        replica: ReplicaId,
+        /// The number with other content.
+        number: RevisionNumber,
     },
 }
 
-/// One router's link.
+/// One router's subscription, without input or output of its own.
 #[derive(Debug, Clone)]
 pub struct Subscriber {
     learner: Learner,
-    replicas: u8,
+    replica_count: u8,
     replica: ReplicaId,
     connection: Connection,
-    attempts: u32,
-    random: u64,
+    /// Connections that failed in a row.
+    failed_attempts: u32,
+    random: Xorshift64,
     rejected: Vec<RevisionNumber>,
 }
 
 impl Subscriber {
-    /// A link that begins with what the router holds. The seed spreads routers over replicas and times.
-    pub fn new(number: RevisionNumber, document: Document, replicas: u8, seed: u64) -> Self {
-        let mut subscriber = Self {
+    /// A subscription that starts from the configuration that the router has. The seed spreads routers over replicas and
+    /// over time.
+    pub fn new(number: RevisionNumber, document: Document, replica_count: u8, seed: u64) -> Self {
+        let replica_count = replica_count.max(1);
+        let mut random = Xorshift64::new(seed);
+        let replica = ReplicaId(random.below(u64::from(replica_count)) as u8);
+        Self {
             learner: Learner::new(number, document),
-            replicas: replicas.max(1),
-            replica: ReplicaId(0),
-            connection: Connection::None { retry: 0 },
-            attempts: 0,
-            // Never 0, from which nothing is drawn.
-            random: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
+            replica_count,
+            replica,
+            connection: Connection::Closed { retry_at: 0 },
+            failed_attempts: 0,
+            random,
             rejected: Vec::new(),
-        };
-        subscriber.replica = ReplicaId(subscriber.draw(u64::from(subscriber.replicas)) as u8);
-        subscriber
+        }
     }
 
-    /// The newest number that is held.
+    /// The newest number that was learned.
     pub fn number(&self) -> RevisionNumber {
         self.learner.number()
     }
 
-    /// What is held.
+    /// The newest configuration that was learned.
     pub fn document(&self) -> &Document {
         self.learner.document()
     }
 
-    /// Numbers that could not be put in force.
+    /// The revisions that were skipped.
     pub fn rejected(&self) -> &[RevisionNumber] {
         &self.rejected
     }
 
-    /// The replica that is asked, and whether the connection to it stands.
-    pub fn replica(&self) -> (ReplicaId, bool) {
-        (self.replica, matches!(self.connection, Connection::Open { .. }))
+    /// The replica that is followed, or that is to be tried next.
+    pub fn replica(&self) -> ReplicaId {
+        self.replica
     }
 
-    /// When [`Input::Tick`] is next needed.
-    pub fn next_due(&self) -> Micros {
-        match self.connection {
-            Connection::None { retry } => retry,
-            Connection::Connecting { until } => until,
-            Connection::Open { received_at, heartbeat_sent_at } if received_at < heartbeat_sent_at => {
-                heartbeat_sent_at + HEARTBEAT_TIMEOUT
-            }
-            Connection::Open { heartbeat_sent_at, .. } => heartbeat_sent_at + HEARTBEAT_INTERVAL,
-        }
+    /// Whether the connection to [`Self::replica`] is established.
+    pub fn is_connected(&self) -> bool {
+        matches!(self.connection, Connection::Open { .. })
     }
 
-    /// xorshift: below `most`.
-    fn draw(&mut self, most: u64) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random % most.max(1)
+    /// When [`Input::Tick`] has to be reported next.
+    pub fn next_due(&self) -> Micros {
+        self.connection.next_due()
     }
 
-    /// Takes an input.
+    /// Handles an input.
     pub fn handle(&mut self, now: Micros, input: Input, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
         match input {
             Input::Connected => self.send_heartbeat(now, now, actions),
-            Input::Disconnected => self.lost(now),
-            Input::Message(message) => self.message(now, *message, apply, actions),
+            Input::Disconnected => self.fail_over(now),
+            Input::Message(message) => self.receive(now, *message, apply, actions),
             Input::Tick => self.tick(now, actions),
         }
     }
 
-    fn send_heartbeat(&mut self, now: Micros, received_at: Micros, actions: &mut Vec<Action>) {
-        let (number, digest) = (self.learner.number(), self.learner.document().digest());
-        // A greeting later than it is: routers that began together get out of step.
-        let jitter = self.draw(HEARTBEAT_INTERVAL / 10);
-        self.connection =
-            Connection::Open { received_at, heartbeat_sent_at: now.saturating_sub(jitter).max(1) };
+    fn send_heartbeat(&mut self, now: Micros, last_received_at: Micros, actions: &mut Vec<Action>) {
+        // Recorded earlier than it is by a random time: routers that started together do not stay in step.
+        let jitter = self.random.below(HEARTBEAT_INTERVAL / 10);
+        let last_heartbeat_at = now.saturating_sub(jitter).max(1);
+        self.connection = Connection::Open { last_received_at, last_heartbeat_at };
+        let number = self.learner.number();
+        let digest = self.learner.document().digest();
         actions.push(Action::Send(Message::Heartbeat { number, digest }));
     }
 
-    /// The next replica, after a pause that grows with the attempts and is drawn from a span that does.
-    fn lost(&mut self, now: Micros) {
-        self.replica = ReplicaId((self.replica.0 + 1) % self.replicas);
-        let span = MIN_BACKOFF << self.attempts.min(MAX_BACKOFF_DOUBLINGS);
-        self.attempts = self.attempts.saturating_add(1);
-        let retry = now + MIN_BACKOFF + self.draw(span);
-        self.connection = Connection::None { retry };
+    /// Moves on to the next replica after a backoff.
+    fn fail_over(&mut self, now: Micros) {
+        self.replica = ReplicaId((self.replica.0 + 1) % self.replica_count);
+        let jitter_limit = MIN_BACKOFF << self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS);
+        self.failed_attempts = self.failed_attempts.saturating_add(1);
+        let retry_at = now + MIN_BACKOFF + self.random.below(jitter_limit);
+        self.connection = Connection::Closed { retry_at };
+    }
+
+    fn close_and_fail_over(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        actions.push(Action::Close);
+        self.fail_over(now);
     }
 
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
@@ -181,79 +196,111 @@
             return;
         }
         match self.connection {
-            Connection::None { .. } => {
-                self.connection = Connection::Connecting { until: now + CONNECT_TIMEOUT };
+            Connection::Closed { .. } => {
+                self.connection = Connection::Connecting { deadline: now + CONNECT_TIMEOUT };
                 actions.push(Action::Connect(self.replica));
             }
-            Connection::Open { received_at, heartbeat_sent_at } if received_at >= heartbeat_sent_at => {
-                self.send_heartbeat(now, received_at, actions)
-            }
-            Connection::Connecting { .. } | Connection::Open { .. } => {
-                actions.push(Action::Close);
-                self.lost(now);
+            Connection::Open { last_received_at, .. } if !self.connection.awaits_answer() => {
+                self.send_heartbeat(now, last_received_at, actions);
             }
+            Connection::Connecting { .. } | Connection::Open { .. } => self.close_and_fail_over(now, actions),
         }
     }
 
-    fn message(&mut self, now: Micros, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
-        let Connection::Open { heartbeat_sent_at, .. } = self.connection else { return };
-        self.connection = Connection::Open { received_at: now.max(heartbeat_sent_at), heartbeat_sent_at };
-        self.attempts = 0;
+    fn receive(&mut self, now: Micros, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
+        let Connection::Open { last_heartbeat_at, .. } = self.connection else { return };
+        let last_received_at = now.max(last_heartbeat_at);
+        self.connection = Connection::Open { last_received_at, last_heartbeat_at };
+        self.failed_attempts = 0;
         match message {
-            Message::Decided(revision) => {
-                let (number, delta) = (revision.number, revision.delta.clone());
-                let outcome = self.learner.learn(revision);
-                self.learned(now, outcome, number, |number| apply.apply(number, &delta), actions);
-            }
+            Message::Decided(revision) => self.learn_revision(now, revision, apply, actions),
             Message::Snapshot { number, entries } => {
-                let outcome = match Document::new(entries) {
-                    Ok(document) => self.learner.learn_snapshot(number, document),
-                    Err(reason) => LearnOutcome::Invalid(reason.to_string()),
-                };
-                let document = self.learner.document().clone();
-                self.learned(now, outcome, number, |number| apply.apply_snapshot(number, &document), actions);
-            }
-            Message::Heartbeat { number, .. } if number < self.learner.number() => {
-                // A replica that is behind: it will catch up, and tells nothing new until then.
+                self.learn_snapshot(now, number, entries, apply, actions);
             }
+            // A heartbeat says where the replica is: if this router lacks anything, that follows as a message of its own.
+            // Replicas exchange the others among themselves.
             _ => {}
         }
     }
 
-    fn learned(
+    fn learn_revision(
+        &mut self,
+        now: Micros,
+        revision: Revision,
+        apply: &mut dyn Apply,
+        actions: &mut Vec<Action>,
+    ) {
+        let number = revision.number;
+        let delta = revision.delta.clone();
+        match self.learner.learn(revision) {
+            LearnOutcome::Applied => self.record_result(number, apply.apply(number, &delta), actions),
+            other => self.recover(now, number, other, actions),
+        }
+    }
+
+    fn learn_snapshot(
         &mut self,
         now: Micros,
-        outcome: LearnOutcome,
         number: RevisionNumber,
-        apply: impl FnOnce(RevisionNumber) -> Result<(), String>,
+        entries: Vec<Entry>,
+        apply: &mut dyn Apply,
+        actions: &mut Vec<Action>,
+    ) {
+        let outcome = match Document::new(entries) {
+            Ok(document) => self.learner.learn_snapshot(number, document),
+            Err(error) => LearnOutcome::Invalid(error),
+        };
+        match outcome {
+            LearnOutcome::Applied => {
+                let result = apply.apply_snapshot(number, self.learner.document());
+                self.record_result(number, result, actions);
+            }
+            other => self.recover(now, number, other, actions),
+        }
+    }
+
+    fn record_result(
+        &mut self,
+        number: RevisionNumber,
+        result: Result<(), ApplyError>,
+        actions: &mut Vec<Action>,
+    ) {
+        match result {
+            Ok(()) => actions.push(Action::Applied(number)),
+            Err(error) => self.reject(number, error.into(), actions),
+        }
+    }
+
+    /// Reacts to a revision or snapshot that was not learned.
+    fn recover(
+        &mut self,
+        now: Micros,
+        number: RevisionNumber,
+        outcome: LearnOutcome,
         actions: &mut Vec<Action>,
     ) {
         match outcome {
-            LearnOutcome::Applied => match apply(number) {
-                Ok(()) => actions.push(Action::Applied(number)),
-                Err(reason) => self.reject(number, reason, actions),
-            },
-            LearnOutcome::Stale => {}
-            // What is missing is asked for at once.
+            LearnOutcome::Applied | LearnOutcome::Stale => {}
+            // The answer to a heartbeat is what is missing.
             LearnOutcome::Gap => self.send_heartbeat(now, now, actions),
             LearnOutcome::Diverged => {
-                actions.extend([Action::Diverged(self.replica, number), Action::Close]);
-                self.lost(now);
+                actions.push(Action::Diverged { replica: self.replica, number });
+                self.close_and_fail_over(now, actions);
             }
-            LearnOutcome::Invalid(reason) => {
-                self.reject(number, reason, actions);
-                actions.push(Action::Close);
-                self.lost(now);
+            LearnOutcome::Invalid(error) => {
+                self.reject(number, error.into(), actions);
+                self.close_and_fail_over(now, actions);
             }
         }
     }
 
-    fn reject(&mut self, number: RevisionNumber, reason: String, actions: &mut Vec<Action>) {
+    fn reject(&mut self, number: RevisionNumber, error: RejectedRevisionError, actions: &mut Vec<Action>) {
         if self.rejected.len() >= MAX_REJECTED {
             self.rejected.remove(0);
         }
         self.rejected.push(number);
-        actions.push(Action::Send(Message::CannotApply { number, reason: reason.as_str().into() }));
-        actions.push(Action::Rejected(number, reason));
+        let reason = error.to_string().into();
+        actions.push(Action::Send(Message::CannotApply { number, reason }));
+        actions.push(Action::Rejected { number, error });
     }
 }
--- a/crates/control/src/time.rs
+++ b/crates/control/src/time.rs
@@ -1,4 +1,4 @@
 //! Time as the state machines of this package see it.
 
-/// A time by a monotonic clock, µs.
+/// Microseconds of a monotonic clock. The caller reads the clock; nothing in this package does.
 pub type Micros = u64;
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -25,9 +25,9 @@
 pub struct NothingBad;
 
 impl Validator for NothingBad {
-    fn validate(&self, document: &Document) -> Result<(), String> {
+    fn validate(&self, document: &Document) -> Result<(), ValidationError> {
         match document.get("bad") {
-            Some(_) => Err("`bad` is not known; take another name".into()),
+            Some(_) => Err(ValidationError::new("`bad` is not known; take another name")),
             None => Ok(()),
         }
     }
@@ -123,7 +123,7 @@
     fn carry_out(&mut self, replica: usize, out: Vec<ReplicaAction>) {
         for output in out {
             match output {
-                ReplicaAction::Send(to, message) => self.on_their_way.push((id(replica), to, message)),
+                ReplicaAction::Send { to, message } => self.on_their_way.push((id(replica), to, message)),
                 ReplicaAction::PersistVotes(votes) => {
                     self.old_disks[replica] = self.disks[replica].clone();
                     self.disks[replica].votes = Some(votes);
@@ -141,7 +141,7 @@
                     self.disks[replica].history = self.replicas[replica].history().clone()
                 }
                 ReplicaAction::PublicationEnded(outcome) => self.outcomes.push(outcome),
-                ReplicaAction::Diverged(..) => self.diverged += 1,
+                ReplicaAction::Diverged { .. } => self.diverged += 1,
             }
         }
     }
--- a/crates/control/tests/learner.rs
+++ b/crates/control/tests/learner.rs
@@ -5,6 +5,10 @@
 use chalkyard_control::*;
 use proptest::prelude::*;
 
+/// The file's tag does not match: it was changed or truncated, or belongs to another site.
+const NOT_AUTHENTIC: KnownGoodError =
+    KnownGoodError::Corrupt { cause: CorruptionCause::NotAuthentic(AuthenticationError) };
+
 fn entry(n: usize, value: &str) -> Entry {
     Entry { key: format!("tenants/tenant[t{n:05}]").into(), value: value.into() }
 }
@@ -68,7 +72,9 @@
     assert!(matches!(learner.learn(wrong), LearnOutcome::Invalid(_)));
     let mut missing = next(RevisionNumber(3), learner.document(), set(5, "x"));
     missing.delta = Delta(vec![Change::Remove("nobody".into())]);
-    assert!(matches!(learner.learn(missing), LearnOutcome::Invalid(reason) if reason.contains("nobody")));
+    assert!(
+        matches!(learner.learn(missing), LearnOutcome::Invalid(reason) if reason.to_string().contains("nobody"))
+    );
     assert_eq!(learner, before);
     assert_eq!(
         learner.learn_snapshot(RevisionNumber(7), Document::new([entry(1, "all")]).unwrap()),
@@ -80,13 +86,13 @@
 #[test]
 fn bounds_of_a_document_and_a_delta_are_kept() {
     let long = "x".repeat(64 * 1024);
-    assert!(matches!(Document::new([entry(1, &long)]), Err(DocumentError::EntryTooLong(_))));
+    assert!(matches!(Document::new([entry(1, &long)]), Err(DocumentError::EntryTooLong { .. })));
     let document = Document::default();
-    assert!(matches!(document.preview(&set(1, &long)), Err(DocumentError::EntryTooLong(_))));
+    assert!(matches!(document.preview(&set(1, &long)), Err(DocumentError::EntryTooLong { .. })));
     let many = Delta((0..10_001).map(|n| Change::Set(entry(n, "x"))).collect());
-    assert_eq!(document.preview(&many), Err(DocumentError::TooManyChanges(10_001)));
+    assert_eq!(document.preview(&many), Err(DocumentError::TooManyChanges { count: 10_001 }));
     let twice = Delta(vec![Change::Set(entry(1, "x")), Change::Set(entry(1, "y"))]);
-    assert!(matches!(document.preview(&twice), Err(DocumentError::DuplicateKey(_))));
+    assert!(matches!(document.preview(&twice), Err(DocumentError::DuplicateKey { .. })));
     let big = "x".repeat(60 * 1024);
     let too_long = (0..600).map(|n| entry(n, &big));
     assert_eq!(Document::new(too_long), Err(DocumentError::DocumentTooLong));
@@ -103,7 +109,7 @@
     for at in 8..bytes.len() {
         let mut damaged = bytes.clone();
         damaged[at] ^= 1;
-        assert_eq!(KnownGood::decode(&key, &damaged), Err(KnownGoodError::Corrupt), "byte {at}");
+        assert_eq!(KnownGood::decode(&key, &damaged), Err(NOT_AUTHENTIC), "byte {at}");
     }
     for length in 0..bytes.len() {
         assert!(KnownGood::decode(&key, &bytes[..length]).is_err(), "cut at {length}");
@@ -112,7 +118,7 @@
     later[7] = b'2';
     assert_eq!(KnownGood::decode(&key, &later), Err(KnownGoodError::UnsupportedVersion));
     assert_eq!(KnownGood::decode(&key, b"<chalkyard/>"), Err(KnownGoodError::UnknownFormat));
-    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(KnownGoodError::Corrupt));
+    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(NOT_AUTHENTIC));
 }
 
 fn message() -> Message {
--- a/crates/control/tests/recorded_runs.rs
+++ b/crates/control/tests/recorded_runs.rs
@@ -21,7 +21,9 @@
     match outcome {
         PublishOutcome::Published(number) => format!("published-{number}"),
         PublishOutcome::NoChange => "no-change".into(),
-        PublishOutcome::Invalid(reason) => format!("invalid-{}", Digest::of_bytes(reason.as_bytes())),
+        PublishOutcome::Invalid(reason) => {
+            format!("invalid-{}", Digest::of_bytes(reason.to_string().as_bytes()))
+        }
         PublishOutcome::Busy => "busy".into(),
         PublishOutcome::NoQuorum => "no-quorum".into(),
     }
@@ -37,7 +39,7 @@
     let document =
         Document::new((0..40).map(|n| entry(&format!("tenants/tenant[t{n:05}]"), "<tenant/>"))).unwrap();
     let mut simulation = Simulation::new(REPLICAS, 12, &document, &NothingBad, seed);
-    simulation.routers[3].in_force.refuses.insert(RevisionNumber(2));
+    simulation.routers[3].applier.rejects.insert(RevisionNumber(2));
     simulation.run(3 * SECOND);
     for n in 0..8 {
         simulation.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND / 4);
@@ -55,23 +57,23 @@
     simulation.start(ReplicaId(2), old_disk);
     simulation.publish(ReplicaId(2), change(22), 0);
     simulation.run(15 * SECOND);
-    simulation.cut = true;
+    simulation.partitioned = true;
     simulation.publish(ReplicaId(3), change(23), SECOND);
     simulation.run(20 * SECOND);
-    simulation.cut = false;
+    simulation.partitioned = false;
     for n in 0..12 {
         simulation.restart_router(n, n % 2 == 0, 1_000 + seed * 100 + n as u64);
     }
     simulation.run(20 * SECOND);
-    let spread: Vec<u8> = simulation.spread.iter().flat_map(|took| took.to_le_bytes()).collect();
+    let spread: Vec<u8> = simulation.apply_delays.iter().flat_map(|took| took.to_le_bytes()).collect();
     let router_bytes: u64 = simulation.routers.iter().map(|r| r.bytes).sum();
     let digests: Vec<String> =
-        simulation.digests().iter().map(|(n, digest)| format!("{n}:{digest}")).collect();
+        simulation.heads().iter().map(|head| format!("{}:{}", head.number, head.digest)).collect();
     format!(
         "model-{seed} {} {} {} {} {} {}",
         outcomes(&simulation.outcomes),
         Digest::of_bytes(&spread),
-        simulation.spread.len(),
+        simulation.apply_delays.len(),
         simulation.control_bytes,
         router_bytes,
         digests.join(",")
--- a/crates/control/tests/simulation.rs
+++ b/crates/control/tests/simulation.rs
@@ -28,12 +28,12 @@
 /// What has to hold at the end of every case: no number twice, none goes back, all hold the same.
 fn sound(simulation: &Simulation<'_>, seed: u64) {
     assert_eq!((simulation.conflicts, simulation.diverged), (0, 0), "seed {seed}");
-    assert!(simulation.routers.iter().all(|r| r.went_back == 0), "seed {seed}: a router went back");
-    assert_eq!(simulation.digests().len(), 1, "seed {seed}: {:?}", simulation.digests());
+    assert!(simulation.routers.iter().all(|r| r.regressions == 0), "seed {seed}: a router went back");
+    assert_eq!(simulation.heads().len(), 1, "seed {seed}: {:?}", simulation.heads());
 }
 
 fn in_time(simulation: &Simulation<'_>, most: Micros, seed: u64) {
-    let slowest = simulation.spread.iter().max().copied().unwrap_or(0);
+    let slowest = simulation.apply_delays.iter().max().copied().unwrap_or(0);
     assert!(slowest <= most, "seed {seed}: {slowest} us");
 }
 
@@ -52,7 +52,7 @@
         }
         simulation.run(40 * SECOND);
         assert_eq!(published(&simulation), 20, "seed {seed}: {:?}", simulation.outcomes);
-        assert_eq!(simulation.spread.len(), 20 * ROUTERS);
+        assert_eq!(simulation.apply_delays.len(), 20 * ROUTERS);
         in_time(&simulation, SECOND, seed);
         sound(&simulation, seed);
     }
@@ -139,17 +139,17 @@
         let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
         simulation.publish(ReplicaId(0), change(0), 5 * SECOND);
         simulation.run(10 * SECOND);
-        simulation.cut = true;
+        simulation.partitioned = true;
         simulation.publish(ReplicaId(0), change(1), SECOND);
         simulation.publish(ReplicaId(3), change(2), SECOND);
         simulation.run(3_600 * SECOND);
         assert_eq!(simulation.outcomes.last(), Some(&PublishOutcome::NoQuorum), "seed {seed}");
         assert!(simulation.routers.iter().all(|r| r.subscriber.number() == RevisionNumber(1)), "seed {seed}");
         assert!(
-            simulation.routers.iter().all(|r| r.subscriber.replica().1),
+            simulation.routers.iter().all(|r| r.subscriber.is_connected()),
             "each router has a replica of its region"
         );
-        simulation.cut = false;
+        simulation.partitioned = false;
         simulation.publish(ReplicaId(2), change(3), 2 * SECOND);
         simulation.run(30 * SECOND);
         assert!(
@@ -186,7 +186,7 @@
 fn a_change_that_is_wrong_or_that_one_router_cannot_apply_stops_nothing() {
     let document = document();
     let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, 1);
-    simulation.routers[5].in_force.refuses.insert(RevisionNumber(1));
+    simulation.routers[5].applier.rejects.insert(RevisionNumber(1));
     simulation.run(5 * SECOND);
     simulation.publish(ReplicaId(0), Delta(vec![Change::Set(entry("bad", "x"))]), 0);
     for n in 0..3 {
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -18,6 +18,14 @@
 const MESSAGE_DOMAIN: &str = "chalkyard-control-1";
 const KNOWN_GOOD_DOMAIN: &str = "chalkyard-known-good-1";
 
+/// The file's tag does not match: it was changed or truncated, or belongs to another site.
+const NOT_AUTHENTIC: KnownGoodError =
+    KnownGoodError::Corrupt { cause: CorruptionCause::NotAuthentic(AuthenticationError) };
+
+fn corrupt(cause: CorruptionCause) -> KnownGoodError {
+    KnownGoodError::Corrupt { cause }
+}
+
 fn key() -> SiteKey {
     SiteKey::new([7; 32])
 }
@@ -161,22 +169,25 @@
     let mut later = bytes.clone();
     later[7] = b'9';
     assert_eq!(refusal(&later), KnownGoodError::UnsupportedVersion);
-    assert_eq!(refusal(&bytes[..8]), KnownGoodError::Corrupt);
-    assert_eq!(refusal(&bytes[..bytes.len() - 1]), KnownGoodError::Corrupt);
+    assert_eq!(refusal(&bytes[..8]), NOT_AUTHENTIC);
+    assert_eq!(refusal(&bytes[..bytes.len() - 1]), NOT_AUTHENTIC);
     let mut flipped = bytes.clone();
     flipped[20] ^= 1;
-    assert_eq!(refusal(&flipped), KnownGoodError::Corrupt);
-    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(KnownGoodError::Corrupt));
+    assert_eq!(refusal(&flipped), NOT_AUTHENTIC);
+    assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(NOT_AUTHENTIC));
     // Genuine, with a digest that is not that of its entries, with garbage, and with an entry past its bound.
     let sealed = |body: Vec<u8>| [&b"CHALKCF1"[..], &key().append_tag(KNOWN_GOOD_DOMAIN, body)].concat();
     let other_digest = KnownGood { digest: Digest::default(), ..known_good() };
-    assert_eq!(refusal(&other_digest.encode(&key())), KnownGoodError::Corrupt);
-    assert_eq!(refusal(&sealed(vec![0xff; 40])), KnownGoodError::Corrupt);
+    assert_eq!(refusal(&other_digest.encode(&key())), corrupt(CorruptionCause::DigestMismatch));
+    assert_eq!(refusal(&sealed(vec![0xff; 40])), corrupt(CorruptionCause::Undecodable));
     let long = Entry { key: "a".into(), value: "x".repeat(MAX_ENTRY_BYTES).into() };
     let past_bound = KnownGood { entries: vec![long], ..known_good() };
-    assert_eq!(refusal(&past_bound.encode(&key())), KnownGoodError::Corrupt);
+    assert_eq!(
+        refusal(&past_bound.encode(&key())),
+        corrupt(DocumentError::EntryTooLong { key: "a".into() }.into())
+    );
     let another_purpose = key().append_tag(MESSAGE_DOMAIN, postcard::to_stdvec(&known_good()).unwrap());
-    assert_eq!(refusal(&[&b"CHALKCF1"[..], &another_purpose].concat()), KnownGoodError::Corrupt);
+    assert_eq!(refusal(&[&b"CHALKCF1"[..], &another_purpose].concat()), NOT_AUTHENTIC);
 }
 
 #[test]
@@ -247,21 +258,18 @@
 #[test]
 fn refusals_are_worded_as_before() {
     let worded = [
-        (DocumentError::TooManyChanges(10_001).to_string(), "10001 changes, at most 10000"),
-        (DocumentError::EntryTooLong("a".into()).to_string(), "a: longer than 65536 bytes"),
+        (DocumentError::TooManyChanges { count: 10_001 }.to_string(), "10001 changes, at most 10000"),
+        (DocumentError::EntryTooLong { key: "a".into() }.to_string(), "a: longer than 65536 bytes"),
         (DocumentError::DocumentTooLong.to_string(), "the whole would be longer than 33554432 bytes"),
-        (DocumentError::DuplicateKey("a".into()).to_string(), "a: named twice"),
-        (DocumentError::MissingKey("a".into()).to_string(), "a: to be removed, and not there"),
+        (DocumentError::DuplicateKey { key: "a".into() }.to_string(), "a: named twice"),
+        (DocumentError::MissingKey { key: "a".into() }.to_string(), "a: to be removed, and not there"),
         (DocumentError::DigestMismatch.to_string(), "the result has another digest than the revision says"),
         (MessageError::TooLong.to_string(), "longer than a message may be"),
         (MessageError::NotAuthentic.to_string(), "the seal does not fit"),
         (MessageError::Undecodable.to_string(), "sealed, and not understood: of another version?"),
         (KnownGoodError::UnknownFormat.to_string(), "no kept configuration"),
         (KnownGoodError::UnsupportedVersion.to_string(), "a kept configuration of a later format"),
-        (
-            KnownGoodError::Corrupt.to_string(),
-            "a kept configuration that is damaged, cut short or another site's",
-        ),
+        (NOT_AUTHENTIC.to_string(), "a kept configuration that is damaged, cut short or another site's"),
         (
             AuthenticationError.to_string(),
             "the seal does not fit: changed, cut short, or sealed under another site's key",
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -180,10 +180,13 @@
 fn a_change_that_the_check_refuses_takes_no_number() {
     let mut fleet = Fleet::new(REPLICAS);
     fleet.publish_change(0, Change::Set(entry("bad", "x")));
-    assert_eq!(fleet.outcomes, [PublishOutcome::Invalid("`bad` is not known; take another name".into())]);
+    assert_eq!(
+        fleet.outcomes,
+        [PublishOutcome::Invalid(ValidationError::new("`bad` is not known; take another name").into())]
+    );
     fleet.publish_change(0, Change::Remove("nobody".into()));
     assert!(
-        matches!(&fleet.outcomes[1], PublishOutcome::Invalid(reason) if reason.contains("nobody")),
+        matches!(&fleet.outcomes[1], PublishOutcome::Invalid(reason) if reason.to_string().contains("nobody")),
         "{:?}",
         fleet.outcomes
     );
@@ -221,7 +224,7 @@
     let mut out = Vec::new();
     replica.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &NothingBad, &mut out);
     let prepared = out.iter().find_map(|o| match o {
-        ReplicaAction::Send(_, Message::Prepare { number, ballot }) => Some((*number, *ballot)),
+        ReplicaAction::Send { message: Message::Prepare { number, ballot }, .. } => Some((*number, *ballot)),
         _ => None,
     });
     let (number, ballot) = prepared.expect("the others are asked");
@@ -231,7 +234,10 @@
     replica.receive(ReplicaId(9), promise.clone(), &mut out);
     assert_eq!(out, [], "two of four and a stranger");
     replica.receive(ReplicaId(2), promise, &mut out);
-    assert!(out.iter().any(|o| matches!(o, ReplicaAction::Send(_, Message::Accept(_)))), "three of four");
+    assert!(
+        out.iter().any(|o| matches!(o, ReplicaAction::Send { message: Message::Accept(_), .. })),
+        "three of four"
+    );
 }
 
 #[test]
--- a/crates/load/src/scale/revisions.rs
+++ b/crates/load/src/scale/revisions.rs
@@ -3,7 +3,8 @@
 
 use chalkyard_control::simulation::{Simulation, SECOND};
 use chalkyard_control::{
-    Change, Delta, Document, Entry, Message, PublishOutcome, ReplicaId, RevisionNumber, Subscriber, Validator,
+    Change, Delta, Document, Entry, Message, PublishOutcome, ReplicaId, RevisionNumber, Subscriber,
+    ValidationError, Validator,
 };
 
 use super::figure::{Figure, Value};
@@ -21,7 +22,7 @@
 struct Unchecked;
 
 impl Validator for Unchecked {
-    fn validate(&self, _document: &Document) -> Result<(), String> {
+    fn validate(&self, _document: &Document) -> Result<(), ValidationError> {
         Ok(())
     }
 }
@@ -52,7 +53,7 @@
     simulation.run((SPAN_S - BEFORE_S) * SECOND);
     let published = simulation.outcomes.iter().filter(|o| matches!(o, PublishOutcome::Published(_))).count();
     if published as u64 != CHANGES
-        || simulation.digests().len() != 1
+        || simulation.heads().len() != 1
         || simulation.conflicts + simulation.diverged > 0
     {
         return Err(format!("{published} of {CHANGES} changes; not the same everywhere").into());
@@ -60,7 +61,7 @@
     let most = |of: &dyn Fn(&chalkyard_control::simulation::RouterNode) -> u64| {
         simulation.routers.iter().map(of).max().unwrap_or(0) as f64 / SPAN_S as f64
     };
-    let mut spread = simulation.spread.clone();
+    let mut spread = simulation.apply_delays.clone();
     spread.sort_unstable();
     let at = |q: f64| spread.get((spread.len() as f64 * q) as usize).or(spread.last()).copied().unwrap_or(0);
     Ok(vec![
