--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,5 +1,9 @@
-//! The life of a router's process, as decisions without IO.
+//! The lifecycle of a router's process: start, ready, reload, drain, stop. Decisions without input or output of their own.
 
+mod event;
 mod lifecycle;
+mod stop;
 
-pub use lifecycle::{Lifecycle, LifecycleAction, LifecycleEvent, LifecycleTimeouts, Phase, StopReason};
+pub use event::{LifecycleAction, LifecycleEvent};
+pub use lifecycle::{Lifecycle, LifecycleTimeouts, Phase};
+pub use stop::StopReason;
--- a/crates/state/src/lifecycle.rs
+++ b/crates/state/src/lifecycle.rs
@@ -1,280 +1,234 @@
-//! Start, ready, reload, drain, stop: in which order things are done, and what is said at the end.
+//! The phases of the process, and which events lead from one to the next.
 //!
-//! Times are µs of any one clock. Each request that was taken gets its one final answer before the process
-//! ends by its own will: from its engine while the drain lasts, or by [`LifecycleAction::AnswerOpenRequests`].
+//! Every request that was accepted gets exactly one final answer before the process ends of its own accord: from its worker
+//! while the router drains, or by [`LifecycleAction::AnswerOpenRequests`]. Times are in µs of any one clock.
 
 use serde::Serialize;
 
-/// How long things last, µs.
+use crate::event::{LifecycleAction, LifecycleEvent};
+use crate::stop::StopReason;
+
+/// How long the phases last, in µs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifecycleTimeouts {
-    /// The router listens without a list of engines after this.
+    /// The router waits for an endpoint list for so long, then listens without one.
     pub endpoint_wait: u64,
-    /// Told to end, it takes requests for so long yet: others hear of it only by then. 0: not at all.
+    /// After a termination request the router still accepts requests for so long: others notice only by then that it is not
+    /// ready. 0: not at all.
     pub lame_duck: u64,
-    /// A drain waits for open requests so long.
+    /// A drain waits so long for open requests.
     pub drain: u64,
-    /// Last answers have so long to leave.
+    /// The last answers have so long to be written.
     pub flush: u64,
 }
 
-/// What happens.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LifecycleEvent {
-    /// Time has passed.
-    Tick,
-    /// A list of engines is known, be it an old one.
-    EndpointsKnown,
-    /// The router listens.
-    Listening,
-    /// It can't.
-    ListenFailed,
-    /// A signal, or an operator, wants the process to end. A second one ends it at once.
-    Terminate,
-    /// An operator wants no new requests to be taken.
-    Drain,
-    /// An operator wants them taken again.
-    Undrain,
-    /// Settings are to be read again.
-    Reload,
-    /// Another process has the listening socket.
-    ListenerHandedOver,
-    /// Nothing is open, and all is written.
-    Idle,
-    /// The loop can't go on.
-    EventLoopFailed,
-}
-
-/// What is to be done, in order.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LifecycleAction {
-    /// Begin to listen.
-    Listen,
-    /// Tell the supervisor that the router is ready.
-    NotifyReady,
-    /// Tell it that settings are read, and again that it is ready.
-    NotifyReloading,
-    /// Tell it that the router stops.
-    NotifyStopping,
-    /// Be ready no more, but go on taking what still comes.
-    EnterLameDuck,
-    /// Take no new connections and requests; what is open goes on. `permanent`: the listening socket may go.
-    StopAccepting {
-        /// It will not be undone.
-        permanent: bool,
-    },
-    /// Take them again.
-    ResumeAccepting,
-    /// Read the settings and apply them.
-    ReloadSettings,
-    /// Give every open request its final answer, by what is known of it.
-    AnswerOpenRequests,
-    /// End the process.
-    Exit(StopReason),
-}
-
-/// Why the process ended.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum StopReason {
-    /// All that was open has ended.
-    Drained,
-    /// The drain's time was up: what was open was told that the router stops.
-    #[serde(rename = "drain_time_up")]
-    DrainTimedOut,
-    /// Told twice: likewise, at once.
-    #[serde(rename = "told")]
-    TerminatedTwice,
-    /// It could not listen.
-    #[serde(rename = "no_listening")]
-    ListenFailed,
-    /// The loop could not go on.
-    #[serde(rename = "broken")]
-    EventLoopFailed,
-}
-
-impl StopReason {
-    /// The reason as the log line at the end of the process prints it.
-    pub fn log_name(self) -> &'static str {
-        match self {
-            Self::Drained => "Drained",
-            Self::DrainTimedOut => "DrainTimeUp",
-            Self::TerminatedTwice => "Told",
-            Self::ListenFailed => "NoListening",
-            Self::EventLoopFailed => "Broken",
-        }
-    }
-
-    /// The process's exit code.
-    pub fn exit_code(self) -> u8 {
-        match self {
-            Self::Drained => 0,
-            Self::ListenFailed | Self::EventLoopFailed => 1,
-            Self::DrainTimedOut => 4,
-            Self::TerminatedTwice => 5,
-        }
-    }
-}
-
-/// Where a router's life is.
+/// Where the process is in its lifecycle. The serialized names are part of `status` and stay as they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Recovering, and waiting for a list of engines.
+    /// Recovering, and waiting for an endpoint list.
     Starting,
     /// About to listen.
     #[serde(rename = "opening")]
     Binding,
-    /// Taking requests.
+    /// Accepting requests.
     Ready,
-    /// Not taking any by an operator's wish; may be undone.
+    /// Accepting no requests because an operator asked so; may be undone.
     #[serde(rename = "drained")]
     Paused,
-    /// Told to end, and taking what still comes.
+    /// Asked to end and reported as not ready, but still accepting requests.
     #[serde(rename = "leaving")]
     LameDuck,
-    /// Ending: open requests go on.
+    /// Accepting no requests and waiting for the open ones before the end.
     #[serde(rename = "ending")]
     Draining,
-    /// Last answers leave.
+    /// Writing the last answers.
     #[serde(rename = "farewell")]
     Flushing,
-    /// Over.
+    /// Ended.
     #[serde(rename = "over")]
     Stopped,
 }
 
-/// One life.
+/// The lifecycle of one process.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lifecycle {
     phase: Phase,
-    /// When the present phase is over by itself.
+    /// When the present phase times out.
     until: Option<u64>,
-    /// Settings are to be read once ready.
-    reload: bool,
-    /// Why it ends, once it does.
+    /// The settings are to be read again as soon as the router is ready.
+    reload_when_ready: bool,
+    /// Why the process ends, once it does.
     stop: StopReason,
     timeouts: LifecycleTimeouts,
 }
 
 impl Lifecycle {
-    /// Begins.
+    /// A process that starts now.
     pub fn new(timeouts: LifecycleTimeouts, now: u64) -> Self {
         Self {
             phase: Phase::Starting,
             until: Some(now.saturating_add(timeouts.endpoint_wait)),
-            reload: false,
+            reload_when_ready: false,
             stop: StopReason::Drained,
             timeouts,
         }
     }
 
-    /// Where it is.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When [`LifecycleEvent::Tick`] is next needed.
+    /// When [`LifecycleEvent::Tick`] has to be reported next.
     pub fn due(&self) -> Option<u64> {
         self.until
     }
 
-    /// Takes an event.
+    /// Handles an event. One that means nothing in the present phase is ignored.
     pub fn handle(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
-        let LifecycleTimeouts { lame_duck, drain, flush, .. } = self.timeouts;
-        let late = self.until.is_some_and(|at| at <= now);
-        match (self.phase, event) {
-            (Phase::Stopped, _) => {}
-            (_, LifecycleEvent::EventLoopFailed) => {
-                actions.push(LifecycleAction::AnswerOpenRequests);
-                self.exit(StopReason::EventLoopFailed, actions);
-            }
-            (
-                Phase::Starting | Phase::Binding,
-                LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver,
-            ) => {
+        if self.phase != Phase::Stopped && event == LifecycleEvent::EventLoopFailed {
+            actions.push(LifecycleAction::AnswerOpenRequests);
+            return self.exit(StopReason::EventLoopFailed, actions);
+        }
+        match self.phase {
+            Phase::Starting => self.handle_starting(now, event, actions),
+            Phase::Binding => self.handle_binding(event, actions),
+            Phase::Ready => self.handle_ready(now, event, actions),
+            Phase::Paused => self.handle_paused(now, event, actions),
+            Phase::LameDuck => self.handle_lame_duck(now, event, actions),
+            Phase::Draining => self.handle_draining(now, event, actions),
+            Phase::Flushing => self.handle_flushing(now, event, actions),
+            Phase::Stopped => {}
+        }
+    }
+
+    fn handle_starting(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        match event {
+            LifecycleEvent::EndpointsKnown => self.bind(actions),
+            LifecycleEvent::Tick if self.has_timed_out(now) => self.bind(actions),
+            LifecycleEvent::Reload => self.reload_when_ready = true,
+            LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver => {
                 self.exit(StopReason::Drained, actions);
             }
-            (Phase::Starting, LifecycleEvent::EndpointsKnown) => self.open(actions),
-            (Phase::Starting, LifecycleEvent::Tick) if late => self.open(actions),
-            (Phase::Binding, LifecycleEvent::Listening) => {
+            _ => {}
+        }
+    }
+
+    fn handle_binding(&mut self, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        match event {
+            LifecycleEvent::Listening => {
                 self.enter(Phase::Ready, None);
                 actions.push(LifecycleAction::NotifyReady);
-                if std::mem::take(&mut self.reload) {
-                    actions.extend([
-                        LifecycleAction::NotifyReloading,
-                        LifecycleAction::ReloadSettings,
-                        LifecycleAction::NotifyReady,
-                    ]);
+                if std::mem::take(&mut self.reload_when_ready) {
+                    reload(actions);
                 }
             }
-            (Phase::Binding, LifecycleEvent::ListenFailed) => self.exit(StopReason::ListenFailed, actions),
-            (Phase::Starting | Phase::Binding, LifecycleEvent::Reload) => self.reload = true,
-            (Phase::Ready | Phase::Paused, LifecycleEvent::Reload) => {
-                actions.extend([
-                    LifecycleAction::NotifyReloading,
-                    LifecycleAction::ReloadSettings,
-                    LifecycleAction::NotifyReady,
-                ]);
+            LifecycleEvent::ListenFailed => self.exit(StopReason::ListenFailed, actions),
+            LifecycleEvent::Reload => self.reload_when_ready = true,
+            LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver => {
+                self.exit(StopReason::Drained, actions);
             }
-            (Phase::Ready, LifecycleEvent::Drain) => {
+            _ => {}
+        }
+    }
+
+    fn handle_ready(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        match event {
+            LifecycleEvent::Reload => reload(actions),
+            LifecycleEvent::Drain => {
                 self.enter(Phase::Paused, None);
                 actions.push(LifecycleAction::StopAccepting { permanent: false });
             }
-            (Phase::Paused, LifecycleEvent::Undrain) => {
-                self.enter(Phase::Ready, None);
-                actions.push(LifecycleAction::ResumeAccepting);
+            LifecycleEvent::Terminate if self.has_lame_duck() => {
+                self.enter(Phase::LameDuck, Some(now.saturating_add(self.timeouts.lame_duck)));
+                actions.push(LifecycleAction::NotifyStopping);
+                actions.push(LifecycleAction::EnterLameDuck);
             }
-            (Phase::Ready, LifecycleEvent::Terminate) if lame_duck > 0 => {
-                self.enter(Phase::LameDuck, Some(now.saturating_add(lame_duck)));
-                actions.extend([LifecycleAction::NotifyStopping, LifecycleAction::EnterLameDuck]);
+            LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver => {
+                actions.push(LifecycleAction::NotifyStopping);
+                self.drain(now, actions);
             }
-            (Phase::LameDuck, LifecycleEvent::Tick) if late => {
-                self.enter(Phase::Draining, Some(now.saturating_add(drain)));
-                actions.push(LifecycleAction::StopAccepting { permanent: true });
-            }
-            // Where a router takes its time to leave, what it needs may move meanwhile.
-            (Phase::LameDuck | Phase::Draining, LifecycleEvent::Reload) if lame_duck > 0 => {
-                actions.push(LifecycleAction::ReloadSettings)
+            _ => {}
+        }
+    }
+
+    fn handle_paused(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        match event {
+            LifecycleEvent::Reload => reload(actions),
+            LifecycleEvent::Undrain => {
+                self.enter(Phase::Ready, None);
+                actions.push(LifecycleAction::ResumeAccepting);
             }
-            (Phase::LameDuck, LifecycleEvent::Terminate) => {
-                self.part(StopReason::TerminatedTwice, now, flush, actions)
+            LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver => {
+                actions.push(LifecycleAction::NotifyStopping);
+                self.drain(now, actions);
             }
-            (
-                Phase::Ready | Phase::Paused,
-                LifecycleEvent::Terminate | LifecycleEvent::ListenerHandedOver,
-            ) => {
-                self.enter(Phase::Draining, Some(now.saturating_add(drain)));
-                actions.extend([
-                    LifecycleAction::NotifyStopping,
-                    LifecycleAction::StopAccepting { permanent: true },
-                ]);
+            _ => {}
+        }
+    }
+
+    fn handle_lame_duck(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        match event {
+            LifecycleEvent::Tick if self.has_timed_out(now) => self.drain(now, actions),
+            // The services that the router needs may move to other addresses while it still accepts requests.
+            LifecycleEvent::Reload if self.has_lame_duck() => {
+                actions.push(LifecycleAction::ReloadSettings);
             }
-            (Phase::Draining, LifecycleEvent::Idle) => self.exit(StopReason::Drained, actions),
-            (Phase::Draining, LifecycleEvent::Terminate) => {
-                self.part(StopReason::TerminatedTwice, now, flush, actions)
+            LifecycleEvent::Terminate => self.flush(StopReason::TerminatedTwice, now, actions),
+            _ => {}
+        }
+    }
+
+    fn handle_draining(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        match event {
+            LifecycleEvent::Idle => self.exit(StopReason::Drained, actions),
+            // As in the phase before: a router with that phase drains for long.
+            LifecycleEvent::Reload if self.has_lame_duck() => {
+                actions.push(LifecycleAction::ReloadSettings);
             }
-            (Phase::Draining, LifecycleEvent::Tick) if late => {
-                self.part(StopReason::DrainTimedOut, now, flush, actions)
+            LifecycleEvent::Terminate => self.flush(StopReason::TerminatedTwice, now, actions),
+            LifecycleEvent::Tick if self.has_timed_out(now) => {
+                self.flush(StopReason::DrainTimedOut, now, actions);
             }
-            (Phase::Flushing, LifecycleEvent::Idle) => self.exit(self.stop, actions),
-            (Phase::Flushing, LifecycleEvent::Tick) if late => self.exit(self.stop, actions),
             _ => {}
         }
     }
 
+    fn handle_flushing(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        match event {
+            LifecycleEvent::Idle => self.exit(self.stop, actions),
+            LifecycleEvent::Tick if self.has_timed_out(now) => self.exit(self.stop, actions),
+            _ => {}
+        }
+    }
+
+    fn has_timed_out(&self, now: u64) -> bool {
+        self.until.is_some_and(|until| until <= now)
+    }
+
+    fn has_lame_duck(&self) -> bool {
+        self.timeouts.lame_duck > 0
+    }
+
     fn enter(&mut self, phase: Phase, until: Option<u64>) {
-        (self.phase, self.until) = (phase, until);
+        self.phase = phase;
+        self.until = until;
     }
 
-    fn open(&mut self, actions: &mut Vec<LifecycleAction>) {
+    fn bind(&mut self, actions: &mut Vec<LifecycleAction>) {
         self.enter(Phase::Binding, None);
         actions.push(LifecycleAction::Listen);
     }
 
-    fn part(&mut self, stop: StopReason, now: u64, flush: u64, actions: &mut Vec<LifecycleAction>) {
+    fn drain(&mut self, now: u64, actions: &mut Vec<LifecycleAction>) {
+        self.enter(Phase::Draining, Some(now.saturating_add(self.timeouts.drain)));
+        actions.push(LifecycleAction::StopAccepting { permanent: true });
+    }
+
+    fn flush(&mut self, stop: StopReason, now: u64, actions: &mut Vec<LifecycleAction>) {
         self.stop = stop;
-        self.enter(Phase::Flushing, Some(now.saturating_add(flush)));
+        self.enter(Phase::Flushing, Some(now.saturating_add(self.timeouts.flush)));
         actions.push(LifecycleAction::AnswerOpenRequests);
     }
 
@@ -283,3 +237,9 @@
         actions.push(LifecycleAction::Exit(stop));
     }
 }
+
+fn reload(actions: &mut Vec<LifecycleAction>) {
+    actions.push(LifecycleAction::NotifyReloading);
+    actions.push(LifecycleAction::ReloadSettings);
+    actions.push(LifecycleAction::NotifyReady);
+}
