--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -22,9 +22,9 @@
 
 /// Refuses entries of one name.
 #[derive(Debug, Clone, Copy)]
-pub struct NothingBad;
+pub struct RejectsBadEntries;
 
-impl Validator for NothingBad {
+impl Validator for RejectsBadEntries {
     fn validate(&self, document: &Document) -> Result<(), ValidationError> {
         match document.get("bad") {
             Some(_) => Err(ValidationError::new("`bad` is not known; take another name")),
@@ -42,16 +42,16 @@
 
 /// All replicas, their disks, and the messages on their way.
 #[derive(Debug, Clone)]
-pub struct Fleet {
+pub struct Cluster {
     pub replicas: Vec<Replica>,
     pub disks: Vec<Disk>,
     /// As each disk was a while ago.
     old_disks: Vec<Disk>,
-    on_their_way: Vec<(ReplicaId, ReplicaId, Message)>,
+    in_transit: Vec<(ReplicaId, ReplicaId, Message)>,
     /// The first half of the replicas does not hear the second.
-    pub cut: bool,
+    pub partitioned: bool,
     /// One replica is out of reach.
-    pub away: Option<usize>,
+    pub unreachable: Option<usize>,
     pub outcomes: Vec<PublishOutcome>,
     pub diverged: u64,
     /// What was decided, by any replica's word.
@@ -60,7 +60,7 @@
     published: u64,
 }
 
-impl Fleet {
+impl Cluster {
     pub fn new(replicas: u8) -> Self {
         let replicas: Vec<Replica> = (0..replicas).map(|n| Replica::fresh(ReplicaId(n), replicas)).collect();
         let disk = Disk { history: replicas[0].history().clone(), votes: None };
@@ -69,9 +69,9 @@
             replicas,
             old_disks: disks.clone(),
             disks,
-            on_their_way: Vec::new(),
-            cut: false,
-            away: None,
+            in_transit: Vec::new(),
+            partitioned: false,
+            unreachable: None,
             outcomes: Vec::new(),
             diverged: 0,
             decided: BTreeMap::new(),
@@ -80,8 +80,8 @@
         }
     }
 
-    pub fn on_their_way(&self) -> usize {
-        self.on_their_way.len()
+    pub fn in_transit(&self) -> usize {
+        self.in_transit.len()
     }
 
     pub fn newest(&self) -> u64 {
@@ -103,7 +103,7 @@
         self.replicas[replica].publish(
             Delta(vec![change]),
             &format!("operator {replica}"),
-            &NothingBad,
+            &RejectsBadEntries,
             &mut out,
         );
         self.carry_out(replica, out);
@@ -111,19 +111,19 @@
 
     pub fn retry(&mut self, replica: usize) {
         let mut out = Vec::new();
-        self.replicas[replica].retry(&NothingBad, &mut out);
+        self.replicas[replica].retry(&RejectsBadEntries, &mut out);
         self.carry_out(replica, out);
     }
 
     pub fn send_heartbeat(&mut self, from: usize, to: usize) {
         let message = self.replicas[from].heartbeat();
-        self.on_their_way.push((id(from), id(to), message));
+        self.in_transit.push((id(from), id(to), message));
     }
 
     fn carry_out(&mut self, replica: usize, out: Vec<ReplicaAction>) {
         for output in out {
             match output {
-                ReplicaAction::Send { to, message } => self.on_their_way.push((id(replica), to, message)),
+                ReplicaAction::Send { to, message } => self.in_transit.push((id(replica), to, message)),
                 ReplicaAction::PersistVotes(votes) => {
                     self.old_disks[replica] = self.disks[replica].clone();
                     self.disks[replica].votes = Some(votes);
@@ -149,16 +149,16 @@
     fn reaches(&self, from: ReplicaId, to: ReplicaId) -> bool {
         let half = self.replicas.len() / 2;
         let side = |m: ReplicaId| usize::from(m.0) < half;
-        let away = |m: ReplicaId| self.away == Some(usize::from(m.0));
-        let apart = self.cut && side(from) != side(to);
+        let away = |m: ReplicaId| self.unreachable == Some(usize::from(m.0));
+        let apart = self.partitioned && side(from) != side(to);
         !(apart || away(from) || away(to))
     }
 
     pub fn deliver(&mut self, place: usize) {
-        if place >= self.on_their_way.len() {
+        if place >= self.in_transit.len() {
             return;
         }
-        let (from, to, message) = self.on_their_way.remove(place);
+        let (from, to, message) = self.in_transit.remove(place);
         if !self.reaches(from, to) {
             return;
         }
@@ -169,7 +169,7 @@
 
     pub fn deliver_all(&mut self) {
         let mut most = 1_000_000;
-        while !self.on_their_way.is_empty() && most > 0 {
+        while !self.in_transit.is_empty() && most > 0 {
             self.deliver(0);
             most -= 1;
         }
@@ -177,14 +177,14 @@
     }
 
     pub fn lose(&mut self, place: usize) {
-        if place < self.on_their_way.len() {
-            self.on_their_way.remove(place);
+        if place < self.in_transit.len() {
+            self.in_transit.remove(place);
         }
     }
 
     pub fn repeat(&mut self, place: usize) {
-        if let Some(message) = self.on_their_way.get(place).cloned() {
-            self.on_their_way.push(message);
+        if let Some(message) = self.in_transit.get(place).cloned() {
+            self.in_transit.push(message);
         }
     }
 
@@ -201,7 +201,7 @@
     pub fn fingerprint(&self) -> Vec<u8> {
         let key = SiteKey::new([7; 32]);
         let mut bytes = Vec::new();
-        for (from, to, message) in &self.on_their_way {
+        for (from, to, message) in &self.in_transit {
             bytes.extend([from.0, to.0]);
             bytes.extend(message.encode(&key));
         }
--- a/crates/control/tests/learner.rs
+++ b/crates/control/tests/learner.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn revisions_are_taken_in_order_and_older_ones_change_nothing() {
+fn revisions_out_of_order_are_stale_or_a_gap() {
     let (mut learner, revisions) = learned();
     let digest = learner.document().digest();
     for old in &revisions {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn another_content_under_a_held_number_and_another_history_are_refused() {
+fn other_content_under_a_known_number_and_another_history_diverge() {
     let (mut learner, revisions) = learned();
     let mut other = revisions[2].clone();
     other.author = "another".into();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_revision_that_does_not_fit_its_digest_changes_nothing_and_the_whole_brings_it_on() {
+fn revision_with_wrong_digest_changes_nothing_and_a_snapshot_recovers() {
     let (mut learner, _) = learned();
     let before = learner.clone();
     let mut wrong = next(RevisionNumber(3), learner.document(), set(5, "x"));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn bounds_of_a_document_and_a_delta_are_kept() {
+fn documents_and_deltas_past_their_limits_are_rejected() {
     let long = "x".repeat(64 * 1024);
     assert!(matches!(Document::new([entry(1, &long)]), Err(DocumentError::EntryTooLong { .. })));
     let document = Document::default();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_was_kept_is_read_again_and_a_damaged_foreign_or_later_copy_is_refused_by_name() {
+fn known_good_is_read_again_and_a_corrupt_unknown_or_later_file_is_rejected() {
     let key = SiteKey::new([7; 32]);
     let (learner, _) = learned();
     let kept = KnownGood::new(learner.number(), learner.document(), 123);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_written_and_never_with_a_byte_flipped_or_cut() {
+fn message_is_read_again_and_a_flipped_or_truncated_one_is_rejected() {
     let key = SiteKey::new([7; 32]);
     let bytes = message().encode(&key);
     assert_eq!(Message::decode(&key, &bytes), Ok(message()));
@@ -146,7 +146,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn any_bytes_are_no_message_and_no_kept_copy(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_are_neither_message_nor_known_good(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let key = SiteKey::new([7; 32]);
         prop_assert!(Message::decode(&key, &bytes).is_err());
         prop_assert!(KnownGood::decode(&key, &bytes).is_err());
@@ -154,7 +154,7 @@
 
     /// Sealed under the right key, and garbage all the same: of a version that is not this one.
     #[test]
-    fn sealed_garbage_is_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn authentic_garbage_is_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let key = SiteKey::new([7; 32]);
         let sealed = key.append_tag("chalkyard-control-1", bytes);
         if let Ok(read) = Message::decode(&key, &sealed) {
@@ -164,7 +164,7 @@
 
     /// A delta is what differs, and its cost is its own: the digest is the same as that of the whole built anew.
     #[test]
-    fn a_difference_applied_is_the_other_document(
+    fn applied_difference_gives_the_other_document(
         old in proptest::collection::btree_map(0..40_usize, "[a-c]{0,3}", 0..30),
         new in proptest::collection::btree_map(0..40_usize, "[a-c]{0,3}", 0..30),
     ) {
--- a/crates/control/tests/recorded_runs.rs
+++ b/crates/control/tests/recorded_runs.rs
@@ -6,7 +6,7 @@
 
 use chalkyard_control::simulation::{Simulation, SECOND};
 use chalkyard_control::*;
-use common::{entry, Fleet, NothingBad, REPLICAS};
+use common::{entry, Cluster, RejectsBadEntries, REPLICAS};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -38,7 +38,7 @@
 fn simulated_run(seed: u64) -> String {
     let document =
         Document::new((0..40).map(|n| entry(&format!("tenants/tenant[t{n:05}]"), "<tenant/>"))).unwrap();
-    let mut simulation = Simulation::new(REPLICAS, 12, &document, &NothingBad, seed);
+    let mut simulation = Simulation::new(REPLICAS, 12, &document, &RejectsBadEntries, seed);
     simulation.routers[3].applier.rejects.insert(RevisionNumber(2));
     simulation.run(3 * SECOND);
     for n in 0..8 {
@@ -81,40 +81,40 @@
 }
 
 /// Publications and retries, and messages that are delivered, lost and repeated in any order; crashes and cuts between.
-fn run_by_hand(seed: u64) -> String {
+fn recorded_walk(seed: u64) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut fleet = Fleet::new(REPLICAS);
+    let mut cluster = Cluster::new(REPLICAS);
     let mut trace = Vec::new();
     for _ in 0..600 {
         let replica = random.random_range(0..usize::from(REPLICAS));
         let place = random.random_range(0..8);
         match random.random_range(0..100) {
-            0..8 => fleet.publish(replica),
-            8..14 => fleet.retry(replica),
-            14..80 => fleet.deliver(place),
-            80..88 => fleet.lose(place),
-            88..91 => fleet.repeat(place),
-            91..94 => fleet.restart(replica, false),
-            94..96 => fleet.send_heartbeat(replica, (replica + 1) % 4),
-            96..97 => fleet.cut = true,
-            _ => fleet.cut = false,
+            0..8 => cluster.publish(replica),
+            8..14 => cluster.retry(replica),
+            14..80 => cluster.deliver(place),
+            80..88 => cluster.lose(place),
+            88..91 => cluster.repeat(place),
+            91..94 => cluster.restart(replica, false),
+            94..96 => cluster.send_heartbeat(replica, (replica + 1) % 4),
+            96..97 => cluster.partitioned = true,
+            _ => cluster.partitioned = false,
         }
-        trace.extend(fleet.fingerprint());
+        trace.extend(cluster.fingerprint());
     }
-    fleet.check();
-    format!("walk-{seed} {} {}", outcomes(&fleet.outcomes), Digest::of_bytes(&trace))
+    cluster.check();
+    format!("walk-{seed} {} {}", outcomes(&cluster.outcomes), Digest::of_bytes(&trace))
 }
 
 #[test]
-fn runs_of_the_model_go_as_recorded() {
+fn simulated_runs_equal_the_recorded_ones() {
     let recorded: Vec<&str> = RECORDED.lines().filter(|line| line.starts_with("model-")).collect();
     let runs: Vec<String> = (1..=6).map(simulated_run).collect();
     assert_eq!(runs, recorded);
 }
 
 #[test]
-fn runs_by_hand_go_as_recorded() {
+fn random_walks_equal_the_recorded_ones() {
     let recorded: Vec<&str> = RECORDED.lines().filter(|line| line.starts_with("walk-")).collect();
-    let runs: Vec<String> = (1..=12).map(run_by_hand).collect();
+    let runs: Vec<String> = (1..=12).map(recorded_walk).collect();
     assert_eq!(runs, recorded);
 }
--- a/crates/control/tests/simulation.rs
+++ b/crates/control/tests/simulation.rs
@@ -6,13 +6,13 @@
 
 use chalkyard_control::simulation::{Simulation, SECOND};
 use chalkyard_control::*;
-use common::{entry, NothingBad};
+use common::{entry, RejectsBadEntries};
 
 const CONTROL: u8 = 4;
 const ROUTERS: usize = 24;
 const SEEDS: u64 = 10;
 /// A change is in force everywhere within this.
-const IN_FORCE: Micros = 12 * SECOND;
+const APPLIED_WITHIN: Micros = 12 * SECOND;
 
 fn document() -> Document {
     Document::new((0..200).map(|n| entry(&format!("tenants/tenant[t{n:05}]"), "<tenant/>"))).unwrap()
@@ -26,13 +26,13 @@
 }
 
 /// What has to hold at the end of every case: no number twice, none goes back, all hold the same.
-fn sound(simulation: &Simulation<'_>, seed: u64) {
+fn assert_consistent(simulation: &Simulation<'_>, seed: u64) {
     assert_eq!((simulation.conflicts, simulation.diverged), (0, 0), "seed {seed}");
     assert!(simulation.routers.iter().all(|r| r.regressions == 0), "seed {seed}: a router went back");
     assert_eq!(simulation.heads().len(), 1, "seed {seed}: {:?}", simulation.heads());
 }
 
-fn in_time(simulation: &Simulation<'_>, most: Micros, seed: u64) {
+fn assert_applied_within(simulation: &Simulation<'_>, most: Micros, seed: u64) {
     let slowest = simulation.apply_delays.iter().max().copied().unwrap_or(0);
     assert!(slowest <= most, "seed {seed}: {slowest} us");
 }
@@ -42,10 +42,10 @@
 }
 
 #[test]
-fn every_change_is_in_force_at_every_router_in_time() {
+fn without_faults_every_change_is_applied_by_every_router_in_time() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
+        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(5 * SECOND);
         for n in 0..20 {
             simulation.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND);
@@ -53,17 +53,17 @@
         simulation.run(40 * SECOND);
         assert_eq!(published(&simulation), 20, "seed {seed}: {:?}", simulation.outcomes);
         assert_eq!(simulation.apply_delays.len(), 20 * ROUTERS);
-        in_time(&simulation, SECOND, seed);
-        sound(&simulation, seed);
+        assert_applied_within(&simulation, SECOND, seed);
+        assert_consistent(&simulation, seed);
     }
 }
 
 /// `two-publishers`: at every replica one, at the same moment, again and again.
 #[test]
-fn publishers_at_the_same_moment_get_a_number_each() {
+fn simultaneous_publishers_get_a_number_each() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
+        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(5 * SECOND);
         for round in 0..5 {
             for replica in 0..CONTROL {
@@ -76,17 +76,17 @@
         }
         simulation.run(80 * SECOND);
         assert_eq!(published(&simulation), 20, "seed {seed}: {:?}", simulation.outcomes);
-        in_time(&simulation, IN_FORCE, seed);
-        sound(&simulation, seed);
+        assert_applied_within(&simulation, APPLIED_WITHIN, seed);
+        assert_consistent(&simulation, seed);
     }
 }
 
 /// `leader-killed`, or what is like it here: the replica that publishes, and that half of a region's routers ask, is gone.
 #[test]
-fn a_publisher_that_dies_in_the_middle_leaves_one_content_and_its_routers_move_on() {
+fn publisher_killed_in_between_leaves_one_content_and_its_routers_fail_over() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
+        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(5 * SECOND);
         simulation.publish(ReplicaId(0), change(1), 0);
         // Between its first message and its last.
@@ -98,17 +98,17 @@
         simulation.publish(ReplicaId(3), change(3), SECOND);
         simulation.run(30 * SECOND);
         assert!(published(&simulation) >= 2, "seed {seed}: {:?}", simulation.outcomes);
-        in_time(&simulation, IN_FORCE, seed);
-        sound(&simulation, seed);
+        assert_applied_within(&simulation, APPLIED_WITHIN, seed);
+        assert_consistent(&simulation, seed);
     }
 }
 
 /// `old-disk`: a replica comes back from a copy of its disk, ten revisions old.
 #[test]
-fn a_machine_with_an_old_disk_is_brought_up_to_date_and_gives_no_number_twice() {
+fn replica_with_an_old_disk_is_brought_up_to_date_and_reuses_no_number() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
+        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(3 * SECOND);
         let old = simulation.disk(ReplicaId(2));
         for n in 0..10 {
@@ -124,19 +124,19 @@
         simulation.run(30 * SECOND);
         assert_eq!(simulation.number(ReplicaId(2)), simulation.number(ReplicaId(0)));
         assert!(published(&simulation) >= 11, "seed {seed}: {:?}", simulation.outcomes);
-        in_time(&simulation, IN_FORCE, seed);
-        sound(&simulation, seed);
+        assert_applied_within(&simulation, APPLIED_WITHIN, seed);
+        assert_consistent(&simulation, seed);
     }
 }
 
 /// `regions-apart`: an hour in which two replicas of four can't be reached. Nothing is decided on either side, what is in
 /// force stays, and afterwards all is as before.
 #[test]
-fn regions_that_lose_each_other_keep_what_they_have_and_join_again() {
+fn partitioned_regions_keep_their_configuration_and_converge_afterwards() {
     // An hour is long: three seeds.
     for seed in 0..3 {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
+        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.publish(ReplicaId(0), change(0), 5 * SECOND);
         simulation.run(10 * SECOND);
         simulation.partitioned = true;
@@ -157,16 +157,16 @@
             "seed {seed}: {:?}",
             simulation.outcomes
         );
-        sound(&simulation, seed);
+        assert_consistent(&simulation, seed);
     }
 }
 
 /// `join-storm`: all routers come back at once, half of them with nothing: wholes are sent a few at a time.
 #[test]
-fn all_routers_that_come_back_at_once_get_what_they_lack_a_few_at_a_time() {
+fn routers_that_all_restart_at_once_converge() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, seed);
+        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
         for n in 0..3 {
             simulation.publish(ReplicaId(0), change(n), 5 * SECOND + n * SECOND);
         }
@@ -174,18 +174,18 @@
         for n in 0..ROUTERS {
             simulation.restart_router(n, n % 2 == 0, 1_000 + seed * 100 + n as u64);
         }
-        simulation.run(IN_FORCE);
+        simulation.run(APPLIED_WITHIN);
         assert!(simulation.routers.iter().all(|r| r.subscriber.number() == RevisionNumber(3)), "seed {seed}");
-        sound(&simulation, seed);
+        assert_consistent(&simulation, seed);
     }
 }
 
 /// `bad-change`: it takes no number; one that a single router can't put in force stops none of the later ones, there or
 /// elsewhere.
 #[test]
-fn a_change_that_is_wrong_or_that_one_router_cannot_apply_stops_nothing() {
+fn invalid_change_or_one_that_a_router_cannot_apply_stops_nothing() {
     let document = document();
-    let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, 1);
+    let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, 1);
     simulation.routers[5].applier.rejects.insert(RevisionNumber(1));
     simulation.run(5 * SECOND);
     simulation.publish(ReplicaId(0), Delta(vec![Change::Set(entry("bad", "x"))]), 0);
@@ -197,15 +197,15 @@
     assert_eq!(published(&simulation), 3);
     assert_eq!(simulation.routers[5].subscriber.rejected(), [RevisionNumber(1)]);
     assert_eq!(simulation.routers[5].newest, RevisionNumber(3));
-    sound(&simulation, 1);
+    assert_consistent(&simulation, 1);
 }
 
-/// A router's part of the traffic, and its memory, at rest and while changes come as often as a whole fleet's bursts.
+/// A router's part of the traffic, and its memory, at rest and while changes come as often as a whole cluster's bursts.
 #[test]
-fn a_routers_traffic_is_within_its_budget() {
+fn traffic_of_a_router_is_within_its_budget() {
     const BYTES_PER_S: u64 = 7_000;
     let document = document();
-    let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &NothingBad, 1);
+    let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, 1);
     for n in 0..100 {
         simulation.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND / 2);
     }
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn stored_messages_are_read_with_their_values_and_written_with_the_same_bytes() {
+fn stored_messages_have_their_values_and_bytes() {
     let messages = messages();
     assert_eq!(lines(MESSAGES), messages.len());
     for (name, message) in messages {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn stored_votes_are_read_with_their_values_and_written_with_the_same_bytes() {
+fn stored_votes_have_their_values_and_bytes() {
     let votes = votes();
     assert_eq!(lines(VOTES), votes.len());
     for (name, acceptor) in votes {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn stored_revisions_are_read_with_their_values_and_written_with_the_same_bytes() {
+fn stored_revisions_have_their_values_and_bytes() {
     assert_eq!(lines(REVISIONS), 2);
     let empty = Revision {
         number: RevisionNumber(1),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_stored_known_good_is_read_with_its_values_and_written_with_the_same_bytes() {
+fn stored_known_good_has_its_values_and_bytes() {
     let bytes = stored(KNOWN_GOOD, "known-good");
     let (read, read_document) = KnownGood::decode(&key(), &bytes).unwrap();
     assert_eq!(read, known_good());
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_broken_known_good_is_refused_by_its_kind() {
+fn corrupt_known_good_is_rejected_with_its_cause() {
     let bytes = stored(KNOWN_GOOD, "known-good");
     let refusal = |bytes: &[u8]| KnownGood::decode(&key(), bytes).unwrap_err();
     assert_eq!(refusal(b""), KnownGoodError::UnknownFormat);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_broken_message_is_refused_by_its_kind() {
+fn corrupt_message_is_rejected_with_its_cause() {
     let refusal = |bytes: &[u8]| Message::decode(&key(), bytes).unwrap_err();
     for (name, _) in messages() {
         let bytes = stored(MESSAGES, name);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn sealed_bytes_depend_on_key_purpose_and_content_as_before() {
+fn tags_depend_on_key_domain_and_content() {
     let cases = [
         ("messages-empty", [7; 32], MESSAGE_DOMAIN, &b""[..]),
         ("messages-content", [7; 32], MESSAGE_DOMAIN, &b"content"[..]),
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn digests_are_computed_and_printed_as_before() {
+fn stored_digests_are_computed_and_printed() {
     let one = Digest::of_entry("routing", "<routing/>");
     let cases = [
         ("nothing", Digest::default()),
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn refusals_are_worded_as_before() {
+fn errors_have_their_texts() {
     let worded = [
         (DocumentError::TooManyChanges { count: 10_001 }.to_string(), "10001 changes, at most 10000"),
         (DocumentError::EntryTooLong { key: "a".into() }.to_string(), "a: longer than 65536 bytes"),
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -24,9 +24,9 @@
     Heal,
 }
 
-fn walk(seed: u64, steps: usize, may_lose_disks: bool) -> Fleet {
+fn random_walk(seed: u64, steps: usize, may_lose_disks: bool) -> Cluster {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut fleet = Fleet::new(REPLICAS);
+    let mut cluster = Cluster::new(REPLICAS);
     let mut old_disks = 0;
     for _ in 0..steps {
         let replica = random.random_range(0..usize::from(REPLICAS));
@@ -39,53 +39,53 @@
             88..92 => Step::Repeat(place),
             92..96 => Step::Crash(replica),
             // One at a time: a second one waits until a number was decided since.
-            96..97 if may_lose_disks && fleet.newest() >= old_disks => {
-                old_disks = fleet.newest() + 1;
+            96..97 if may_lose_disks && cluster.newest() >= old_disks => {
+                old_disks = cluster.newest() + 1;
                 Step::OldDisk(replica)
             }
             97..98 => Step::Cut,
             _ => Step::Heal,
         };
-        take(&mut fleet, step);
-        fleet.check();
+        perform(&mut cluster, step);
+        cluster.check();
     }
-    fleet
+    cluster
 }
 
-fn take(fleet: &mut Fleet, step: Step) {
+fn perform(cluster: &mut Cluster, step: Step) {
     match step {
-        Step::Publish(replica) => fleet.publish(replica),
-        Step::Retry(replica) => fleet.retry(replica),
-        Step::Deliver(place) => fleet.deliver(place),
-        Step::Lose(place) => fleet.lose(place),
-        Step::Repeat(place) => fleet.repeat(place),
-        Step::Crash(replica) => fleet.restart(replica, false),
-        Step::OldDisk(replica) => fleet.restart(replica, true),
-        Step::Cut => fleet.cut = true,
-        Step::Heal => fleet.cut = false,
+        Step::Publish(replica) => cluster.publish(replica),
+        Step::Retry(replica) => cluster.retry(replica),
+        Step::Deliver(place) => cluster.deliver(place),
+        Step::Lose(place) => cluster.lose(place),
+        Step::Repeat(place) => cluster.repeat(place),
+        Step::Crash(replica) => cluster.restart(replica, false),
+        Step::OldDisk(replica) => cluster.restart(replica, true),
+        Step::Cut => cluster.partitioned = true,
+        Step::Heal => cluster.partitioned = false,
     }
 }
 
 #[test]
-fn no_number_has_two_contents_whatever_is_lost_repeated_cut_or_crashes() {
+fn faults_never_decide_a_number_twice() {
     let mut decided = 0;
     for seed in 0..400 {
-        decided += walk(seed, 400, false).newest();
+        decided += random_walk(seed, 400, false).newest();
     }
     assert!(decided > 400, "walks do decide numbers: {decided}");
 }
 
 #[test]
-fn one_machine_that_comes_back_with_an_old_disk_decides_nothing_twice() {
+fn old_disk_of_one_replica_never_decides_a_number_twice() {
     for seed in 0..400 {
-        walk(10_000 + seed, 400, true);
+        random_walk(10_000 + seed, 400, true);
     }
 }
 
 /// Every order of the deliveries and losses of two publications at once, to this depth.
 #[test]
-fn every_order_of_two_publications_at_once_decides_one_content() {
-    let mut begun = Fleet::new(REPLICAS);
+fn every_order_of_two_publications_decides_one_content() {
+    let mut begun = Cluster::new(REPLICAS);
     begun.publish(0);
     begun.publish(3);
     let mut explored = 0;
@@ -93,136 +93,136 @@
     assert!(explored > 10_000, "{explored}");
 }
 
-fn explore(fleet: &Fleet, depth: usize, explored: &mut u64) {
+fn explore(cluster: &Cluster, depth: usize, explored: &mut u64) {
     *explored += 1;
-    fleet.check();
+    cluster.check();
     if depth == 0 {
         return;
     }
-    for place in 0..fleet.on_their_way().min(3) {
-        let mut next = fleet.clone();
+    for place in 0..cluster.in_transit().min(3) {
+        let mut next = cluster.clone();
         next.deliver(place);
         explore(&next, depth - 1, explored);
     }
-    if fleet.on_their_way() > 0 {
-        let mut next = fleet.clone();
+    if cluster.in_transit() > 0 {
+        let mut next = cluster.clone();
         next.lose(0);
         explore(&next, depth - 1, explored);
     }
 }
 
 #[test]
-fn two_publishers_at_once_both_get_a_number_in_the_end() {
-    let mut fleet = Fleet::new(REPLICAS);
-    fleet.publish(0);
-    fleet.publish(3);
+fn two_publishers_that_retry_both_get_a_number() {
+    let mut cluster = Cluster::new(REPLICAS);
+    cluster.publish(0);
+    cluster.publish(3);
     for _ in 0..50 {
-        fleet.deliver_all();
-        fleet.retry(0);
-        fleet.deliver_all();
-        fleet.retry(3);
-        fleet.deliver_all();
+        cluster.deliver_all();
+        cluster.retry(0);
+        cluster.deliver_all();
+        cluster.retry(3);
+        cluster.deliver_all();
     }
-    fleet.check();
-    assert_eq!(fleet.newest(), 2);
-    assert_eq!(fleet.outcomes.iter().filter(|o| matches!(o, PublishOutcome::Published(_))).count(), 2);
-    let digests: Vec<Digest> = fleet.replicas.iter().map(|m| m.history().document().digest()).collect();
+    cluster.check();
+    assert_eq!(cluster.newest(), 2);
+    assert_eq!(cluster.outcomes.iter().filter(|o| matches!(o, PublishOutcome::Published(_))).count(), 2);
+    let digests: Vec<Digest> = cluster.replicas.iter().map(|m| m.history().document().digest()).collect();
     assert!(digests.iter().all(|d| *d == digests[0]));
 }
 
 /// Two and two: neither side decides, and once they meet again both go on.
 #[test]
-fn in_a_cut_of_two_and_two_nothing_is_decided_and_afterwards_all_is_the_same() {
-    let mut fleet = Fleet::new(REPLICAS);
-    fleet.publish(1);
-    fleet.deliver_all();
-    assert_eq!(fleet.newest(), 1);
-    fleet.cut = true;
-    fleet.publish(0);
-    fleet.publish(3);
+fn partition_of_two_and_two_decides_nothing_and_converges_afterwards() {
+    let mut cluster = Cluster::new(REPLICAS);
+    cluster.publish(1);
+    cluster.deliver_all();
+    assert_eq!(cluster.newest(), 1);
+    cluster.partitioned = true;
+    cluster.publish(0);
+    cluster.publish(3);
     for _ in 0..20 {
-        fleet.deliver_all();
-        fleet.retry(0);
-        fleet.retry(3);
+        cluster.deliver_all();
+        cluster.retry(0);
+        cluster.retry(3);
     }
-    assert_eq!(fleet.newest(), 1, "no quorum on either side");
-    fleet.cut = false;
+    assert_eq!(cluster.newest(), 1, "no quorum on either side");
+    cluster.partitioned = false;
     for _ in 0..20 {
-        fleet.deliver_all();
-        fleet.retry(0);
-        fleet.deliver_all();
-        fleet.retry(3);
+        cluster.deliver_all();
+        cluster.retry(0);
+        cluster.deliver_all();
+        cluster.retry(3);
     }
-    fleet.deliver_all();
-    fleet.check();
-    assert_eq!(fleet.newest(), 3);
+    cluster.deliver_all();
+    cluster.check();
+    assert_eq!(cluster.newest(), 3);
 }
 
 #[test]
-fn a_machine_that_was_away_is_brought_up_to_date_by_revisions_or_by_the_whole() {
+fn unreachable_replica_is_brought_up_to_date_by_revisions_or_a_snapshot() {
     for numbers in [3, 700] {
-        let mut fleet = Fleet::new(REPLICAS);
-        fleet.away = Some(2);
+        let mut cluster = Cluster::new(REPLICAS);
+        cluster.unreachable = Some(2);
         for _ in 0..numbers {
-            fleet.publish(0);
-            fleet.deliver_all();
+            cluster.publish(0);
+            cluster.deliver_all();
         }
-        assert_eq!(fleet.replicas[2].number(), RevisionNumber(0));
-        fleet.away = None;
-        fleet.send_heartbeat(2, 0);
-        fleet.deliver_all();
-        assert_eq!(fleet.replicas[2].number(), RevisionNumber(numbers));
-        fleet.check();
+        assert_eq!(cluster.replicas[2].number(), RevisionNumber(0));
+        cluster.unreachable = None;
+        cluster.send_heartbeat(2, 0);
+        cluster.deliver_all();
+        assert_eq!(cluster.replicas[2].number(), RevisionNumber(numbers));
+        cluster.check();
     }
 }
 
 #[test]
-fn a_change_that_the_check_refuses_takes_no_number() {
-    let mut fleet = Fleet::new(REPLICAS);
-    fleet.publish_change(0, Change::Set(entry("bad", "x")));
+fn invalid_change_gets_no_number() {
+    let mut cluster = Cluster::new(REPLICAS);
+    cluster.publish_change(0, Change::Set(entry("bad", "x")));
     assert_eq!(
-        fleet.outcomes,
+        cluster.outcomes,
         [PublishOutcome::Invalid(ValidationError::new("`bad` is not known; take another name").into())]
     );
-    fleet.publish_change(0, Change::Remove("nobody".into()));
+    cluster.publish_change(0, Change::Remove("nobody".into()));
     assert!(
-        matches!(&fleet.outcomes[1], PublishOutcome::Invalid(reason) if reason.to_string().contains("nobody")),
+        matches!(&cluster.outcomes[1], PublishOutcome::Invalid(reason) if reason.to_string().contains("nobody")),
         "{:?}",
-        fleet.outcomes
+        cluster.outcomes
     );
-    assert_eq!((fleet.on_their_way(), fleet.newest()), (0, 0));
-    fleet.publish(0);
-    fleet.deliver_all();
-    assert_eq!(fleet.newest(), 1);
-    fleet.publish_change(0, Change::Set(entry("m0-0", "value 0")));
-    assert_eq!(fleet.outcomes.last(), Some(&PublishOutcome::NoChange));
+    assert_eq!((cluster.in_transit(), cluster.newest()), (0, 0));
+    cluster.publish(0);
+    cluster.deliver_all();
+    assert_eq!(cluster.newest(), 1);
+    cluster.publish_change(0, Change::Set(entry("m0-0", "value 0")));
+    assert_eq!(cluster.outcomes.last(), Some(&PublishOutcome::NoChange));
 }
 
 /// Machines whose histories differ, as none of the above brings about: told, and neither takes the other's.
 #[test]
-fn another_content_under_a_number_is_told_and_not_taken() {
-    let mut fleet = Fleet::new(REPLICAS);
-    fleet.publish(0);
-    fleet.deliver_all();
-    let mut other = Fleet::new(REPLICAS);
+fn other_content_under_a_number_is_reported_and_not_applied() {
+    let mut cluster = Cluster::new(REPLICAS);
+    cluster.publish(0);
+    cluster.deliver_all();
+    let mut other = Cluster::new(REPLICAS);
     other.publish(1);
     other.deliver_all();
-    fleet.replicas[2] = other.replicas[2].clone();
-    fleet.publish(0);
-    fleet.deliver_all();
-    fleet.send_heartbeat(2, 0);
-    fleet.send_heartbeat(0, 2);
-    fleet.deliver_all();
-    assert!(fleet.diverged > 0);
-    assert_eq!(fleet.replicas[2].number(), RevisionNumber(1), "it keeps what it had");
+    cluster.replicas[2] = other.replicas[2].clone();
+    cluster.publish(0);
+    cluster.deliver_all();
+    cluster.send_heartbeat(2, 0);
+    cluster.send_heartbeat(0, 2);
+    cluster.deliver_all();
+    assert!(cluster.diverged > 0);
+    assert_eq!(cluster.replicas[2].number(), RevisionNumber(1), "it keeps what it had");
 }
 
 /// Were its answers counted, two replicas and a stranger would be a quorum.
 #[test]
-fn a_machine_that_is_not_on_the_list_has_no_vote() {
+fn unlisted_replica_has_no_vote() {
     let mut replica = Replica::fresh(ReplicaId(0), REPLICAS);
     let mut out = Vec::new();
-    replica.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &NothingBad, &mut out);
+    replica.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &RejectsBadEntries, &mut out);
     let prepared = out.iter().find_map(|o| match o {
         ReplicaAction::Send { message: Message::Prepare { number, ballot }, .. } => Some((*number, *ballot)),
         _ => None,
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_quorum_shares_two_machines_with_any_other() {
+fn two_quorums_share_two_replicas() {
     for replicas in 1..=9_usize {
         let size = Quorum::of(replicas).size();
         assert!(size <= replicas);
--- a/crates/state/tests/lifecycle.rs
+++ b/crates/state/tests/lifecycle.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn all_orders_of_events() {
+fn every_order_of_events_keeps_the_guarantees() {
     use Phase::*;
     let moves = |leave| {
         let life =
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_second_signal_and_the_drains_time_end_it_with_their_own_codes() {
+fn second_termination_and_drain_timeout_have_their_own_exit_codes() {
     let end = |events: &[(u64, LifecycleEvent)]| {
         let mut life =
             Lifecycle::new(LifecycleTimeouts { endpoint_wait: 5, lame_duck: 0, drain: 10, flush: 2 }, 0);
--- a/crates/state/tests/transitions.rs
+++ b/crates/state/tests/transitions.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn every_step_from_every_state_is_as_recorded() {
+fn every_step_from_every_state_equals_the_recorded_one() {
     let lines = [transitions(0), transitions(3)].concat();
     let recorded: Vec<&str> = TRANSITIONS.lines().collect();
     assert!(lines.len() > 100, "{}", lines.len());
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn phases_and_ends_are_printed_by_their_names() {
+fn phases_and_stop_reasons_are_printed_by_their_names() {
     let printed = |value: serde_json::Value| value.as_str().unwrap().to_owned();
     let phases = [
         (Phase::Starting, "starting"),
