--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -8,6 +8,10 @@
 //! them; consensus on the next revision by [`Proposer`] and [`Acceptor`] under a [`Ballot`]; the [`Message`]s that carry all
 //! of these; a [`Replica`] that decides, its [`SubscriberSessions`] with routers, and a router's [`Subscriber`].
 
+#![warn(clippy::pedantic, rustdoc::broken_intra_doc_links, rustdoc::private_intra_doc_links)]
+// Nearly every method of a state machine returns a value; where a dropped one is a mistake, the attribute is set by hand.
+#![allow(clippy::must_use_candidate)]
+
 mod acceptor;
 mod authentication;
 mod ballot;
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -142,9 +142,9 @@
         if after == document.digest() {
             return Ok(None);
         }
-        let mut changed = document.clone();
-        changed.apply(changes, after)?;
-        validator.validate(&changed)?;
+        let mut result = document.clone();
+        result.apply(changes, after)?;
+        validator.validate(&result)?;
         Ok(Some(Revision {
             number: self.history.number().next(),
             before: document.digest(),
@@ -197,7 +197,7 @@
                 }
             }
             Message::Heartbeat { number, digest } => self.bring_up_to_date(from, number, digest, actions),
-            Message::Decided(revision) => self.learn(from, revision, actions),
+            Message::Decided(revision) => self.learn(from, &revision, actions),
             Message::Snapshot { number, entries } => self.learn_snapshot(from, number, entries, actions),
             // Only routers send it, and only to their session.
             Message::CannotApply { .. } => {}
@@ -263,7 +263,7 @@
             }
             Progress::Decided(revision) => {
                 self.send_to_others(&Message::Decided(revision.clone()), actions);
-                self.learn(self.id, revision, actions);
+                self.learn(self.id, &revision, actions);
             }
         }
     }
@@ -292,14 +292,14 @@
         }
     }
 
-    fn learn(&mut self, from: ReplicaId, revision: Revision, actions: &mut Vec<ReplicaAction>) {
+    fn learn(&mut self, from: ReplicaId, revision: &Revision, actions: &mut Vec<ReplicaAction>) {
         let number = revision.number;
-        let contradicts_known = self.history.revision(number).is_some_and(|known| *known != revision);
+        let contradicts_known = self.history.revision(number).is_some_and(|known| known != revision);
         match self.history.append(revision.clone()) {
             Ok(()) => {
                 actions.push(ReplicaAction::PersistRevision(revision.clone()));
                 self.start_next_number(actions);
-                self.end_publication_of(&revision, actions);
+                self.end_publication_of(revision, actions);
             }
             Err(HistoryError::NotNext { .. }) if contradicts_known => {
                 actions.push(ReplicaAction::Diverged { replica: from, number });
--- a/crates/control/src/simulation/control.rs
+++ b/crates/control/src/simulation/control.rs
@@ -36,7 +36,7 @@
 
     /// A replica's process starts again from its disk, or from an older copy of it.
     pub fn start(&mut self, replica: ReplicaId, old_disk: Option<Disk>) {
-        let replicas = self.controls.len() as u8;
+        let replicas = self.replica_count;
         let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
         if let Some(old_disk) = old_disk {
             control.disk = old_disk;
@@ -59,7 +59,7 @@
     pub(super) fn send_heartbeat(&mut self, replica: ReplicaId) {
         let Some(control) = self.running(replica) else { return };
         let heartbeat = control.replica.heartbeat();
-        for other in (0..self.controls.len() as u8).map(ReplicaId) {
+        for other in self.replica_ids() {
             if other != replica {
                 self.send_to_replica(replica, other, &heartbeat);
             }
@@ -155,7 +155,7 @@
 
     pub(super) fn tick_sessions(&mut self) {
         let now = self.now;
-        for replica in (0..self.controls.len() as u8).map(ReplicaId) {
+        for replica in self.replica_ids() {
             let Some(control) = self.running(replica) else { continue };
             let mut messages = Vec::new();
             control.sessions.tick(now, control.replica.history(), &mut messages);
--- a/crates/control/src/simulation/mod.rs
+++ b/crates/control/src/simulation/mod.rs
@@ -41,6 +41,7 @@
     now: Micros,
     scheduled: u64,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
+    replica_count: u8,
     controls: Vec<ControlNode>,
     /// All routers; those with an even index are in the first region.
     pub routers: Vec<RouterNode>,
@@ -82,6 +83,7 @@
             now: SECOND,
             scheduled: 0,
             events: BinaryHeap::new(),
+            replica_count: replicas,
             controls: (0..replicas).map(control).collect(),
             routers: (0..routers).map(router).collect(),
             router_by_session: BTreeMap::new(),
@@ -98,9 +100,9 @@
             conflicts: 0,
             control_bytes: 0,
         };
-        for index in 0..replicas {
-            let after = HEARTBEAT_INTERVAL / u64::from(replicas) * u64::from(index);
-            simulation.schedule(after, Event::Heartbeat { replica: ReplicaId(index) });
+        for replica in simulation.replica_ids() {
+            let after = HEARTBEAT_INTERVAL / u64::from(replicas) * u64::from(replica.0);
+            simulation.schedule(after, Event::Heartbeat { replica });
         }
         simulation
     }
@@ -152,6 +154,10 @@
         self.now = end;
     }
 
+    fn replica_ids(&self) -> impl Iterator<Item = ReplicaId> + use<> {
+        (0..self.replica_count).map(ReplicaId)
+    }
+
     fn next_due_router(&self) -> Option<DueRouter> {
         let due = |(router, node): (usize, &RouterNode)| DueRouter { at: node.subscriber.next_due(), router };
         self.routers.iter().enumerate().map(due).min()
--- a/crates/control/src/simulation/routers.rs
+++ b/crates/control/src/simulation/routers.rs
@@ -15,7 +15,7 @@
 impl Simulation<'_> {
     /// A router's process restarts with the configuration that it has stored, or with none.
     pub fn restart_router(&mut self, index: usize, has_stored: bool, seed: u64) {
-        let replicas = self.controls.len() as u8;
+        let replicas = self.replica_count;
         self.close_session(index);
         let Some(router) = self.routers.get_mut(index) else { return };
         let (number, document) = if has_stored {
@@ -42,7 +42,7 @@
         router.bytes += bytes.len() as u64 + FRAME_BYTES;
         let started = Instant::now();
         let message = Message::decode(&self.key, bytes);
-        router.work_ns += started.elapsed().as_nanos() as u64;
+        router.work_ns += elapsed_ns(started);
         if let Ok(message) = message {
             self.router_input(index, Input::Message(Box::new(message)));
         }
@@ -82,7 +82,7 @@
         let mut actions = Vec::new();
         let started = Instant::now();
         router.subscriber.handle(now, input, &mut router.applier, &mut actions);
-        router.work_ns += started.elapsed().as_nanos() as u64;
+        router.work_ns += elapsed_ns(started);
         for action in actions {
             self.carry_out_for_router(index, action);
         }
@@ -134,3 +134,7 @@
         self.schedule(delay, Event::SessionReceives { replica, session, bytes });
     }
 }
+
+fn elapsed_ns(started: Instant) -> u64 {
+    u64::try_from(started.elapsed().as_nanos()).unwrap_or(u64::MAX)
+}
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -115,11 +115,12 @@
     pub fn new(number: RevisionNumber, document: Document, replica_count: u8, seed: u64) -> Self {
         let replica_count = replica_count.max(1);
         let mut random = Xorshift64::new(seed);
-        let replica = ReplicaId(random.below(u64::from(replica_count)) as u8);
+        // Below the count, and so never out of range.
+        let first = u8::try_from(random.below(u64::from(replica_count))).unwrap_or(0);
         Self {
             learner: Learner::new(number, document),
             replica_count,
-            replica,
+            replica: ReplicaId(first),
             connection: Connection::Closed { retry_at: 0 },
             failed_attempts: 0,
             random,
