--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Control replicas and the messages between them, moved by hand.
+//! A cluster of control replicas whose messages the test delivers, loses and repeats itself.
 #![allow(
     dead_code,
     clippy::unwrap_used,
@@ -8,6 +8,7 @@
     missing_docs
 )]
 
+pub mod revisions;
 pub mod stored;
 
 use std::collections::BTreeMap;
@@ -20,7 +21,7 @@
     Entry { key: key.into(), value: value.into() }
 }
 
-/// Refuses entries of one name.
+/// Rejects every configuration with an entry `bad`.
 #[derive(Debug, Clone, Copy)]
 pub struct RejectsBadEntries;
 
@@ -40,21 +41,29 @@
     pub votes: Option<Acceptor>,
 }
 
-/// All replicas, their disks, and the messages on their way.
+/// A message that was sent and not delivered yet.
+#[derive(Debug, Clone)]
+struct InTransit {
+    from: ReplicaId,
+    to: ReplicaId,
+    message: Message,
+}
+
+/// All replicas, their disks, and the messages in transit.
 #[derive(Debug, Clone)]
 pub struct Cluster {
     pub replicas: Vec<Replica>,
     pub disks: Vec<Disk>,
     /// As each disk was a while ago.
     old_disks: Vec<Disk>,
-    in_transit: Vec<(ReplicaId, ReplicaId, Message)>,
-    /// The first half of the replicas does not hear the second.
+    in_transit: Vec<InTransit>,
+    /// The first half of the replicas and the second are cut off from each other.
     pub partitioned: bool,
-    /// One replica is out of reach.
+    /// A replica that is cut off from all others.
     pub unreachable: Option<usize>,
     pub outcomes: Vec<PublishOutcome>,
     pub diverged: u64,
-    /// What was decided, by any replica's word.
+    /// What any replica reported as decided.
     decided: BTreeMap<RevisionNumber, RevisionId>,
     conflict: Option<RevisionNumber>,
     published: u64,
@@ -88,7 +97,7 @@
         self.replicas.iter().map(|m| m.number().0).max().unwrap_or(0)
     }
 
-    /// A change of an entry of the replica's own, another one each time.
+    /// Publishes a change of one of the replica's own entries, with another value each time.
     pub fn publish(&mut self, replica: usize) {
         let n = self.published;
         self.published += 1;
@@ -117,13 +126,15 @@
 
     pub fn send_heartbeat(&mut self, from: usize, to: usize) {
         let message = self.replicas[from].heartbeat();
-        self.in_transit.push((id(from), id(to), message));
+        self.in_transit.push(InTransit { from: id(from), to: id(to), message });
     }
 
     fn carry_out(&mut self, replica: usize, out: Vec<ReplicaAction>) {
         for output in out {
             match output {
-                ReplicaAction::Send { to, message } => self.in_transit.push((id(replica), to, message)),
+                ReplicaAction::Send { to, message } => {
+                    self.in_transit.push(InTransit { from: id(replica), to, message });
+                }
                 ReplicaAction::PersistVotes(votes) => {
                     self.old_disks[replica] = self.disks[replica].clone();
                     self.disks[replica].votes = Some(votes);
@@ -149,16 +160,16 @@
     fn reaches(&self, from: ReplicaId, to: ReplicaId) -> bool {
         let half = self.replicas.len() / 2;
         let side = |m: ReplicaId| usize::from(m.0) < half;
-        let away = |m: ReplicaId| self.unreachable == Some(usize::from(m.0));
-        let apart = self.partitioned && side(from) != side(to);
-        !(apart || away(from) || away(to))
+        let is_unreachable = |m: ReplicaId| self.unreachable == Some(usize::from(m.0));
+        let is_partitioned = self.partitioned && side(from) != side(to);
+        !(is_partitioned || is_unreachable(from) || is_unreachable(to))
     }
 
     pub fn deliver(&mut self, place: usize) {
         if place >= self.in_transit.len() {
             return;
         }
-        let (from, to, message) = self.in_transit.remove(place);
+        let InTransit { from, to, message } = self.in_transit.remove(place);
         if !self.reaches(from, to) {
             return;
         }
@@ -173,7 +184,7 @@
             self.deliver(0);
             most -= 1;
         }
-        assert!(most > 0, "messages go round in a circle");
+        assert!(most > 0, "messages cause each other without end");
     }
 
     pub fn lose(&mut self, place: usize) {
@@ -188,7 +199,7 @@
         }
     }
 
-    /// The process ends and comes back with its disk, or with one that is a vote behind.
+    /// The process restarts from its disk, or from a copy of it that is one vote older.
     pub fn restart(&mut self, replica: usize, old_disk: bool) {
         let disk = if old_disk { self.old_disks[replica].clone() } else { self.disks[replica].clone() };
         let replicas = self.replicas.len() as u8;
@@ -197,11 +208,11 @@
         self.disks[replica] = disk;
     }
 
-    /// The digest of all messages on their way, of what each replica holds, and of its votes.
+    /// A digest of all messages in transit, of each replica's configuration, and of its votes.
     pub fn fingerprint(&self) -> Vec<u8> {
         let key = SiteKey::new([7; 32]);
         let mut bytes = Vec::new();
-        for (from, to, message) in &self.in_transit {
+        for InTransit { from, to, message } in &self.in_transit {
             bytes.extend([from.0, to.0]);
             bytes.extend(message.encode(&key));
         }
@@ -213,7 +224,7 @@
         Digest::of_bytes(&bytes).to_string().into_bytes()
     }
 
-    /// No number has two contents, and replicas that hold the same number hold the same snapshot.
+    /// Checks that no number was decided twice, and that replicas with the same number have the same configuration.
     pub fn check(&self) {
         assert_eq!(self.conflict, None, "a number was decided twice");
         let mut digests: BTreeMap<RevisionNumber, Digest> = BTreeMap::new();
--- a/crates/control/tests/recorded_runs.rs
+++ b/crates/control/tests/recorded_runs.rs
@@ -1,5 +1,5 @@
-//! Whole runs with a seed go as they went before: each message, draw, pause and vote. The data file was written before any
-//! type was renamed or moved.
+//! Complete runs with a seed equal recorded ones, to the last message, delay and vote: nothing else would show that a change
+//! of the code alters the protocol's behaviour or its random choices.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -33,8 +33,8 @@
     outcomes.iter().map(outcome).collect::<Vec<_>>().join(",")
 }
 
-/// Publications at every replica, one that the check refuses, one that a router can't apply, a replica that dies and comes
-/// back with an old disk, regions that lose each other, and routers that restart with and without what they kept.
+/// Publications at every replica, an invalid one, one that a router can't apply, a replica that restarts from an old disk, a
+/// partition, and routers that restart with and without their stored configuration.
 fn simulated_run(seed: u64) -> String {
     let document =
         Document::new((0..40).map(|n| entry(&format!("tenants/tenant[t{n:05}]"), "<tenant/>"))).unwrap();
@@ -80,7 +80,7 @@
     )
 }
 
-/// Publications and retries, and messages that are delivered, lost and repeated in any order; crashes and cuts between.
+/// Publications and retries, and messages that are delivered, lost and repeated in any order; crashes and partitions.
 fn recorded_walk(seed: u64) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::new(REPLICAS);
--- a/crates/control/tests/simulation.rs
+++ b/crates/control/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Revisions reach every router that can be reached within 12 s, whatever fails on the way, and none ever goes back: in fed
-//! time, on the code that sockets would drive.
+//! Every revision is applied within 12 s by every router that is reachable, whatever fails meanwhile, and no router ever
+//! returns to an older one. Simulated time, on the code that sockets would drive.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -11,7 +11,7 @@
 const CONTROL: u8 = 4;
 const ROUTERS: usize = 24;
 const SEEDS: u64 = 10;
-/// A change is in force everywhere within this.
+/// Every router has applied a change within this.
 const APPLIED_WITHIN: Micros = 12 * SECOND;
 
 fn document() -> Document {
@@ -25,7 +25,7 @@
     ))])
 }
 
-/// What has to hold at the end of every case: no number twice, none goes back, all hold the same.
+/// What has to hold at the end of every case: no number is decided twice, no router has regressed, and all agree.
 fn assert_consistent(simulation: &Simulation<'_>, seed: u64) {
     assert_eq!((simulation.conflicts, simulation.diverged), (0, 0), "seed {seed}");
     assert!(simulation.routers.iter().all(|r| r.regressions == 0), "seed {seed}: a router went back");
@@ -58,7 +58,7 @@
     }
 }
 
-/// `two-publishers`: at every replica one, at the same moment, again and again.
+/// `two-publishers`: one at every replica, at the same moment, several times.
 #[test]
 fn simultaneous_publishers_get_a_number_each() {
     for seed in 0..SEEDS {
@@ -81,7 +81,8 @@
     }
 }
 
-/// `leader-killed`, or what is like it here: the replica that publishes, and that half of a region's routers ask, is gone.
+/// `leader-killed`, or its equivalent here: the replica that publishes, and that half of a region's routers follow,
+/// is killed.
 #[test]
 fn publisher_killed_in_between_leaves_one_content_and_its_routers_fail_over() {
     for seed in 0..SEEDS {
@@ -103,7 +104,7 @@
     }
 }
 
-/// `old-disk`: a replica comes back from a copy of its disk, ten revisions old.
+/// `old-disk`: a replica restarts from a copy of its disk that is ten revisions old.
 #[test]
 fn replica_with_an_old_disk_is_brought_up_to_date_and_reuses_no_number() {
     for seed in 0..SEEDS {
@@ -129,8 +130,8 @@
     }
 }
 
-/// `regions-apart`: an hour in which two replicas of four can't be reached. Nothing is decided on either side, what is in
-/// force stays, and afterwards all is as before.
+/// `regions-apart`: a partition of one hour between two replicas and the other two. Neither side decides anything, routers
+/// keep their configuration, and afterwards all agree again.
 #[test]
 fn partitioned_regions_keep_their_configuration_and_converge_afterwards() {
     // An hour is long: three seeds.
@@ -161,7 +162,8 @@
     }
 }
 
-/// `join-storm`: all routers come back at once, half of them with nothing: wholes are sent a few at a time.
+/// `join-storm`: all routers restart at once, half of them without a stored configuration; snapshots are sent a few at a
+/// time.
 #[test]
 fn routers_that_all_restart_at_once_converge() {
     for seed in 0..SEEDS {
@@ -180,7 +182,7 @@
     }
 }
 
-/// `bad-change`: it takes no number; one that a single router can't put in force stops none of the later ones, there or
+/// `bad-change`: an invalid change gets no number. One that a single router can't apply delays no later one, there or
 /// elsewhere.
 #[test]
 fn invalid_change_or_one_that_a_router_cannot_apply_stops_nothing() {
@@ -200,7 +202,7 @@
     assert_consistent(&simulation, 1);
 }
 
-/// A router's part of the traffic, and its memory, at rest and while changes come as often as a whole cluster's bursts.
+/// A router's traffic, idle and while changes come as often as in a burst.
 #[test]
 fn traffic_of_a_router_is_within_its_budget() {
     const BYTES_PER_S: u64 = 7_000;
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Bytes that are stored or sent keep their form. The data files were written before any type was renamed: what they hold
-//! is read with the values below, and the same values give the same bytes.
+//! Bytes that are stored or sent keep their form: the data files are read with the values below, and the same values are
+//! written with the same bytes. A renamed type must not change them, and neither must a reordered field.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -175,7 +175,7 @@
     flipped[20] ^= 1;
     assert_eq!(refusal(&flipped), NOT_AUTHENTIC);
     assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(NOT_AUTHENTIC));
-    // Genuine, with a digest that is not that of its entries, with garbage, and with an entry past its bound.
+    // Authentic, but with a digest other than that of its entries, undecodable, or with an entry past its limit.
     let sealed = |body: Vec<u8>| [&b"CHALKCF1"[..], &key().append_tag(KNOWN_GOOD_DOMAIN, body)].concat();
     let other_digest = KnownGood { digest: Digest::default(), ..known_good() };
     assert_eq!(refusal(&other_digest.encode(&key())), corrupt(CorruptionCause::DigestMismatch));
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -1,5 +1,5 @@
-//! Numbers are decided once: every order of a few events on four control replicas, and long random walks, with replicas that
-//! crash, come back with an old disk, are cut off and pause, and several publishers at once.
+//! No number is decided twice: every order of a few events on four control replicas, and long random walks in which replicas
+//! crash, restart from an old disk and are partitioned, with several publishers at once.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -14,7 +14,7 @@
 enum Step {
     Publish(usize),
     Retry(usize),
-    /// Of the messages on their way, the one at this place, counted from the oldest.
+    /// The message in transit at this index, counted from the oldest.
     Deliver(usize),
     Lose(usize),
     Repeat(usize),
@@ -38,7 +38,7 @@
             80..88 => Step::Lose(place),
             88..92 => Step::Repeat(place),
             92..96 => Step::Crash(replica),
-            // One at a time: a second one waits until a number was decided since.
+            // One at a time: the next one waits until another number was decided.
             96..97 if may_lose_disks && cluster.newest() >= old_disks => {
                 old_disks = cluster.newest() + 1;
                 Step::OldDisk(replica)
@@ -130,7 +130,7 @@
     assert!(digests.iter().all(|d| *d == digests[0]));
 }
 
-/// Two and two: neither side decides, and once they meet again both go on.
+/// Neither side has a quorum, and once the partition ends both go on.
 #[test]
 fn partition_of_two_and_two_decides_nothing_and_converges_afterwards() {
     let mut cluster = Cluster::new(REPLICAS);
@@ -198,7 +198,7 @@
     assert_eq!(cluster.outcomes.last(), Some(&PublishOutcome::NoChange));
 }
 
-/// Machines whose histories differ, as none of the above brings about: told, and neither takes the other's.
+/// Replicas whose histories differ, which no fault above brings about: it is reported, and neither adopts the other's.
 #[test]
 fn other_content_under_a_number_is_reported_and_not_applied() {
     let mut cluster = Cluster::new(REPLICAS);
@@ -217,7 +217,7 @@
     assert_eq!(cluster.replicas[2].number(), RevisionNumber(1), "it keeps what it had");
 }
 
-/// Were its answers counted, two replicas and a stranger would be a quorum.
+/// If its answers counted, two replicas and an unlisted one would be a quorum.
 #[test]
 fn unlisted_replica_has_no_vote() {
     let mut replica = Replica::fresh(ReplicaId(0), REPLICAS);
--- a/crates/state/tests/lifecycle.rs
+++ b/crates/state/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! All orders of events, to a depth at which every phase has been left by every way.
+//! Every order of events, to a depth at which each phase has been left in every possible way.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
     LifecycleEvent::Tick,
 ];
 
-/// What an onlooker may hold against it, from the acts alone.
+/// The guarantees that can be checked from the actions alone.
 #[derive(Clone, Default)]
 struct Seen {
     listens: u32,
@@ -28,7 +28,7 @@
     taking: bool,
     permanent: bool,
     answered: bool,
-    /// Its terms let it leave slowly.
+    /// Its timeouts include a lame-duck phase.
     leaves: bool,
     exits: u32,
 }
@@ -49,7 +49,7 @@
                 self.taking |= self.ready == 0;
                 self.ready += 1;
             }
-            // One that leaves slowly follows what moves meanwhile; nobody does once all have their answers.
+            // With a lame-duck phase settings are read until all requests are answered; otherwise only before the stop.
             LifecycleAction::ReloadSettings => {
                 assert!(self.ready > 0 && !self.answered && (self.leaves || !self.permanent), "{path:?}");
             }
@@ -64,7 +64,7 @@
             LifecycleAction::AnswerOpenRequests => self.answered = true,
             LifecycleAction::Exit(stop) => {
                 self.exits += 1;
-                // Who was taken has an answer: it ended by itself (Idle), or all were answered, or none were taken.
+                // Every accepted request has its answer: it ended (Idle), or all were answered, or none was accepted.
                 let none_taken = self.ready == 0;
                 let by_itself = path.last() == Some(&LifecycleEvent::Idle);
                 assert!(none_taken || by_itself || self.answered, "left without an answer: {path:?}");
@@ -88,7 +88,7 @@
         return;
     }
     for (i, event) in EVENTS.into_iter().enumerate() {
-        // One tick comes at once, the other when it is due.
+        // One tick comes when it is due, the other at once.
         let later = if i == 0 { life.due().unwrap_or(now).max(now) } else { now };
         let (mut next, mut acts, mut seen) = (life.clone(), Vec::new(), seen.clone());
         next.handle(later, event, &mut acts);
@@ -133,7 +133,7 @@
         (Flushing, Stopped),
     ];
     assert_eq!(moves(0), expected);
-    // One that leaves slowly takes what still comes before it ends.
+    // With a lame-duck phase there are these in addition.
     let slowly = moves(3);
     let more: Vec<_> = slowly.iter().filter(|m| !expected.contains(m)).copied().collect();
     assert_eq!(more, [(Ready, LameDuck), (LameDuck, Draining), (LameDuck, Flushing), (LameDuck, Stopped)]);
--- a/crates/state/tests/transitions.rs
+++ b/crates/state/tests/transitions.rs
@@ -1,5 +1,5 @@
-//! Every step of the lifecycle from every state, as it was before any type was renamed, and the names under which `status`
-//! and logs print phases and ends.
+//! Every step of the lifecycle from every state equals a recorded one, and `status` and logs print phases and stop reasons by
+//! the same names as ever.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
     format!("{} until {due}", serde_json::to_value(life.phase()).unwrap())
 }
 
-/// All states that any events lead to, each with the shortest way to it, and all steps from it: at once, and when it is due.
+/// All reachable states, each with the shortest sequence of events to it, and all steps from it: at once, and when it is due.
 fn transitions(leave: u64) -> Vec<String> {
     let mut lines = Vec::new();
     let begun =
@@ -81,7 +81,7 @@
     assert_eq!(lines, recorded);
 }
 
-/// `drain_time_up` as the log line of the end prints it: `DrainTimeUp`.
+/// `drain_time_up` as the last log line prints it: `DrainTimeUp`.
 fn logged(name: &str) -> String {
     let word = |word: &str| word[..1].to_uppercase() + &word[1..];
     name.split('_').map(word).collect()
