--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -122,3 +122,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "logs_test.rs"]
+mod tests;
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -307,3 +307,7 @@
         Outcome::NotSent => "not_sent",
     }
 }
+
+#[cfg(test)]
+#[path = "job_test.rs"]
+mod tests;
