--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -363,3 +363,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "arguments_test.rs"]
+mod tests;
