--- /dev/null
+++ b/crates/platform/tests/stored_config.rs
@@ -0,0 +1,189 @@
+//! A configuration of the platform with every field, and the endpoint list that it keeps (`known`): what each is read
+//! as. The platform writes these files; a field that moves is a router that does not start.
+#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+
+use chalkyard_platform::Started;
+use chalkyard_policy::{
+    CellId, Class, Discovery, Effect, Group, Lifecycle, Micros, Reports, Role, Settings, Tenant, Worker,
+    ZoneId,
+};
+use serde_json::{json, Value};
+
+const CONFIG: &str = include_str!("data/config.json");
+
+fn started() -> Started {
+    Started::read(CONFIG).unwrap()
+}
+
+const fn ms(n: u64) -> Micros {
+    Micros(n * 1_000)
+}
+
+#[test]
+fn settings_of_the_platform_are_read_for_the_decision_module() {
+    let class = |aim, per_1000, deadline, effect, window| Class {
+        aim: ms(aim),
+        aim_per_1000_tokens: ms(per_1000),
+        deadline: ms(deadline),
+        effect,
+        dedup_window: ms(window),
+    };
+    assert_eq!(
+        started().config.policy,
+        Settings {
+            routers: 3,
+            classes: vec![
+                class(1_000, 60, 5_000, Effect::Free, 0),
+                class(500, 50, 4_000, Effect::Guarded(Group::Cell), 3_000),
+                class(500, 40, 4_000, Effect::Guarded(Group::Zone), 2_000),
+                class(500, 30, 4_000, Effect::Guarded(Group::All), 1_000),
+                class(2_000, 20, 8_000, Effect::SingleShot, 0),
+            ],
+            tenants: vec![Tenant { allowance_per_s: Some(1_000.0) }, Tenant { allowance_per_s: None }],
+            discovery: Discovery::Ask,
+            must_ask_in: ms(10_000),
+            self_prefill: true,
+            resume: true,
+            release: ms(1_250),
+            max_attempts: 4,
+            may_cancel: true,
+            max_retry_after: ms(1_500),
+            fall_multiple: 3.0,
+            fall_after: ms(2_000),
+            cold_from: 0.3,
+            cold_for: ms(8_000),
+            answer_slack: ms(10),
+            tick: ms(2),
+            weighted: true,
+            reports: Reports::InAnswers,
+        }
+    );
+}
+
+#[test]
+fn name_addresses_seed_and_limits_are_read() {
+    let started = started();
+    assert_eq!(started.listen, "127.0.0.1:5000".parse().unwrap());
+    assert_eq!((started.seed, started.lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
+    let config = started.config;
+    assert_eq!((config.name.as_str(), config.register), ("n3", Some("127.0.0.1:9".parse().unwrap())));
+    let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
+    assert_eq!(classes, ["chat", "tool", "mail", "sum", "once"]);
+    let tenants: Vec<&str> = config.tenants.iter().map(|t| t.name.as_str()).collect();
+    assert_eq!(tenants, ["acme", "free"]);
+    let b = config.bounds;
+    assert_eq!((b.open, b.clients, b.links, b.engine_connections, b.engine_idle), (500, 106, 119, 119, 119));
+    assert_eq!((b.bodies, b.client_buffer, b.workers, b.identities), (8 << 20, 65_536, 2_000, 0));
+    let w = config.waits;
+    assert_eq!((w.connect, w.engine_idle, w.release), (ms(250), ms(10_000), ms(150)));
+    assert_eq!((w.register, w.register_doubted), (ms(3_000), ms(250)));
+    assert_eq!(w.leaving, Some((ms(1_800), ms(3_300))));
+}
+
+fn worker(id: &str, zone: Option<usize>, cell: u64, role: Role, kv_tokens: Option<u64>) -> Worker {
+    Worker {
+        id: id.into(),
+        zone: zone.map(ZoneId),
+        cell: CellId(cell),
+        role,
+        kv_tokens,
+        lifecycle: Lifecycle::In,
+        weight: 1.0,
+        started: None,
+    }
+}
+
+#[test]
+fn the_kept_endpoint_list_is_read_with_every_field() {
+    let started = started();
+    let known = started.known.unwrap();
+    assert_eq!(
+        serde_json::from_str::<Value>(&known).unwrap(),
+        serde_json::from_str::<Value>(CONFIG).unwrap()["known"],
+        "kept as text, and read when the core starts"
+    );
+    let list = started.config.dialect.unwrap().list(known.as_bytes()).unwrap();
+    assert_eq!((list.version, list.whole, list.wrong.len()), (41, true, 0));
+    let at = |text: &str| text.parse().unwrap();
+    assert_eq!(
+        list.workers,
+        [
+            (
+                Worker {
+                    weight: 1.5,
+                    started: Some(Micros(1_700_000_000_123_000)),
+                    ..worker("r", Some(0), 1, Role::Reader, Some(100_000))
+                },
+                at("127.0.0.1:1")
+            ),
+            (
+                Worker {
+                    lifecycle: Lifecycle::Draining,
+                    ..worker("w", Some(1), 2, Role::Writer, Some(200_000))
+                },
+                at("127.0.0.1:2")
+            ),
+            (worker("b", None, 0, Role::Mixed, None), at("127.0.0.1:3")),
+            (
+                Worker { lifecycle: Lifecycle::Out, ..worker("gone", None, 0, Role::Mixed, None) },
+                at("0.0.0.0:0")
+            ),
+        ]
+    );
+}
+
+#[test]
+fn changes_of_the_list_that_cannot_be_read_are_told_by_their_entry() {
+    let dialect = started().config.dialect.unwrap();
+    let members = [
+        json!({"id": "a", "host_port": "127.0.0.1:4", "flavor": "mixes", "phase": "up"}),
+        json!({"id": "b", "host_port": "127.0.0.1:5", "phase": "asleep"}),
+        json!({"id": "c", "host_port": "here", "phase": "up"}),
+        json!({"id": "d", "phase": "draining"}),
+        json!({"phase": "up"}),
+        json!(7),
+    ];
+    let list = dialect.list(json!({"revision": 42, "members": members}).to_string().as_bytes()).unwrap();
+    assert_eq!((list.version, list.whole), (42, false));
+    assert_eq!(
+        list.workers,
+        [(worker("a", None, 0, Role::Mixed, Some(300_000)), "127.0.0.1:4".parse().unwrap())]
+    );
+    assert_eq!(
+        list.wrong,
+        [
+            "`b`: unknown phase `asleep`",
+            "`c`: host_port is no address",
+            "`d`: host_port is no address",
+            "missing field `id` at line 1 column 14",
+            "invalid type: integer `7`, expected struct Member at line 1 column 1",
+        ]
+    );
+    assert_eq!(dialect.list(b"<html>").unwrap_err(), "expected value at line 1 column 1");
+}
+
+#[test]
+fn a_configuration_that_is_wrong_is_told_by_field_and_cause() {
+    let told = |path: &str, value: Value| {
+        let mut config: Value = serde_json::from_str(CONFIG).unwrap();
+        *config.pointer_mut(path).unwrap() = value;
+        Started::read(&config.to_string()).map(drop).unwrap_err()
+    };
+    assert_eq!(told("/listen", json!("here")), "field `listen`: `here` is no address with a port");
+    assert_eq!(told("/discovery", json!("x")), "field `discovery`: `x` is no address with a port");
+    assert_eq!(told("/limits/sockets", json!(127)), "field `limits.sockets`: under 128");
+    assert_eq!(told("/limits/memory_mb", json!(15.9)), "field `limits.memory_mb`: under 16");
+    assert_eq!(
+        told("/settings/categories/0/repeat", json!("twice")),
+        "field `settings`: field `repeat`: unknown value `twice`"
+    );
+    assert_eq!(
+        told("/settings/family_info/role_by_kind/0", json!("reads")),
+        "field `settings`: field `role_by_kind`: unknown role `reads`"
+    );
+    assert_eq!(
+        told("/settings", json!({})),
+        "field `settings`: missing field `balancers` at line 1 column 2"
+    );
+    assert_eq!(Started::read("{").map(drop).unwrap_err(), "EOF while parsing an object at line 1 column 1");
+}
