--- /dev/null
+++ b/crates/budget/tests/stored_data.rs
@@ -0,0 +1,407 @@
+//! Compatibility of the stored forms: ledgers, checkpoints, grants and rounds that an earlier build wrote are
+//! read with their values, and the same values are written as the same bytes.
+#![allow(clippy::unwrap_used, clippy::indexing_slicing, clippy::panic, missing_docs)]
+
+use std::path::{Path, PathBuf};
+
+use chalkyard_budget::bill::{EngineLine, Work};
+use chalkyard_budget::*;
+use chalkyard_ledger::{encode, read, segment_name, Folder, Tail};
+
+const START: Time = Time(1_796_100_000_000_000);
+const S: u64 = 1_000_000;
+/// December 2026 in Zurich.
+const MONTH: Span = Span { start: Time(1_796_079_600_000_000), end: Time(1_798_758_000_000_000) };
+const HOUR: Span = Span { start: Time(1_796_097_600_000_000), end: Time(1_796_101_200_000_000) };
+const DAY: Span = Span { start: Time(1_796_079_600_000_000), end: Time(1_796_166_000_000_000) };
+
+const ENDINGS: [Ending; 7] = [
+    Ending::Served,
+    Ending::Refused,
+    Ending::Failed,
+    Ending::Broken,
+    Ending::Left,
+    Ending::LeftEarly,
+    Ending::Orphaned,
+];
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+}
+
+fn tenant_month() -> AccountKey {
+    AccountKey { tenant: "nord".into(), class: None, kind: Kind::Month }
+}
+
+fn class_hour() -> AccountKey {
+    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: Kind::Hour }
+}
+
+fn tenant_day() -> AccountKey {
+    AccountKey { tenant: "ost".into(), class: None, kind: Kind::Day }
+}
+
+fn month_place() -> Place {
+    Place { class: None, kind: Kind::Month, start: MONTH.start }
+}
+
+fn hour_place() -> Place {
+    Place { class: Some("help".into()), kind: Kind::Hour, start: HOUR.start }
+}
+
+fn day_place() -> Place {
+    Place { class: None, kind: Kind::Day, start: DAY.start }
+}
+
+fn adopted() -> Adopted {
+    Adopted {
+        number: 7,
+        at: START.after(2 * S),
+        until: START.after(12 * S),
+        ceilings: vec![
+            (tenant_month(), MONTH, Units(5_000_000)),
+            (class_hour(), HOUR, Units(700_000)),
+            (tenant_day(), DAY, Units(40_000)),
+        ],
+        wanted: vec![(tenant_month(), Units(300_500), Units(200_250)), (class_hour(), Units(9), Units(9))],
+    }
+}
+
+fn reserved(id: &str, n: u64) -> Charge {
+    Charge {
+        id: id.into(),
+        tenant: "nord".into(),
+        class: "help".into(),
+        identity: Some(format!("order-{n}").into()),
+        at: START.after(3 * S + n),
+        amount: Units(28_800),
+        slots: vec![month_place(), hour_place()],
+    }
+}
+
+fn settled(n: u64, ending: Ending) -> Settled {
+    Settled {
+        id: format!("r1-{n}").into(),
+        at: START.after(4 * S + n),
+        ending,
+        usage: Usage { prompt: 200 + n, kept: 20, output: n },
+        cost: Units(1_000 * n + 250),
+        read: (n % 2 == 0).then_some(0),
+        write: (n != 1).then_some(300),
+        may_have_run: n % 3 == 0,
+    }
+}
+
+/// Every kind of record, every ending and every kind of period; the state comes last.
+fn records() -> Vec<(u64, Record)> {
+    let mut records =
+        vec![Record::Started(START), Record::Succeeded(START.after(S)), Record::Adopted(adopted())];
+    for (n, ending) in (0..).zip(ENDINGS) {
+        records.push(Record::Reserved(reserved(&format!("r1-{n}"), n)));
+        records.push(Record::Settled(settled(n, ending)));
+    }
+    records.push(Record::Reserved(Charge {
+        id: "r1-open".into(),
+        tenant: "ost".into(),
+        class: "later".into(),
+        identity: Some("order-99".into()),
+        at: START.after(5 * S),
+        amount: Units(12_345),
+        slots: vec![day_place()],
+    }));
+    records.push(Record::Reserved(Charge {
+        id: "r1-free".into(),
+        tenant: "".into(),
+        class: "help".into(),
+        identity: None,
+        at: START.after(6 * S),
+        amount: Units(0),
+        slots: vec![],
+    }));
+    let state = recovered(&records);
+    records.push(Record::State(Box::new(state)));
+    (1..).zip(records).collect()
+}
+
+fn recovered(records: &[Record]) -> State {
+    let mut state = State::default();
+    for (number, record) in (1..).zip(records) {
+        assert!(state.take(number, record), "record {number}");
+    }
+    state
+}
+
+fn read_segment(folder: &str) -> (chalkyard_ledger::Report, Vec<(u64, Record)>) {
+    let mut records = Vec::new();
+    let names = [segment_name(1)];
+    let report = read(&Folder::reader(&data(folder)), &names, |n, r| records.push((n, r))).unwrap();
+    (report, records)
+}
+
+#[test]
+fn ledger_with_every_record_gives_their_values() {
+    let (report, read) = read_segment("ledger");
+    assert_eq!((report.records, report.tail, report.trouble()), (20, Tail::Whole, None));
+    assert_eq!(read, records());
+}
+
+#[test]
+fn records_are_written_as_the_same_bytes() {
+    let mut frames = Vec::new();
+    for (number, record) in records() {
+        encode(number, &record, &mut frames).unwrap();
+    }
+    let stored = std::fs::read(data("ledger").join(segment_name(1))).unwrap();
+    assert_eq!(frames, stored[20..]);
+}
+
+#[test]
+fn checkpoint_gives_every_value_of_the_state() {
+    let (_, read) = read_segment("ledger");
+    let Some((20, Record::State(state))) = read.last() else { panic!("no checkpoint") };
+    assert_eq!(state.sequence, 19);
+    assert_eq!(state.last, START.after(6 * S));
+    assert_eq!(state.settled, 7);
+    assert_eq!(state.lease, (7, START.after(12 * S)));
+    let held = |spent, reserved, ceiling| Held { spent: Units(spent), reserved: Units(reserved), ceiling };
+    let uses: Vec<(&str, Place, Held)> =
+        state.held.iter().map(|(tenant, place, held)| (tenant, place.clone(), *held)).collect();
+    assert_eq!(
+        uses,
+        [
+            ("nord", month_place(), held(22_750, 0, Some(Units(5_000_000)))),
+            ("nord", hour_place(), held(22_750, 0, Some(Units(700_000)))),
+            ("ost", day_place(), held(0, 12_345, Some(Units(40_000)))),
+        ]
+    );
+    let open: Vec<(&str, Open)> = state.open.iter().map(|(id, open)| (&**id, open.clone())).collect();
+    let ost = Open {
+        tenant: "ost".into(),
+        amount: Units(12_345),
+        slots: vec![day_place()],
+        identity: Some(("order-99".into(), "later".into())),
+    };
+    let free = Open { tenant: "".into(), amount: Units(0), slots: vec![], identity: None };
+    assert_eq!(open, [("r1-free", free), ("r1-open", ost)]);
+    let ran = |n: u64| Ran {
+        tenant: "nord".into(),
+        identity: format!("order-{n}").into(),
+        class: "help".into(),
+        at: START.after(4 * S + n),
+    };
+    assert_eq!(state.ran, [ran(0), ran(3), ran(6)]);
+    let wanted: Vec<(AccountKey, (Units, Units))> = state.wanted.clone().into_iter().collect();
+    assert_eq!(
+        wanted,
+        [(tenant_month(), (Units(300_500), Units(200_250))), (class_hour(), (Units(9), Units(9)))]
+    );
+}
+
+#[test]
+fn recovery_from_the_checkpoint_alone_equals_recovery_from_all_records() {
+    let (_, read) = read_segment("ledger");
+    let mut from_all = State::default();
+    for (number, record) in &read[..19] {
+        assert!(from_all.take(*number, record));
+    }
+    let mut from_checkpoint = State::default();
+    assert!(from_checkpoint.take(20, &read[19].1));
+    assert_eq!(from_checkpoint.sequence, 20);
+    from_checkpoint.sequence = 19;
+    assert_eq!(from_checkpoint, from_all);
+}
+
+/// Cut within the checkpoint, as a crash leaves it; and a changed byte in the grant's record.
+#[test]
+fn torn_and_damaged_ledgers_give_the_other_records_and_a_report() {
+    let (report, read) = read_segment("ledger-torn");
+    assert_eq!(read, records()[..19]);
+    assert_eq!((report.next, report.tail), (20, Tail::Torn(100)));
+    let (report, read) = read_segment("ledger-damaged");
+    let mut expected = records();
+    expected.remove(2);
+    assert_eq!(read, expected);
+    assert_eq!(report.damage.len(), 1);
+    assert_eq!((report.next, report.damage[0].1.lost), (21, (3, 4)));
+}
+
+fn signing_key() -> Key {
+    Key::new(&"5a".repeat(32)).unwrap()
+}
+
+fn stored_grant() -> Grant {
+    let allowance = |key, span, ceiling| Allowance {
+        key,
+        span,
+        ceiling: Units(ceiling),
+        limit: Units(9_000_000),
+        elsewhere: Units(1_234),
+    };
+    Grant {
+        router: "r1".into(),
+        number: 7,
+        until: START.after(10 * S),
+        allowances: vec![
+            allowance(tenant_month(), MONTH, 5_000_000),
+            allowance(class_hour(), HOUR, 700_000),
+            allowance(tenant_day(), DAY, 40_000),
+        ],
+    }
+}
+
+fn stored_round() -> Round {
+    let empty = Grant { router: "r2".into(), allowances: vec![], ..stored_grant() };
+    let outstanding = Outstanding {
+        router: "r1".into(),
+        key: class_hour(),
+        span: HOUR,
+        ceiling: Units(700_000),
+        number: 6,
+        until: START.after(9 * S),
+    };
+    Round { number: 7, at: START, grants: vec![stored_grant(), empty], outstanding: vec![outstanding] }
+}
+
+#[test]
+fn grant_is_read_and_signed_as_the_same_bytes() {
+    let stored = std::fs::read(data("r1.grant")).unwrap();
+    assert_eq!(signing_key().open_grant(&stored), Ok(stored_grant()));
+    assert_eq!(signing_key().sign_grant(&stored_grant()), stored);
+}
+
+#[test]
+fn round_is_read_and_signed_as_the_same_bytes() {
+    let stored = std::fs::read(data("round-000000000007")).unwrap();
+    assert_eq!(signing_key().open_round(&stored), Ok(stored_round()));
+    assert_eq!(signing_key().sign_round(&stored_round()), stored);
+}
+
+#[test]
+fn grants_that_are_cut_changed_or_of_another_version_give_typed_errors() {
+    let stored = std::fs::read(data("r1.grant")).unwrap();
+    let cut = signing_key().open_grant(&stored[..40]).unwrap_err();
+    assert_eq!(cut, NotGenuine::Cut);
+    assert_eq!(cut.to_string(), "cut short: no line with a MAC");
+    let mut changed = stored;
+    changed[20] ^= 1;
+    let changed = signing_key().open_grant(&changed).unwrap_err();
+    assert_eq!(changed, NotGenuine::WrongMac);
+    assert_eq!(changed.to_string(), "the MAC does not fit: changed, or signed under another key");
+    let other = std::fs::read(data("other-version.grant")).unwrap();
+    let other = signing_key().open_grant(&other).unwrap_err();
+    assert_eq!(other, NotGenuine::Unreadable);
+    assert_eq!(other.to_string(), "signed, and not understood: of another version?");
+    assert_eq!(Key::new("5a5a").unwrap_err(), "must be 64 hexadecimal digits");
+}
+
+/// A predecessor tells its successor of settlements as lines of JSON.
+#[test]
+fn settlements_have_the_same_json() {
+    let stored = std::fs::read_to_string(data("settled.jsonl")).unwrap();
+    let lines: Vec<&str> = stored.lines().collect();
+    assert_eq!(lines.len(), ENDINGS.len());
+    for (n, (ending, line)) in (0..).zip(ENDINGS.into_iter().zip(lines)) {
+        assert_eq!(serde_json::from_str::<Settled>(line).unwrap(), settled(n, ending));
+        assert_eq!(serde_json::to_string(&settled(n, ending)).unwrap(), line);
+    }
+}
+
+#[test]
+fn engine_records_have_the_same_json() {
+    let stored = std::fs::read_to_string(data("engines.jsonl")).unwrap();
+    let line = |attempt, work| EngineLine {
+        engine: "m1".into(),
+        request: "r1-0".into(),
+        attempt,
+        work,
+        prompt: 200,
+        kept: 20,
+        output: 3,
+        at: START,
+    };
+    let expected = [line(0, Work::Read), line(1, Work::Pull), line(2, Work::Whole)];
+    assert_eq!(stored.lines().count(), expected.len());
+    for (expected, stored) in expected.iter().zip(stored.lines()) {
+        assert_eq!(&serde_json::from_str::<EngineLine>(stored).unwrap(), expected);
+        assert_eq!(serde_json::to_string(expected).unwrap(), stored);
+    }
+}
+
+#[test]
+fn figures_and_standings_have_the_same_json() {
+    let figures = Figures { spent: 1, reserved: 2, stranded: 3, refused: 4 };
+    assert_eq!(
+        serde_json::to_string(&figures).unwrap(),
+        r#"{"spent":1,"reserved":2,"stranded":3,"refused":4}"#
+    );
+    let standing = Standing {
+        account: tenant_month().to_string(),
+        start: START,
+        limit: Units(5),
+        spent: Units(1),
+        reserved: Units(2),
+        stranded: Units(3),
+    };
+    assert_eq!(
+        serde_json::to_string(&standing).unwrap(),
+        r#"{"account":"nord/*/month","start":1796100000000000,"limit":5,"spent":1,"reserved":2,"stranded":3}"#
+    );
+}
+
+#[test]
+fn refusals_and_forks_are_printed_as_before() {
+    let printed = |why, account| Refusal { why, account, retry_after: 0 }.to_string();
+    let harmless = "; nothing has run, trying again does no harm";
+    assert_eq!(
+        printed(Why::Budget, Some(class_hour())),
+        format!("the token budget of this period is used up (nord/help/hour){harmless}")
+    );
+    assert_eq!(
+        printed(Why::Part, Some(tenant_month())),
+        format!("this router's part of the token budget is used up for now (nord/*/month){harmless}")
+    );
+    assert_eq!(
+        printed(Why::Lease, Some(tenant_day())),
+        format!("this router holds no current lease of the token budget (ost/*/day){harmless}")
+    );
+    assert_eq!(printed(Why::Rate, None), format!("too many tokens a second{harmless}"));
+    assert_eq!(printed(Why::Ledger, None), format!("usage can't be recorded here now{harmless}"));
+    let fork = Fork { router: "r1".into(), number: 9, head: 7 };
+    assert_eq!(
+        fork.to_string(),
+        "router r1 holds lease 9, this journal ends at 7: another settlement job keeps another journal; \
+         stop one and join the journals"
+    );
+    // The router's log names the cause of a grant that was not taken by its variant.
+    let causes = [NotAdopted::NotOurs, NotAdopted::Old, NotAdopted::Expired, NotAdopted::NoLedger];
+    let names: Vec<String> = causes.iter().map(|cause| format!("{cause:?}")).collect();
+    assert_eq!(names, ["NotOurs", "Old", "Expired", "NoLedger"]);
+}
+
+/// Causes are printed by their variants in texts and by these words in JSON.
+#[test]
+fn causes_and_endings_have_the_same_words() {
+    use chalkyard_budget::bill::Cause;
+    let causes = [
+        (Cause::Failed, "Failed", "\"failed\""),
+        (Cause::Broken, "Broken", "\"broken\""),
+        (Cause::LeftEarly, "LeftEarly", "\"left_early\""),
+        (Cause::Orphaned, "Orphaned", "\"orphaned\""),
+        (Cause::AttemptLost, "AttemptLost", "\"attempt_lost\""),
+        (Cause::Repeated, "Repeated", "\"repeated\""),
+        (Cause::OtherPeriod, "OtherPeriod", "\"other_period\""),
+        (Cause::NoReservation, "NoReservation", "\"no_reservation\""),
+        (Cause::NoEngineRecord, "NoEngineRecord", "\"no_engine_record\""),
+        (Cause::Mismatch, "Mismatch", "\"mismatch\""),
+    ];
+    assert!(causes.is_sorted_by_key(|(cause, ..)| *cause), "the order in which bills list them");
+    for (cause, text, json) in causes {
+        assert_eq!(
+            (format!("{cause:?}").as_str(), serde_json::to_string(&cause).unwrap().as_str()),
+            (text, json)
+        );
+    }
+    let words: Vec<String> = ENDINGS.iter().map(|e| serde_json::to_string(e).unwrap()).collect();
+    let expected = ["served", "refused", "failed", "broken", "left", "left_early", "orphaned"];
+    assert_eq!(words, expected.map(|word| format!("\"{word}\"")));
+}
