--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -335,3 +335,7 @@
     }
     Ok(())
 }
+
+#[cfg(test)]
+#[path = "settle_test.rs"]
+mod tests;
