--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -86,9 +86,9 @@
         ending,
         usage: Usage { prompt: 200 + n, kept: 20, output: n },
         cost: Units(1_000 * n + 250),
-        read: (n % 2 == 0).then_some(0),
+        read: n.is_multiple_of(2).then_some(0),
         write: (n != 1).then_some(300),
-        may_have_run: n % 3 == 0,
+        may_have_run: n.is_multiple_of(3),
     }
 }
 
