--- a/crates/budget/src/keeper.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -125,7 +125,7 @@
 
 /// The decisions of one router. Same events, same answers.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct BudgetEnforcer {
     router: Box<str>,
     plan: Plan,
     state: State,
@@ -138,26 +138,26 @@
     out: Vec<(u64, Record)>,
 }
 
-impl Keeper {
+impl BudgetEnforcer {
     /// From the sums that recovery gave. What was open belongs to a life that is over: it is settled here,
     /// at no cost, since its client was cut off.
     pub fn new(router: &str, plan: Plan, state: State, now: Time) -> Self {
-        let mut keeper = Self::begin(router, plan, state);
-        let now = keeper.time(now);
-        keeper.write(Record::Started(now));
-        let orphans: Vec<Box<str>> = keeper.state.open.keys().cloned().collect();
-        keeper.orphan(now, &orphans);
-        keeper
+        let mut enforcer = Self::begin(router, plan, state);
+        let now = enforcer.time(now);
+        enforcer.write(Record::Started(now));
+        let orphans: Vec<Box<str>> = enforcer.state.open.keys().cloned().collect();
+        enforcer.orphan(now, &orphans);
+        enforcer
     }
 
     /// Takes over from a life that has given up its ledger whole and takes nothing new, but still ends what it
-    /// had taken: its settlements come by [`Keeper::inherit`], until [`Keeper::inherited_all`].
+    /// had taken: its settlements come by [`BudgetEnforcer::inherit`], until [`BudgetEnforcer::inherited_all`].
     pub fn succeed(router: &str, plan: Plan, state: State, now: Time) -> Self {
-        let mut keeper = Self::begin(router, plan, state);
-        keeper.inherited = keeper.state.open.keys().cloned().collect();
-        let now = keeper.time(now);
-        keeper.write(Record::Succeeded(now));
-        keeper
+        let mut enforcer = Self::begin(router, plan, state);
+        enforcer.inherited = enforcer.state.open.keys().cloned().collect();
+        let now = enforcer.time(now);
+        enforcer.write(Record::Succeeded(now));
+        enforcer
     }
 
     /// A settlement of the life before.
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::keeper::{Ask, Keeper};
+use super::budget_enforcer::{Ask, BudgetEnforcer};
 use super::settler::{Settler, Terms};
 use super::*;
 
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 struct World {
     now: u64,
-    keepers: Vec<Keeper>,
+    enforcers: Vec<BudgetEnforcer>,
     /// All records of each router, as its ledger has them.
     ledgers: Vec<Vec<(u64, Record)>>,
     /// Units really used, whatever ledgers say.
@@ -93,12 +93,12 @@
 impl World {
     fn new(scope: &Scope) -> Self {
         let mode = Mode::Leases { epoch: 1, routers: 2 };
-        let keeper = |name: &&str| Keeper::new(name, plan(mode), State::default(), Time(START));
+        let enforcer = |name: &&str| BudgetEnforcer::new(name, plan(mode), State::default(), Time(START));
         let terms = Terms { epoch: 1, lease: 2, clock_error: scope.clock_error, even: 1 };
         let settler = Settler::new(plan(mode), terms, &ROUTERS);
         let mut world = Self {
             now: START,
-            keepers: ROUTERS.iter().map(keeper).collect(),
+            enforcers: ROUTERS.iter().map(enforcer).collect(),
             ledgers: vec![Vec::new(); 2],
             truth: vec![0; 2],
             settlers: vec![settler.clone(), settler],
@@ -113,8 +113,8 @@
     }
 
     fn drain(&mut self) {
-        for (keeper, ledger) in self.keepers.iter_mut().zip(&mut self.ledgers) {
-            ledger.extend(keeper.take_records());
+        for (enforcer, ledger) in self.enforcers.iter_mut().zip(&mut self.ledgers) {
+            ledger.extend(enforcer.take_records());
         }
     }
 
@@ -139,7 +139,7 @@
             if self.asks < scope.asks {
                 out.push(Step::Ask(r));
             }
-            if !self.keepers[r].state().open.is_empty() {
+            if !self.enforcers[r].state().open.is_empty() {
                 out.extend([Step::Settle(r, true), Step::Settle(r, false)]);
             }
             if self.crashes < scope.crashes {
@@ -167,16 +167,16 @@
                 let ask = Ask { id: &id, tenant: "t", class: "c", identity: None, prompt: 1, output: 1 };
                 let now = self.clock(r, scope);
                 self.asks += 1;
-                if self.keepers[r].admit(now, ask).is_err() {
+                if self.enforcers[r].admit(now, ask).is_err() {
                     return false;
                 }
                 self.truth[r] += 1;
             }
             Step::Settle(r, used) => {
                 let now = self.clock(r, scope);
-                let id = self.keepers[r].state().open.keys().next().unwrap().clone();
+                let id = self.enforcers[r].state().open.keys().next().unwrap().clone();
                 let (ending, prompt) = if used { (Ending::Served, 1) } else { (Ending::Failed, 0) };
-                self.keepers[r].settle(
+                self.enforcers[r].settle(
                     now,
                     &id,
                     ending,
@@ -190,7 +190,7 @@
                 let now = self.clock(r, scope);
                 let grants = &self.journals[j][n].grants;
                 let grant = grants.iter().find(|g| &*g.router == ROUTERS[r]).unwrap().clone();
-                if self.keepers[r].adopt(now, &grant).is_err() {
+                if self.enforcers[r].adopt(now, &grant).is_err() {
                     return false;
                 }
             }
@@ -207,7 +207,7 @@
                     };
                 }
                 // An orphan's tokens are nobody's to pay; its client is told that it failed.
-                self.truth[r] -= self.keepers[r].state().open.len() as u64;
+                self.truth[r] -= self.enforcers[r].state().open.len() as u64;
                 self.ledgers[r].truncate(kept);
                 let mut state = State::default();
                 for (number, record) in &self.ledgers[r] {
@@ -215,13 +215,13 @@
                 }
                 let now = self.clock(r, scope);
                 let mode = Mode::Leases { epoch: 1, routers: 2 };
-                self.keepers[r] = Keeper::new(ROUTERS[r], plan(mode), state, now);
+                self.enforcers[r] = BudgetEnforcer::new(ROUTERS[r], plan(mode), state, now);
             }
             Step::Round(s, view) => {
                 let j = self.journal(s, scope);
                 for (r, name) in ROUTERS.iter().enumerate() {
                     if view & (1 << r) != 0 {
-                        let state = self.keepers[r].state().clone();
+                        let state = self.enforcers[r].state().clone();
                         self.settlers[s].observe(name, Time(self.now), &state);
                     }
                 }
@@ -262,7 +262,7 @@
     fn print(&self) -> u64 {
         let mut h = DefaultHasher::new();
         (self.now, &self.truth, self.asks, self.crashes, self.excused).hash(&mut h);
-        for k in &self.keepers {
+        for k in &self.enforcers {
             k.hash_state(&mut h);
         }
         for s in &self.settlers {
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,14 +1,14 @@
 //! Tenant budgets across routers that don't talk to each other, and the bills that follow from them.
 //!
-//! Sans-IO: no clock, no files, no sockets. A [`Keeper`] decides at one router what may be spent there and
+//! Sans-IO: no clock, no files, no sockets. A [`BudgetEnforcer`] decides at one router what may be spent there and
 //! gives the [`Record`]s that its ledger must keep; a [`Settler`] reads all ledgers and grants leases for
 //! the next epoch; [`bill`] joins ledgers with the engines' own records of tokens. The bound on overrun and
 //! its proof stand in `docs/budgets.md`.
 
 pub mod bill;
+mod budget_enforcer;
 mod calendar;
 mod grant;
-mod keeper;
 #[cfg(test)]
 #[allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 mod lease_test;
@@ -18,9 +18,9 @@
 mod settler;
 mod units;
 
+pub use budget_enforcer::{Admission, Ask, BudgetEnforcer, Figures, NotAdopted, Refusal, Why};
 pub use calendar::{Calendar, Kind, Span};
 pub use grant::{Allowance, Grant, Key, NotGenuine, Outstanding, Round};
-pub use keeper::{Admission, Ask, Figures, Keeper, NotAdopted, Refusal, Why};
 pub use plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, Price, RateLimit};
 pub use record::{Adopted, Charge, Ending, Held, Open, Place, Ran, Record, Settled, State, Uses};
 pub use settler::{Fork, Settler, Standing, Terms};
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -46,19 +46,19 @@
     }
 }
 
-fn one(limits: Vec<(AccountKey, Limit)>) -> Keeper {
-    Keeper::new("r1", plan(limits, Mode::Shares(1)), State::default(), noon())
+fn one(limits: Vec<(AccountKey, Limit)>) -> BudgetEnforcer {
+    BudgetEnforcer::new("r1", plan(limits, Mode::Shares(1)), State::default(), noon())
 }
 
 fn ask(id: &str, prompt: u64, output: u64) -> Ask<'_> {
     Ask { id, tenant: "nord", class: "help", identity: None, prompt, output }
 }
 
-fn served(k: &mut Keeper, now: Time, id: &str, prompt: u64, kept: u64, output: u64) -> bool {
+fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, kept: u64, output: u64) -> bool {
     k.settle(now, id, Ending::Served, Usage { prompt, kept, output }, (None, Some(0)), true)
 }
 
-fn records(k: &mut Keeper) -> Vec<(u64, Record)> {
+fn records(k: &mut BudgetEnforcer) -> Vec<(u64, Record)> {
     k.take_records().collect()
 }
 
@@ -117,7 +117,7 @@
     let mut p = plan(vec![], Mode::Shares(2));
     let rate = RateLimit { per_second: Units::tokens(200), burst: Units::tokens(2_000) };
     p.rates.insert("nord".into(), rate);
-    let mut k = Keeper::new("r1", p, State::default(), noon());
+    let mut k = BudgetEnforcer::new("r1", p, State::default(), noon());
     assert!(k.admit(noon(), ask("a", 200, 200)).is_ok());
     let refusal = k.admit(noon(), ask("b", 0, 100)).unwrap_err();
     assert_eq!((refusal.why, refusal.retry_after), (Why::Rate, 4 * S));
@@ -162,7 +162,7 @@
     let once = at("2026-10-25T02:30+02:00[Europe/Zurich]");
     // The ledger's last time holds back an older clock, so a router of that day is needed.
     let fresh = plan(vec![(key(Kind::Hour), limit(500)), (key(Kind::Day), limit(1_000))], Mode::Shares(1));
-    let mut of_then = Keeper::new("r1", fresh, State::default(), once);
+    let mut of_then = BudgetEnforcer::new("r1", fresh, State::default(), once);
     assert!(of_then.admit(once, ask("a", 100, 100)).is_ok());
     assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(Kind::Hour)));
     let twice = once.after(3_600 * S);
@@ -178,9 +178,9 @@
     );
 }
 
-fn leased(now: Time) -> Keeper {
+fn leased(now: Time) -> BudgetEnforcer {
     let mode = Mode::Leases { epoch: S, routers: 2 };
-    Keeper::new("r1", plan(vec![(key(Kind::Day), limit(1_000))], mode), State::default(), now)
+    BudgetEnforcer::new("r1", plan(vec![(key(Kind::Day), limit(1_000))], mode), State::default(), now)
 }
 
 fn grant(number: u64, until: Time, tokens: u64) -> Grant {
@@ -221,8 +221,12 @@
     assert!(served(&mut k, until.after(S), "a", 100, 0, 1));
     assert_eq!(k.admit(noon(), ask("d", 10, 1)).unwrap_err().why, Why::Lease);
     // Nor does a restart.
-    let mut again =
-        Keeper::new("r1", plan(vec![], Mode::Leases { epoch: S, routers: 2 }), k.state().clone(), noon());
+    let mut again = BudgetEnforcer::new(
+        "r1",
+        plan(vec![], Mode::Leases { epoch: S, routers: 2 }),
+        k.state().clone(),
+        noon(),
+    );
     assert_eq!(again.adopt(noon(), &grant(7, until.after(60 * S), 900)), Err(NotAdopted::Old));
 }
 
@@ -291,7 +295,7 @@
         }
         let spent = |s: &State| s.held.values().map(|h| h.spent).sum::<Units>();
         let before = spent(&state);
-        let later = Keeper::new("r1", plan(vec![], Mode::Shares(1)), state, noon());
+        let later = BudgetEnforcer::new("r1", plan(vec![], Mode::Shares(1)), state, noon());
         assert_eq!(spent(later.state()), before, "orphans cost nothing");
         assert!(later.state().open.is_empty());
         assert!(later.state().held.values().all(|h| h.reserved == Units(0)));
@@ -315,9 +319,9 @@
     }
     let mode = Mode::Leases { epoch: S, routers: 2 };
     let plan = plan(vec![(key(Kind::Day), limit(1_000))], mode);
-    let mut new = Keeper::succeed("r1", plan, old.state().clone(), noon());
+    let mut new = BudgetEnforcer::succeed("r1", plan, old.state().clone(), noon());
     assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease goes on");
-    let said = |k: &mut Keeper, id: &str| {
+    let said = |k: &mut BudgetEnforcer, id: &str| {
         served(k, noon(), id, 10, 0, 5);
         let Some((_, Record::Settled(s))) = records(k).pop() else { panic!() };
         s
@@ -337,7 +341,7 @@
 // ---- Over routers.
 
 struct Yard {
-    keepers: Vec<Keeper>,
+    enforcers: Vec<BudgetEnforcer>,
     settler: Settler,
     now: Time,
     n: u64,
@@ -352,23 +356,23 @@
             Mode::Shares(routers as u32)
         };
         let plan = plan(vec![(key(Kind::Day), limit(tokens))], mode);
-        let keeper = |n: &String| Keeper::new(n, plan.clone(), State::default(), noon());
+        let enforcer = |n: &String| BudgetEnforcer::new(n, plan.clone(), State::default(), noon());
         let terms = Terms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
-        let keepers = names.iter().map(keeper).collect();
-        Self { keepers, settler: Settler::new(plan, terms, &refs), now: noon(), n: 0 }
+        let enforcers = names.iter().map(enforcer).collect();
+        Self { enforcers, settler: Settler::new(plan, terms, &refs), now: noon(), n: 0 }
     }
 
     fn round(&mut self) {
         self.now = self.now.after(S);
-        for (i, k) in self.keepers.iter().enumerate() {
+        for (i, k) in self.enforcers.iter().enumerate() {
             self.settler.observe(&format!("r{i}"), self.now, k.state());
         }
         let round = self.settler.next(self.now).unwrap();
         self.settler.learn(&round);
         for grant in &round.grants {
             let i: usize = grant.router[1..].parse().unwrap();
-            self.keepers[i].adopt(self.now, grant).unwrap();
+            self.enforcers[i].adopt(self.now, grant).unwrap();
         }
     }
 
@@ -377,15 +381,20 @@
         self.n += 1;
         let id = format!("q{}", self.n);
         let prompt = 50 + self.n % 41;
-        let taken = self.keepers[router].admit(self.now, ask(&id, prompt, 50)).is_ok();
+        let taken = self.enforcers[router].admit(self.now, ask(&id, prompt, 50)).is_ok();
         if taken {
-            served(&mut self.keepers[router], self.now, &id, prompt, 0, 20 + self.n % 31);
+            served(&mut self.enforcers[router], self.now, &id, prompt, 0, 20 + self.n % 31);
         }
         taken
     }
 
     fn used(&self) -> u64 {
-        self.keepers.iter().flat_map(|k| k.state().held.values()).map(|h| h.used()).sum::<Units>().in_tokens()
+        self.enforcers
+            .iter()
+            .flat_map(|k| k.state().held.values())
+            .map(|h| h.used())
+            .sum::<Units>()
+            .in_tokens()
     }
 }
 
@@ -397,7 +406,7 @@
     for n in 0..16 * 200 {
         yard.n += 1;
         let id = format!("q{n}");
-        let _ = yard.keepers[n % 16].admit(yard.now, ask(&id, 50, 50));
+        let _ = yard.enforcers[n % 16].admit(yard.now, ask(&id, 50, 50));
         assert!(yard.used() <= 20_000);
     }
     for _ in 0..10 {
@@ -467,17 +476,17 @@
             yard.ask(r);
         }
     }
-    let dead = yard.keepers[2].clone();
+    let dead = yard.enforcers[2].clone();
     for _ in 0..80 {
         yard.now = yard.now.after(S);
-        for (i, k) in yard.keepers.iter().enumerate() {
+        for (i, k) in yard.enforcers.iter().enumerate() {
             yard.settler.observe(&format!("r{i}"), yard.now, k.state());
         }
         let round = yard.settler.next(yard.now).unwrap();
         yard.settler.learn(&round);
         for grant in round.grants.iter().filter(|g| &*g.router != "r2") {
             let i: usize = grant.router[1..].parse().unwrap();
-            yard.keepers[i].adopt(yard.now, grant).unwrap();
+            yard.enforcers[i].adopt(yard.now, grant).unwrap();
         }
         for n in 0..30 {
             yard.ask([0, 1, 3][n % 3]);
@@ -485,7 +494,7 @@
     }
     assert!(yard.used() >= 47_500 && yard.used() <= 50_000, "{}", yard.used());
     // Back from the dead with its old lease, it takes nothing.
-    yard.keepers[2] = dead;
+    yard.enforcers[2] = dead;
     assert!(!yard.ask(2));
 }
 
--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{Figures, Grant, Keeper, Key, Record, Settled, State, Time};
+use chalkyard_budget::{BudgetEnforcer, Figures, Grant, Key, Record, Settled, State, Time};
 use chalkyard_ledger::{Folder, Limits, Writer};
 use chalkyard_router::shell::{News, Sink};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
@@ -73,7 +73,7 @@
 /// What recovery gave.
 pub struct Recovered {
     /// The decisions, with all that the ledger told.
-    pub keeper: Keeper,
+    pub enforcer: BudgetEnforcer,
     /// To go on writing.
     pub ledger: Ledger,
 }
@@ -113,14 +113,14 @@
         let thread = std::thread::Builder::new().name("grants".into()).spawn(watch);
         thread.map_err(|e| Trouble::CouldNotRun(format!("starting: {e}")))?;
     }
-    let keeper = match before {
-        None => Keeper::new(router, budgets.plan.clone(), state, now),
+    let enforcer = match before {
+        None => BudgetEnforcer::new(router, budgets.plan.clone(), state, now),
         Some(before) => {
             let news = news.clone();
             let listen = move || inherit(before, &news);
             let thread = std::thread::Builder::new().name("inherit".into()).spawn(listen);
             thread.map_err(|e| Trouble::CouldNotRun(format!("starting: {e}")))?;
-            Keeper::succeed(router, budgets.plan.clone(), state, now)
+            BudgetEnforcer::succeed(router, budgets.plan.clone(), state, now)
         }
     };
     let ledger = Ledger {
@@ -130,7 +130,7 @@
         failing: false,
         again: Instant::now(),
     };
-    Ok(Recovered { keeper, ledger })
+    Ok(Recovered { enforcer, ledger })
 }
 
 /// Gives the loop what the life before settles, until it is over.
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -89,7 +89,7 @@
     let mut ledger = None;
     if let Some(budgets) = &settings.budgets {
         let recovered = keeping::recover(budgets, &name, Time(clock.now().0), before, &told)?;
-        core.keep_budgets(recovered.keeper);
+        core.keep_budgets(recovered.enforcer);
         ledger = Some(recovered.ledger);
     }
     if let Some(file) = decisions {
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -6,8 +6,8 @@
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_budget::{
-    AccountKey, Allowance, Ask, AtHard, AtSoft, Calendar, Charge, Ending, Grant, Keeper, Kind, Limit, Mode,
-    Place, Plan, RateLimit, Record, Settled, State, Time, Units, Usage, Weights,
+    AccountKey, Allowance, Ask, AtHard, AtSoft, BudgetEnforcer, Calendar, Charge, Ending, Grant, Kind, Limit,
+    Mode, Place, Plan, RateLimit, Record, Settled, State, Time, Units, Usage, Weights,
 };
 use chalkyard_ledger::{read, Folder, Limits, Volume, Writer};
 use hdrhistogram::Histogram;
@@ -67,10 +67,10 @@
         elsewhere: Units::tokens(1),
     };
     let allowances = plan.limits.keys().map(allowance).collect();
-    let mut keeper = Keeper::new("r1", plan.clone(), State::default(), NOW);
+    let mut enforcer = BudgetEnforcer::new("r1", plan.clone(), State::default(), NOW);
     let grant = Grant { router: "r1".into(), number: 1, until: Time(u64::MAX), allowances };
     let start = Instant::now();
-    keeper.adopt(NOW, &grant).map_err(|e| format!("{e:?}"))?;
+    enforcer.adopt(NOW, &grant).map_err(|e| format!("{e:?}"))?;
     println!(
         "lease of {} budgets taken in {:.1} ms",
         grant.allowances.len(),
@@ -88,14 +88,14 @@
         let id = format!("r1-64a-{n:x}");
         let ask = Ask { id: &id, tenant: &tenant, class: "help", identity: None, prompt: 900, output: 400 };
         let start = Instant::now();
-        let taken = keeper.admit(NOW.after(n), ask);
+        let taken = enforcer.admit(NOW.after(n), ask);
         admit.record(start.elapsed().as_nanos() as u64)?;
         refused += u64::from(taken.is_err());
         let usage = Usage { prompt: 910, kept: 64, output: 120 };
         let start = Instant::now();
-        keeper.settle(NOW.after(n), &id, Ending::Served, usage, (Some(0), Some(1)), true);
+        enforcer.settle(NOW.after(n), &id, Ending::Served, usage, (Some(0), Some(1)), true);
         settle.record(start.elapsed().as_nanos() as u64)?;
-        keeper.take_records().for_each(drop);
+        enforcer.take_records().for_each(drop);
     }
     println!(
         "{requests} requests of {tenants} tenants, {refused} refused; decision µs: p50 {:.2}, p99 {:.2}, p99.9 {:.2}; settlement µs: p50 {:.2}, p99 {:.2}",
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use chalkyard_budget::{Ask, Ending, Grant, Keeper, Key, Settler, State, Terms, Time, Usage};
+use chalkyard_budget::{Ask, BudgetEnforcer, Ending, Grant, Key, Settler, State, Terms, Time, Usage};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -19,10 +19,10 @@
 /// Rounds after the first, which names everything.
 const ROUNDS: usize = 2;
 
-/// One router's budgets: a real keeper.
+/// One router's budgets: a real enforcer.
 struct Member {
     name: String,
-    keeper: Keeper,
+    enforcer: BudgetEnforcer,
 }
 
 /// Measures a few rounds with the requests of an epoch between them.
@@ -38,7 +38,7 @@
         .iter()
         .map(|name| Member {
             name: name.clone(),
-            keeper: Keeper::new(name, plan.clone(), State::default(), START),
+            enforcer: BudgetEnforcer::new(name, plan.clone(), State::default(), START),
         })
         .collect();
     let (mut first, mut later) = (Vec::new(), Vec::new());
@@ -46,7 +46,7 @@
     for round in 0..=ROUNDS {
         let now = START.after(EPOCH_US * (round as u64 + 1));
         for member in &members {
-            settler.observe(&member.name, now, member.keeper.state());
+            settler.observe(&member.name, now, member.enforcer.state());
         }
         let start = Instant::now();
         let stands = settler.next(now).map_err(|fork| fork.to_string())?;
@@ -76,7 +76,7 @@
 fn take(member: &mut Member, key: &Key, signed: &[u8], now: Time) -> Result<f64, Error> {
     let start = Instant::now();
     let grant: Grant = key.open_grant(signed).map_err(|e| e.to_string())?;
-    member.keeper.adopt(now, &grant).map_err(|e| format!("{e:?}"))?;
+    member.enforcer.adopt(now, &grant).map_err(|e| format!("{e:?}"))?;
     Ok(start.elapsed().as_secs_f64())
 }
 
@@ -86,11 +86,11 @@
         let id = format!("{}-{}-{n}", member.name, now.0);
         let at = now.after(n);
         let ask = Ask { id: &id, tenant: &tenant, class: "help", identity: None, prompt: 900, output: 400 };
-        if member.keeper.admit(at, ask).is_ok() {
+        if member.enforcer.admit(at, ask).is_ok() {
             let usage = Usage { prompt: 910, kept: 64, output: 120 };
-            member.keeper.settle(at, &id, Ending::Served, usage, (Some(0), Some(1)), true);
+            member.enforcer.settle(at, &id, Ending::Served, usage, (Some(0), Some(1)), true);
         }
     }
     // The ledger's part, which nobody reads here.
-    member.keeper.take_records().for_each(drop);
+    member.enforcer.take_records().for_each(drop);
 }
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chalkyard_api::client::{ErrorBody, ErrorKind};
-use chalkyard_budget::{Ask, Ending, Figures, Grant, Keeper, Plan, Settled, Time, Usage, Why};
+use chalkyard_budget::{Ask, BudgetEnforcer, Ending, Figures, Grant, Plan, Settled, Time, Usage, Why};
 use chalkyard_policy as p;
 
 use super::job::Job;
@@ -13,9 +13,9 @@
 impl Core {
     /// Has budgets kept from now on; before the start. Identities that may have run in an earlier life and must not
     /// run twice are known from its ledger.
-    pub fn keep_budgets(&mut self, keeper: Keeper) {
+    pub fn keep_budgets(&mut self, budget_enforcer: BudgetEnforcer) {
         let (now, wait) = (self.now, self.config.waits.identity);
-        for ran in &keeper.state().ran {
+        for ran in &budget_enforcer.state().ran {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
             let class = self.config.classes.iter().position(|c| *c.name == *ran.class);
             let class = class.and_then(|c| self.config.policy.classes.get(c));
@@ -26,29 +26,29 @@
                 self.identities.restore(&(tenant, ran.identity.to_string()), until);
             }
         }
-        self.keeper = Some(keeper);
+        self.budget_enforcer = Some(budget_enforcer);
     }
 
     /// Tenants' budget figures, for metrics.
     pub fn budget_figures(&self) -> BTreeMap<Box<str>, Figures> {
-        self.keeper.as_ref().map(|k| k.figures(self.time())).unwrap_or_default()
+        self.budget_enforcer.as_ref().map(|k| k.figures(self.time())).unwrap_or_default()
     }
 
     fn time(&self) -> Time {
         Time(self.now.0)
     }
 
-    /// Gives out the keeper's records: what follows in the outputs follows them.
+    /// Gives out the budget_enforcer's records: what follows in the outputs follows them.
     pub(super) fn write_records(&mut self) {
-        let Some(keeper) = &mut self.keeper else { return };
-        let records = keeper.take_records();
+        let Some(budget_enforcer) = &mut self.budget_enforcer else { return };
+        let records = budget_enforcer.take_records();
         self.out.extend(records.map(|(number, record)| Output::Record(number, Box::new(record))));
     }
 
     /// Reserves for a request, and cuts or lowers it where that is agreed; or refuses it.
     pub(super) fn reserve(&mut self, job: &mut Job) -> Result<(), (u16, ErrorBody)> {
         let now = self.time();
-        let Self { keeper: Some(keeper), config, .. } = self else { return Ok(()) };
+        let Self { budget_enforcer: Some(budget_enforcer), config, .. } = self else { return Ok(()) };
         let tenant = job.request.tenant.and_then(|t| config.tenants.get(t.0));
         let class = config.classes.get(job.request.class.0).map_or("", |c| c.name.as_str());
         let id = job.request.id.0.clone();
@@ -60,7 +60,7 @@
             prompt: job.request.prompt_tokens,
             output: job.request.max_output,
         };
-        let admission = keeper.admit(now, ask).map_err(|refusal| {
+        let admission = budget_enforcer.admit(now, ask).map_err(|refusal| {
             let status = if refusal.why == Why::Ledger { 503 } else { 429 };
             let retry_after = Some(p::Micros(refusal.retry_after).as_secs_f64());
             let reason = refusal.to_string();
@@ -85,7 +85,9 @@
     /// The final answer is given: what the request cost is known.
     pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: Ended) {
         let now = self.time();
-        let Some((keeper, job)) = self.keeper.as_mut().zip(self.jobs.get(id)) else { return };
+        let Some((budget_enforcer, job)) = self.budget_enforcer.as_mut().zip(self.jobs.get(id)) else {
+            return;
+        };
         let begun = job.has_begun();
         let ending = match ended {
             Ended::Served => Ending::Served,
@@ -96,14 +98,14 @@
             Ended::ClientGone | Ended::ClientSlow => Ending::LeftEarly,
         };
         let usage: Usage = job.counted(ending == Ending::Left);
-        keeper.settle(now, &id.0, ending, usage, job.billed_attempts(), job.may_have_run());
+        budget_enforcer.settle(now, &id.0, ending, usage, job.billed_attempts(), job.may_have_run());
         self.write_records();
     }
 
     pub(super) fn granted(&mut self, grant: &Grant) {
         let now = self.time();
-        let Some(keeper) = &mut self.keeper else { return };
-        match keeper.adopt(now, grant) {
+        let Some(budget_enforcer) = &mut self.budget_enforcer else { return };
+        match budget_enforcer.adopt(now, grant) {
             Ok(()) => self.write_records(),
             // The file is read again and again: an old one is no news.
             Err(chalkyard_budget::NotAdopted::Old) => {}
@@ -112,8 +114,8 @@
     }
 
     pub(super) fn writable(&mut self, writable: bool) {
-        if let Some(keeper) = &mut self.keeper {
-            keeper.set_writable(writable);
+        if let Some(budget_enforcer) = &mut self.budget_enforcer {
+            budget_enforcer.set_writable(writable);
             let what =
                 if writable { "can be written again" } else { "can't be written: nothing new is taken" };
             self.note("ledger", format!("the ledger {what}"));
@@ -121,31 +123,31 @@
     }
 
     pub(super) fn checkpoint(&mut self) {
-        if let Some(keeper) = &mut self.keeper {
-            keeper.checkpoint();
+        if let Some(budget_enforcer) = &mut self.budget_enforcer {
+            budget_enforcer.checkpoint();
             self.write_records();
         }
     }
 
     pub(super) fn inherited(&mut self, settled: &Settled) {
         let now = self.time();
-        if let Some(keeper) = &mut self.keeper {
-            keeper.inherit(now, settled);
+        if let Some(budget_enforcer) = &mut self.budget_enforcer {
+            budget_enforcer.inherit(now, settled);
             self.write_records();
         }
     }
 
     pub(super) fn inherited_all(&mut self) {
         let now = self.time();
-        if let Some(keeper) = &mut self.keeper {
-            keeper.inherited_all(now);
+        if let Some(budget_enforcer) = &mut self.budget_enforcer {
+            budget_enforcer.inherited_all(now);
             self.write_records();
         }
     }
 
     pub(super) fn replan(&mut self, plan: Plan) {
-        if let Some(keeper) = &mut self.keeper {
-            keeper.replan(plan);
+        if let Some(budget_enforcer) = &mut self.budget_enforcer {
+            budget_enforcer.replan(plan);
             self.note("budget", "other budgets hold from now on; what is spent stays".into());
         }
     }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use chalkyard_budget::Keeper;
+use chalkyard_budget::BudgetEnforcer;
 use chalkyard_policy as p;
 use chalkyard_policy::{Action, Event, Micros};
 
@@ -79,7 +79,7 @@
     /// What is being let go of, until an engine has said so or its time is over.
     releases: BTreeMap<ReleaseNo, Release>,
     identities: Identities,
-    keeper: Option<Keeper>,
+    budget_enforcer: Option<BudgetEnforcer>,
     held: register::Held,
     register: Option<ConnId>,
     /// The newest version of the list, where a dialect reads it.
@@ -134,7 +134,7 @@
             jobs: BTreeMap::new(),
             releases: BTreeMap::new(),
             identities,
-            keeper: None,
+            budget_enforcer: None,
             held: register::Held::default(),
             register: None,
             version: None,
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -88,7 +88,7 @@
 impl Core {
     /// Counts.
     pub fn counts(&self) -> Counts {
-        let lease = self.keeper.as_ref().map(|k| k.state().lease);
+        let lease = self.budget_enforcer.as_ref().map(|k| k.state().lease);
         Counts {
             open_requests: self.jobs.len(),
             clients: self.clients.len(),
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use chalkyard_budget::{
-    AccountKey, AtHard, AtSoft, Calendar, Ending, Keeper, Kind, Limit, Mode, Plan, Record, State, Time,
-    Units, Weights,
+    AccountKey, AtHard, AtSoft, BudgetEnforcer, Calendar, Ending, Kind, Limit, Mode, Plan, Record, State,
+    Time, Units, Weights,
 };
 use chalkyard_router::*;
 use common::*;
@@ -34,7 +34,7 @@
 
 fn yard_with(plan: Plan) -> Yard {
     let mut yard = Yard::new(config(), &usual());
-    yard.core.keep_budgets(Keeper::new("r1", plan, State::default(), Time(START.0)));
+    yard.core.keep_budgets(BudgetEnforcer::new("r1", plan, State::default(), Time(START.0)));
     yard
 }
 
