--- a/crates/budget/src/budget_enforcer.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -113,7 +113,7 @@
 
 /// A tenant at this router.
 #[derive(Debug, Clone, Default)]
-struct Book {
+struct TenantAccount {
     limits: Vec<(AccountKey, Limit)>,
     /// By account and period: the limit that the newest grant named, and what was used elsewhere.
     told: BTreeMap<Place, (Units, Units)>,
@@ -131,7 +131,7 @@
     state: State,
     /// Spans as the calendar gave them last.
     spans: BTreeMap<Kind, Span>,
-    books: BTreeMap<Box<str>, Book>,
+    tenants: BTreeMap<Box<str>, TenantAccount>,
     writable: bool,
     /// Requests that the life before has taken and still ends.
     inherited: BTreeSet<Box<str>>,
@@ -181,7 +181,7 @@
     fn begin(router: &str, plan: Plan, state: State) -> Self {
         Self {
             router: router.into(),
-            books: by_tenant(&plan),
+            tenants: by_tenant(&plan),
             plan,
             state,
             spans: BTreeMap::new(),
@@ -209,19 +209,19 @@
     /// Other budgets, rates and prices; what is spent and reserved stays, as do streams of tenants that the
     /// new plan does not know.
     pub fn replan(&mut self, plan: Plan) {
-        let mut books = by_tenant(&plan);
+        let mut tenants = by_tenant(&plan);
         self.spans.clear();
         let parts = parts(plan.mode);
-        for (tenant, old) in std::mem::take(&mut self.books) {
-            let limits = books.get_mut(&tenant).map(|fresh| std::mem::take(&mut fresh.limits));
+        for (tenant, old) in std::mem::take(&mut self.tenants) {
+            let limits = tenants.get_mut(&tenant).map(|fresh| std::mem::take(&mut fresh.limits));
             let rate = plan.rates.get(&tenant);
             let mut bucket = old.bucket.filter(|_| rate.is_some());
             if let (Some(bucket), Some(rate)) = (&mut bucket, rate) {
                 bucket.change(rate.per_second.share(1, parts), rate.burst.share(1, parts));
             }
-            books.insert(tenant, Book { limits: limits.unwrap_or_default(), bucket, ..old });
+            tenants.insert(tenant, TenantAccount { limits: limits.unwrap_or_default(), bucket, ..old });
         }
-        self.books = books;
+        self.tenants = tenants;
         self.plan = plan;
     }
 
@@ -247,13 +247,13 @@
         let refused = self.decide(now, ask);
         if let Err(refusal) = &refused {
             let worst = self.plan.weights.worst(self.plan.raised(ask.prompt), ask.output);
-            if !self.books.contains_key(ask.tenant) {
-                self.books.insert(ask.tenant.into(), Book::default());
+            if !self.tenants.contains_key(ask.tenant) {
+                self.tenants.insert(ask.tenant.into(), TenantAccount::default());
             }
-            let Some(book) = self.books.get_mut(ask.tenant) else { return refused };
-            book.refused += 1;
+            let Some(tenant_account) = self.tenants.get_mut(ask.tenant) else { return refused };
+            tenant_account.refused += 1;
             if let (Why::Part | Why::Lease, Some(account)) = (refusal.why, &refusal.account) {
-                let (sum, largest) = book.wanted.entry(account.clone()).or_default();
+                let (sum, largest) = tenant_account.wanted.entry(account.clone()).or_default();
                 *sum = sum.plus(worst);
                 *largest = worst.max(*largest);
             }
@@ -267,19 +267,21 @@
         }
         let prompt = self.plan.raised(ask.prompt);
         let mut admission = Admission { output: ask.output, lower_to: None, marks: Vec::new() };
-        let Self { plan, state, spans, books, .. } = self;
+        let Self { plan, state, spans, tenants, .. } = self;
         let mut places = Vec::new();
         let mut amount = plan.weights.worst(prompt, ask.output);
-        if let Some(book) = books.get_mut(ask.tenant) {
+        if let Some(tenant_account) = tenants.get_mut(ask.tenant) {
             let mine = state.held.of_tenant(ask.tenant);
-            let limits =
-                book.limits.iter().filter(|(k, _)| k.class.as_deref().is_none_or(|c| c == ask.class));
-            let mut accounts = Vec::with_capacity(book.limits.len());
+            let limits = tenant_account
+                .limits
+                .iter()
+                .filter(|(k, _)| k.class.as_deref().is_none_or(|c| c == ask.class));
+            let mut accounts = Vec::with_capacity(tenant_account.limits.len());
             for (key, limit) in limits {
                 let span = span(spans, plan, key.kind, now);
                 let place = Place::new(key, span.start);
                 let held = mine.and_then(|m| m.get(&place)).copied().unwrap_or_default();
-                let told = book.told.get(&place).copied();
+                let told = tenant_account.told.get(&place).copied();
                 let account = Account { key, limit, held, told };
                 if limit.soft < 1_000 && account.used_part(plan.mode, Units(0)) >= limit.soft {
                     match &limit.at_soft {
@@ -305,7 +307,7 @@
             if let Some(rate) = plan.rates.get(ask.tenant) {
                 let parts = parts(plan.mode);
                 let fresh = || Bucket::new(rate.per_second.share(1, parts), rate.burst.share(1, parts), now);
-                let bucket = book.bucket.get_or_insert_with(fresh);
+                let bucket = tenant_account.bucket.get_or_insert_with(fresh);
                 let retry = |retry_after| Refusal { why: Why::Rate, account: None, retry_after };
                 bucket.room(now, amount).map_err(retry)?;
                 bucket.take(amount);
@@ -346,7 +348,7 @@
             _ => Usage::default(),
         };
         let cost = self.plan.weights.cost(usage);
-        if let Some(bucket) = self.books.get_mut(&open.tenant).and_then(|b| b.bucket.as_mut()) {
+        if let Some(bucket) = self.tenants.get_mut(&open.tenant).and_then(|b| b.bucket.as_mut()) {
             if cost <= open.amount {
                 bucket.give_back(open.amount.minus(cost));
             } else {
@@ -382,14 +384,15 @@
             // What is used can't be given back; the grantor learns it from the record.
             let used = self.state.held.get(&a.key, a.span.start).used();
             ceilings.push((a.key.clone(), a.span, a.ceiling.max(used)));
-            if let Some(book) = self.books.get_mut(&a.key.tenant) {
-                book.told.insert(Place::new(&a.key, a.span.start), (a.limit, a.elsewhere));
+            if let Some(tenant_account) = self.tenants.get_mut(&a.key.tenant) {
+                tenant_account.told.insert(Place::new(&a.key, a.span.start), (a.limit, a.elsewhere));
             }
         }
         let mut wanted = Vec::new();
-        for book in self.books.values_mut() {
-            wanted
-                .extend(std::mem::take(&mut book.wanted).into_iter().map(|(k, (sum, most))| (k, sum, most)));
+        for tenant_account in self.tenants.values_mut() {
+            wanted.extend(
+                std::mem::take(&mut tenant_account.wanted).into_iter().map(|(k, (sum, most))| (k, sum, most)),
+            );
         }
         self.write(Record::Adopted(Adopted {
             number: grant.number,
@@ -399,9 +402,9 @@
             wanted,
         }));
         // As long as the sums remember a period.
-        for (tenant, book) in self.books.iter_mut().filter(|(_, b)| b.told.len() > TOLD) {
+        for (tenant, tenant_account) in self.tenants.iter_mut().filter(|(_, b)| b.told.len() > TOLD) {
             let mine = self.state.held.of_tenant(tenant);
-            book.told.retain(|place, _| mine.is_some_and(|m| m.contains_key(place)));
+            tenant_account.told.retain(|place, _| mine.is_some_and(|m| m.contains_key(place)));
         }
         Ok(())
     }
@@ -417,11 +420,12 @@
         let now = self.time(now);
         let spans = Kind::ALL.map(|kind| (kind, self.plan.calendar.span(kind, now).start));
         let mut out: BTreeMap<Box<str>, Figures> = BTreeMap::new();
-        for (tenant, book) in &self.books {
-            let longest = book.limits.iter().filter(|(k, _)| k.class.is_none()).max_by_key(|(k, _)| k.kind);
+        for (tenant, tenant_account) in &self.tenants {
+            let longest =
+                tenant_account.limits.iter().filter(|(k, _)| k.class.is_none()).max_by_key(|(k, _)| k.kind);
             let figures = out.entry(tenant.clone()).or_default();
-            figures.refused = book.refused;
-            let Some((key, limit)) = longest.or(book.limits.last()) else { continue };
+            figures.refused = tenant_account.refused;
+            let Some((key, limit)) = longest.or(tenant_account.limits.last()) else { continue };
             let Some((_, start)) = spans.iter().find(|(kind, _)| *kind == key.kind) else { continue };
             let held = self.state.held.get(key, *start);
             (figures.spent, figures.reserved) = (held.spent.0, held.reserved.0);
@@ -437,8 +441,8 @@
     pub(crate) fn hash_state(&self, into: &mut impl std::hash::Hasher) {
         use std::hash::Hash;
         self.state.hash(into);
-        for book in self.books.values() {
-            (&book.wanted, &book.told).hash(into);
+        for tenant_account in self.tenants.values() {
+            (&tenant_account.wanted, &tenant_account.told).hash(into);
         }
     }
 
@@ -520,8 +524,8 @@
     }
 }
 
-fn by_tenant(plan: &Plan) -> BTreeMap<Box<str>, Book> {
-    let mut out: BTreeMap<Box<str>, Book> = BTreeMap::new();
+fn by_tenant(plan: &Plan) -> BTreeMap<Box<str>, TenantAccount> {
+    let mut out: BTreeMap<Box<str>, TenantAccount> = BTreeMap::new();
     for (key, limit) in &plan.limits {
         out.entry(key.tenant.clone()).or_default().limits.push((key.clone(), limit.clone()));
     }
