--- a/crates/budget/src/budget_enforcer.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -11,7 +11,7 @@
 
 /// A request that wants to be taken.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct ReservationRequest<'a> {
     /// The router's id of it.
     pub id: &'a str,
     /// Tenant; empty: none.
@@ -242,15 +242,15 @@
     ///
     /// # Errors
     /// The refusal.
-    pub fn admit(&mut self, now: Time, ask: Ask<'_>) -> Result<Admission, Refusal> {
+    pub fn admit(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Refusal> {
         let now = self.time(now);
-        let refused = self.decide(now, ask);
+        let refused = self.decide(now, request);
         if let Err(refusal) = &refused {
-            let worst = self.plan.weights.worst(self.plan.raised(ask.prompt), ask.output);
-            if !self.tenants.contains_key(ask.tenant) {
-                self.tenants.insert(ask.tenant.into(), TenantAccount::default());
+            let worst = self.plan.weights.worst(self.plan.raised(request.prompt), request.output);
+            if !self.tenants.contains_key(request.tenant) {
+                self.tenants.insert(request.tenant.into(), TenantAccount::default());
             }
-            let Some(tenant_account) = self.tenants.get_mut(ask.tenant) else { return refused };
+            let Some(tenant_account) = self.tenants.get_mut(request.tenant) else { return refused };
             tenant_account.refused += 1;
             if let (Why::Part | Why::Lease, Some(account)) = (refusal.why, &refusal.account) {
                 let (sum, largest) = tenant_account.wanted.entry(account.clone()).or_default();
@@ -261,21 +261,21 @@
         refused
     }
 
-    fn decide(&mut self, now: Time, ask: Ask<'_>) -> Result<Admission, Refusal> {
+    fn decide(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Refusal> {
         if !self.writable {
             return Err(Refusal { why: Why::Ledger, account: None, retry_after: LEDGER_WAIT });
         }
-        let prompt = self.plan.raised(ask.prompt);
-        let mut admission = Admission { output: ask.output, lower_to: None, marks: Vec::new() };
+        let prompt = self.plan.raised(request.prompt);
+        let mut admission = Admission { output: request.output, lower_to: None, marks: Vec::new() };
         let Self { plan, state, spans, tenants, .. } = self;
         let mut places = Vec::new();
-        let mut amount = plan.weights.worst(prompt, ask.output);
-        if let Some(tenant_account) = tenants.get_mut(ask.tenant) {
-            let mine = state.held.of_tenant(ask.tenant);
+        let mut amount = plan.weights.worst(prompt, request.output);
+        if let Some(tenant_account) = tenants.get_mut(request.tenant) {
+            let mine = state.held.of_tenant(request.tenant);
             let limits = tenant_account
                 .limits
                 .iter()
-                .filter(|(k, _)| k.class.as_deref().is_none_or(|c| c == ask.class));
+                .filter(|(k, _)| k.class.as_deref().is_none_or(|c| c == request.class));
             let mut accounts = Vec::with_capacity(tenant_account.limits.len());
             for (key, limit) in limits {
                 let span = span(spans, plan, key.kind, now);
@@ -304,7 +304,7 @@
                 places.push(place);
             }
             amount = plan.weights.worst(prompt, admission.output);
-            if let Some(rate) = plan.rates.get(ask.tenant) {
+            if let Some(rate) = plan.rates.get(request.tenant) {
                 let parts = parts(plan.mode);
                 let fresh = || Bucket::new(rate.per_second.share(1, parts), rate.burst.share(1, parts), now);
                 let bucket = tenant_account.bucket.get_or_insert_with(fresh);
@@ -320,10 +320,10 @@
             }
         }
         self.write(Record::Reserved(Charge {
-            id: ask.id.into(),
-            tenant: ask.tenant.into(),
-            class: ask.class.into(),
-            identity: ask.identity.map(Into::into),
+            id: request.id.into(),
+            tenant: request.tenant.into(),
+            class: request.class.into(),
+            identity: request.identity.map(Into::into),
             at: now,
             amount,
             slots: places,
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::budget_enforcer::{Ask, BudgetEnforcer};
+use super::budget_enforcer::{BudgetEnforcer, ReservationRequest};
 use super::settler::{Settler, Terms};
 use super::*;
 
@@ -164,10 +164,17 @@
             Step::Tick => self.now += 1,
             Step::Ask(r) => {
                 let id = format!("{r}-{}-{}", self.asks, self.crashes);
-                let ask = Ask { id: &id, tenant: "t", class: "c", identity: None, prompt: 1, output: 1 };
+                let request = ReservationRequest {
+                    id: &id,
+                    tenant: "t",
+                    class: "c",
+                    identity: None,
+                    prompt: 1,
+                    output: 1,
+                };
                 let now = self.clock(r, scope);
                 self.asks += 1;
-                if self.enforcers[r].admit(now, ask).is_err() {
+                if self.enforcers[r].admit(now, request).is_err() {
                     return false;
                 }
                 self.truth[r] += 1;
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -50,8 +50,8 @@
     BudgetEnforcer::new("r1", plan(limits, Mode::Shares(1)), State::default(), noon())
 }
 
-fn ask(id: &str, prompt: u64, output: u64) -> Ask<'_> {
-    Ask { id, tenant: "nord", class: "help", identity: None, prompt, output }
+fn ask(id: &str, prompt: u64, output: u64) -> ReservationRequest<'_> {
+    ReservationRequest { id, tenant: "nord", class: "help", identity: None, prompt, output }
 }
 
 fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, kept: u64, output: u64) -> bool {
@@ -103,12 +103,12 @@
 fn a_class_has_its_own_budget_beside_the_tenants() {
     let of_class = AccountKey { class: Some("report".into()), ..key(Kind::Hour) };
     let mut k = one(vec![(key(Kind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
-    let report = |id| Ask { class: "report", ..ask(id, 50, 10) };
+    let report = |id| ReservationRequest { class: "report", ..ask(id, 50, 10) };
     assert!(k.admit(noon(), report("a")).is_ok());
     let refusal = k.admit(noon(), report("b")).unwrap_err();
     assert_eq!((refusal.account, refusal.retry_after), (Some(of_class), 3_600 * S));
     assert!(k.admit(noon(), ask("b", 50, 10)).is_ok(), "another class");
-    let stranger = Ask { tenant: "ost", ..ask("c", 1_000_000, 1_000_000) };
+    let stranger = ReservationRequest { tenant: "ost", ..ask("c", 1_000_000, 1_000_000) };
     assert!(k.admit(noon(), stranger).is_ok(), "no budget agreed: taken, and recorded for the bill");
 }
 
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -6,8 +6,8 @@
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_budget::{
-    AccountKey, Allowance, Ask, AtHard, AtSoft, BudgetEnforcer, Calendar, Charge, Ending, Grant, Kind, Limit,
-    Mode, Place, Plan, RateLimit, Record, Settled, State, Time, Units, Usage, Weights,
+    AccountKey, Allowance, AtHard, AtSoft, BudgetEnforcer, Calendar, Charge, Ending, Grant, Kind, Limit,
+    Mode, Place, Plan, RateLimit, Record, ReservationRequest, Settled, State, Time, Units, Usage, Weights,
 };
 use chalkyard_ledger::{read, Folder, Limits, Volume, Writer};
 use hdrhistogram::Histogram;
@@ -86,9 +86,16 @@
         draw ^= draw << 17;
         let tenant = format!("tenant-{:05}", draw % tenants as u64);
         let id = format!("r1-64a-{n:x}");
-        let ask = Ask { id: &id, tenant: &tenant, class: "help", identity: None, prompt: 900, output: 400 };
+        let request = ReservationRequest {
+            id: &id,
+            tenant: &tenant,
+            class: "help",
+            identity: None,
+            prompt: 900,
+            output: 400,
+        };
         let start = Instant::now();
-        let taken = enforcer.admit(NOW.after(n), ask);
+        let taken = enforcer.admit(NOW.after(n), request);
         admit.record(start.elapsed().as_nanos() as u64)?;
         refused += u64::from(taken.is_err());
         let usage = Usage { prompt: 910, kept: 64, output: 120 };
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use chalkyard_budget::{Ask, BudgetEnforcer, Ending, Grant, Key, Settler, State, Terms, Time, Usage};
+use chalkyard_budget::{
+    BudgetEnforcer, Ending, Grant, Key, ReservationRequest, Settler, State, Terms, Time, Usage,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -85,8 +87,15 @@
         let tenant = format!("tenant-{:05}", random.random_range(0..size.tenants));
         let id = format!("{}-{}-{n}", member.name, now.0);
         let at = now.after(n);
-        let ask = Ask { id: &id, tenant: &tenant, class: "help", identity: None, prompt: 900, output: 400 };
-        if member.enforcer.admit(at, ask).is_ok() {
+        let request = ReservationRequest {
+            id: &id,
+            tenant: &tenant,
+            class: "help",
+            identity: None,
+            prompt: 900,
+            output: 400,
+        };
+        if member.enforcer.admit(at, request).is_ok() {
             let usage = Usage { prompt: 910, kept: 64, output: 120 };
             member.enforcer.settle(at, &id, Ending::Served, usage, (Some(0), Some(1)), true);
         }
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use chalkyard_api::client::{ErrorBody, ErrorKind};
-use chalkyard_budget::{Ask, BudgetEnforcer, Ending, Figures, Grant, Plan, Settled, Time, Usage, Why};
+use chalkyard_budget::{
+    BudgetEnforcer, Ending, Figures, Grant, Plan, ReservationRequest, Settled, Time, Usage, Why,
+};
 use chalkyard_policy as p;
 
 use super::job::Job;
@@ -52,7 +54,7 @@
         let tenant = job.request.tenant.and_then(|t| config.tenants.get(t.0));
         let class = config.classes.get(job.request.class.0).map_or("", |c| c.name.as_str());
         let id = job.request.id.0.clone();
-        let ask = Ask {
+        let request = ReservationRequest {
             id: &id,
             tenant: tenant.map_or("", |t| t.name.as_str()),
             class,
@@ -60,7 +62,7 @@
             prompt: job.request.prompt_tokens,
             output: job.request.max_output,
         };
-        let admission = budget_enforcer.admit(now, ask).map_err(|refusal| {
+        let admission = budget_enforcer.admit(now, request).map_err(|refusal| {
             let status = if refusal.why == Why::Ledger { 503 } else { 429 };
             let retry_after = Some(p::Micros(refusal.retry_after).as_secs_f64());
             let reason = refusal.to_string();
