--- a/crates/budget/src/budget_enforcer.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -39,38 +39,38 @@
 
 /// Why it is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum DenialReason {
     /// The period's budget is used up.
-    Budget,
+    BudgetExhausted,
     /// This router's part of it is; more may be granted soon.
-    Part,
+    RouterShareExhausted,
     /// No lease holds here.
-    Lease,
+    NoLease,
     /// Too many tokens a second.
-    Rate,
+    RateLimited,
     /// The ledger can't be written.
-    Ledger,
+    LedgerUnavailable,
 }
 
 /// A request that is not taken. Nothing has run, and asking again does no harm.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Denial {
     /// Why.
-    pub why: Why,
-    /// Which budget; none for [`Why::Rate`] and [`Why::Ledger`].
+    pub reason: DenialReason,
+    /// Which budget; none for [`DenialReason::RateLimited`] and [`DenialReason::LedgerUnavailable`].
     pub account: Option<AccountKey>,
     /// Come back after so many µs.
     pub retry_after: u64,
 }
 
-impl std::fmt::Display for Refusal {
+impl std::fmt::Display for Denial {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let what = match self.why {
-            Why::Budget => "the token budget of this period is used up",
-            Why::Part => "this router's part of the token budget is used up for now",
-            Why::Lease => "this router holds no current lease of the token budget",
-            Why::Rate => "too many tokens a second",
-            Why::Ledger => "usage can't be recorded here now",
+        let what = match self.reason {
+            DenialReason::BudgetExhausted => "the token budget of this period is used up",
+            DenialReason::RouterShareExhausted => "this router's part of the token budget is used up for now",
+            DenialReason::NoLease => "this router holds no current lease of the token budget",
+            DenialReason::RateLimited => "too many tokens a second",
+            DenialReason::LedgerUnavailable => "usage can't be recorded here now",
         };
         f.write_str(what)?;
         if let Some(account) = &self.account {
@@ -241,29 +241,35 @@
     /// Takes a request by reserving its worst case, or says why not and when to come back.
     ///
     /// # Errors
-    /// The refusal.
-    pub fn admit(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Refusal> {
+    /// The denial.
+    pub fn admit(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Denial> {
         let now = self.time(now);
-        let refused = self.decide(now, request);
-        if let Err(refusal) = &refused {
+        let decision = self.decide(now, request);
+        if let Err(denial) = &decision {
             let worst = self.plan.weights.worst(self.plan.raised(request.prompt), request.output);
             if !self.tenants.contains_key(request.tenant) {
                 self.tenants.insert(request.tenant.into(), TenantAccount::default());
             }
-            let Some(tenant_account) = self.tenants.get_mut(request.tenant) else { return refused };
+            let Some(tenant_account) = self.tenants.get_mut(request.tenant) else { return decision };
             tenant_account.refused += 1;
-            if let (Why::Part | Why::Lease, Some(account)) = (refusal.why, &refusal.account) {
+            if let (DenialReason::RouterShareExhausted | DenialReason::NoLease, Some(account)) =
+                (denial.reason, &denial.account)
+            {
                 let (sum, largest) = tenant_account.wanted.entry(account.clone()).or_default();
                 *sum = sum.plus(worst);
                 *largest = worst.max(*largest);
             }
         }
-        refused
+        decision
     }
 
-    fn decide(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Refusal> {
+    fn decide(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Denial> {
         if !self.writable {
-            return Err(Refusal { why: Why::Ledger, account: None, retry_after: LEDGER_WAIT });
+            return Err(Denial {
+                reason: DenialReason::LedgerUnavailable,
+                account: None,
+                retry_after: LEDGER_WAIT,
+            });
         }
         let prompt = self.plan.raised(request.prompt);
         let mut admission = Admission { output: request.output, lower_to: None, marks: Vec::new() };
@@ -290,15 +296,18 @@
                         AtSoft::Lower(class) => admission.lower_to = Some(class.clone()),
                     }
                 }
-                let (room, why) = account.room(plan.mode, state.lease.1, now);
+                let (room, reason) = account.room(plan.mode, state.lease.1, now);
                 account.fit(plan, prompt, &mut admission, room).map_err(|()| {
                     // At the period's end at the latest, there is a new one.
                     let left = span.end.since(now);
-                    let retry_after = match (why, plan.mode) {
-                        (Why::Part | Why::Lease, Mode::Leases { epoch, .. }) => epoch.min(left),
+                    let retry_after = match (reason, plan.mode) {
+                        (
+                            DenialReason::RouterShareExhausted | DenialReason::NoLease,
+                            Mode::Leases { epoch, .. },
+                        ) => epoch.min(left),
                         _ => left,
                     };
-                    Refusal { why, account: Some(key.clone()), retry_after }
+                    Denial { reason, account: Some(key.clone()), retry_after }
                 })?;
                 accounts.push(account);
                 places.push(place);
@@ -308,7 +317,8 @@
                 let parts = parts(plan.mode);
                 let fresh = || Bucket::new(rate.per_second.share(1, parts), rate.burst.share(1, parts), now);
                 let bucket = tenant_account.bucket.get_or_insert_with(fresh);
-                let retry = |retry_after| Refusal { why: Why::Rate, account: None, retry_after };
+                let retry =
+                    |retry_after| Denial { reason: DenialReason::RateLimited, account: None, retry_after };
                 bucket.room(now, amount).map_err(retry)?;
                 bucket.take(amount);
             }
@@ -462,23 +472,35 @@
 
 impl Account<'_> {
     /// What may still be used; why it is no more.
-    fn room(&self, mode: Mode, lease_until: Time, now: Time) -> (Units, Why) {
+    fn room(&self, mode: Mode, lease_until: Time, now: Time) -> (Units, DenialReason) {
         let (held, hard) = (self.held, self.limit.hard);
         match mode {
             Mode::Shares(routers) => {
                 let part = hard.share(1, routers.into());
-                (part.minus(held.used()), if routers > 1 { Why::Part } else { Why::Budget })
+                (
+                    part.minus(held.used()),
+                    if routers > 1 {
+                        DenialReason::RouterShareExhausted
+                    } else {
+                        DenialReason::BudgetExhausted
+                    },
+                )
             }
             Mode::Unreserved(_) => {
                 // The whole budget, known only here, against what is settled here.
                 let room = hard.minus(held.spent);
-                (if room > Units(0) { Units(u64::MAX) } else { room }, Why::Budget)
+                (if room > Units(0) { Units(u64::MAX) } else { room }, DenialReason::BudgetExhausted)
             }
-            Mode::Leases { .. } if lease_until <= now => (Units(0), Why::Lease),
+            Mode::Leases { .. } if lease_until <= now => (Units(0), DenialReason::NoLease),
             Mode::Leases { .. } => {
-                let Some(ceiling) = held.ceiling else { return (Units(0), Why::Part) };
+                let Some(ceiling) = held.ceiling else {
+                    return (Units(0), DenialReason::RouterShareExhausted);
+                };
                 let over = self.told.is_some_and(|(limit, elsewhere)| elsewhere.plus(held.used()) >= limit);
-                (ceiling.minus(held.used()), if over { Why::Budget } else { Why::Part })
+                (
+                    ceiling.minus(held.used()),
+                    if over { DenialReason::BudgetExhausted } else { DenialReason::RouterShareExhausted },
+                )
             }
         }
     }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -18,7 +18,9 @@
 mod settler;
 mod units;
 
-pub use budget_enforcer::{Admission, BudgetEnforcer, Figures, NotAdopted, Refusal, ReservationRequest, Why};
+pub use budget_enforcer::{
+    Admission, BudgetEnforcer, Denial, DenialReason, Figures, NotAdopted, ReservationRequest,
+};
 pub use calendar::{Calendar, Kind, Span};
 pub use grant::{Allowance, Grant, Key, NotGenuine, Outstanding, Round};
 pub use plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, Price, RateLimit};
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -68,9 +68,9 @@
     k.admit(noon(), ask("a", 200, 100)).unwrap();
     let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(k.state().held.get(&place().0, place().1).reserved, Units::tokens(600));
-    let refusal = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
-    assert_eq!((refusal.why, refusal.account), (Why::Budget, Some(key(Kind::Day))));
-    assert_eq!(refusal.retry_after, 12 * 3_600 * S, "come back at midnight");
+    let denial = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
+    assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(Kind::Day))));
+    assert_eq!(denial.retry_after, 12 * 3_600 * S, "come back at midnight");
     assert!(served(&mut k, noon(), "a", 210, 110, 10));
     assert_eq!(k.state().held.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
     assert!(!served(&mut k, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
@@ -96,7 +96,7 @@
     let mut k = one(vec![(key(Kind::Day), Limit { at_hard: AtHard::Clamp(16), ..limit(1_000) })]);
     assert_eq!(k.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
     assert_eq!(k.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "what is left");
-    assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().why, Why::Budget);
+    assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
 }
 
 #[test]
@@ -105,8 +105,8 @@
     let mut k = one(vec![(key(Kind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
     let report = |id| ReservationRequest { class: "report", ..ask(id, 50, 10) };
     assert!(k.admit(noon(), report("a")).is_ok());
-    let refusal = k.admit(noon(), report("b")).unwrap_err();
-    assert_eq!((refusal.account, refusal.retry_after), (Some(of_class), 3_600 * S));
+    let denial = k.admit(noon(), report("b")).unwrap_err();
+    assert_eq!((denial.account, denial.retry_after), (Some(of_class), 3_600 * S));
     assert!(k.admit(noon(), ask("b", 50, 10)).is_ok(), "another class");
     let stranger = ReservationRequest { tenant: "ost", ..ask("c", 1_000_000, 1_000_000) };
     assert!(k.admit(noon(), stranger).is_ok(), "no budget agreed: taken, and recorded for the bill");
@@ -119,9 +119,9 @@
     p.rates.insert("nord".into(), rate);
     let mut k = BudgetEnforcer::new("r1", p, State::default(), noon());
     assert!(k.admit(noon(), ask("a", 200, 200)).is_ok());
-    let refusal = k.admit(noon(), ask("b", 0, 100)).unwrap_err();
-    assert_eq!((refusal.why, refusal.retry_after), (Why::Rate, 4 * S));
-    assert_eq!(k.state().open.len(), 1, "a refusal reserves nothing");
+    let denial = k.admit(noon(), ask("b", 0, 100)).unwrap_err();
+    assert_eq!((denial.reason, denial.retry_after), (DenialReason::RateLimited, 4 * S));
+    assert_eq!(k.state().open.len(), 1, "a denial reserves nothing");
     served(&mut k, noon(), "a", 200, 0, 50);
     assert!(k.admit(noon(), ask("b", 0, 100)).is_ok());
 }
@@ -167,8 +167,8 @@
     assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(Kind::Hour)));
     let twice = once.after(3_600 * S);
     assert!(of_then.admit(twice, ask("b", 100, 100)).is_ok());
-    let refusal = of_then.admit(twice.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
-    assert_eq!(refusal.account, Some(key(Kind::Day)));
+    let denial = of_then.admit(twice.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
+    assert_eq!(denial.account, Some(key(Kind::Day)));
     assert!(k.admit(once, ask("a", 100, 100)).is_ok());
     let now = at("2026-12-01T12:00[Europe/Zurich]");
     assert_eq!(
@@ -198,12 +198,16 @@
 #[test]
 fn leases_are_numbered_end_and_never_come_back() {
     let mut k = leased(noon());
-    assert_eq!(k.admit(noon(), ask("a", 1, 1)).unwrap_err().why, Why::Lease);
+    assert_eq!(k.admit(noon(), ask("a", 1, 1)).unwrap_err().reason, DenialReason::NoLease);
     let until = noon().after(10 * S);
     k.adopt(noon(), &grant(5, until, 300)).unwrap();
     assert!(k.admit(noon(), ask("a", 100, 10)).is_ok());
-    let refusal = k.admit(noon(), ask("b", 200, 10)).unwrap_err();
-    assert_eq!((refusal.why, refusal.retry_after), (Why::Part, S), "more may be granted next epoch");
+    let denial = k.admit(noon(), ask("b", 200, 10)).unwrap_err();
+    assert_eq!(
+        (denial.reason, denial.retry_after),
+        (DenialReason::RouterShareExhausted, S),
+        "more may be granted next epoch"
+    );
     assert_eq!(k.adopt(noon(), &grant(5, until, 900)), Err(NotAdopted::Old));
     assert_eq!(k.adopt(noon(), &grant(4, until, 900)), Err(NotAdopted::Old));
     assert_eq!(k.adopt(until, &grant(6, until, 900)), Err(NotAdopted::Expired));
@@ -216,10 +220,10 @@
     assert_eq!(adopted.wanted[0].1, Units::tokens(240));
     k.adopt(noon(), &grant(7, until, 1_000)).unwrap();
     assert!(k.admit(noon().after(9 * S), ask("c", 10, 1)).is_ok());
-    assert_eq!(k.admit(until, ask("d", 10, 1)).unwrap_err().why, Why::Lease);
+    assert_eq!(k.admit(until, ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
     // A clock that steps back does not lengthen it.
     assert!(served(&mut k, until.after(S), "a", 100, 0, 1));
-    assert_eq!(k.admit(noon(), ask("d", 10, 1)).unwrap_err().why, Why::Lease);
+    assert_eq!(k.admit(noon(), ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
     // Nor does a restart.
     let mut again = BudgetEnforcer::new(
         "r1",
@@ -257,7 +261,7 @@
     assert_eq!(k.state().held.get(&place().0, place().1).spent, Units::tokens(260));
     // Put back, it finds what it had spent.
     k.replan(plan(vec![(key(Kind::Day), limit(300))], Mode::Shares(1)));
-    assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().why, Why::Budget);
+    assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
     assert!(k.admit(noon(), ask("b", 40, 0)).is_ok());
 }
 
@@ -266,7 +270,7 @@
     let mut k = one(vec![]);
     k.admit(noon(), ask("a", 10, 10)).unwrap();
     k.set_writable(false);
-    assert_eq!(k.admit(noon(), ask("b", 10, 10)).unwrap_err().why, Why::Ledger);
+    assert_eq!(k.admit(noon(), ask("b", 10, 10)).unwrap_err().reason, DenialReason::LedgerUnavailable);
     assert_eq!(k.adopt(noon(), &grant(1, noon().after(S), 10)), Err(NotAdopted::NoLedger));
     assert!(served(&mut k, noon(), "a", 10, 0, 10), "what is open still ends");
     k.set_writable(true);
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -350,22 +350,25 @@
 
 #[test]
 fn refusals_and_forks_are_printed_as_before() {
-    let printed = |why, account| Refusal { why, account, retry_after: 0 }.to_string();
+    let printed = |reason, account| Denial { reason, account, retry_after: 0 }.to_string();
     let harmless = "; nothing has run, trying again does no harm";
     assert_eq!(
-        printed(Why::Budget, Some(class_hour())),
+        printed(DenialReason::BudgetExhausted, Some(class_hour())),
         format!("the token budget of this period is used up (nord/help/hour){harmless}")
     );
     assert_eq!(
-        printed(Why::Part, Some(tenant_month())),
+        printed(DenialReason::RouterShareExhausted, Some(tenant_month())),
         format!("this router's part of the token budget is used up for now (nord/*/month){harmless}")
     );
     assert_eq!(
-        printed(Why::Lease, Some(tenant_day())),
+        printed(DenialReason::NoLease, Some(tenant_day())),
         format!("this router holds no current lease of the token budget (ost/*/day){harmless}")
     );
-    assert_eq!(printed(Why::Rate, None), format!("too many tokens a second{harmless}"));
-    assert_eq!(printed(Why::Ledger, None), format!("usage can't be recorded here now{harmless}"));
+    assert_eq!(printed(DenialReason::RateLimited, None), format!("too many tokens a second{harmless}"));
+    assert_eq!(
+        printed(DenialReason::LedgerUnavailable, None),
+        format!("usage can't be recorded here now{harmless}")
+    );
     let fork = Fork { router: "r1".into(), number: 9, head: 7 };
     assert_eq!(
         fork.to_string(),
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -4,7 +4,7 @@
 
 use chalkyard_api::client::{ErrorBody, ErrorKind};
 use chalkyard_budget::{
-    BudgetEnforcer, Ending, Figures, Grant, Plan, ReservationRequest, Settled, Time, Usage, Why,
+    BudgetEnforcer, DenialReason, Ending, Figures, Grant, Plan, ReservationRequest, Settled, Time, Usage,
 };
 use chalkyard_policy as p;
 
@@ -62,10 +62,10 @@
             prompt: job.request.prompt_tokens,
             output: job.request.max_output,
         };
-        let admission = budget_enforcer.admit(now, request).map_err(|refusal| {
-            let status = if refusal.why == Why::Ledger { 503 } else { 429 };
-            let retry_after = Some(p::Micros(refusal.retry_after).as_secs_f64());
-            let reason = refusal.to_string();
+        let admission = budget_enforcer.admit(now, request).map_err(|denial| {
+            let status = if denial.reason == DenialReason::LedgerUnavailable { 503 } else { 429 };
+            let retry_after = Some(p::Micros(denial.retry_after).as_secs_f64());
+            let reason = denial.to_string();
             (
                 status,
                 ErrorBody { kind: ErrorKind::Refused, reason, field: None, may_have_run: false, retry_after },
