--- a/crates/budget/src/budget_enforcer.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -6,7 +6,7 @@
 use crate::grant::Grant;
 use crate::plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan};
 use crate::rate::Bucket;
-use crate::record::{Adopted, Charge, Ending, Held, Open, Place, Record, Settled, State};
+use crate::record::{AccountUsage, Adopted, Charge, Ending, Open, Place, Record, Settled, State};
 use crate::units::{Time, Units, Usage};
 
 /// A request that wants to be taken.
@@ -277,7 +277,7 @@
         let mut places = Vec::new();
         let mut amount = plan.weights.worst(prompt, request.output);
         if let Some(tenant_account) = tenants.get_mut(request.tenant) {
-            let mine = state.held.of_tenant(request.tenant);
+            let mine = state.usage.of_tenant(request.tenant);
             let limits = tenant_account
                 .limits
                 .iter()
@@ -286,9 +286,9 @@
             for (key, limit) in limits {
                 let span = span(spans, plan, key.kind, now);
                 let place = Place::new(key, span.start);
-                let held = mine.and_then(|m| m.get(&place)).copied().unwrap_or_default();
+                let usage = mine.and_then(|m| m.get(&place)).copied().unwrap_or_default();
                 let told = tenant_account.told.get(&place).copied();
-                let account = Account { key, limit, held, told };
+                let account = Account { key, limit, usage, told };
                 if limit.soft < 1_000 && account.used_part(plan.mode, Units(0)) >= limit.soft {
                     match &limit.at_soft {
                         AtSoft::Warn => {}
@@ -392,7 +392,7 @@
         let mut ceilings = Vec::with_capacity(grant.allowances.len());
         for a in &grant.allowances {
             // What is used can't be given back; the grantor learns it from the record.
-            let used = self.state.held.get(&a.key, a.span.start).used();
+            let used = self.state.usage.get(&a.key, a.span.start).used();
             ceilings.push((a.key.clone(), a.span, a.ceiling.max(used)));
             if let Some(tenant_account) = self.tenants.get_mut(&a.key.tenant) {
                 tenant_account.told.insert(Place::new(&a.key, a.span.start), (a.limit, a.elsewhere));
@@ -413,7 +413,7 @@
         }));
         // As long as the sums remember a period.
         for (tenant, tenant_account) in self.tenants.iter_mut().filter(|(_, b)| b.told.len() > TOLD) {
-            let mine = self.state.held.of_tenant(tenant);
+            let mine = self.state.usage.of_tenant(tenant);
             tenant_account.told.retain(|place, _| mine.is_some_and(|m| m.contains_key(place)));
         }
         Ok(())
@@ -437,11 +437,11 @@
             figures.refused = tenant_account.refused;
             let Some((key, limit)) = longest.or(tenant_account.limits.last()) else { continue };
             let Some((_, start)) = spans.iter().find(|(kind, _)| *kind == key.kind) else { continue };
-            let held = self.state.held.get(key, *start);
-            (figures.spent, figures.reserved) = (held.spent.0, held.reserved.0);
+            let usage = self.state.usage.get(key, *start);
+            (figures.spent, figures.reserved) = (usage.spent.0, usage.reserved.0);
             figures.stranded = match self.plan.mode {
-                Mode::Leases { .. } => held.ceiling.map_or(0, |c| c.minus(held.used()).0),
-                mode => Account { key, limit, held, told: None }.room(mode, Time(0), now).0 .0,
+                Mode::Leases { .. } => usage.ceiling.map_or(0, |c| c.minus(usage.used()).0),
+                mode => Account { key, limit, usage, told: None }.room(mode, Time(0), now).0 .0,
             };
         }
         out
@@ -466,19 +466,19 @@
 struct Account<'a> {
     key: &'a AccountKey,
     limit: &'a Limit,
-    held: Held,
+    usage: AccountUsage,
     told: Option<(Units, Units)>,
 }
 
 impl Account<'_> {
     /// What may still be used; why it is no more.
     fn room(&self, mode: Mode, lease_until: Time, now: Time) -> (Units, DenialReason) {
-        let (held, hard) = (self.held, self.limit.hard);
+        let (usage, hard) = (self.usage, self.limit.hard);
         match mode {
             Mode::Shares(routers) => {
                 let part = hard.share(1, routers.into());
                 (
-                    part.minus(held.used()),
+                    part.minus(usage.used()),
                     if routers > 1 {
                         DenialReason::RouterShareExhausted
                     } else {
@@ -488,17 +488,17 @@
             }
             Mode::Unreserved(_) => {
                 // The whole budget, known only here, against what is settled here.
-                let room = hard.minus(held.spent);
+                let room = hard.minus(usage.spent);
                 (if room > Units(0) { Units(u64::MAX) } else { room }, DenialReason::BudgetExhausted)
             }
             Mode::Leases { .. } if lease_until <= now => (Units(0), DenialReason::NoLease),
             Mode::Leases { .. } => {
-                let Some(ceiling) = held.ceiling else {
+                let Some(ceiling) = usage.ceiling else {
                     return (Units(0), DenialReason::RouterShareExhausted);
                 };
-                let over = self.told.is_some_and(|(limit, elsewhere)| elsewhere.plus(held.used()) >= limit);
+                let over = self.told.is_some_and(|(limit, elsewhere)| elsewhere.plus(usage.used()) >= limit);
                 (
-                    ceiling.minus(held.used()),
+                    ceiling.minus(usage.used()),
                     if over { DenialReason::BudgetExhausted } else { DenialReason::RouterShareExhausted },
                 )
             }
@@ -507,12 +507,12 @@
 
     /// Thousandths of the budget that are used, over all routers as far as is known here.
     fn used_part(&self, mode: Mode, more: Units) -> u32 {
-        let (held, hard) = (self.held, self.limit.hard);
+        let (usage, hard) = (self.usage, self.limit.hard);
         let (whole, used) = match (mode, self.told) {
-            (Mode::Shares(n), _) => (hard.share(1, n.into()), held.used()),
-            (Mode::Unreserved(_), _) => (hard, held.spent),
-            (Mode::Leases { .. }, Some((limit, elsewhere))) => (limit, held.used().plus(elsewhere)),
-            (Mode::Leases { .. }, None) => (hard, held.used()),
+            (Mode::Shares(n), _) => (hard.share(1, n.into()), usage.used()),
+            (Mode::Unreserved(_), _) => (hard, usage.spent),
+            (Mode::Leases { .. }, Some((limit, elsewhere))) => (limit, usage.used().plus(elsewhere)),
+            (Mode::Leases { .. }, None) => (hard, usage.used()),
         };
         let part = u128::from(used.plus(more).0) * 1_000 / u128::from(whole.0.max(1));
         u32::try_from(part).unwrap_or(u32::MAX)
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -24,6 +24,8 @@
 pub use calendar::{Calendar, Kind, Span};
 pub use grant::{Allowance, Grant, Key, NotGenuine, Outstanding, Round};
 pub use plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, Price, RateLimit};
-pub use record::{Adopted, Charge, Ending, Held, Open, Place, Ran, Record, Settled, State, Uses};
+pub use record::{
+    AccountUsage, Adopted, Charge, Ending, Open, Place, Ran, Record, Settled, State, UsageTable,
+};
 pub use settler::{Fork, Settler, Standing, Terms};
 pub use units::{Time, Units, Usage, Weights};
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -102,7 +102,7 @@
 
 /// Use of one account in one period at one router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct AccountUsage {
     /// Settled.
     pub spent: Units,
     /// Reserved and not settled.
@@ -111,7 +111,7 @@
     pub ceiling: Option<Units>,
 }
 
-impl Held {
+impl AccountUsage {
     /// Spent or reserved.
     pub fn used(&self) -> Units {
         self.spent.plus(self.reserved)
@@ -138,21 +138,21 @@
 
 /// Use by tenant, account and period: a request looks its tenant up once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Uses(BTreeMap<Box<str>, BTreeMap<Place, Held>>);
+pub struct UsageTable(BTreeMap<Box<str>, BTreeMap<Place, AccountUsage>>);
 
-impl Uses {
+impl UsageTable {
     /// Of an account in a period; nothing, if there was none.
-    pub fn get(&self, key: &AccountKey, start: Time) -> Held {
+    pub fn get(&self, key: &AccountKey, start: Time) -> AccountUsage {
         let of_tenant = self.0.get(&key.tenant);
         of_tenant.and_then(|t| t.get(&Place::new(key, start))).copied().unwrap_or_default()
     }
 
     /// All of a tenant.
-    pub fn of_tenant(&self, tenant: &str) -> Option<&BTreeMap<Place, Held>> {
+    pub fn of_tenant(&self, tenant: &str) -> Option<&BTreeMap<Place, AccountUsage>> {
         self.0.get(tenant)
     }
 
-    fn of_tenant_mut(&mut self, tenant: &str) -> &mut BTreeMap<Place, Held> {
+    fn of_tenant_mut(&mut self, tenant: &str) -> &mut BTreeMap<Place, AccountUsage> {
         if !self.0.contains_key(tenant) {
             self.0.insert(tenant.into(), BTreeMap::new());
         }
@@ -160,12 +160,12 @@
     }
 
     /// All: tenant, account and period, use.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &Place, &Held)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &Place, &AccountUsage)> {
         self.0.iter().flat_map(|(tenant, places)| places.iter().map(move |(p, h)| (&**tenant, p, h)))
     }
 
     /// All uses.
-    pub fn values(&self) -> impl Iterator<Item = &Held> {
+    pub fn values(&self) -> impl Iterator<Item = &AccountUsage> {
         self.0.values().flat_map(BTreeMap::values)
     }
 }
@@ -200,7 +200,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct State {
     /// Use by account and period's start.
-    pub held: Uses,
+    pub usage: UsageTable,
     /// Reservations without settlement, by the request's id.
     pub open: BTreeMap<Box<str>, Open>,
     /// The newest lease taken, and how long it holds.
@@ -251,7 +251,7 @@
     /// What a lease's grantor needs: without single requests.
     pub fn sums(&self) -> Self {
         Self {
-            held: self.held.clone(),
+            usage: self.usage.clone(),
             wanted: self.wanted.clone(),
             open: BTreeMap::new(),
             ran: VecDeque::new(),
@@ -265,8 +265,8 @@
         self.last = self.last.max(at);
         self.lease.1 = Time(0);
         self.wanted.clear();
-        for held in self.held.0.values_mut().flat_map(BTreeMap::values_mut) {
-            held.ceiling = None;
+        for usage in self.usage.0.values_mut().flat_map(BTreeMap::values_mut) {
+            usage.ceiling = None;
         }
     }
 
@@ -276,11 +276,11 @@
             return false;
         }
         if !charge.slots.is_empty() {
-            let of_tenant = self.held.of_tenant_mut(&charge.tenant);
+            let of_tenant = self.usage.of_tenant_mut(&charge.tenant);
             let known = of_tenant.len();
             for place in &charge.slots {
-                let held = of_tenant.entry(place.clone()).or_default();
-                held.reserved = held.reserved.plus(charge.amount);
+                let usage = of_tenant.entry(place.clone()).or_default();
+                usage.reserved = usage.reserved.plus(charge.amount);
             }
             // A period that is new puts an old one out.
             if of_tenant.len() > known {
@@ -304,11 +304,11 @@
             self.remember(Ran { tenant: open.tenant.clone(), identity, class, at: settled.at });
         }
         if !open.slots.is_empty() {
-            let of_tenant = self.held.of_tenant_mut(&open.tenant);
+            let of_tenant = self.usage.of_tenant_mut(&open.tenant);
             for place in open.slots {
-                let held = of_tenant.entry(place).or_default();
-                held.reserved = held.reserved.minus(open.amount);
-                held.spent = held.spent.plus(settled.cost);
+                let usage = of_tenant.entry(place).or_default();
+                usage.reserved = usage.reserved.minus(open.amount);
+                usage.spent = usage.spent.plus(settled.cost);
             }
         }
         self.settled += 1;
@@ -330,7 +330,7 @@
         self.last = self.last.max(adopted.at);
         self.lease = (adopted.number, adopted.until);
         for (key, span, ceiling) in &adopted.ceilings {
-            let of_tenant = self.held.of_tenant_mut(&key.tenant);
+            let of_tenant = self.usage.of_tenant_mut(&key.tenant);
             let known = of_tenant.len();
             of_tenant.entry(Place::new(key, span.start)).or_default().ceiling = Some(*ceiling);
             if of_tenant.len() > known {
@@ -343,7 +343,7 @@
 }
 
 /// Drops a tenant's periods beyond those remembered, unless something is open in them.
-fn forget_old(places: &mut BTreeMap<Place, Held>) {
+fn forget_old(places: &mut BTreeMap<Place, AccountUsage>) {
     let mut periods: BTreeMap<(Option<Box<str>>, Kind), usize> = BTreeMap::new();
     let newest_first: Vec<Place> = places.keys().rev().cloned().collect();
     for place in newest_first {
--- a/crates/budget/src/settler.rs
+++ b/crates/budget/src/settler.rs
@@ -145,10 +145,10 @@
 
     /// What this router has used or may still come to use.
     fn committed(&self, router: &str, seen: &Seen, place: &(AccountKey, Time)) -> Units {
-        let held = seen.state.held.get(&place.0, place.1);
-        let leased = held.ceiling.filter(|_| !self.over(seen, seen.state.lease.1)).unwrap_or_default();
+        let usage = seen.state.usage.get(&place.0, place.1);
+        let leased = usage.ceiling.filter(|_| !self.over(seen, seen.state.lease.1)).unwrap_or_default();
         let out = self.unanswered(router, seen, place).unwrap_or_default();
-        out.max(leased).max(held.used())
+        out.max(leased).max(usage.used())
     }
 
     /// The highest ceiling that is out to a router for an account and may still be taken.
@@ -207,7 +207,7 @@
     fn pace(&mut self, key: &AccountKey, now: Time) {
         let start = self.plan.calendar.span(key.kind, now).start;
         for seen in self.routers.values_mut() {
-            let used = seen.state.held.get(key, start).used();
+            let used = seen.state.usage.get(key, start).used();
             let (at, before, pace) = seen.pace.get(key).copied().unwrap_or_default();
             let grown = if at == start { used.minus(before) } else { used };
             let refused = seen.state.wanted.get(key).map_or(Units(0), |w| w.0);
@@ -220,7 +220,7 @@
     fn share(&self, key: &AccountKey, span: Span) -> Vec<(Box<str>, Allowance)> {
         let place = (key.clone(), span.start);
         let limit = self.limit(key, span.start);
-        let used = |seen: &Seen| seen.state.held.get(key, span.start).used();
+        let used = |seen: &Seen| seen.state.usage.get(key, span.start).used();
         let total: Units = self.routers.values().map(used).sum();
         let left = limit.minus(total);
         let wants: Vec<Want> = self.routers.values().map(|seen| self.want(key, seen)).collect();
@@ -244,15 +244,15 @@
         }
         let mut out = Vec::new();
         for ((router, seen), ceiling) in self.routers.iter().zip(ceilings) {
-            let held = seen.state.held.get(&place.0, place.1);
+            let usage = seen.state.usage.get(&place.0, place.1);
             let alive = !self.over(seen, seen.state.lease.1);
             // An unanswered round that named it must be overruled by name.
             let named = self.unanswered(router, seen, &place).is_some();
             let nothing_new =
-                held.ceiling == Some(ceiling) || (held.ceiling.is_none() && ceiling == Units(0));
+                usage.ceiling == Some(ceiling) || (usage.ceiling.is_none() && ceiling == Units(0));
             // After a lease's end the next one would bring back what it does not name.
-            if named || !nothing_new || (!alive && held.ceiling.is_some()) {
-                let elsewhere = total.minus(held.used());
+            if named || !nothing_new || (!alive && usage.ceiling.is_some()) {
+                let elsewhere = total.minus(usage.used());
                 let allowance = Allowance { key: key.clone(), span, ceiling, limit, elsewhere };
                 out.push((router.clone(), allowance));
             }
@@ -298,11 +298,11 @@
             let Some(seen) = self.routers.get(router).filter(|s| !self.over(s, s.state.lease.1)) else {
                 continue;
             };
-            for (tenant, place, held) in seen.state.held.iter() {
+            for (tenant, place, usage) in seen.state.usage.iter() {
                 let span =
                     Span { start: place.start, end: self.plan.calendar.span(place.kind, place.start).end };
                 let key = AccountKey { tenant: tenant.into(), class: place.class.clone(), kind: place.kind };
-                if let Some(ceiling) = held.ceiling.filter(|_| !ended(span)) {
+                if let Some(ceiling) = usage.ceiling.filter(|_| !ended(span)) {
                     let entry = fresh.entry((key.clone(), place.start, router));
                     entry.or_insert_with(|| out(&key, span, ceiling));
                 }
@@ -342,10 +342,10 @@
                 stranded: Units(0),
             };
             for (router, seen) in &self.routers {
-                let held = seen.state.held.get(&place.0, place.1);
-                s.spent = s.spent.plus(held.spent);
-                s.reserved = s.reserved.plus(held.reserved);
-                s.stranded = s.stranded.plus(self.committed(router, seen, &place).minus(held.used()));
+                let usage = seen.state.usage.get(&place.0, place.1);
+                s.spent = s.spent.plus(usage.spent);
+                s.reserved = s.reserved.plus(usage.reserved);
+                s.stranded = s.stranded.plus(self.committed(router, seen, &place).minus(usage.used()));
             }
             out.push(s);
         }
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -67,17 +67,21 @@
     let mut k = one(vec![(key(Kind::Day), limit(1_000))]);
     k.admit(noon(), ask("a", 200, 100)).unwrap();
     let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
-    assert_eq!(k.state().held.get(&place().0, place().1).reserved, Units::tokens(600));
+    assert_eq!(k.state().usage.get(&place().0, place().1).reserved, Units::tokens(600));
     let denial = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
     assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(Kind::Day))));
     assert_eq!(denial.retry_after, 12 * 3_600 * S, "come back at midnight");
     assert!(served(&mut k, noon(), "a", 210, 110, 10));
-    assert_eq!(k.state().held.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
+    assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
     assert!(!served(&mut k, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
     assert!(!served(&mut k, noon(), "never", 1, 0, 1));
     assert!(k.admit(noon(), ask("b", 300, 50)).is_ok());
     k.settle(noon(), "b", Ending::Failed, Usage { prompt: 300, kept: 0, output: 9 }, (None, None), false);
-    assert_eq!(k.state().held.get(&place().0, place().1).used(), Units(151_000), "what failed costs nothing");
+    assert_eq!(
+        k.state().usage.get(&place().0, place().1).used(),
+        Units(151_000),
+        "what failed costs nothing"
+    );
     assert_eq!(records(&mut k).len(), 1 + 4);
 }
 
@@ -134,7 +138,7 @@
     let after = before.after(5 * S);
     k.admit(after, ask("b", 100, 100)).unwrap();
     served(&mut k, after, "a", 100, 0, 100);
-    let used = |day: &str| k.state().held.get(&key(Kind::Day), at(day));
+    let used = |day: &str| k.state().usage.get(&key(Kind::Day), at(day));
     let (first, second) = (used("2026-12-01T00:00[Europe/Zurich]"), used("2026-12-02T00:00[Europe/Zurich]"));
     assert_eq!((first.spent, first.reserved), (Units::tokens(500), Units(0)));
     assert_eq!((second.spent, second.reserved), (Units(0), Units::tokens(500)));
@@ -151,9 +155,9 @@
         served(&mut k, now, &id, 10, 0, 1);
     }
     // Four of each kind, and the two in which one is open.
-    assert_eq!(k.state().held.iter().count(), 4 + 4 + 2);
+    assert_eq!(k.state().usage.iter().count(), 4 + 4 + 2);
     let first = k.reservation("stays open").unwrap().slots[0].start;
-    assert_eq!(k.state().held.get(&key(Kind::Hour), first).reserved, Units::tokens(14));
+    assert_eq!(k.state().usage.get(&key(Kind::Hour), first).reserved, Units::tokens(14));
 }
 
 #[test]
@@ -258,7 +262,7 @@
     k.replan(plan(vec![], Mode::Shares(1)));
     assert!(served(&mut k, noon(), "a", 100, 0, 40));
     let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
-    assert_eq!(k.state().held.get(&place().0, place().1).spent, Units::tokens(260));
+    assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units::tokens(260));
     // Put back, it finds what it had spent.
     k.replan(plan(vec![(key(Kind::Day), limit(300))], Mode::Shares(1)));
     assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
@@ -297,12 +301,12 @@
             state.take(*n, r);
             assert!(!state.take(*n, r) || matches!(r, Record::Started(_)), "fed twice it changes nothing");
         }
-        let spent = |s: &State| s.held.values().map(|h| h.spent).sum::<Units>();
+        let spent = |s: &State| s.usage.values().map(|h| h.spent).sum::<Units>();
         let before = spent(&state);
         let later = BudgetEnforcer::new("r1", plan(vec![], Mode::Shares(1)), state, noon());
         assert_eq!(spent(later.state()), before, "orphans cost nothing");
         assert!(later.state().open.is_empty());
-        assert!(later.state().held.values().all(|h| h.reserved == Units(0)));
+        assert!(later.state().usage.values().all(|h| h.reserved == Units(0)));
     }
     let mut from_checkpoint = State::default();
     let start = all.iter().position(|(_, r)| matches!(r, Record::State(_))).unwrap();
@@ -339,7 +343,7 @@
     assert!(!new.inherit(noon(), &said(&mut old, "b")), "after its end it says nothing");
     let ids: Vec<&str> = new.state().open.keys().map(|id| &**id).collect();
     assert_eq!(ids, ["d"]);
-    assert_eq!(new.state().held.values().map(|h| h.spent).sum::<Units>(), Units::tokens(10 + 4 * 5));
+    assert_eq!(new.state().usage.values().map(|h| h.spent).sum::<Units>(), Units::tokens(10 + 4 * 5));
 }
 
 // ---- Over routers.
@@ -395,7 +399,7 @@
     fn used(&self) -> u64 {
         self.enforcers
             .iter()
-            .flat_map(|k| k.state().held.values())
+            .flat_map(|k| k.state().usage.values())
             .map(|h| h.used())
             .sum::<Units>()
             .in_tokens()
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -163,15 +163,16 @@
     assert_eq!(state.last, START.after(6 * S));
     assert_eq!(state.settled, 7);
     assert_eq!(state.lease, (7, START.after(12 * S)));
-    let held = |spent, reserved, ceiling| Held { spent: Units(spent), reserved: Units(reserved), ceiling };
-    let uses: Vec<(&str, Place, Held)> =
-        state.held.iter().map(|(tenant, place, held)| (tenant, place.clone(), *held)).collect();
+    let usage =
+        |spent, reserved, ceiling| AccountUsage { spent: Units(spent), reserved: Units(reserved), ceiling };
+    let uses: Vec<(&str, Place, AccountUsage)> =
+        state.usage.iter().map(|(tenant, place, usage)| (tenant, place.clone(), *usage)).collect();
     assert_eq!(
         uses,
         [
-            ("nord", month_place(), held(22_750, 0, Some(Units(5_000_000)))),
-            ("nord", hour_place(), held(22_750, 0, Some(Units(700_000)))),
-            ("ost", day_place(), held(0, 12_345, Some(Units(40_000)))),
+            ("nord", month_place(), usage(22_750, 0, Some(Units(5_000_000)))),
+            ("nord", hour_place(), usage(22_750, 0, Some(Units(700_000)))),
+            ("ost", day_place(), usage(0, 12_345, Some(Units(40_000)))),
         ]
     );
     let open: Vec<(&str, Open)> = state.open.iter().map(|(id, open)| (&**id, open.clone())).collect();
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -214,7 +214,7 @@
         "recovery from the last checkpoint ({} records): {:.2} s; sums alike: {}",
         opened.report.records,
         start.elapsed().as_secs_f64(),
-        last.held == whole.held
+        last.usage == whole.usage
     );
     Ok(())
 }
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -55,7 +55,7 @@
         assert_eq!(*n, state.sequence + 1, "numbered without gaps");
         state.take(*n, r);
     }
-    state.held.values().map(|h| h.used()).sum::<Units>().in_tokens()
+    state.usage.values().map(|h| h.used()).sum::<Units>().in_tokens()
 }
 
 #[test]
