--- a/crates/budget/src/settler.rs
+++ b/crates/budget/src/lease_allocator.rs
@@ -14,7 +14,7 @@
 
 /// How long things last, µs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// Between two rounds.
     pub epoch: u64,
     /// A lease's life.
@@ -27,7 +27,7 @@
 
 /// A router's lease is newer than the journal: another settlement job works with another journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fork {
+pub struct JournalForkError {
     /// Whose ledger shows it.
     pub router: Box<str>,
     /// The lease's number.
@@ -36,7 +36,7 @@
     pub head: u64,
 }
 
-impl std::fmt::Display for Fork {
+impl std::fmt::Display for JournalForkError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -49,7 +49,7 @@
 
 /// One account's standing over all routers, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
-pub struct Standing {
+pub struct AccountSummary {
     /// The account.
     pub account: String,
     /// The period's start, µs since 1970.
@@ -82,9 +82,9 @@
 
 /// The settlement job. Same observations, same rounds.
 #[derive(Debug, Clone)]
-pub struct Settler {
+pub struct LeaseAllocator {
     plan: Plan,
-    terms: Terms,
+    terms: LeaseTerms,
     /// Granted beyond the plan, by account and period; may be less than nothing.
     extra: BTreeMap<(AccountKey, Time), i64>,
     routers: BTreeMap<Box<str>, Seen>,
@@ -93,9 +93,9 @@
     outstanding: BTreeMap<(AccountKey, Time), BTreeMap<Box<str>, Vec<Outstanding>>>,
 }
 
-impl Settler {
+impl LeaseAllocator {
     /// For these routers; nobody else is granted anything.
-    pub fn new(plan: Plan, terms: Terms, routers: &[&str]) -> Self {
+    pub fn new(plan: Plan, terms: LeaseTerms, routers: &[&str]) -> Self {
         let routers = routers.iter().map(|r| ((*r).into(), Seen::default())).collect();
         Self { plan, terms, extra: BTreeMap::new(), routers, head: 0, outstanding: BTreeMap::new() }
     }
@@ -112,7 +112,7 @@
     }
 
     /// Takes the journal's newest entry.
-    pub fn learn(&mut self, round: &Round) {
+    pub fn apply_round(&mut self, round: &Round) {
         if round.number > self.head {
             self.head = round.number;
             self.outstanding.clear();
@@ -162,15 +162,19 @@
         out.number > seen.state.lease.0 && !self.over(seen, out.until)
     }
 
-    /// The next round. It holds once it stands in the journal under its number, alone; then [`Self::learn`]
+    /// The next round. It holds once it stands in the journal under its number, alone; then [`Self::apply_round`]
     /// takes it, and its grants may be delivered.
     ///
     /// # Errors
     /// If another journal is at work.
-    pub fn next(&mut self, now: Time) -> Result<Round, Fork> {
+    pub fn next_round(&mut self, now: Time) -> Result<Round, JournalForkError> {
         for (router, seen) in &self.routers {
             if seen.state.lease.0 > self.head {
-                return Err(Fork { router: router.clone(), number: seen.state.lease.0, head: self.head });
+                return Err(JournalForkError {
+                    router: router.clone(),
+                    number: seen.state.lease.0,
+                    head: self.head,
+                });
             }
         }
         let number = self.head + 1;
@@ -328,12 +332,12 @@
     }
 
     /// Where all accounts stand in their present periods.
-    pub fn standings(&self, now: Time) -> Vec<Standing> {
+    pub fn account_summaries(&self, now: Time) -> Vec<AccountSummary> {
         let mut out = Vec::new();
         for key in self.plan.limits.keys() {
             let start = self.plan.calendar.span(key.kind, now).start;
             let place = (key.clone(), start);
-            let mut s = Standing {
+            let mut s = AccountSummary {
                 account: key.to_string(),
                 start,
                 limit: self.limit(key, start),
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -6,7 +6,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use super::budget_enforcer::{BudgetEnforcer, ReservationRequest};
-use super::settler::{Settler, Terms};
+use super::lease_allocator::{LeaseAllocator, LeaseTerms};
 use super::*;
 
 const START: u64 = 1_796_083_200_000_000;
@@ -58,7 +58,7 @@
     ledgers: Vec<Vec<(u64, Record)>>,
     /// Units really used, whatever ledgers say.
     truth: Vec<u64>,
-    settlers: Vec<Settler>,
+    allocators: Vec<LeaseAllocator>,
     journals: Vec<Vec<Round>>,
     asks: u32,
     crashes: u32,
@@ -94,14 +94,14 @@
     fn new(scope: &Scope) -> Self {
         let mode = Mode::Leases { epoch: 1, routers: 2 };
         let enforcer = |name: &&str| BudgetEnforcer::new(name, plan(mode), State::default(), Time(START));
-        let terms = Terms { epoch: 1, lease: 2, clock_error: scope.clock_error, even: 1 };
-        let settler = Settler::new(plan(mode), terms, &ROUTERS);
+        let terms = LeaseTerms { epoch: 1, lease: 2, clock_error: scope.clock_error, even: 1 };
+        let allocator = LeaseAllocator::new(plan(mode), terms, &ROUTERS);
         let mut world = Self {
             now: START,
             enforcers: ROUTERS.iter().map(enforcer).collect(),
             ledgers: vec![Vec::new(); 2],
             truth: vec![0; 2],
-            settlers: vec![settler.clone(), settler],
+            allocators: vec![allocator.clone(), allocator],
             journals: vec![Vec::new(); if scope.fork_at.is_some() { 2 } else { 1 }],
             asks: 0,
             crashes: 0,
@@ -122,10 +122,10 @@
         Time(self.now - if router == 1 { scope.lag } else { 0 })
     }
 
-    fn journal(&self, settler: usize, scope: &Scope) -> usize {
+    fn journal(&self, allocator: usize, scope: &Scope) -> usize {
         // Up to the fork both copies are the same: the first journal stands for both.
         match scope.fork_at {
-            Some(_) => settler,
+            Some(_) => allocator,
             None => 0,
         }
     }
@@ -229,22 +229,22 @@
                 for (r, name) in ROUTERS.iter().enumerate() {
                     if view & (1 << r) != 0 {
                         let state = self.enforcers[r].state().clone();
-                        self.settlers[s].observe(name, Time(self.now), &state);
+                        self.allocators[s].observe(name, Time(self.now), &state);
                     }
                 }
-                match self.settlers[s].next(Time(self.now)) {
+                match self.allocators[s].next_round(Time(self.now)) {
                     // Somebody was first under this number: it is read, and nothing granted.
                     Ok(round) if round.number as usize <= self.journals[j].len() => {
                         let newest = self.journals[j].last().unwrap().clone();
-                        self.settlers[s].learn(&newest);
+                        self.allocators[s].apply_round(&newest);
                     }
                     Ok(round) => {
                         assert_eq!(round.number as usize, self.journals[j].len() + 1);
-                        self.settlers[s].learn(&round);
+                        self.allocators[s].apply_round(&round);
                         if scope.fork_at.is_some_and(|at| round.number as usize <= at) {
                             // Not yet forked: both have it.
                             self.journals.iter_mut().for_each(|j| j.push(round.clone()));
-                            self.settlers.iter_mut().for_each(|s| s.learn(&round));
+                            self.allocators.iter_mut().for_each(|s| s.apply_round(&round));
                         } else {
                             self.journals[j].push(round);
                         }
@@ -255,8 +255,8 @@
                         let Some(newest) = self.journals[j].last().cloned() else {
                             panic!("fork without journal")
                         };
-                        assert!(newest.number > self.settlers[s].head());
-                        self.settlers[s].learn(&newest);
+                        assert!(newest.number > self.allocators[s].head());
+                        self.allocators[s].apply_round(&newest);
                     }
                     Err(_) => unreachable!(),
                 }
@@ -272,7 +272,7 @@
         for k in &self.enforcers {
             k.hash_state(&mut h);
         }
-        for s in &self.settlers {
+        for s in &self.allocators {
             s.hash_state(&mut h);
         }
         self.journals.hash(&mut h);
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -350,7 +350,7 @@
 
 struct Yard {
     enforcers: Vec<BudgetEnforcer>,
-    settler: Settler,
+    allocator: LeaseAllocator,
     now: Time,
     n: u64,
 }
@@ -365,19 +365,19 @@
         };
         let plan = plan(vec![(key(Kind::Day), limit(tokens))], mode);
         let enforcer = |n: &String| BudgetEnforcer::new(n, plan.clone(), State::default(), noon());
-        let terms = Terms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
+        let terms = LeaseTerms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
         let enforcers = names.iter().map(enforcer).collect();
-        Self { enforcers, settler: Settler::new(plan, terms, &refs), now: noon(), n: 0 }
+        Self { enforcers, allocator: LeaseAllocator::new(plan, terms, &refs), now: noon(), n: 0 }
     }
 
     fn round(&mut self) {
         self.now = self.now.after(S);
         for (i, k) in self.enforcers.iter().enumerate() {
-            self.settler.observe(&format!("r{i}"), self.now, k.state());
+            self.allocator.observe(&format!("r{i}"), self.now, k.state());
         }
-        let round = self.settler.next(self.now).unwrap();
-        self.settler.learn(&round);
+        let round = self.allocator.next_round(self.now).unwrap();
+        self.allocator.apply_round(&round);
         for grant in &round.grants {
             let i: usize = grant.router[1..].parse().unwrap();
             self.enforcers[i].adopt(self.now, grant).unwrap();
@@ -488,10 +488,10 @@
     for _ in 0..80 {
         yard.now = yard.now.after(S);
         for (i, k) in yard.enforcers.iter().enumerate() {
-            yard.settler.observe(&format!("r{i}"), yard.now, k.state());
+            yard.allocator.observe(&format!("r{i}"), yard.now, k.state());
         }
-        let round = yard.settler.next(yard.now).unwrap();
-        yard.settler.learn(&round);
+        let round = yard.allocator.next_round(yard.now).unwrap();
+        yard.allocator.apply_round(&round);
         for grant in round.grants.iter().filter(|g| &*g.router != "r2") {
             let i: usize = grant.router[1..].parse().unwrap();
             yard.enforcers[i].adopt(yard.now, grant).unwrap();
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -335,7 +335,7 @@
         serde_json::to_string(&figures).unwrap(),
         r#"{"spent":1,"reserved":2,"stranded":3,"refused":4}"#
     );
-    let standing = Standing {
+    let standing = AccountSummary {
         account: tenant_month().to_string(),
         start: START,
         limit: Units(5),
@@ -370,7 +370,7 @@
         printed(DenialReason::LedgerUnavailable, None),
         format!("usage can't be recorded here now{harmless}")
     );
-    let fork = Fork { router: "r1".into(), number: 9, head: 7 };
+    let fork = JournalForkError { router: "r1".into(), number: 9, head: 7 };
     assert_eq!(
         fork.to_string(),
         "router r1 holds lease 9, this journal ends at 7: another settlement job keeps another journal; \
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -8,7 +8,7 @@
 
 use crate::keeping::now;
 use crate::settle::{
-    add_adjustment, adjusted, parts, settler, Adjustment, Adjustments, Change, Journal, Sums,
+    add_adjustment, adjusted, parts, restore_allocator, Adjustment, Adjustments, Change, Journal, Sums,
 };
 use crate::{Format, Trouble};
 use chalkyard_settings::{Budgets, Settlement};
@@ -182,25 +182,25 @@
     let (settlement, key) = parts(budgets)?;
     let journal = Journal::open(&settlement.journal, key)
         .map_err(|e| Trouble::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
-    let mut settler = settler(&budgets.plan, settlement, &journal)?;
+    let mut allocator = restore_allocator(&budgets.plan, settlement, &journal)?;
     let mut by_hand = Adjustments::new(settlement);
     let changes = by_hand.read()?;
     let (plan, extra) = adjusted(&budgets.plan, changes);
-    settler.replan(plan, extra);
-    Sums::new(settlement).read(&mut settler);
-    let standings = settler.standings(now());
+    allocator.replan(plan, extra);
+    Sums::new(settlement).read(&mut allocator);
+    let account_summaries = allocator.account_summaries(now());
     match format {
         Format::Json => {
             let trail: Vec<serde_json::Value> =
                 changes.iter().map(|(n, a)| serde_json::json!({"number": n, "adjustment": a})).collect();
             println!(
                 "{}",
-                serde_json::json!({"round": settler.head(), "budgets": standings, "adjustments": trail})
+                serde_json::json!({"round": allocator.head(), "budgets": account_summaries, "adjustments": trail})
             );
         }
         Format::Text => {
-            println!("round {}; tokens of the present periods", settler.head());
-            for s in standings {
+            println!("round {}; tokens of the present periods", allocator.head());
+            for s in account_summaries {
                 println!(
                     "{}: {} of {} spent, {} reserved, {} leased and not used",
                     s.account,
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{AccountKey, Key, Plan, Round, Settler, State, Time};
+use chalkyard_budget::{AccountKey, Key, LeaseAllocator, Plan, Round, State, Time};
 use chalkyard_ledger::{Folder, Follower, Item, Limits, Writer};
 use serde::{Deserialize, Serialize};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -224,7 +224,7 @@
     }
 
     /// Reads on. A ledger that can't be read stays as it was last seen: its leases go on counting.
-    pub fn read(&mut self, settler: &mut Settler) {
+    pub fn read(&mut self, allocator: &mut LeaseAllocator) {
         for (name, follower, state) in &mut self.ledgers {
             let read_at = now();
             let told = follower.poll(is_checkpoint, |item| match item {
@@ -238,7 +238,7 @@
                     if let Some(trouble) = trouble {
                         warn!(target: "settle", router = name, "{trouble}");
                     }
-                    settler.observe(name, read_at, state);
+                    allocator.observe(name, read_at, state);
                 }
                 Err(e) => warn!(target: "settle", router = name, "its ledger can't be read: {e}"),
             }
@@ -254,17 +254,21 @@
     Ok((settlement, read_key(key)?))
 }
 
-/// A settler for these settings, as the journal's newest round leaves it.
-pub fn settler(plan: &Plan, settlement: &Settlement, journal: &Journal) -> Result<Settler, Trouble> {
+/// An allocator for these settings, as the journal's newest round leaves it.
+pub fn restore_allocator(
+    plan: &Plan,
+    settlement: &Settlement,
+    journal: &Journal,
+) -> Result<LeaseAllocator, Trouble> {
     let names: Vec<&str> = settlement.routers.iter().map(|(n, _)| n.as_str()).collect();
-    let mut settler = Settler::new(plan.clone(), settlement.terms, &names);
-    catch_up(&mut settler, journal)?;
-    Ok(settler)
+    let mut allocator = LeaseAllocator::new(plan.clone(), settlement.terms, &names);
+    catch_up(&mut allocator, journal)?;
+    Ok(allocator)
 }
 
-fn catch_up(settler: &mut Settler, journal: &Journal) -> Result<(), Trouble> {
-    if let Some(newest) = journal.newer(settler.head()).map_err(Trouble::CouldNotRun)? {
-        settler.learn(&newest);
+fn catch_up(allocator: &mut LeaseAllocator, journal: &Journal) -> Result<(), Trouble> {
+    if let Some(newest) = journal.newer(allocator.head()).map_err(Trouble::CouldNotRun)? {
+        allocator.apply_round(&newest);
     }
     Ok(())
 }
@@ -281,7 +285,7 @@
     let settlement = settlement.clone();
     let journal = Journal::open(&settlement.journal, key)
         .map_err(|e| Trouble::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
-    let mut settler = settler(&budgets.plan, &settlement, &journal)?;
+    let mut allocator = restore_allocator(&budgets.plan, &settlement, &journal)?;
     let mut by_hand = Adjustments::new(&settlement);
     let mut sums = Sums::new(&settlement);
     info!(target: "settle", routers = settlement.routers.len(), "ready");
@@ -309,24 +313,24 @@
         match by_hand.read() {
             Ok(changes) => {
                 let (plan, extra) = adjusted(&budgets.plan, changes);
-                settler.replan(plan, extra);
+                allocator.replan(plan, extra);
             }
             Err(Trouble::BadInput(why) | Trouble::CouldNotRun(why)) => warn!(target: "settle", "{why}"),
         }
-        one_round(&mut settler, &mut sums, &journal)?;
+        one_round(&mut allocator, &mut sums, &journal)?;
     }
     Ok(ExitCode::SUCCESS)
 }
 
 /// One round: read, decide, let it stand, deliver. Should another job be first under the number, its round is
 /// learnt and the next one tried at the next epoch.
-fn one_round(settler: &mut Settler, sums: &mut Sums, journal: &Journal) -> Result<(), Trouble> {
-    catch_up(settler, journal)?;
-    sums.read(settler);
-    let round = settler.next(now()).map_err(|fork| Trouble::CouldNotRun(fork.to_string()))?;
+fn one_round(allocator: &mut LeaseAllocator, sums: &mut Sums, journal: &Journal) -> Result<(), Trouble> {
+    catch_up(allocator, journal)?;
+    sums.read(allocator);
+    let round = allocator.next_round(now()).map_err(|fork| Trouble::CouldNotRun(fork.to_string()))?;
     match journal.stand(&round) {
         Ok(true) => {
-            settler.learn(&round);
+            allocator.apply_round(&round);
             journal.deliver(&round);
             journal.tidy(round.number);
         }
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use chalkyard_budget::{
-    BudgetEnforcer, Ending, Grant, Key, ReservationRequest, Settler, State, Terms, Time, Usage,
+    BudgetEnforcer, Ending, Grant, Key, LeaseAllocator, LeaseTerms, ReservationRequest, State, Time, Usage,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +17,7 @@
 const START: Time = Time(1_796_100_000_000_000);
 /// As the settings' defaults.
 const EPOCH_US: u64 = 1_000_000;
-const TERMS: Terms = Terms { epoch: EPOCH_US, lease: 10_000_000, clock_error: 250_000, even: 4 };
+const TERMS: LeaseTerms = LeaseTerms { epoch: EPOCH_US, lease: 10_000_000, clock_error: 250_000, even: 4 };
 /// Rounds after the first, which names everything.
 const ROUNDS: usize = 2;
 
@@ -34,8 +34,8 @@
     let plan = plan_for(size.tenants, size.routers as u32, EPOCH_US);
     let names: Vec<String> = (0..size.routers).map(|n| format!("r{n}")).collect();
     let before = ALLOCATOR.allocated();
-    let mut settler =
-        Settler::new(plan.clone(), TERMS, &names.iter().map(String::as_str).collect::<Vec<_>>());
+    let mut allocator =
+        LeaseAllocator::new(plan.clone(), TERMS, &names.iter().map(String::as_str).collect::<Vec<_>>());
     let mut members: Vec<Member> = names
         .iter()
         .map(|name| Member {
@@ -48,12 +48,12 @@
     for round in 0..=ROUNDS {
         let now = START.after(EPOCH_US * (round as u64 + 1));
         for member in &members {
-            settler.observe(&member.name, now, member.enforcer.state());
+            allocator.observe(&member.name, now, member.enforcer.state());
         }
         let start = Instant::now();
-        let stands = settler.next(now).map_err(|fork| fork.to_string())?;
+        let stands = allocator.next_round(now).map_err(|fork| fork.to_string())?;
         decided.push(start.elapsed().as_secs_f64());
-        settler.learn(&stands);
+        allocator.apply_round(&stands);
         let grants: BTreeMap<&str, &Grant> = stands.grants.iter().map(|g| (&*g.router, g)).collect();
         for member in &mut members {
             let grant = grants.get(member.name.as_str()).ok_or("a router without a grant")?;
--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use chalkyard_budget::{
-    AccountKey, AtHard, AtSoft, Calendar, Kind, Limit, Mode, Plan, Price, RateLimit, Terms, Units, Weights,
+    AccountKey, AtHard, AtSoft, Calendar, Kind, LeaseTerms, Limit, Mode, Plan, Price, RateLimit, Units,
+    Weights,
 };
 use chalkyard_policy as p;
 
@@ -37,7 +38,7 @@
     /// A folder for rounds, grants and adjustments.
     pub journal: PathBuf,
     /// How long things last.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// Routers and their ledgers.
     pub routers: Vec<(String, PathBuf)>,
 }
@@ -221,7 +222,7 @@
 
 fn settlement(e: &mut Element<'_, '_>, errors: &mut Errors) -> Settlement {
     let micros = |span: Span| span.0 .0;
-    let terms = Terms {
+    let terms = LeaseTerms {
         epoch: micros(e.or("epoch", Span(p::Micros(1_000_000)), errors)),
         lease: micros(e.or("lease", Span(p::Micros(10_000_000)), errors)),
         clock_error: micros(e.or("clock-error", Span(p::Micros(250_000)), errors)),
