--- a/crates/budget/src/budget_enforcer.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -82,7 +82,7 @@
 
 /// Why a grant is not taken. The lease that there is stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotAdopted {
+pub enum AdoptLeaseError {
     /// For another router.
     NotOurs,
     /// Not newer than the newest seen.
@@ -374,20 +374,20 @@
     ///
     /// # Errors
     /// If it is not this router's, not newer than the newest, or over; or if it can't be recorded.
-    pub fn adopt(&mut self, now: Time, grant: &Grant) -> Result<(), NotAdopted> {
+    pub fn adopt(&mut self, now: Time, grant: &Grant) -> Result<(), AdoptLeaseError> {
         let now = self.time(now);
         if grant.router != self.router {
-            return Err(NotAdopted::NotOurs);
+            return Err(AdoptLeaseError::NotOurs);
         }
         if grant.number <= self.state.lease.0 {
-            return Err(NotAdopted::Old);
+            return Err(AdoptLeaseError::Old);
         }
         if grant.until <= now {
-            return Err(NotAdopted::Expired);
+            return Err(AdoptLeaseError::Expired);
         }
         // Nothing new is taken meanwhile, and records that wait for the disk stay as many as requests are open.
         if !self.writable {
-            return Err(NotAdopted::NoLedger);
+            return Err(AdoptLeaseError::NoLedger);
         }
         let mut ceilings = Vec::with_capacity(grant.allowances.len());
         for a in &grant.allowances {
--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -70,29 +70,29 @@
 
 /// The key that settlement job and routers share.
 #[derive(Clone)]
-pub struct Key([u8; 32]);
+pub struct SigningKey([u8; 32]);
 
-impl std::fmt::Debug for Key {
+impl std::fmt::Debug for SigningKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Key(..)")
+        f.write_str("SigningKey(..)")
     }
 }
 
 /// Why a message is not taken for the settlement job's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotGenuine {
+pub enum SignatureError {
     /// No line with a MAC.
-    Cut,
+    Truncated,
     /// The MAC is another's, or the message was changed.
     WrongMac,
     /// Signed, and not understood: another version.
     Unreadable,
 }
 
-impl std::fmt::Display for NotGenuine {
+impl std::fmt::Display for SignatureError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::Cut => "cut short: no line with a MAC",
+            Self::Truncated => "cut short: no line with a MAC",
             Self::WrongMac => "the MAC does not fit: changed, or signed under another key",
             Self::Unreadable => "signed, and not understood: of another version?",
         })
@@ -108,7 +108,7 @@
     (0..text.len()).step_by(2).map(pair).collect()
 }
 
-impl Key {
+impl SigningKey {
     /// From 64 hexadecimal digits.
     ///
     /// # Errors
@@ -136,14 +136,15 @@
         bytes
     }
 
-    fn open<T: DeserializeOwned>(&self, purpose: &str, bytes: &[u8]) -> Result<T, NotGenuine> {
-        let text = std::str::from_utf8(bytes).map_err(|_| NotGenuine::WrongMac)?;
-        let (body, tag) = text.strip_suffix('\n').and_then(|t| t.split_once('\n')).ok_or(NotGenuine::Cut)?;
-        let tag = unhex(tag).ok_or(NotGenuine::WrongMac)?;
-        let mut mac = self.mac(purpose).ok_or(NotGenuine::WrongMac)?;
+    fn open<T: DeserializeOwned>(&self, purpose: &str, bytes: &[u8]) -> Result<T, SignatureError> {
+        let text = std::str::from_utf8(bytes).map_err(|_| SignatureError::WrongMac)?;
+        let (body, tag) =
+            text.strip_suffix('\n').and_then(|t| t.split_once('\n')).ok_or(SignatureError::Truncated)?;
+        let tag = unhex(tag).ok_or(SignatureError::WrongMac)?;
+        let mut mac = self.mac(purpose).ok_or(SignatureError::WrongMac)?;
         mac.update(body.as_bytes());
-        mac.verify_slice(&tag).map_err(|_| NotGenuine::WrongMac)?;
-        serde_json::from_str(body).map_err(|_| NotGenuine::Unreadable)
+        mac.verify_slice(&tag).map_err(|_| SignatureError::WrongMac)?;
+        serde_json::from_str(body).map_err(|_| SignatureError::Unreadable)
     }
 
     /// A grant as it is delivered: a line of JSON, and a line with the HMAC-SHA-256 of it.
@@ -155,7 +156,7 @@
     ///
     /// # Errors
     /// If it is not the settlement job's.
-    pub fn open_grant(&self, bytes: &[u8]) -> Result<Grant, NotGenuine> {
+    pub fn open_grant(&self, bytes: &[u8]) -> Result<Grant, SignatureError> {
         self.open("chalkyard-grant-1", bytes)
     }
 
@@ -168,7 +169,7 @@
     ///
     /// # Errors
     /// If it is not the settlement job's.
-    pub fn open_round(&self, bytes: &[u8]) -> Result<Round, NotGenuine> {
+    pub fn open_round(&self, bytes: &[u8]) -> Result<Round, SignatureError> {
         self.open("chalkyard-round-1", bytes)
     }
 }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -19,10 +19,10 @@
 mod units;
 
 pub use budget_enforcer::{
-    Admission, BudgetEnforcer, Denial, DenialReason, Figures, NotAdopted, ReservationRequest,
+    Admission, AdoptLeaseError, BudgetEnforcer, Denial, DenialReason, Figures, ReservationRequest,
 };
 pub use calendar::{Calendar, Kind, Span};
-pub use grant::{Allowance, Grant, Key, NotGenuine, Outstanding, Round};
+pub use grant::{Allowance, Grant, Outstanding, Round, SignatureError, SigningKey};
 pub use lease_allocator::{AccountSummary, JournalForkError, LeaseAllocator, LeaseTerms};
 pub use plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, Price, RateLimit};
 pub use record::{
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -212,11 +212,11 @@
         (DenialReason::RouterShareExhausted, S),
         "more may be granted next epoch"
     );
-    assert_eq!(k.adopt(noon(), &grant(5, until, 900)), Err(NotAdopted::Old));
-    assert_eq!(k.adopt(noon(), &grant(4, until, 900)), Err(NotAdopted::Old));
-    assert_eq!(k.adopt(until, &grant(6, until, 900)), Err(NotAdopted::Expired));
+    assert_eq!(k.adopt(noon(), &grant(5, until, 900)), Err(AdoptLeaseError::Old));
+    assert_eq!(k.adopt(noon(), &grant(4, until, 900)), Err(AdoptLeaseError::Old));
+    assert_eq!(k.adopt(until, &grant(6, until, 900)), Err(AdoptLeaseError::Expired));
     let other = Grant { router: "r2".into(), ..grant(7, until, 900) };
-    assert_eq!(k.adopt(noon(), &other), Err(NotAdopted::NotOurs));
+    assert_eq!(k.adopt(noon(), &other), Err(AdoptLeaseError::NotOurs));
     // A ceiling under what is used already: what is used is told.
     k.adopt(noon(), &grant(6, until, 10)).unwrap();
     let Some((_, Record::Adopted(adopted))) = records(&mut k).pop() else { panic!() };
@@ -235,16 +235,16 @@
         k.state().clone(),
         noon(),
     );
-    assert_eq!(again.adopt(noon(), &grant(7, until.after(60 * S), 900)), Err(NotAdopted::Old));
+    assert_eq!(again.adopt(noon(), &grant(7, until.after(60 * S), 900)), Err(AdoptLeaseError::Old));
 }
 
 #[test]
 fn grants_under_another_key_or_changed_are_not_taken() {
-    let k = Key::new(&"ab".repeat(32)).unwrap();
+    let k = SigningKey::new(&"ab".repeat(32)).unwrap();
     let g = grant(3, noon(), 10);
     let bytes = k.sign_grant(&g);
     assert_eq!(k.open_grant(&bytes), Ok(g));
-    assert_eq!(Key::new(&"ac".repeat(32)).unwrap().open_grant(&bytes), Err(NotGenuine::WrongMac));
+    assert_eq!(SigningKey::new(&"ac".repeat(32)).unwrap().open_grant(&bytes), Err(SignatureError::WrongMac));
     assert!(k.open_round(&bytes).is_err(), "a grant is no round");
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
@@ -252,7 +252,7 @@
         assert!(k.open_grant(&changed).is_err(), "byte {at}");
         assert!(k.open_grant(&bytes[..at]).is_err(), "cut at {at}");
     }
-    assert!(Key::new("short").is_err());
+    assert!(SigningKey::new("short").is_err());
 }
 
 #[test]
@@ -275,7 +275,7 @@
     k.admit(noon(), ask("a", 10, 10)).unwrap();
     k.set_writable(false);
     assert_eq!(k.admit(noon(), ask("b", 10, 10)).unwrap_err().reason, DenialReason::LedgerUnavailable);
-    assert_eq!(k.adopt(noon(), &grant(1, noon().after(S), 10)), Err(NotAdopted::NoLedger));
+    assert_eq!(k.adopt(noon(), &grant(1, noon().after(S), 10)), Err(AdoptLeaseError::NoLedger));
     assert!(served(&mut k, noon(), "a", 10, 0, 10), "what is open still ends");
     k.set_writable(true);
     assert!(k.admit(noon(), ask("b", 10, 10)).is_ok());
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -226,8 +226,8 @@
     assert_eq!((report.next, report.damage[0].1.lost), (21, (3, 4)));
 }
 
-fn signing_key() -> Key {
-    Key::new(&"5a".repeat(32)).unwrap()
+fn signing_key() -> SigningKey {
+    SigningKey::new(&"5a".repeat(32)).unwrap()
 }
 
 fn stored_grant() -> Grant {
@@ -281,18 +281,18 @@
 fn grants_that_are_cut_changed_or_of_another_version_give_typed_errors() {
     let stored = std::fs::read(data("r1.grant")).unwrap();
     let cut = signing_key().open_grant(&stored[..40]).unwrap_err();
-    assert_eq!(cut, NotGenuine::Cut);
+    assert_eq!(cut, SignatureError::Truncated);
     assert_eq!(cut.to_string(), "cut short: no line with a MAC");
     let mut changed = stored;
     changed[20] ^= 1;
     let changed = signing_key().open_grant(&changed).unwrap_err();
-    assert_eq!(changed, NotGenuine::WrongMac);
+    assert_eq!(changed, SignatureError::WrongMac);
     assert_eq!(changed.to_string(), "the MAC does not fit: changed, or signed under another key");
     let other = std::fs::read(data("other-version.grant")).unwrap();
     let other = signing_key().open_grant(&other).unwrap_err();
-    assert_eq!(other, NotGenuine::Unreadable);
+    assert_eq!(other, SignatureError::Unreadable);
     assert_eq!(other.to_string(), "signed, and not understood: of another version?");
-    assert_eq!(Key::new("5a5a").unwrap_err(), "must be 64 hexadecimal digits");
+    assert_eq!(SigningKey::new("5a5a").unwrap_err(), "must be 64 hexadecimal digits");
 }
 
 /// A predecessor tells its successor of settlements as lines of JSON.
@@ -377,7 +377,8 @@
          stop one and join the journals"
     );
     // The router's log names the cause of a grant that was not taken by its variant.
-    let causes = [NotAdopted::NotOurs, NotAdopted::Old, NotAdopted::Expired, NotAdopted::NoLedger];
+    let causes =
+        [AdoptLeaseError::NotOurs, AdoptLeaseError::Old, AdoptLeaseError::Expired, AdoptLeaseError::NoLedger];
     let names: Vec<String> = causes.iter().map(|cause| format!("{cause:?}")).collect();
     assert_eq!(names, ["NotOurs", "Old", "Expired", "NoLedger"]);
 }
--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{BudgetEnforcer, Figures, Grant, Key, Record, Settled, State, Time};
+use chalkyard_budget::{BudgetEnforcer, Figures, Grant, Record, Settled, SigningKey, State, Time};
 use chalkyard_ledger::{Folder, Limits, Writer};
 use chalkyard_router::shell::{News, Sink};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
@@ -51,10 +51,10 @@
 }
 
 /// Reads the key under which leases are signed.
-pub fn read_key(path: &Path) -> Result<Key, Trouble> {
+pub fn read_key(path: &Path) -> Result<SigningKey, Trouble> {
     let text =
         std::fs::read_to_string(path).map_err(|e| Trouble::BadInput(format!("{}: {e}", path.display())))?;
-    Key::new(&text).map_err(|why| Trouble::BadInput(format!("{}: {why}", path.display())))
+    SigningKey::new(&text).map_err(|why| Trouble::BadInput(format!("{}: {why}", path.display())))
 }
 
 /// The ledger of a running router.
@@ -157,7 +157,7 @@
 }
 
 /// Looks for new grants until the loop is gone.
-fn watch(file: &Path, key: &Key, news: &SyncSender<News>) {
+fn watch(file: &Path, key: &SigningKey, news: &SyncSender<News>) {
     let mut last = Vec::new();
     loop {
         std::thread::sleep(LOOK);
@@ -375,6 +375,6 @@
 }
 
 /// A grant as it is written to its file.
-pub fn deliver(folder: &Path, key: &Key, grant: &Grant) -> std::io::Result<()> {
+pub fn deliver(folder: &Path, key: &SigningKey, grant: &Grant) -> std::io::Result<()> {
     replace(&folder.join(format!("{}.grant", grant.router)), &key.sign_grant(grant))
 }
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{AccountKey, Key, LeaseAllocator, Plan, Round, State, Time};
+use chalkyard_budget::{AccountKey, LeaseAllocator, Plan, Round, SigningKey, State, Time};
 use chalkyard_ledger::{Folder, Follower, Item, Limits, Writer};
 use serde::{Deserialize, Serialize};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -136,7 +136,7 @@
 /// The journal's folder, with one file a round.
 pub struct Journal {
     folder: PathBuf,
-    key: Key,
+    key: SigningKey,
 }
 
 fn round_file(number: u64) -> String {
@@ -145,7 +145,7 @@
 
 impl Journal {
     /// Opens it; made if need be.
-    pub fn open(folder: &Path, key: Key) -> std::io::Result<Self> {
+    pub fn open(folder: &Path, key: SigningKey) -> std::io::Result<Self> {
         std::fs::create_dir_all(folder.join("grants"))?;
         Ok(Self { folder: folder.into(), key })
     }
@@ -247,7 +247,7 @@
 }
 
 /// What a settlement needs of the settings.
-pub fn parts(budgets: &Budgets) -> Result<(&Settlement, Key), Trouble> {
+pub fn parts(budgets: &Budgets) -> Result<(&Settlement, SigningKey), Trouble> {
     let missing = |what: &str| Trouble::BadInput(format!("the settings' <budgets> has no {what}"));
     let settlement = budgets.settlement.as_ref().ok_or_else(|| missing("<settlement>"))?;
     let key = budgets.key_file.as_ref().ok_or_else(|| missing("`key-file`"))?;
--- a/crates/daemon/tests/stored_budgets.rs
+++ b/crates/daemon/tests/stored_budgets.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 
 use chalkyard_budget::{
-    AccountKey, Adopted, Calendar, Charge, Ending, Key, Kind, Place, Record, Settled, Span, Time, Units,
-    Usage,
+    AccountKey, Adopted, Calendar, Charge, Ending, Kind, Place, Record, Settled, SigningKey, Span, Time,
+    Units, Usage,
 };
 use chalkyard_ledger::{Folder, Limits, Writer};
 use common::*;
@@ -331,7 +331,7 @@
             r#"{"level":"WARN","message":"its ledger can't be read: ledger: No such file or directory (os error 2)","router":"r2","target":"settle"}"#,
         ]
     );
-    let key = Key::new(&"5a".repeat(32)).unwrap();
+    let key = SigningKey::new(&"5a".repeat(32)).unwrap();
     let round = key.open_round(&std::fs::read(site.state("journal/round-000000000008")).unwrap()).unwrap();
     let routers: Vec<&str> = round.grants.iter().map(|grant| &*grant.router).collect();
     assert_eq!((round.number, routers), (8, vec!["r1", "r2"]));
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use chalkyard_budget::{
-    BudgetEnforcer, Ending, Grant, Key, LeaseAllocator, LeaseTerms, ReservationRequest, State, Time, Usage,
+    BudgetEnforcer, Ending, Grant, LeaseAllocator, LeaseTerms, ReservationRequest, SigningKey, State, Time,
+    Usage,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,7 +31,7 @@
 /// Measures a few rounds with the requests of an epoch between them.
 pub fn measure(size: &Size, seed: u64) -> Result<Vec<Value>, Error> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let key = Key::new(&"7".repeat(64))?;
+    let key = SigningKey::new(&"7".repeat(64))?;
     let plan = plan_for(size.tenants, size.routers as u32, EPOCH_US);
     let names: Vec<String> = (0..size.routers).map(|n| format!("r{n}")).collect();
     let before = ALLOCATOR.allocated();
@@ -75,7 +76,7 @@
     ])
 }
 
-fn take(member: &mut Member, key: &Key, signed: &[u8], now: Time) -> Result<f64, Error> {
+fn take(member: &mut Member, key: &SigningKey, signed: &[u8], now: Time) -> Result<f64, Error> {
     let start = Instant::now();
     let grant: Grant = key.open_grant(signed).map_err(|e| e.to_string())?;
     member.enforcer.adopt(now, &grant).map_err(|e| format!("{e:?}"))?;
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -110,7 +110,7 @@
         match budget_enforcer.adopt(now, grant) {
             Ok(()) => self.write_records(),
             // The file is read again and again: an old one is no news.
-            Err(chalkyard_budget::NotAdopted::Old) => {}
+            Err(chalkyard_budget::AdoptLeaseError::Old) => {}
             Err(why) => self.note("budget", format!("lease {} is not taken: {why:?}", grant.number)),
         }
     }
