--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -187,65 +187,102 @@
             if n > 0 && self.is_turn_over() {
                 break;
             }
-            let Some(sock) = self.socks.get_mut(key) else { return };
-            let (closing, id) = (sock.state == State::Closing, sock.id);
-            if closing && sock.after_close == AfterClose::LeaveUnread {
-                sock.readable = false;
-                if sock.is_over() {
-                    self.remove(key);
-                }
+            if !self.read_once(key) {
                 return;
             }
-            if sock.paused && sock.ended && !closing && !id.is_link() {
-                // A client that is not read has gone all the same, and what it said ahead with it.
+        }
+        self.again.push_back(key);
+    }
+
+    /// One read of a connection, if it is to be read at all; true: more may be there.
+    fn read_once(&mut self, key: usize) -> bool {
+        let Some(sock) = self.socks.get_mut(key) else { return false };
+        if sock.state == State::Closing {
+            return self.read_closing(key);
+        }
+        let id = sock.id;
+        if sock.paused && sock.ended && !id.is_link() {
+            self.notice_departure(key);
+            return false;
+        }
+        if sock.paused || sock.state == State::Connecting {
+            return false;
+        }
+        match sock.stream.read(&mut self.buffer) {
+            Ok(0) => {
+                sock.readable = false;
                 sock.ended = false;
-                return match sock.stream.take_error() {
-                    Ok(None) => self.feed(Input::Eof(id)),
-                    _ => {
-                        self.lost(key);
-                        self.settle();
-                    }
-                };
+                sock.peer_closed = true;
+                // Nothing more can come; writing goes on.
+                sock.paused = true;
+                self.feed(Input::Eof(id));
+                false
             }
-            if sock.paused || sock.state == State::Connecting {
-                return;
+            Ok(n) => {
+                let buffer = std::mem::take(&mut self.buffer);
+                self.feed(Input::Bytes(id, buffer.get(..n).unwrap_or_default()));
+                self.buffer = buffer;
+                true
             }
-            match sock.stream.read(&mut self.buffer) {
-                Ok(0) if closing => {
-                    if sock.out.is_empty() {
-                        self.remove(key);
-                    } else {
-                        sock.readable = false;
-                        sock.paused = true;
-                    }
-                    return;
-                }
-                Ok(0) => {
+            Err(e) => self.read_failed(key, &e),
+        }
+    }
+
+    /// One read of a connection that is being closed: what comes is dropped or left unread; true: more may be there.
+    fn read_closing(&mut self, key: usize) -> bool {
+        let Some(sock) = self.socks.get_mut(key) else { return false };
+        if sock.after_close == AfterClose::LeaveUnread {
+            sock.readable = false;
+            if sock.is_over() {
+                self.remove(key);
+            }
+            return false;
+        }
+        if sock.paused {
+            return false;
+        }
+        match sock.stream.read(&mut self.buffer) {
+            Ok(0) => {
+                if sock.out.is_empty() {
+                    self.remove(key);
+                } else {
                     sock.readable = false;
-                    sock.ended = false;
-                    sock.peer_closed = true;
-                    // Nothing more can come; writing goes on.
                     sock.paused = true;
-                    return self.feed(Input::Eof(id));
-                }
-                Ok(_) if closing => {}
-                Ok(n) => {
-                    let buffer = std::mem::take(&mut self.buffer);
-                    self.feed(Input::Bytes(id, buffer.get(..n).unwrap_or_default()));
-                    self.buffer = buffer;
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                false
+            }
+            Ok(_) => true,
+            Err(e) => self.read_failed(key, &e),
+        }
+    }
+
+    /// A read has failed, or finds nothing for now; true: it was interrupted alone.
+    fn read_failed(&mut self, key: usize, error: &io::Error) -> bool {
+        match error.kind() {
+            io::ErrorKind::Interrupted => return true,
+            io::ErrorKind::WouldBlock => {
+                if let Some(sock) = self.socks.get_mut(key) {
                     sock.readable = false;
-                    return;
-                }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => {
-                    self.lost(key);
-                    return self.settle();
                 }
             }
+            _ => {
+                self.lost(key);
+                self.settle();
+            }
         }
-        self.again.push_back(key);
+        false
+    }
+
+    /// A client that is not read has gone all the same, and what it said ahead with it.
+    fn notice_departure(&mut self, key: usize) {
+        let Some(sock) = self.socks.get_mut(key) else { return };
+        sock.ended = false;
+        if let Ok(None) = sock.stream.take_error() {
+            let id = sock.id;
+            return self.feed(Input::Eof(id));
+        }
+        self.lost(key);
+        self.settle();
     }
 
     pub(super) fn write(&mut self, key: usize) {
