--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -8,48 +8,54 @@
 
 use super::counters::{increment, Violation};
 use super::job::{outcome_name, At, Attempt, Call, HeldState, Job, Reply};
-use super::pool::{Payload, Task};
 use super::record::Ended;
-use super::tally;
 use super::transitions::{About, Change};
-use super::{Core, Due};
+use super::worker_connection::{Engine, Payload, Task};
+use super::{ConnId, Core, Due};
+
+/// A worker that is not known any more.
+const GONE: Target =
+    Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Out };
+
+/// How long an attempt may take, as the module says; none: as long as its request, or as connections usually may.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AttemptLimits {
+    /// Until it is given up.
+    pub(super) give_up: Option<Micros>,
+    /// Until its connection stands.
+    pub(super) connect: Option<Micros>,
+}
+
+/// What is known of an attempt as it ends.
+struct EndedAttempt {
+    worker: WorkerId,
+    at: At,
+    conn: Option<ConnId>,
+    elapsed: Micros,
+    report: Option<p::Report>,
+    kept: u64,
+    /// Its answer was the one that went to the client.
+    won: bool,
+}
 
 impl Core {
-    /// Gives up after the first of the spans; the connection has to stand within the second.
-    pub(super) fn send(
-        &mut self,
-        id: &RequestId,
-        worker: WorkerId,
-        (give_up, connect): (Option<Micros>, Option<Micros>),
-        care: p::Care,
-    ) {
-        let now = self.now;
-        let target = self.engines.get(&worker).map(super::pool::Engine::target);
-        let gone =
-            Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Out };
-        let target = target.unwrap_or(gone);
-        let role = (target.lifecycle != p::Lifecycle::Out).then_some(target.role);
+    /// Begins an attempt, if the request's obligations permit it; it is given up in any case at the request's deadline.
+    pub(super) fn send(&mut self, id: &RequestId, worker: WorkerId, limits: AttemptLimits, care: p::Care) {
+        let target = self.engines.get(&worker).map_or(GONE, Engine::target);
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let permit = job.obligations(&self.config.policy).may_send(now, &target);
-        let at = match (role, &job.held) {
-            (Some(p::Role::Reader), _) => At::Read,
-            (_, Some(_)) => At::Pull,
-            _ => At::Whole,
-        };
+        let permit = job.obligations(&self.config.policy).may_send(self.now, &target);
+        let at = job.next_stage(&target);
+        let call = job.next_call(at);
         let no = AttemptNo(job.attempts.len() as u32);
-        let call = match job.attempts.last() {
-            None => tally::Call::First,
-            Some(a) if at == At::Pull && a.at == At::Read => tally::Call::Pull,
-            Some(_) => tally::Call::Again { ran: job.may_have_run() },
-        };
-        let due = give_up.map_or(job.request.deadline, |g| (now + g).min(job.request.deadline));
-        let attempt = Attempt {
+        let deadline = job.request.deadline;
+        let due = limits.give_up.map_or(deadline, |give_up| (self.now + give_up).min(deadline));
+        job.attempts.push(Attempt {
             worker,
             at,
-            sent: now,
-            facts: AttemptFacts::new(at.stage(), now, target),
+            sent: self.now,
+            facts: AttemptFacts::new(at.stage(), self.now, target),
             due,
-            connect,
+            connect: limits.connect,
             care,
             conn: None,
             timer: None,
@@ -57,8 +63,7 @@
             kept: 0,
             stream_timer: None,
             ended: None,
-        };
-        job.attempts.push(attempt);
+        });
         if let Some(tally) = &mut self.tally {
             tally.sent(call, care);
         }
@@ -69,11 +74,17 @@
                 return self.end_attempt(id, no, Outcome::NotSent, 0);
             }
         }
-        if let Some(conn) = self.attempt_mut(id, no).and_then(|a| a.conn) {
-            let timer = self.timers.set(due, Due::Attempt(id.clone(), no));
-            if let Some(attempt) = self.attempt_mut(id, no).filter(|a| a.conn == Some(conn)) {
-                attempt.timer = Some(timer);
-            }
+        self.arm_attempt(id, no, due);
+    }
+
+    /// Ends the attempt at its time, unless it has ended already for want of a connection.
+    fn arm_attempt(&mut self, id: &RequestId, no: AttemptNo, due: Micros) {
+        if self.attempt_mut(id, no).is_none_or(|a| a.conn.is_none()) {
+            return;
+        }
+        let timer = self.timers.set(due, Due::Attempt(id.clone(), no));
+        if let Some(attempt) = self.attempt_mut(id, no) {
+            attempt.timer = Some(timer);
         }
     }
 
@@ -174,82 +185,118 @@
 
     /// Ends an attempt, once: its connection, its time-outs, and the module's verdict.
     pub(super) fn end_attempt(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, kept: u64) {
-        let now = self.now;
+        let Some(mut ended) = self.mark_ended(id, no, outcome, kept) else { return };
+        self.record_end(id, no, outcome, &ended);
+        if outcome == (Outcome::Refused { no_state: true }) {
+            self.take_held(id);
+        } else if ended.at == At::Pull && proves_arrival(outcome) {
+            self.restart_held(id);
+        }
+        if let Some(conn) = ended.conn.take() {
+            self.abort_link(conn);
+        }
+        let took = ended.won || matches!(outcome, Outcome::Served | Outcome::Refused { no_state: true });
+        if ended.at == At::Pull && !took {
+            self.release_again(id);
+        }
+        self.answer_ended(id, outcome, ended.won);
+        self.report_end(id, no, outcome, ended);
+        self.forget_done(id);
+    }
+
+    /// Marks an open attempt as ended and cancels its timers; none if it has ended before.
+    fn mark_ended(
+        &mut self,
+        id: &RequestId,
+        no: AttemptNo,
+        outcome: Outcome,
+        kept: u64,
+    ) -> Option<EndedAttempt> {
         let index = no.0 as usize;
-        let tick = self.config.policy.tick;
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let class = self.config.policy.classes.get(job.request.class.0);
-        let (deadline, once) = (job.request.deadline, class.is_none_or(|c| c.effect != p::Effect::Free));
-        let winner = job.winner == Some(index);
-        let Some(attempt) = job.attempts.get_mut(index).filter(|a| a.ended.is_none()) else { return };
-        attempt.ended = Some((outcome, now));
+        let job = self.jobs.get_mut(id)?;
+        let won = job.winner == Some(index);
+        let attempt = job.attempts.get_mut(index).filter(|a| a.ended.is_none())?;
+        attempt.ended = Some((outcome, self.now));
         attempt.facts.end(outcome);
-        let (conn, at, worker, elapsed) =
-            (attempt.conn.take(), attempt.at, attempt.worker.clone(), now - attempt.sent);
         for key in attempt.timer.take().into_iter().chain(attempt.stream_timer.take()) {
             self.timers.cancel(key);
         }
-        let report = attempt.report;
-        let kept = if outcome == Outcome::Served { job.usage.kept_tokens } else { kept };
-        attempt.kept = kept;
-        if let (Outcome::Served, At::Pull, Some(kept)) = (outcome, at, job.kept_at_reader) {
+        attempt.kept = if outcome == Outcome::Served { job.usage.kept_tokens } else { kept };
+        if let (Outcome::Served, At::Pull, Some(kept)) = (outcome, attempt.at, job.kept_at_reader) {
             job.usage.kept_tokens = kept;
         }
-        let stream = job.call.stream();
+        Some(EndedAttempt {
+            worker: attempt.worker.clone(),
+            at: attempt.at,
+            conn: attempt.conn.take(),
+            elapsed: self.now - attempt.sent,
+            report: attempt.report,
+            kept: attempt.kept,
+            won,
+        })
+    }
+
+    /// Counts an attempt's end, and tells one that is out of the ordinary.
+    fn record_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: &EndedAttempt) {
         let name = outcome_name(outcome);
-        increment(self.counters.attempts(at), name);
-        if !matches!(outcome, Outcome::Served | Outcome::Parsed) {
-            let about = About { attempt: Some(no.0), worker: Some(&worker), connection: conn, since: None };
-            self.tell(id, Change::AttemptEnded, name, about);
-        }
-        if outcome == (Outcome::Refused { no_state: true }) {
-            self.take_held(id);
-        } else if at == At::Pull && proves_arrival(outcome) {
-            self.restart_held(id);
+        increment(self.counters.attempts(ended.at), name);
+        if matches!(outcome, Outcome::Served | Outcome::Parsed) {
+            return;
         }
-        if let Some(conn) = conn {
-            self.abort_link(conn);
+        let about =
+            About { attempt: Some(no.0), worker: Some(&ended.worker), connection: ended.conn, since: None };
+        self.tell(id, Change::AttemptEnded, name, about);
+    }
+
+    /// What the client is answered at an attempt's end, if that is for the core to say.
+    fn answer_ended(&mut self, id: &RequestId, outcome: Outcome, won: bool) {
+        if outcome == Outcome::Served {
+            return self.serve(id);
         }
-        let took = winner || matches!(outcome, Outcome::Served | Outcome::Refused { no_state: true });
-        if at == At::Pull && !took {
-            self.release_again(id);
+        let Some(job) = self.jobs.get_mut(id).filter(|_| won) else { return };
+        if job.call.stream() {
+            // Of a stream that was begun nothing can be taken back.
+            let reason = format!("the answer broke off: {}", outcome_name(outcome));
+            return self.give_failure(id, Ended::Broken, 502, reason);
         }
+        // Nothing of a whole answer has reached the client: the module may try again.
+        job.winner = None;
+        job.pieces = 0;
+        job.text.clear();
+    }
+
+    /// Tells the module of an attempt's end; what a read that ended badly may have left behind is released.
+    fn report_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: EndedAttempt) {
+        let EndedAttempt { worker, at, elapsed, report, kept, .. } = ended;
+        let over = self.jobs.get(id).is_none_or(Job::over);
+        let verdict = Event::Verdict { id: id.clone(), attempt: no, outcome, elapsed, over, kept, report };
         // A read that ended otherwise may have left state behind; a client's leaving is no reason to hold it.
         let state_left = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Cancelled | Outcome::ConnectionLost | Outcome::ServerError
         );
-        match outcome {
-            Outcome::Served => self.serve(id),
-            // Of a stream that was begun nothing can be taken back.
-            _ if winner && stream => {
-                let reason = format!("the answer broke off: {}", outcome_name(outcome));
-                self.give_failure(id, Ended::Broken, 502, reason);
-            }
-            // Nothing of a whole answer has reached the client: the module may try again.
-            _ if winner => {
-                if let Some(job) = self.jobs.get_mut(id) {
-                    job.winner = None;
-                    job.pieces = 0;
-                    job.text.clear();
-                }
-            }
-            _ => {}
-        }
-        let over = self.jobs.get(id).is_none_or(Job::over);
-        let verdict = Event::Verdict { id: id.clone(), attempt: no, outcome, elapsed, over, kept, report };
-        if at == At::Read && state_left {
-            // A read can end well just as it is given up, and the state stays. Where nothing may run twice the next
-            // attempt comes after it is let go of, or once a connection would have been waited for in vain.
-            let by = (now + self.config.waits.connect).min(deadline - tick - tick - tick);
-            let waits = once && self.config.dialect.is_some() && !over && by > now;
-            let (told, later) = if waits { (None, Some((verdict, by))) } else { (Some(verdict), None) };
-            self.events.extend(told);
-            self.release(id.clone(), worker, None, later);
-        } else {
+        if at != At::Read || !state_left {
             self.events.push_back(verdict);
+            return;
         }
-        self.forget_done(id);
+        match self.release_awaited_until(id) {
+            Some(by) => self.release(id.clone(), worker, None, Some((verdict, by))),
+            None => {
+                self.events.push_back(verdict);
+                self.release(id.clone(), worker, None, None);
+            }
+        }
+    }
+
+    /// A read can end well just as it is given up, and the state stays. Where nothing may run twice the next attempt comes
+    /// after it is released, or at this time, once a connection would have been waited for in vain; none: it does not wait.
+    fn release_awaited_until(&self, id: &RequestId) -> Option<Micros> {
+        let job = self.jobs.get(id).filter(|j| !j.over() && self.config.dialect.is_some())?;
+        let class = self.config.policy.classes.get(job.request.class.0);
+        let once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let tick = self.config.policy.tick;
+        let by = (self.now + self.config.waits.connect).min(job.request.deadline - tick - tick - tick);
+        (once && by > self.now).then_some(by)
     }
 
     pub(super) fn attempt_due(&mut self, id: &RequestId, no: AttemptNo) {
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -8,6 +8,7 @@
 
 use super::job::Job;
 use super::record::Ended;
+use super::requests::Rejection;
 use super::{Core, Output};
 
 impl Core {
@@ -46,7 +47,7 @@
     }
 
     /// Reserves for a request, and cuts or lowers it where that is agreed; or refuses it.
-    pub(super) fn reserve(&mut self, job: &mut Job) -> Result<(), (u16, ErrorBody)> {
+    pub(super) fn reserve(&mut self, job: &mut Job) -> Result<(), Rejection> {
         let now = self.time();
         let Self { keeper: Some(keeper), config, .. } = self else { return Ok(()) };
         let tenant = job.request.tenant.and_then(|t| config.tenants.get(t.0));
@@ -64,10 +65,9 @@
             let status = if refusal.why == Why::Ledger { 503 } else { 429 };
             let retry_after = Some(p::Micros(refusal.retry_after).as_secs_f64());
             let reason = refusal.to_string();
-            (
-                status,
-                ErrorBody { kind: ErrorKind::Refused, reason, field: None, may_have_run: false, retry_after },
-            )
+            let body =
+                ErrorBody { kind: ErrorKind::Refused, reason, field: None, may_have_run: false, retry_after };
+            Rejection { status, body }
         })?;
         job.cut_answer(admission.output);
         if let Some(lower) = admission.lower_to {
--- a/crates/router/src/core/client_answers.rs
+++ b/crates/router/src/core/client_answers.rs
@@ -9,6 +9,11 @@
 /// The content type of all answers that are not streams.
 pub(super) const JSON: (&str, &str) = ("content-type", "application/json");
 
+/// An error of ours that says that nothing has run.
+pub(super) fn error(kind: ErrorKind, reason: impl Into<String>) -> ErrorBody {
+    ErrorBody { kind, reason: reason.into(), field: None, may_have_run: false, retry_after: None }
+}
+
 impl Core {
     /// Whether a connection goes on after the present answer. While draining it does if more of its client's requests was
     /// read already: what was read is answered.
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -1,77 +1,13 @@
-//! Conversations with clients: requests taken, answers given, leaving noticed.
+//! Connections with clients: taken, bounded, timed, paused and closed.
 
 use chalkyard_api::client::ErrorKind;
-use chalkyard_policy as p;
 use chalkyard_policy::Micros;
-use chalkyard_proto::{encode, Decoder, Head, Part, Side};
+use chalkyard_proto::{encode, Decoder, Side};
 
-use super::client_answers::JSON;
+use super::client_answers::{error, JSON};
+use super::client_connection::{Client, Phase};
 use super::record::Ended;
-use super::requests::error;
 use super::{ConnId, Core, Due, Output};
-use crate::timers::Key;
-
-#[derive(Debug)]
-pub(super) enum Phase {
-    /// Between requests, or within a head.
-    Head,
-    Body(Box<Head>, Vec<u8>),
-    Serving(p::RequestId),
-}
-
-/// A client's connection.
-#[derive(Debug)]
-pub(super) struct Client {
-    pub(super) decoder: Decoder,
-    pub(super) phase: Phase,
-    pub(super) timer: Option<Key>,
-    /// Bytes given to the shell and not yet taken by the system, and since when none was.
-    pending: u64,
-    stuck_since: Micros,
-    /// Closed after the answer being given: by its wish, or as it was told.
-    pub(super) last: bool,
-    /// It was told that the connection ends with the answer being given.
-    told_last: bool,
-    /// So much waits for it that nothing more is read from it.
-    held_up: bool,
-    /// So much has come behind its open request that nothing more is read from it.
-    crowded: bool,
-    /// Nothing is read from it, for one of these reasons.
-    paused: bool,
-    /// It is closed unless it has said something that was not read yet.
-    closing: bool,
-    /// It has had an answer: it may be closed between two requests, as it knows.
-    pub(super) used: bool,
-    /// When it came, its last request ended, or its present one began.
-    pub(super) since: Micros,
-    /// When the first byte came of what waits behind its open request: its client's time runs from then.
-    waiting_since: Micros,
-    /// Nothing was read from then on: what is read next may have come as early.
-    unread_since: Option<Micros>,
-}
-
-impl Client {
-    pub fn is_idle(&self) -> bool {
-        matches!(self.phase, Phase::Head) && self.decoder.is_idle()
-    }
-
-    /// Its request has its answer: the time of the next one runs, if that is in hand.
-    pub(super) fn next_request(&mut self, now: Micros) {
-        self.phase = Phase::Head;
-        self.used = true;
-        self.since = if self.decoder.is_idle() { now } else { self.waiting_since };
-    }
-
-    /// Whether it may be closed for want of room: no whole request of its may be in hand.
-    fn is_dispensable(&self) -> bool {
-        !matches!(self.phase, Phase::Serving(_)) && !self.held_up && !self.closing
-    }
-
-    pub fn wrote(&mut self, now: Micros, bytes: u64) {
-        self.pending = self.pending.saturating_sub(bytes);
-        self.stuck_since = now;
-    }
-}
 
 impl Core {
     pub(super) fn accepted(&mut self, conn: ConnId) {
@@ -84,23 +20,7 @@
             self.out.push(Output::Close(conn));
             return;
         }
-        let client = Client {
-            decoder: Decoder::new(Side::Request, self.config.bounds.client),
-            phase: Phase::Head,
-            timer: None,
-            pending: 0,
-            stuck_since: self.now,
-            last: false,
-            told_last: false,
-            held_up: false,
-            crowded: false,
-            paused: false,
-            closing: false,
-            used: false,
-            since: self.now,
-            waiting_since: self.now,
-            unread_since: None,
-        };
+        let client = Client::new(Decoder::new(Side::Request, self.config.bounds.client), self.now);
         self.clients.insert(conn, client);
         self.arm_client(conn, self.config.waits.first);
     }
@@ -129,7 +49,7 @@
     }
 
     /// A client that was to be closed has said something: it stays, and if it had to make room, another does.
-    fn stays(&mut self, conn: ConnId) {
+    pub(super) fn stays(&mut self, conn: ConnId) {
         if !self.clients.get(&conn).is_some_and(|c| c.closing) {
             return;
         }
@@ -168,7 +88,7 @@
     }
 
     /// Has a client read, or not, as it stands now.
-    fn update_reading(&mut self, conn: ConnId) {
+    pub(super) fn update_reading(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         let pauses = client.held_up || client.crowded || client.told_last;
         if std::mem::replace(&mut client.paused, pauses) != pauses {
@@ -220,90 +140,6 @@
         }
     }
 
-    pub(super) fn client_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
-        self.stays(conn);
-        let Some(client) = self.clients.get_mut(&conn) else { return };
-        let came = client.unread_since.take().unwrap_or(self.now);
-        if client.decoder.is_idle() {
-            client.waiting_since = came;
-        }
-        let fresh = client.decoder.is_idle() && matches!(client.phase, Phase::Head);
-        client.decoder.push(bytes);
-        if let Phase::Serving(_) = client.phase {
-            client.crowded = client.decoder.is_crowded();
-            return self.update_reading(conn);
-        }
-        if fresh {
-            client.since = came;
-            // A client's first request has no longer than was left of its time.
-            let left = client.timer.filter(|_| !client.used).map(|(due, _)| due - self.now);
-            let wait = self.config.waits.head;
-            self.arm_client(conn, left.map_or(wait, |left| left.min(wait)));
-        }
-        self.drive_client(conn);
-    }
-
-    /// Reads on until a request is whole or more bytes are needed.
-    pub(super) fn drive_client(&mut self, conn: ConnId) {
-        loop {
-            let full = self.is_full(conn);
-            let Some(client) = self.clients.get_mut(&conn) else { return };
-            if matches!(client.phase, Phase::Serving(_)) {
-                client.crowded = client.decoder.is_crowded();
-                return self.update_reading(conn);
-            }
-            // One that asks on and takes no answers is not heard until it does.
-            if full {
-                client.held_up = true;
-                self.update_reading(conn);
-                return self.watch_slow(conn);
-            }
-            match client.decoder.next_part() {
-                Ok(Some(Part::Head(head))) => {
-                    let wants_continue = head.expects_continue;
-                    client.phase = Phase::Body(head, Vec::new());
-                    if wants_continue {
-                        self.write_client(conn, encode::CONTINUE.to_vec());
-                    }
-                }
-                Ok(Some(Part::Data(data))) => {
-                    if let Phase::Body(_, body) = &mut client.phase {
-                        self.bodies += data.len() as u64;
-                        body.extend(data);
-                    }
-                    if self.bodies > self.config.bounds.bodies {
-                        if let Phase::Body(_, body) = std::mem::replace(&mut client.phase, Phase::Head) {
-                            self.bodies = self.bodies.saturating_sub(body.len() as u64);
-                        }
-                        self.note(
-                            "bodies",
-                            "more bytes of requests than may wait; one is turned away".into(),
-                        );
-                        self.answer_error(conn, 503, &error(ErrorKind::Refused, "too much to read at once"));
-                        return self.close_client(conn);
-                    }
-                }
-                Ok(Some(Part::End)) => {
-                    if let Phase::Body(head, body) = std::mem::replace(&mut client.phase, Phase::Head) {
-                        client.last |= !head.keep_alive;
-                        self.begin(conn, &head, body);
-                    }
-                }
-                Ok(None) => break,
-                Err(e) => {
-                    let body = error(ErrorKind::Invalid, e.reason.text()).json();
-                    self.write_client(conn, encode::response(e.reason.status(), &[JSON], &body, false));
-                    return self.close_client(conn);
-                }
-            }
-        }
-        // All that had come is taken: there is room for more.
-        if let Some(client) = self.clients.get_mut(&conn) {
-            client.crowded = false;
-        }
-        self.update_reading(conn);
-    }
-
     /// Whether so much waits for this client that its engine should not be read.
     pub(super) fn is_full(&self, conn: ConnId) -> bool {
         self.clients.get(&conn).is_some_and(|c| c.pending > self.config.bounds.client_buffer as u64)
@@ -360,27 +196,6 @@
         }
     }
 
-    /// A client that closes its side is taken to leave; should it still listen, it gets its one answer.
-    pub(super) fn client_eof(&mut self, conn: ConnId) {
-        let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.last = true;
-        if let Phase::Serving(id) = &client.phase {
-            let id = id.clone();
-            self.half_closed(&id);
-            return self.close_answered(conn);
-        }
-        client.decoder.close();
-        // What a client has asked that takes no answers, and is not heard for it, has gone with it.
-        if !client.is_idle() && !client.held_up {
-            self.drive_client(conn);
-        }
-        // What was begun before the close has been answered above or is being served.
-        let serving = self.clients.get(&conn).is_some_and(|c| matches!(c.phase, Phase::Serving(_)));
-        if !serving {
-            self.close_answered(conn);
-        }
-    }
-
     pub(super) fn client_lost(&mut self, conn: ConnId) {
         let Some(client) = self.drop_client(conn) else { return };
         if let Phase::Serving(id) = client.phase {
--- a/crates/router/src/core/sources.rs
+++ b/crates/router/src/core/discovery.rs
@@ -5,7 +5,7 @@
 use chalkyard_policy::Event;
 use chalkyard_proto::{encode, sse, Part, Start};
 
-use super::pool::{Engine, Link, Payload, Task};
+use super::worker_connection::{Engine, Link, Payload, Task};
 use super::{ConnId, Core, Due, Output};
 use crate::dialect::List;
 use crate::register::{Named, Wrong};
@@ -150,7 +150,6 @@
 
     /// A part of the answer to a call for news; true: it goes on.
     pub(super) fn poll_part(&mut self, conn: ConnId, part: Part) -> bool {
-        let Some(dialect) = self.config.dialect.clone() else { return false };
         let Some(link) = self.links.get_mut(&conn) else { return false };
         let Task::Poll(body) = &mut link.task else { return false };
         match part {
@@ -159,33 +158,34 @@
                 if std::mem::take(&mut self.list_doubted) {
                     self.alive(conn);
                 }
-                return true;
+                true
             }
             Part::Data(data) if body.len() + data.len() <= LIST_BYTES => {
                 body.extend(data);
-                return true;
+                true
             }
-            Part::Head(_) | Part::Data(_) => {
-                self.abort_link(conn);
-                self.register_lost();
-                return false;
+            Part::Head(_) | Part::Data(_) => self.source_failed(conn),
+            Part::End => {
+                let (body, last) = (std::mem::take(body), link.last);
+                self.poll_answered(conn, &body, last)
             }
-            Part::End => {}
         }
-        let (body, last, before) = (std::mem::take(body), link.last, self.version);
-        match dialect.list(&body) {
-            Ok(list) => {
-                let (workers, kind) = self.read_list(list);
-                if kind == p::ListKind::Full || !workers.is_empty() {
-                    self.tell_workers(kind, workers);
-                }
-            }
+    }
+
+    /// A source's answer is whole; true: the next call was made on the same connection.
+    fn poll_answered(&mut self, conn: ConnId, body: &[u8], last: bool) -> bool {
+        let Some(dialect) = self.config.dialect.clone() else { return false };
+        let before = self.version;
+        let list = match dialect.list(body) {
+            Ok(list) => list,
             Err(why) => {
                 self.note("list", format!("not taken: {why}"));
-                self.abort_link(conn);
-                self.register_lost();
-                return false;
+                return self.source_failed(conn);
             }
+        };
+        let (workers, kind) = self.read_list(list);
+        if kind == p::ListKind::Full || !workers.is_empty() {
+            self.tell_workers(kind, workers);
         }
         // A source that has nothing new and does not wait is not asked in a hot loop; it is there, though.
         if self.version == before && self.waits && self.now < self.asked + ASK_PAUSE {
@@ -210,6 +210,13 @@
         true
     }
 
+    /// What a source says can't be used: its connection is closed. Always false: nothing more is read from it.
+    fn source_failed(&mut self, conn: ConnId) -> bool {
+        self.abort_link(conn);
+        self.register_lost();
+        false
+    }
+
     /// The register is lost: the module says when it is asked again, or, of a dialect's source, the core.
     pub(super) fn register_lost(&mut self) {
         self.register = None;
@@ -247,55 +254,60 @@
         let data = match part {
             Part::Head(head) if head.start == (Start::Response { status: 200 }) => return true,
             Part::Data(data) => data,
-            Part::Head(_) | Part::End => {
-                self.abort_link(conn);
-                self.register_lost();
-                return false;
-            }
+            Part::Head(_) | Part::End => return self.source_failed(conn),
         };
         self.alive(conn);
         let mut events = Vec::new();
         let Some(Task::Watch(reader)) = self.links.get_mut(&conn).map(|l| &mut l.task) else { return false };
-        let read = reader.push(&data, &mut events).map_err(|e| Wrong::Malformed(e.to_string()));
+        let read = reader.push(&data, &mut events);
         for event in events {
-            let news = match event.name.as_str() {
-                "snapshot" => self.held.snapshot(&event.data, &self.config).map(|n| (n, p::ListKind::Full)),
-                "change" => self.held.change(&event.data, &self.config).map(|(named, left_out)| {
-                    if left_out > 0 {
-                        let most = self.config.bounds.workers;
-                        self.note("register", format!("more than {most} workers: {left_out} left out"));
-                    }
-                    (named, p::ListKind::Changes)
-                }),
-                _ => continue,
-            };
-            match news {
-                Ok((named, kind)) => self.news(named, kind),
-                // What was lost comes again with a snapshot, which each new watch begins with: at once, but if gaps
-                // come again and again, as the module says.
-                Err(Wrong::Gap) => {
-                    self.note("register", "a change was lost; asking for a snapshot".into());
-                    let last = self.gap.replace(self.now);
-                    if last.is_some_and(|at| self.now < at + self.config.waits.register) {
-                        self.abort_link(conn);
-                        self.register_lost();
-                    } else {
-                        self.watch_register();
-                    }
-                    return false;
-                }
-                Err(Wrong::Malformed(why)) => self.note("register", format!("list not taken: {why}")),
+            if !self.watch_event(conn, &event) {
+                return false;
             }
         }
-        if let Err(Wrong::Malformed(why)) = read {
-            self.note("register", why);
-            self.abort_link(conn);
-            self.register_lost();
-            return false;
+        if let Err(error) = read {
+            self.note("register", error.to_string());
+            return self.source_failed(conn);
         }
         true
     }
 
+    /// An event of the watch; true: it goes on.
+    fn watch_event(&mut self, conn: ConnId, event: &sse::Event) -> bool {
+        let news = match event.name.as_str() {
+            "snapshot" => self.held.snapshot(&event.data, &self.config).map(|n| (n, p::ListKind::Full)),
+            "change" => self.held.change(&event.data, &self.config).map(|(named, left_out)| {
+                if left_out > 0 {
+                    let most = self.config.bounds.workers;
+                    self.note("register", format!("more than {most} workers: {left_out} left out"));
+                }
+                (named, p::ListKind::Changes)
+            }),
+            _ => return true,
+        };
+        match news {
+            Ok((named, kind)) => self.news(named, kind),
+            Err(Wrong::Gap) => {
+                self.change_lost(conn);
+                return false;
+            }
+            Err(Wrong::Malformed(why)) => self.note("register", format!("list not taken: {why}")),
+        }
+        true
+    }
+
+    /// What was lost comes again with a snapshot, which each new watch begins with: at once, but if gaps come again and
+    /// again, as the module says.
+    fn change_lost(&mut self, conn: ConnId) {
+        self.note("register", "a change was lost; asking for a snapshot".into());
+        let last = self.gap.replace(self.now);
+        if last.is_some_and(|at| self.now < at + self.config.waits.register) {
+            self.source_failed(conn);
+        } else {
+            self.watch_register();
+        }
+    }
+
     fn news(&mut self, named: Vec<Named>, kind: p::ListKind) {
         self.has_list = true;
         let workers = self.learn(named, kind == p::ListKind::Full);
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -3,13 +3,13 @@
 use chalkyard_api::client::{MessagesRequest, Usage};
 use chalkyard_budget::Usage as Tokens;
 use chalkyard_policy as p;
-use chalkyard_policy::obligations::{AnswerState, AttemptFacts, Obligations, Stage};
+use chalkyard_policy::obligations::{AnswerState, AttemptFacts, Obligations, Stage, Target};
 use chalkyard_policy::{Micros, Outcome, WorkerId};
 use chalkyard_proto::sse;
 use serde_json::value::RawValue;
 
 use super::record::{since, AttemptRecord, Ended};
-use super::ConnId;
+use super::{tally, ConnId};
 use crate::dialect::{Beside, Passed};
 use crate::identity::Identity;
 use crate::timers::Key;
@@ -187,6 +187,25 @@
         self.held.as_ref().is_some_and(|h| h.worker == *worker)
     }
 
+    /// What an attempt at this worker would do.
+    pub(super) fn next_stage(&self, target: &Target) -> At {
+        let reads = target.lifecycle != p::Lifecycle::Out && target.role == p::Role::Reader;
+        match &self.held {
+            _ if reads => At::Read,
+            Some(_) => At::Pull,
+            None => At::Whole,
+        }
+    }
+
+    /// As what an attempt counts that begins now.
+    pub(super) fn next_call(&self, at: At) -> tally::Call {
+        match self.attempts.last() {
+            None => tally::Call::First,
+            Some(last) if at == At::Pull && last.at == At::Read => tally::Call::Pull,
+            Some(_) => tally::Call::Again { ran: self.may_have_run() },
+        }
+    }
+
     pub(super) fn over(&self) -> bool {
         matches!(self.answer, Answer::Given { .. })
     }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -4,20 +4,25 @@
 mod attempts;
 mod budgets;
 mod client_answers;
+mod client_connection;
+mod client_reading;
 mod clients;
+mod connection_events;
 pub(crate) mod counters;
+mod discovery;
 mod job;
 mod messages;
 mod moves;
 mod pool;
 pub(crate) mod record;
+mod relay;
 mod releases;
 mod replies;
 mod requests;
-mod sources;
 pub(crate) mod tally;
 pub(crate) mod transitions;
 pub(crate) mod view;
+mod worker_connection;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -30,13 +35,14 @@
 use crate::identity::Identities;
 use crate::register;
 use crate::timers::Timers;
-use clients::Client;
+use attempts::AttemptLimits;
+use client_connection::Client;
 use counters::Counters;
 use job::Job;
 pub use messages::{ConnId, FinishedLine, Input, Output};
-use pool::{Engine, IdleTimeout, Link, Task};
-use releases::{Release, ReleaseNo};
+use releases::Release;
 use tally::Tally;
+use worker_connection::{Engine, IdleTimeout, Link, ReleaseNo};
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Due {
@@ -315,7 +321,7 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Send { id, worker, give_up, connect, care } => {
-                self.send(&id, worker, (give_up, connect), care);
+                self.send(&id, worker, AttemptLimits { give_up, connect }, care);
             }
             Action::Cancel { id, attempt } => self.cancel(&id, attempt),
             Action::Refuse { id, retry_after, why } => self.refuse(&id, retry_after, why),
@@ -355,39 +361,4 @@
             self.link_wrote(conn, bytes as u64);
         }
     }
-
-    fn link_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
-        let Some(link) = self.links.get_mut(&conn) else { return };
-        match &mut link.task {
-            // Nobody asked: a second reply. What came first may be trusted, the connection may not.
-            Task::Idle => {
-                self.note("engine", "bytes that nobody asked for; connection closed".into());
-                self.abort_link(conn);
-            }
-            // The same where a call was about to follow: what came before a byte of it was written is no answer to it.
-            _ if link.wrote == 0 => {
-                self.note("engine", "bytes ahead of any call; connection closed".into());
-                self.out.push(Output::Abort(conn));
-                self.link_lost(conn);
-            }
-            _ => {
-                link.decoder.push(bytes);
-                self.drive_link(conn);
-            }
-        }
-    }
-
-    fn link_eof(&mut self, conn: ConnId) {
-        let Some(link) = self.links.get_mut(&conn) else { return };
-        if matches!(link.task, Task::Idle) {
-            return self.abort_link(conn);
-        }
-        link.decoder.close();
-        self.drive_link(conn);
-        // If it still has a task, its answer will not come any more.
-        if self.links.contains_key(&conn) {
-            self.out.push(Output::Abort(conn));
-            self.link_lost(conn);
-        }
-    }
 }
--- a/crates/router/src/core/releases.rs
+++ b/crates/router/src/core/releases.rs
@@ -7,8 +7,8 @@
 
 use super::counters::{increment, Violation};
 use super::job::{HeldState, Job};
-use super::pool::{Payload, Task};
 use super::transitions::{About, Change};
+use super::worker_connection::{Payload, ReleaseNo, Task};
 use super::{ConnId, Core, Due};
 use crate::timers::Key;
 
@@ -22,10 +22,6 @@
 /// Past the told release time a worker's answer may take so long more, and then counts as missing.
 const PROOF_SLACK: Micros = Micros(300_000);
 
-/// One release: never given twice in a core's life.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ReleaseNo(u64);
-
 /// State that an engine is to let go of. Each goes within the told release time of its first call, so that there are no
 /// more than requests end in that time.
 #[derive(Debug)]
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -5,16 +5,79 @@
 use chalkyard_policy::{Event, Micros};
 use chalkyard_proto::{encode, Head, Start};
 
-use super::clients::Phase;
+use super::client_answers::error;
+use super::client_connection::Phase;
 use super::job::{Call, Job};
 use super::record::Finished;
 use super::{ConnId, Core, Due, FinishedLine, Output};
 use crate::dialect::Heard;
 use crate::identity::{Identity, Repeat};
 
-/// An error of ours that says that nothing has run.
-pub(super) fn error(kind: ErrorKind, reason: impl Into<String>) -> ErrorBody {
-    ErrorBody { kind, reason: reason.into(), field: None, may_have_run: false, retry_after: None }
+/// What a client is answered whose request is not taken: nothing of it has run.
+#[derive(Debug)]
+pub(super) struct Rejection {
+    pub(super) status: u16,
+    pub(super) body: ErrorBody,
+}
+
+impl Rejection {
+    fn new(status: u16, kind: ErrorKind, reason: impl Into<String>) -> Self {
+        Self { status, body: error(kind, reason) }
+    }
+}
+
+/// A field of the request is invalid.
+impl From<Refusal> for Rejection {
+    fn from(refusal: Refusal) -> Self {
+        let body = ErrorBody { field: Some(refusal.field), ..error(ErrorKind::Invalid, refusal.reason) };
+        Self { status: refusal.status, body }
+    }
+}
+
+/// The request's identity is known already, or can't be remembered.
+impl From<Repeat> for Rejection {
+    fn from(repeat: Repeat) -> Self {
+        let duplicate = |reason: &str| {
+            let body = ErrorBody { may_have_run: true, ..error(ErrorKind::Duplicate, reason) };
+            Self { status: 409, body }
+        };
+        match repeat {
+            Repeat::Open => {
+                duplicate("a request under this Idempotency-Key is open here; wait for its answer")
+            }
+            Repeat::Ran => duplicate("a request under this Idempotency-Key may have run; look it up"),
+            Repeat::Full => Self::new(503, ErrorKind::Refused, "too many identities are remembered"),
+        }
+    }
+}
+
+/// Whether a call asks for the router's health; an error if it is neither that nor a request to be served.
+fn is_health_check(head: &Head) -> Result<bool, Rejection> {
+    let Start::Request { method, target } = &head.start else {
+        return Err(Rejection::new(400, ErrorKind::Invalid, "not a request"));
+    };
+    match (method.as_str(), target.as_str()) {
+        ("POST", "/v1/messages") => Ok(false),
+        ("GET", "/health") => Ok(true),
+        (_, "/v1/messages") => Err(Rejection::new(405, ErrorKind::Invalid, "only POST")),
+        _ => Err(Rejection::new(404, ErrorKind::Invalid, "no such call; try POST /v1/messages")),
+    }
+}
+
+fn check_content_type(head: &Head) -> Result<(), Rejection> {
+    let content_type = head.header("content-type").unwrap_or("application/json");
+    let media_type = content_type.split(';').next().unwrap_or_default();
+    if media_type.trim().eq_ignore_ascii_case("application/json") {
+        return Ok(());
+    }
+    Err(Rejection::new(415, ErrorKind::Invalid, "content-type must be application/json"))
+}
+
+fn idempotency_key(head: &Head) -> Result<Option<String>, Refusal> {
+    if head.count("idempotency-key") > 1 {
+        return Err(Refusal::new("Idempotency-Key", "more than one"));
+    }
+    head.header("idempotency-key").map(client::identity).transpose()
 }
 
 impl Core {
@@ -29,19 +92,20 @@
             }
             None => self.check(conn, head, &body),
         };
-        let (status, body) = match checked {
-            Ok(job) => return self.take(conn, job),
-            Err((status, body)) => (status, body),
-        };
-        if status == 200 {
-            let keep = self.says_keep(conn);
-            self.write_client(conn, encode::response(200, &[], b"ok\n", keep));
-            return self.answered(conn);
+        match checked {
+            Ok(Some(job)) => self.take(conn, job),
+            Ok(None) => {
+                let keep = self.says_keep(conn);
+                self.write_client(conn, encode::response(200, &[], b"ok\n", keep));
+                self.answered(conn);
+            }
+            Err(Rejection { status, body }) => {
+                let id = head.header(chalkyard_api::engine::REQUEST_ID).unwrap_or_default().to_owned();
+                let turned = Finished::turned(id, self.now, body.reason.clone());
+                self.out.push(Output::Finished(Box::new(FinishedLine(turned))));
+                self.answer_error(conn, status, &body);
+            }
         }
-        let id = head.header(chalkyard_api::engine::REQUEST_ID).unwrap_or_default().to_owned();
-        let turned = Finished::turned(id, self.now, body.reason.clone());
-        self.out.push(Output::Finished(Box::new(FinishedLine(turned))));
-        self.answer_error(conn, status, &body);
     }
 
     fn take(&mut self, conn: ConnId, mut job: Job) {
@@ -61,100 +125,79 @@
         self.events.push_back(Event::Request(request));
     }
 
-    /// What a dialect heard, and what only the core knows: ids that are open, and bounds.
-    fn check_heard(&mut self, conn: ConnId, heard: Heard) -> Result<Job, (u16, ErrorBody)> {
+    /// What a dialect heard, and what only the core knows: ids that are open, and bounds. None: a health check.
+    fn check_heard(&mut self, conn: ConnId, heard: Heard) -> Result<Option<Job>, Rejection> {
         let (mut request, passed) = match heard {
             Heard::Ready if self.draining || self.left.is_some() => {
-                return Err((503, error(ErrorKind::Refused, "this router is stopping")))
+                return Err(Rejection::new(503, ErrorKind::Refused, "this router is stopping"))
             }
-            Heard::Ready => return Err((200, error(ErrorKind::Invalid, ""))),
-            Heard::Wrong(status, why) => return Err((status, error(ErrorKind::Invalid, why))),
+            Heard::Ready => return Ok(None),
+            Heard::Wrong(status, why) => return Err(Rejection::new(status, ErrorKind::Invalid, why)),
             Heard::Call(request, passed) => (*request, passed),
         };
         if self.stopping {
-            return Err((503, error(ErrorKind::Refused, "this router is stopping")));
+            return Err(Rejection::new(503, ErrorKind::Refused, "this router is stopping"));
         }
         // What a leaving router takes has its answer before the process ends.
         if let Some((left, (_, until))) = self.left.zip(self.config.waits.leaving) {
             request.deadline = request.deadline.min(left + until);
         }
         if self.jobs.contains_key(&request.id) {
-            return Err((409, error(ErrorKind::Duplicate, "a request under this id is open here")));
+            let reason = "a request under this id is open here";
+            return Err(Rejection::new(409, ErrorKind::Duplicate, reason));
         }
         if self.jobs.len() >= self.config.bounds.open {
-            return Err((503, error(ErrorKind::Refused, "too many open requests")));
+            return Err(Rejection::new(503, ErrorKind::Refused, "too many open requests"));
         }
-        Ok(Job::new(conn, request, Call::Passed(passed), None, self.now))
+        Ok(Some(Job::new(conn, request, Call::Passed(passed), None, self.now)))
     }
 
-    /// Checks a request; an error names the field and the reason. Status 200 answers a health call.
-    fn check(&mut self, conn: ConnId, head: &Head, body: &[u8]) -> Result<Job, (u16, ErrorBody)> {
-        let no = |status: u16, kind: ErrorKind, why: &str| Err((status, error(kind, why)));
-        let Start::Request { method, target } = &head.start else {
-            return no(400, ErrorKind::Invalid, "not a request");
-        };
-        match (method.as_str(), target.as_str()) {
-            ("POST", "/v1/messages") => {}
-            ("GET", "/health") => return no(200, ErrorKind::Invalid, ""),
-            (_, "/v1/messages") => return no(405, ErrorKind::Invalid, "only POST"),
-            _ => return no(404, ErrorKind::Invalid, "no such call; try POST /v1/messages"),
+    /// Checks a request; an error names the field and the reason. None: a health check.
+    fn check(&mut self, conn: ConnId, head: &Head, body: &[u8]) -> Result<Option<Job>, Rejection> {
+        if is_health_check(head)? {
+            return Ok(None);
         }
         let tenant = self.tenant(head)?;
-        let json = head.header("content-type").unwrap_or("application/json");
-        if !json.split(';').next().is_some_and(|t| t.trim().eq_ignore_ascii_case("application/json")) {
-            return no(415, ErrorKind::Invalid, "content-type must be application/json");
-        }
-        let invalid = |r: Refusal| {
-            (r.status, ErrorBody { field: Some(r.field), ..error(ErrorKind::Invalid, r.reason) })
-        };
-        let call = MessagesRequest::parse(body, &self.config.bounds.call).map_err(invalid)?;
-        let class = self.class(&call, tenant).map_err(invalid)?;
-        if head.count("idempotency-key") > 1 {
-            return Err(invalid(Refusal::new("Idempotency-Key", "more than one")));
-        }
-        let identity = head.header("idempotency-key").map(client::identity).transpose().map_err(invalid)?;
+        check_content_type(head)?;
+        let call = MessagesRequest::parse(body, &self.config.bounds.call)?;
+        let class = self.class(&call, tenant)?;
+        let key = idempotency_key(head)?;
         if self.draining || self.stopping {
-            return no(503, ErrorKind::Refused, "this router is draining");
+            return Err(Rejection::new(503, ErrorKind::Refused, "this router is draining"));
         }
         if self.jobs.len() >= self.config.bounds.open {
-            return no(503, ErrorKind::Refused, "too many open requests");
+            return Err(Rejection::new(503, ErrorKind::Refused, "too many open requests"));
         }
-        let identity: Option<Identity> = identity.map(|key| (tenant, key));
-        if let Some(i) = &identity {
-            self.identities.begin(self.now, i).map_err(|repeat| match repeat {
-                Repeat::Open => {
-                    let why = "a request under this Idempotency-Key is open here; wait for its answer";
-                    (409, ErrorBody { may_have_run: true, ..error(ErrorKind::Duplicate, why) })
-                }
-                Repeat::Ran => {
-                    let why = "a request under this Idempotency-Key may have run; look it up";
-                    (409, ErrorBody { may_have_run: true, ..error(ErrorKind::Duplicate, why) })
-                }
-                Repeat::Full => (503, error(ErrorKind::Refused, "too many identities are remembered")),
-            })?;
+        let identity: Option<Identity> = key.map(|key| (tenant, key));
+        if let Some(identity) = &identity {
+            self.identities.begin(self.now, identity)?;
         }
         let mut job = self.job(conn, call, class, tenant, identity.clone());
-        if let Err(refusal) = self.reserve(&mut job) {
+        if let Err(rejection) = self.reserve(&mut job) {
             // Nothing ran: the identity may come again.
-            if let Some(i) = &identity {
-                self.identities.end(i, None);
+            if let Some(identity) = &identity {
+                self.identities.end(identity, None);
             }
-            return Err(refusal);
+            return Err(rejection);
         }
-        Ok(job)
+        Ok(Some(job))
     }
 
-    fn tenant(&self, head: &Head) -> Result<Option<usize>, (u16, ErrorBody)> {
+    fn tenant(&self, head: &Head) -> Result<Option<usize>, Rejection> {
         if self.config.tenants.is_empty() {
             return Ok(None);
         }
         let bearer = head.header("authorization").and_then(|a| a.split_once(' '));
         let bearer =
             bearer.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer")).map(|(_, key)| key.trim());
-        let key = bearer.or(head.header("x-api-key"));
-        let missing = (401, error(ErrorKind::Unauthorized, "no API key: send `Authorization: Bearer KEY`"));
-        let owner = self.config.keys.owner(key.ok_or(missing)?);
-        owner.map(Some).ok_or((401, error(ErrorKind::Unauthorized, "unknown API key")))
+        let Some(key) = bearer.or(head.header("x-api-key")) else {
+            let reason = "no API key: send `Authorization: Bearer KEY`";
+            return Err(Rejection::new(401, ErrorKind::Unauthorized, reason));
+        };
+        match self.config.keys.owner(key) {
+            Some(owner) => Ok(Some(owner)),
+            None => Err(Rejection::new(401, ErrorKind::Unauthorized, "unknown API key")),
+        }
     }
 
     fn class(&self, call: &MessagesRequest, tenant: Option<usize>) -> Result<usize, Refusal> {
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -127,7 +127,7 @@
             p::Role::Writer => "writer",
             p::Role::Mixed => "mixed",
         };
-        let view = |(id, e): (&p::WorkerId, &super::pool::Engine)| EngineView {
+        let view = |(id, e): (&p::WorkerId, &super::worker_connection::Engine)| EngineView {
             id: id.0.to_string(),
             address: e.address.to_string(),
             role: role(e.role),
