--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -80,3 +80,6 @@
     }
     Ok(report)
 }
+
+#[cfg(test)]
+mod reports_test;
--- a/crates/rehearsal/src/routers.rs
+++ b/crates/rehearsal/src/routers.rs
@@ -325,3 +325,7 @@
         self.stop();
     }
 }
+
+#[cfg(test)]
+#[path = "routers_test.rs"]
+mod tests;
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -452,3 +452,7 @@
     let read = stream.read(&mut buffer).await.unwrap_or(0);
     asked.is_ok() && buffer.get(..read).is_some_and(|b| b.starts_with(b"HTTP/1.1 200"))
 }
+
+#[cfg(test)]
+#[path = "forms_test.rs"]
+mod tests;
--- a/crates/rehearsal/src/soak/process.rs
+++ b/crates/rehearsal/src/soak/process.rs
@@ -154,7 +154,13 @@
     }
 }
 
-fn config(index: usize, plan: &SoakPlan, at: SocketAddr, agent: SocketAddr, known: &Value) -> Value {
+pub(super) fn config(
+    index: usize,
+    plan: &SoakPlan,
+    at: SocketAddr,
+    agent: SocketAddr,
+    known: &Value,
+) -> Value {
     let secs = |ms: u64| ms as f64 / 1e3;
     let class = |(i, c): (usize, &super::plan::ClassPlan)| {
         json!({"name": format!("c{i}"), "goal_time_s": 1.0, "deadline_s": secs(c.deadline_ms), "repeat": c.repeat.name(),
