--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -63,9 +63,9 @@
     let (mut held, mut played) = (true, 0);
     for name in names {
         for seed in plan.seed..plan.seed + arguments.seeds.unwrap_or(1) {
-            let day = case(&name, seed, routers, seconds).map_err(Trouble::BadInput)?;
+            let scenario = case(&name, seed, routers, seconds).map_err(Trouble::BadInput)?;
             // Processes take the machine's clock.
-            if !arguments.fed && day.clocks > 0 {
+            if !arguments.fed && scenario.clocks > 0 {
                 if arguments.case.is_some() {
                     return Err(Trouble::BadInput(format!(
                         "case `{name}`: clocks are apart in --fed time alone"
@@ -74,12 +74,12 @@
                 continue;
             }
             let report = if arguments.fed {
-                Report::new(&day, "fed", &emulate(&day).map_err(trouble)?.lines, None)
+                Report::new(&scenario, "fed", &emulate(&scenario).map_err(trouble)?.lines, None)
             } else {
-                let lines = play(&day, plan).map_err(trouble)?;
+                let lines = play(&scenario, plan).map_err(trouble)?;
                 let other = arguments.exe.as_ref().map(|exe| Plan { exe: exe.clone(), ..plan.clone() });
-                let other = other.map(|plan| play(&day, &plan)).transpose().map_err(trouble)?;
-                Report::new(&day, "processes", &lines, other.as_deref())
+                let other = other.map(|plan| play(&scenario, &plan)).transpose().map_err(trouble)?;
+                Report::new(&scenario, "processes", &lines, other.as_deref())
             };
             match format {
                 Format::Text => print!("{}", report.text()),
--- a/crates/fleet/src/cases.rs
+++ b/crates/fleet/src/cases.rs
@@ -1,6 +1,6 @@
 //! Days on which many routers can do harm together, each alone or several at once, and what their sums may be.
 
-use chalkyard_rehearsal::day::{base, Day, EngineSpec, Fault, Kind, LinkOf, Links};
+use chalkyard_rehearsal::scenario::{base, EngineSpec, Fault, Kind, LinkOf, Links, Scenario};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -70,10 +70,10 @@
 ];
 
 /// The day of a case, or of several at once.
-pub fn case(name: &str, seed: u64, routers: usize, seconds: u64) -> Result<Day, String> {
-    let mut day = base(name, seed, seconds.max(20) * S);
-    let small = std::mem::take(&mut day.engines);
-    day.engines = (0..FLEETS)
+pub fn case(name: &str, seed: u64, routers: usize, seconds: u64) -> Result<Scenario, String> {
+    let mut scenario = base(name, seed, seconds.max(20) * S);
+    let small = std::mem::take(&mut scenario.engines);
+    scenario.engines = (0..FLEETS)
         .flat_map(|n| {
             small.iter().map(move |e| EngineSpec {
                 id: format!("{}-{n}", e.id),
@@ -82,18 +82,18 @@
             })
         })
         .collect();
-    day.routers = routers;
-    day.rate = RATE;
-    day.apart = true;
+    scenario.routers = routers;
+    scenario.rate = RATE;
+    scenario.apart = true;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for part in name.split('+') {
-        add(part, &mut day, &mut rng)?;
+        add(part, &mut scenario, &mut rng)?;
     }
-    day.faults.sort_by_key(|f| f.at);
+    scenario.faults.sort_by_key(|f| f.at);
     // Long enough for what follows the last fault to be seen.
-    let last = day.faults.iter().map(|f| f.at + f.len).max().unwrap_or(0);
-    day.length = day.length.max(last + (RECOVERY_S as u64 + AFTER) * S);
-    Ok(day)
+    let last = scenario.faults.iter().map(|f| f.at + f.len).max().unwrap_or(0);
+    scenario.length = scenario.length.max(last + (RECOVERY_S as u64 + AFTER) * S);
+    Ok(scenario)
 }
 
 fn some(rng: &mut ChaCha8Rng, of: usize, many: usize) -> Vec<usize> {
@@ -103,71 +103,73 @@
     all
 }
 
-fn add(name: &str, day: &mut Day, rng: &mut ChaCha8Rng) -> Result<(), String> {
-    let (engines, routers) = (day.engines.len(), day.routers);
+fn add(name: &str, scenario: &mut Scenario, rng: &mut ChaCha8Rng) -> Result<(), String> {
+    let (engines, routers) = (scenario.engines.len(), scenario.routers);
     let from = CALM * S + rng.random_range(0..S);
     let fault = |kind, at, len, on, size| Fault { kind, at, len, on, size, links: None };
-    let mut replaced = |day: &mut Day, at: u64| {
+    let mut replaced = |scenario: &mut Scenario, at: u64| {
         let out = some(rng, engines, engines * 6 / 10);
         let step = 6 * S / out.len().max(1) as u64;
         for (n, i) in out.into_iter().enumerate() {
-            day.faults.push(fault(Kind::Crash, at + n as u64 * step, S, vec![i], 0.0));
+            scenario.faults.push(fault(Kind::Crash, at + n as u64 * step, S, vec![i], 0.0));
         }
     };
     match name {
         "calm" => {}
         "burst" => {
-            day.naive = 0.5;
-            day.faults.push(fault(Kind::Burst, from, 8 * S, Vec::new(), 2.0));
+            scenario.naive = 0.5;
+            scenario.faults.push(fault(Kind::Burst, from, 8 * S, Vec::new(), 2.0));
         }
         "silent" => {
             let links = Links { of: LinkOf::Engines, routers: some(rng, routers, routers / 2) };
             let on = some(rng, engines, engines / 3);
-            day.faults.push(Fault { links: Some(links), ..fault(Kind::LinkMute, from, 8 * S, on, 0.0) });
+            scenario.faults.push(Fault { links: Some(links), ..fault(Kind::LinkMute, from, 8 * S, on, 0.0) });
         }
         "sick" => {
             let on = some(rng, engines, 1);
-            day.faults.push(fault(Kind::FastErrors, from, 12 * S, on, 0.9));
+            scenario.faults.push(fault(Kind::FastErrors, from, 12 * S, on, 0.9));
         }
         "reset" => {
             let links = Links { of: LinkOf::All, routers: Vec::new() };
-            day.faults.push(Fault { links: Some(links), ..fault(Kind::LinkReset, from, 0, Vec::new(), 0.0) });
+            scenario
+                .faults
+                .push(Fault { links: Some(links), ..fault(Kind::LinkReset, from, 0, Vec::new(), 0.0) });
         }
         "replaced" => {
-            day.faults.push(fault(Kind::StaleList, from, 6 * S, Vec::new(), 0.0));
-            replaced(day, from + 6 * S);
+            scenario.faults.push(fault(Kind::StaleList, from, 6 * S, Vec::new(), 0.0));
+            replaced(scenario, from + 6 * S);
         }
         "lost" => {
             for i in some(rng, engines, engines / 3) {
-                day.faults.push(fault(Kind::AnswerLost, from, 6 * S, vec![i], 0.5));
+                scenario.faults.push(fault(Kind::AnswerLost, from, 6 * S, vec![i], 0.5));
             }
-            day.faults.push(fault(Kind::Burst, from, 6 * S, Vec::new(), 1.5));
+            scenario.faults.push(fault(Kind::Burst, from, 6 * S, Vec::new(), 1.5));
         }
         "favourite" => {
-            day.favourite = Some((rng.random_range(0..routers), 5.0));
-            day.faults.push(fault(Kind::Burst, from, 6 * S, Vec::new(), 1.5));
+            scenario.favourite = Some((rng.random_range(0..routers), 5.0));
+            scenario.faults.push(fault(Kind::Burst, from, 6 * S, Vec::new(), 1.5));
         }
         "clocks" => {
-            day.clocks = 2 * S;
-            replaced(day, from);
+            scenario.clocks = 2 * S;
+            replaced(scenario, from);
         }
-        "cold" => day.faults.push(fault(Kind::Crash, from, S, (0..engines).collect(), 0.0)),
+        "cold" => scenario.faults.push(fault(Kind::Crash, from, S, (0..engines).collect(), 0.0)),
         "many" => {
-            day.told_routers = Some(routers as u32 * 10);
-            replaced(day, from);
+            scenario.told_routers = Some(routers as u32 * 10);
+            replaced(scenario, from);
         }
         "few" => {
-            day.told_routers = Some((routers as u32 / 10).max(1));
-            replaced(day, from);
+            scenario.told_routers = Some((routers as u32 / 10).max(1));
+            replaced(scenario, from);
         }
         "thin" => {
-            day.rate = routers as f64 / 60.0;
-            replaced(day, from);
+            scenario.rate = routers as f64 / 60.0;
+            replaced(scenario, from);
         }
         "late" => {
-            day.faults.push(fault(Kind::Burst, from, 8 * S, Vec::new(), 2.0));
+            scenario.faults.push(fault(Kind::Burst, from, 8 * S, Vec::new(), 2.0));
             let on = some(rng, routers, routers / 2);
-            day.faults.push(fault(Kind::BalancerRoll, from + 3 * S, S, on, 0.0));
+            scenario.faults.push(fault(Kind::BalancerRoll, from + 3 * S, S, on, 0.0));
         }
         other => {
             let names: Vec<&str> = CASES.iter().map(|c| c.name).collect();
@@ -183,10 +185,10 @@
 }
 
 /// What the sums of a day may be, with what they are. None depends on a run: they follow from the day and the settings.
-pub fn bounds(day: &Day, sums: &Sums) -> Vec<Bound> {
-    let (routers, engines) = (day.routers as f64, day.engines.len() as f64);
-    let bursts = day.faults.iter().filter(|f| f.kind == Kind::Burst).map(|f| f.size);
-    let traffic = day.rate * bursts.fold(1.0, f64::max);
+pub fn bounds(scenario: &Scenario, sums: &Sums) -> Vec<Bound> {
+    let (routers, engines) = (scenario.routers as f64, scenario.engines.len() as f64);
+    let bursts = scenario.faults.iter().filter(|f| f.kind == Kind::Burst).map(|f| f.size);
+    let traffic = scenario.rate * bursts.fold(1.0, f64::max);
     let tenth = 0.1;
     // A router leaves a sick worker alone for eight of its own requests, or 16 s: over all, an eighth of the traffic at
     // the most, or what routers that are hardly asked try when their time is over.
@@ -204,5 +206,5 @@
         ("shed_spread", SHED_SPREAD),
     ];
     let bound = |(name, most)| Bound { name, value: sums.get(name).unwrap_or(0.0), most };
-    most.map(bound).into_iter().filter(|b| b.name != "recovery_s" || day.rate >= RATE_LEAST).collect()
+    most.map(bound).into_iter().filter(|b| b.name != "recovery_s" || scenario.rate >= RATE_LEAST).collect()
 }
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -6,9 +6,9 @@
 use chalkyard_api::keys::KeyRing;
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
-use chalkyard_rehearsal::day::{Day, Fault, Kind};
 use chalkyard_rehearsal::engine::Role;
 use chalkyard_rehearsal::record::{Effect, Line};
+use chalkyard_rehearsal::scenario::{Fault, Kind, Scenario};
 use chalkyard_rehearsal::scene::Scene;
 use chalkyard_rehearsal::Error;
 use chalkyard_router::{Bounds, ClassEntry, Config, Core, Finished, Input, KindEntry, Output, Tally, Waits};
@@ -57,9 +57,9 @@
 }
 
 /// As the kit's settings for processes say it.
-fn config(day: &Day, name: &str, register: SocketAddr) -> Config {
-    let f = &day.figures;
-    let classes = day.classes.iter().map(|c| p::Class {
+fn config(scenario: &Scenario, name: &str, register: SocketAddr) -> Config {
+    let f = &scenario.figures;
+    let classes = scenario.classes.iter().map(|c| p::Class {
         aim: Micros(c.aim_us),
         aim_per_1000_tokens: Micros(c.aim_per_1000_us),
         deadline: Micros(c.deadline_us),
@@ -75,7 +75,7 @@
     Config {
         name: name.into(),
         policy: p::Settings {
-            routers: day.told_routers.unwrap_or(day.routers as u32),
+            routers: scenario.told_routers.unwrap_or(scenario.routers as u32),
             classes: classes.collect(),
             tenants: Vec::new(),
             discovery: p::Discovery::Push,
@@ -95,7 +95,7 @@
             weighted: false,
             reports: p::Reports::InAnswers,
         },
-        classes: day.classes.iter().map(|c| ClassEntry { name: c.name.clone() }).collect(),
+        classes: scenario.classes.iter().map(|c| ClassEntry { name: c.name.clone() }).collect(),
         default_class: 0,
         tenants: Vec::new(),
         keys: KeyRing::new([0; 32]),
@@ -119,15 +119,15 @@
 }
 
 /// Plays a day. The same day gives the same record.
-pub fn emulate(day: &Day) -> Result<Emulated, Error> {
-    let (scene, (names, registers)) = Scene::new(day, Memory::new(), UNIX, |net, registers| {
+pub fn emulate(scenario: &Scenario) -> Result<Emulated, Error> {
+    let (scene, (names, registers)) = Scene::new(scenario, Memory::new(), UNIX, |net, registers| {
         let names: Vec<(String, SocketAddr)> =
-            (1..=day.routers).map(|i| (format!("r{i}"), net.add_router())).collect();
+            (1..=scenario.routers).map(|i| (format!("r{i}"), net.add_router())).collect();
         Ok((names.clone(), (names, registers.to_vec())))
     })?;
-    let mut rng = ChaCha8Rng::seed_from_u64(day.seed ^ 0xc10c);
+    let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ 0xc10c);
     let routers = names.iter().map(|_| {
-        let ahead = if day.clocks == 0 { 0 } else { rng.random_range(0..=day.clocks) };
+        let ahead = if scenario.clocks == 0 { 0 } else { rng.random_range(0..=scenario.clocks) };
         Router { core: None, life: 0, ahead, due: None }
     });
     let mut play = Play {
@@ -209,9 +209,9 @@
         let register = self.registers.get(i).or(self.registers.first());
         let (Some(register), Some(router)) = (register, self.routers.get_mut(i)) else { return };
         router.life += 1;
-        let day = self.scene.day;
-        let seed = day.seed.wrapping_mul(1_000).wrapping_add(i as u64 * 64 + router.life);
-        let mut core = Box::new(Core::new(config(day, name, *register), seed, now));
+        let scenario = self.scene.scenario;
+        let seed = scenario.seed.wrapping_mul(1_000).wrapping_add(i as u64 * 64 + router.life);
+        let mut core = Box::new(Core::new(config(scenario, name, *register), seed, now));
         core.count_seconds();
         core.start(now, None, &mut self.outputs);
         router.core = Some(core);
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write as _;
 
-use chalkyard_rehearsal::day::Day;
 use chalkyard_rehearsal::record::Line;
+use chalkyard_rehearsal::scenario::Scenario;
 use chalkyard_rehearsal::{judge, Rules};
 use serde::Serialize;
 
@@ -26,9 +26,14 @@
 
 impl Played {
     /// Judges a record of the day.
-    pub fn judge(day: &Day, lines: &[Line]) -> Self {
+    pub fn judge(scenario: &Scenario, lines: &[Line]) -> Self {
         let report = judge(lines);
-        Self { rules: report.rules, broken: report.broken, requests: report.requests, sums: sums(day, lines) }
+        Self {
+            rules: report.rules,
+            broken: report.broken,
+            requests: report.requests,
+            sums: sums(scenario, lines),
+        }
     }
 }
 
@@ -54,16 +59,16 @@
 
 impl Report {
     /// Judges one record, and that of another build.
-    pub fn new(day: &Day, way: &'static str, lines: &[Line], baseline: Option<&[Line]>) -> Self {
-        let played = Played::judge(day, lines);
+    pub fn new(scenario: &Scenario, way: &'static str, lines: &[Line], baseline: Option<&[Line]>) -> Self {
+        let played = Played::judge(scenario, lines);
         Self {
-            case: day.name.clone(),
-            seed: day.seed,
-            routers: day.routers,
+            case: scenario.name.clone(),
+            seed: scenario.seed,
+            routers: scenario.routers,
             way,
-            bounds: bounds(day, &played.sums),
+            bounds: bounds(scenario, &played.sums),
             played,
-            baseline: baseline.map(|lines| Played::judge(day, lines)),
+            baseline: baseline.map(|lines| Played::judge(scenario, lines)),
         }
     }
 
--- a/crates/fleet/src/shrink.rs
+++ b/crates/fleet/src/shrink.rs
@@ -1,11 +1,11 @@
 //! A failing day made as small as it can be and still fail.
 
-use chalkyard_rehearsal::day::Day;
+use chalkyard_rehearsal::scenario::Scenario;
 
 /// Takes faults away, one after the other and then again, as long as the day still fails; gives the day with the fewest
 /// that were found, and how many days were tried. Taking any one more away would have it pass.
-pub fn shrink(day: &Day, mut fails: impl FnMut(&Day) -> bool) -> (Day, u32) {
-    let (mut least, mut tried) = (day.clone(), 0);
+pub fn shrink(scenario: &Scenario, mut fails: impl FnMut(&Scenario) -> bool) -> (Scenario, u32) {
+    let (mut least, mut tried) = (scenario.clone(), 0);
     // Large parts first, so that a day of many faults takes few tries.
     let mut part = least.faults.len().div_ceil(2);
     while part > 0 {
--- a/crates/fleet/src/sums.rs
+++ b/crates/fleet/src/sums.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chalkyard_rehearsal::by_second;
-use chalkyard_rehearsal::day::{Day, Kind, LinkOf};
 use chalkyard_rehearsal::record::{Answer, Line, Seen, Stage};
+use chalkyard_rehearsal::scenario::{Kind, LinkOf, Scenario};
 use serde::Serialize;
 
 /// Goodput counts as back at this share of what it was, over this many seconds.
@@ -96,9 +96,9 @@
 }
 
 /// Engines that are sick for routers: from when to when, and for whom (none named: for all).
-fn sick(day: &Day) -> Vec<(String, u64, u64, Vec<String>)> {
+fn sick(scenario: &Scenario) -> Vec<(String, u64, u64, Vec<String>)> {
     let mut out = Vec::new();
-    for f in &day.faults {
+    for f in &scenario.faults {
         let routers = match (&f.links, f.kind) {
             (Some(links), Kind::LinkCut | Kind::LinkMute) if links.of == LinkOf::Engines => {
                 links.routers.iter().map(|r| format!("r{}", r + 1)).collect()
@@ -106,7 +106,7 @@
             (None, Kind::FastErrors | Kind::Hang) => Vec::new(),
             _ => continue,
         };
-        for engine in f.on.iter().filter_map(|i| day.engines.get(*i)) {
+        for engine in f.on.iter().filter_map(|i| scenario.engines.get(*i)) {
             out.push((engine.id.clone(), f.at + SICK_KNOWN, f.at + f.len, routers.clone()));
         }
     }
@@ -114,11 +114,11 @@
 }
 
 /// Measures a record of this day.
-pub fn sums(day: &Day, lines: &[Line]) -> Sums {
+pub fn sums(scenario: &Scenario, lines: &[Line]) -> Sums {
     let seconds = by_second(lines);
     let second = |t: u64| (t / 1_000_000) as usize;
-    let first = day.faults.iter().map(|f| f.at).min().unwrap_or(day.length);
-    let last = day.faults.iter().map(|f| f.at + f.len).max().unwrap_or(0).min(day.length);
+    let first = scenario.faults.iter().map(|f| f.at).min().unwrap_or(scenario.length);
+    let last = scenario.faults.iter().map(|f| f.at + f.len).max().unwrap_or(0).min(scenario.length);
     let part = |from: usize, to: usize| seconds.get(from..to.min(seconds.len())).unwrap_or_default();
     let mut out = Sums {
         goodput: goodput(part(WARM_UP_S, seconds.len())),
@@ -127,7 +127,7 @@
         ..Sums::default()
     };
     // The last seconds of the day may hold too little to be judged.
-    let end = second(day.length).min(seconds.len());
+    let end = second(scenario.length).min(seconds.len());
     let back = |at: &usize| goodput(part(*at, at + BACK_S)) >= BACK_SHARE * out.goodput_before;
     let at = (second(last)..(end + 1).saturating_sub(BACK_S)).find(back);
     out.recovery_s = at.map(|at| (at as f64 - last as f64 / 1e6).max(0.0));
@@ -139,7 +139,7 @@
     let (mut firsts, mut repeats) = (BTreeMap::new(), BTreeMap::new());
     let mut begun: BTreeSet<(&str, bool)> = BTreeSet::new();
     let (mut trials, mut connects, mut lists) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-    let sick = sick(day);
+    let sick = sick(scenario);
     for Line { t, seen } in lines {
         let s = second(*t);
         match seen {
@@ -205,7 +205,7 @@
     let all_refused: u64 = refused.values().sum();
     out.refused_share = share(all_refused as f64, asked.values().sum::<u64>() as f64);
     // Those whose links fail have other news than the rest.
-    let struck: BTreeSet<String> = day
+    let struck: BTreeSet<String> = scenario
         .faults
         .iter()
         .filter_map(|f| f.links.as_ref())
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -2,20 +2,20 @@
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_fleet::*;
-use chalkyard_rehearsal::day::{Day, Kind};
 use chalkyard_rehearsal::judge;
 use chalkyard_rehearsal::record::text;
+use chalkyard_rehearsal::scenario::{Kind, Scenario};
 
 const ROUTERS: usize = 12;
 const SECONDS: u64 = 24;
 
-fn day(name: &str, seed: u64) -> Day {
+fn scenario(name: &str, seed: u64) -> Scenario {
     case(name, seed, ROUTERS, SECONDS).unwrap()
 }
 
 #[test]
 fn the_same_day_gives_the_same_record_to_the_byte() {
-    let play = |seed| text(&emulate(&day("replaced+reset", seed)).unwrap().lines);
+    let play = |seed| text(&emulate(&scenario("replaced+reset", seed)).unwrap().lines);
     let (one, two, other) = (play(1), play(1), play(2));
     assert!(one == two, "two plays of one seed differ");
     assert!(one != other, "another seed is another day");
@@ -23,12 +23,12 @@
 
 /// Plays a case; gives what broke.
 fn broken(name: &str, seed: u64) -> Vec<String> {
-    let day = day(name, seed);
-    let played = emulate(&day).unwrap();
+    let scenario = scenario(name, seed);
+    let played = emulate(&scenario).unwrap();
     let report = judge(&played.lines);
     assert!(report.requests > 10, "{name}: {} requests", report.requests);
-    let sums = sums(&day, &played.lines);
-    let past = bounds(&day, &sums).into_iter().filter(|b| b.value > b.most);
+    let sums = sums(&scenario, &played.lines);
+    let past = bounds(&scenario, &sums).into_iter().filter(|b| b.value > b.most);
     report.broken.into_iter().chain(past.map(|b| format!("{name} seed {seed}: {b:?}"))).collect()
 }
 
@@ -63,19 +63,20 @@
 
 #[test]
 fn a_sum_past_its_bound_is_seen() {
-    let day = day("calm", 1);
+    let scenario = scenario("calm", 1);
     let sums = Sums { recovery_s: None, list_rate_max: 1e6, ..Sums::default() };
-    let past: Vec<&str> = bounds(&day, &sums).iter().filter(|b| b.value > b.most).map(|b| b.name).collect();
+    let past: Vec<&str> =
+        bounds(&scenario, &sums).iter().filter(|b| b.value > b.most).map(|b| b.name).collect();
     assert_eq!(past, ["recovery_s", "list_rate_max"]);
 }
 
 #[test]
 fn a_failing_day_is_shrunk_to_the_faults_that_matter() {
-    let day = day("replaced+sick+reset+lost", 3);
-    assert!(day.faults.len() > 15);
+    let scenario = scenario("replaced+sick+reset+lost", 3);
+    assert!(scenario.faults.len() > 15);
     // Only a reset of all makes every router ask for the list anew.
-    let asks = |d: &Day| sums(d, &emulate(d).unwrap().lines).list_rate_max > 0.0;
-    let (least, tried) = shrink(&day, asks);
+    let asks = |d: &Scenario| sums(d, &emulate(d).unwrap().lines).list_rate_max > 0.0;
+    let (least, tried) = shrink(&scenario, asks);
     let kinds: Vec<Kind> = least.faults.iter().map(|f| f.kind).collect();
     assert_eq!(kinds, [Kind::LinkReset]);
     assert!(tried < 20, "{tried} days were played");
--- a/crates/fleet/tests/forms.rs
+++ b/crates/fleet/tests/forms.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use chalkyard_fleet::*;
-use chalkyard_rehearsal::day::Day;
 use chalkyard_rehearsal::record::parse;
+use chalkyard_rehearsal::scenario::Scenario;
 use chalkyard_rehearsal::{Rule, Rules};
 
 fn stored(name: &str) -> String {
@@ -39,13 +39,13 @@
 
 fn report(rules: Rules, recovery_s: Option<f64>, baseline: Option<Played>) -> Report {
     let played = played(rules, 0.875, recovery_s);
-    let day = case("burst", 3, 12, 24).unwrap();
+    let scenario = case("burst", 3, 12, 24).unwrap();
     Report {
         case: "burst".into(),
         seed: 3,
         routers: 12,
         way: "fed",
-        bounds: bounds(&day, &played.sums),
+        bounds: bounds(&scenario, &played.sums),
         played,
         baseline,
     }
@@ -66,21 +66,21 @@
 }
 
 /// A day's numbers, and its faults a line each.
-fn schedule(day: &Day) -> String {
+fn schedule(scenario: &Scenario) -> String {
     let mut out = format!(
         "{} seed {} length {} routers {} engines {} rate {} naive {} favourite {:?} told {:?} clocks {}\n",
-        day.name,
-        day.seed,
-        day.length,
-        day.routers,
-        day.engines.len(),
-        day.rate,
-        day.naive,
-        day.favourite,
-        day.told_routers,
-        day.clocks
+        scenario.name,
+        scenario.seed,
+        scenario.length,
+        scenario.routers,
+        scenario.engines.len(),
+        scenario.rate,
+        scenario.naive,
+        scenario.favourite,
+        scenario.told_routers,
+        scenario.clocks
     );
-    for f in &day.faults {
+    for f in &scenario.faults {
         let links = f.links.as_ref().map(|l| (serde_json::to_string(&l.of).unwrap(), &l.routers));
         out += &format!(
             "{} at {} len {} on {:?} size {} links {links:?}\n",
@@ -91,7 +91,7 @@
             f.size
         );
     }
-    for bound in bounds(day, &Sums::default()) {
+    for bound in bounds(scenario, &Sums::default()) {
         out += &format!("{} at most {}\n", bound.name, bound.most);
     }
     out
--- a/crates/rehearsal/src/afternoon.rs
+++ b/crates/rehearsal/src/afternoon.rs
@@ -4,9 +4,9 @@
 use serde::Serialize;
 
 use crate::audit;
-use crate::day::{self, Restarts};
 use crate::record::{Line, Seen};
 use crate::report::Rules;
+use crate::scenario::{self, Restarts};
 use crate::{world, Error, Plan};
 
 /// A day of one kind.
@@ -28,7 +28,8 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct AfternoonReport {
     /// Always `restart-afternoon`.
-    pub day: String,
+    #[serde(rename = "day")]
+    pub scenario: String,
     /// Seed.
     pub seed: u64,
     /// Routers run on.
@@ -48,8 +49,8 @@
 impl AfternoonReport {
     /// Whether all rules held on all three days, and no hand-over cost a connection.
     pub fn held(&self) -> bool {
-        let days = [&self.without, &self.hand_overs, &self.kills];
-        days.iter().all(|d| d.rules.held()) && self.hand_overs.unreached == 0
+        let scenarios = [&self.without, &self.hand_overs, &self.kills];
+        scenarios.iter().all(|d| d.rules.held()) && self.hand_overs.unreached == 0
     }
 
     /// As one JSON object.
@@ -84,8 +85,8 @@
 pub fn rehearse(plan: &Plan) -> Result<AfternoonReport, Error> {
     let mut told = Vec::new();
     let mut play = |restarts| -> Result<Afternoon, Error> {
-        let day = day::afternoon(plan.seed, plan.seconds.unwrap_or(30), restarts);
-        let lines = world::play(&day, plan)?;
+        let scenario = scenario::afternoon(plan.seed, plan.seconds.unwrap_or(30), restarts);
+        let lines = world::play(&scenario, plan)?;
         if let (Some(file), Restarts::HandOvers) = (&plan.record, restarts) {
             let text = crate::record::text(&lines);
             std::fs::write(file, text).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))?;
@@ -111,7 +112,7 @@
     let kills = play(Restarts::Kills)?;
     let over = |d: &Afternoon| d.goodput / without.goodput.max(1e-9);
     Ok(AfternoonReport {
-        day: "restart-afternoon".into(),
+        scenario: "restart-afternoon".into(),
         seed: plan.seed,
         ratio: over(&hand_overs),
         ratio_kills: over(&kills),
--- a/crates/rehearsal/src/audit/book.rs
+++ b/crates/rehearsal/src/audit/book.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::day::LinkOf;
 use crate::record::{Answer, Class, End, Figures, Freed, Line, Seen, Stage};
+use crate::scenario::LinkOf;
 
 /// A connection that a fault of links breaks is found to be so long after, µs.
 const RESET_NOISE: u64 = 20_000;
@@ -78,7 +78,7 @@
 
 impl<'a> Book<'a> {
     pub(super) fn read(lines: &'a [Line]) -> Option<(Self, &'a str, u64)> {
-        let Seen::Day { name, seed, classes, figures, .. } = &lines.first()?.seen else { return None };
+        let Seen::Scenario { name, seed, classes, figures, .. } = &lines.first()?.seen else { return None };
         let mut book = Self {
             figures,
             classes,
@@ -115,7 +115,7 @@
                     open.until = t;
                 }
             }
-            Seen::Day { .. }
+            Seen::Scenario { .. }
             | Seen::Fault { .. }
             | Seen::Work { .. }
             | Seen::Connect { .. }
--- a/crates/rehearsal/src/audit/mod.rs
+++ b/crates/rehearsal/src/audit/mod.rs
@@ -105,7 +105,8 @@
     let tries = book.tries_by_identity();
     book.gone(&tries, gone);
     book.told(&tries, told);
-    let mut report = Report { day: name.into(), seed, seconds: book.end as f64 / 1e6, ..Report::default() };
+    let mut report =
+        Report { scenario: name.into(), seed, seconds: book.end as f64 / 1e6, ..Report::default() };
     let broken = &mut report.broken;
     report.rules.answered = answered.done("answered", broken);
     report.rules.effect = effect.done("effect", broken);
--- a/crates/rehearsal/src/budgets.rs
+++ b/crates/rehearsal/src/budgets.rs
@@ -8,9 +8,9 @@
 use serde::Serialize;
 
 use crate::audit;
-use crate::day::{self, Day, Sharing};
 use crate::record::{Answer, End, Line, Seen, Stage};
 use crate::report::Rules;
+use crate::scenario::{self, Scenario, Sharing};
 use crate::world::play_and;
 use crate::{Error, Plan};
 
@@ -51,7 +51,8 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct BudgetReport {
     /// Always `budgets`.
-    pub day: String,
+    #[serde(rename = "day")]
+    pub scenario: String,
     /// Seed.
     pub seed: u64,
     /// Routers, each a process.
@@ -147,21 +148,21 @@
 pub fn rehearse(plan: &Plan) -> Result<BudgetReport, Error> {
     let seconds = plan.seconds.unwrap_or(30);
     let play = |sharing| {
-        let day = day::budgets(plan.seed, seconds, sharing);
+        let scenario = scenario::budgets(plan.seed, seconds, sharing);
         let look = |folder: &Path, lines: &[Line]| match sharing {
             Sharing::Leases => bill(folder, lines, plan).map(Some),
             _ => Ok(None),
         };
-        play_and(&day, plan, look).map(|(lines, bill)| (day, lines, bill))
+        play_and(&scenario, plan, look).map(|(lines, bill)| (scenario, lines, bill))
     };
-    let (day, lines, bill) = play(Sharing::Leases)?;
+    let (scenario, lines, bill) = play(Sharing::Leases)?;
     if let Some(file) = &plan.record {
         let text = crate::record::text(&lines);
         std::fs::write(file, text).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))?;
     }
     let mut audit = audit::judge(&lines);
-    let leases = figures(&day, &lines);
-    let baseline = |sharing| play(sharing).map(|(day, lines, _)| figures(&day, &lines));
+    let leases = figures(&scenario, &lines);
+    let baseline = |sharing| play(sharing).map(|(scenario, lines, _)| figures(&scenario, &lines));
     let (equal_shares, unreserved) = (baseline(Sharing::Equal)?, baseline(Sharing::Unreserved)?);
     let bill = bill.unwrap_or_default();
     let number = |name: &str| bill.get(name).and_then(|v| v.as_u64()).unwrap_or(u64::MAX);
@@ -179,9 +180,9 @@
     let settled =
         |s: &Seen| matches!(s, Seen::Fault { name, begins: true, .. } if name == "settlement_killed");
     Ok(BudgetReport {
-        day: day.name.clone(),
-        seed: day.seed,
-        routers: day.routers,
+        scenario: scenario.name.clone(),
+        seed: scenario.seed,
+        routers: scenario.routers,
         router_kills: count(|s| matches!(s, Seen::Router { up: false, .. })),
         settlement_kills: count(settled),
         overrun_tokens: leases.overrun_tokens,
@@ -277,7 +278,7 @@
 }
 
 /// What tenants used, from the answers that clients got and the engines' counts of them.
-fn figures(day: &Day, lines: &[Line]) -> Played {
+fn figures(scenario: &Scenario, lines: &[Line]) -> Played {
     let mut writes: BTreeMap<(&str, &str), Vec<u64>> = BTreeMap::new();
     let mut written: BTreeMap<u64, Written> = BTreeMap::new();
     let mut longest = 0;
@@ -304,10 +305,10 @@
         }
     }
     let tries = tries(lines);
-    let specs = day.budgets.iter().flat_map(|b| &b.tenants);
-    let margin = day.budgets.as_ref().map_or(0, |b| b.margin);
+    let specs = scenario.budgets.iter().flat_map(|b| &b.tenants);
+    let margin = scenario.budgets.as_ref().map_or(0, |b| b.margin);
     // What an engine may count beyond the reservation: its share over four bytes a token, less the margin.
-    let excess = longest * day.counts_more.saturating_sub(margin) / (1_000 + day.counts_more) + 2;
+    let excess = longest * scenario.counts_more.saturating_sub(margin) / (1_000 + scenario.counts_more) + 2;
     let tenants: Vec<TenantFigures> = specs
         .map(|spec| {
             let own = || tries.values().filter(|t| t.tenant == spec.name);
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -7,10 +7,10 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::day::{BudgetSpec, Day};
 use crate::fleet::Tape;
 use crate::net::{Conn, Net};
 use crate::record::{Answer, Class, Effect, Seen};
+use crate::scenario::{BudgetSpec, Scenario};
 
 /// How long a client waits past its deadline for what is then a broken rule, µs.
 const PATIENCE: u64 = 1_000_000;
@@ -101,8 +101,8 @@
 }
 
 impl Clients {
-    pub fn new(day: &Day, routers: Vec<(String, SocketAddr)>, mut rng: ChaCha8Rng) -> Self {
-        let most = if day.budgets.is_some() { 30..60 } else { 200..900 };
+    pub fn new(scenario: &Scenario, routers: Vec<(String, SocketAddr)>, mut rng: ChaCha8Rng) -> Self {
+        let most = if scenario.budgets.is_some() { 30..60 } else { 200..900 };
         let systems = (0..6)
             .map(|_| {
                 let n = rng.random_range(most.clone());
@@ -119,10 +119,10 @@
             tries: BTreeMap::new(),
             later,
             next: 1,
-            classes: day.classes.clone(),
-            shares: day.shares.clone(),
-            rate: day.rate,
-            until: day.length,
+            classes: scenario.classes.clone(),
+            shares: scenario.shares.clone(),
+            rate: scenario.rate,
+            until: scenario.length,
             systems,
             rng,
             burst: 1.0,
@@ -130,11 +130,11 @@
             long: 0.0,
             leaving: 0.0,
             slow: 0.0,
-            naive: day.naive,
-            most_tries: day.tries,
-            favourite: day.favourite,
+            naive: scenario.naive,
+            most_tries: scenario.tries,
+            favourite: scenario.favourite,
             hot_system,
-            budgets: day.budgets.clone(),
+            budgets: scenario.budgets.clone(),
         }
     }
 
--- a/crates/rehearsal/src/fleet/mod.rs
+++ b/crates/rehearsal/src/fleet/mod.rs
@@ -11,10 +11,10 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 
-use crate::day::Day;
 use crate::engine::Engine;
 use crate::net::{Conn, Link, Listener, Net, To};
 use crate::record::{End, Freed, Line, Seen, Stage};
+use crate::scenario::Scenario;
 
 /// What crossed the sockets so far, and the time.
 pub struct Tape {
@@ -174,21 +174,21 @@
 impl Fleet {
     /// `unix`: µs since 1970 at the day's beginning.
     pub fn new(
-        day: &Day,
+        scenario: &Scenario,
         net: &mut dyn Net,
         tape: &mut Tape,
         unix: u64,
         rng: ChaCha8Rng,
     ) -> std::io::Result<Self> {
         let sides: Vec<Option<usize>> =
-            if day.apart { (0..day.routers).map(Some).collect() } else { vec![None] };
+            if scenario.apart { (0..scenario.routers).map(Some).collect() } else { vec![None] };
         let at = |net: &mut dyn Net, to: To| -> std::io::Result<(Vec<Listener>, Vec<SocketAddr>)> {
             let sides = sides.iter().map(|router| net.listen(0, Link { router: *router, to }));
             Ok(sides.collect::<std::io::Result<Vec<_>>>()?.into_iter().unzip())
         };
         let (register_listeners, register) = at(net, To::Register)?;
         let (mut hosts, mut listeners, mut entries) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
-        for (i, spec) in day.engines.iter().enumerate() {
+        for (i, spec) in scenario.engines.iter().enumerate() {
             let (own, addresses) = at(net, To::Engine(i))?;
             listeners.extend(own.iter().map(|l| (*l, i)));
             entries.insert(i, ("in", 0));
@@ -232,10 +232,10 @@
             unix,
             next_attempt: 0,
             ran: BTreeMap::new(),
-            classes: day.classes.clone(),
-            figures: day.figures.clone(),
-            notice: day.notice,
-            counts_more: day.counts_more,
+            classes: scenario.classes.clone(),
+            figures: scenario.figures.clone(),
+            notice: scenario.notice,
+            counts_more: scenario.counts_more,
             rng,
         })
     }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -10,8 +10,6 @@
 #[doc(hidden)]
 pub mod clients;
 #[doc(hidden)]
-pub mod day;
-#[doc(hidden)]
 pub mod engine;
 #[doc(hidden)]
 pub mod fleet;
@@ -24,6 +22,8 @@
 mod report;
 mod routers;
 #[doc(hidden)]
+pub mod scenario;
+#[doc(hidden)]
 pub mod scene;
 #[doc(hidden)]
 pub mod shim;
@@ -67,9 +67,9 @@
 }
 
 /// Plays a day by its name, or by the path of a day file that the bench printed.
-pub fn rehearse(day: &str, plan: &Plan) -> Result<Report, Error> {
-    let day = day::load(day, plan.seed, plan.seconds).map_err(Error::BadInput)?;
-    let lines = world::play(&day, plan)?;
+pub fn rehearse(scenario: &str, plan: &Plan) -> Result<Report, Error> {
+    let scenario = scenario::load(scenario, plan.seed, plan.seconds).map_err(Error::BadInput)?;
+    let lines = world::play(&scenario, plan)?;
     let text = record::text(&lines);
     if let Some(file) = &plan.record {
         std::fs::write(file, &text).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))?;
--- a/crates/rehearsal/src/links.rs
+++ b/crates/rehearsal/src/links.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-use crate::day::{Day, Kind, LinkOf, Links};
 use crate::net::{Conn, Happened, Link, Listener, Net, To};
+use crate::scenario::{Kind, LinkOf, Links, Scenario};
 
 struct Trouble {
     kind: Kind,
@@ -62,9 +62,9 @@
 
 impl<N: Net> Shaped<N> {
     /// With the faults of links of a day.
-    pub fn new(inner: N, day: &Day) -> Self {
+    pub fn new(inner: N, scenario: &Scenario) -> Self {
         let mut troubles = Vec::new();
-        for f in &day.faults {
+        for f in &scenario.faults {
             if let Some(links) = &f.links {
                 troubles.push(Trouble {
                     kind: f.kind,
--- a/crates/rehearsal/src/record.rs
+++ b/crates/rehearsal/src/record.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::day::LinkOf;
+use crate::scenario::LinkOf;
 
 /// A line of the record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -136,7 +136,8 @@
 #[serde(tag = "k", rename_all = "snake_case")]
 pub enum Seen {
     /// The first line: the day.
-    Day {
+    #[serde(rename = "day")]
+    Scenario {
         /// Name.
         name: String,
         /// Seed.
@@ -364,7 +365,7 @@
         lines.push(line);
     }
     match lines.first().map(|l| &l.seen) {
-        Some(Seen::Day { .. }) => Ok(lines),
+        Some(Seen::Scenario { .. }) => Ok(lines),
         _ => Err("1: the first line must be the day".into()),
     }
 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -96,7 +96,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
     /// The day's name.
-    pub day: String,
+    #[serde(rename = "day")]
+    pub scenario: String,
     /// Its seed.
     pub seed: u64,
     /// Seconds recorded.
@@ -131,7 +132,7 @@
 
     /// For a person.
     pub fn text(&self) -> String {
-        let mut out = format!("{} (seed {}), {:.1} s\n", self.day, self.seed, self.seconds);
+        let mut out = format!("{} (seed {}), {:.1} s\n", self.scenario, self.seed, self.seconds);
         out.push_str(&self.rules.text());
         let a = self.answers;
         out.push_str(&format!(
--- a/crates/rehearsal/src/reports_test.rs
+++ b/crates/rehearsal/src/reports_test.rs
@@ -23,7 +23,7 @@
 fn a_report_of_the_restart_afternoon_prints_as_ever() {
     let all_held = Rules { drain: Rule { held: true, ..RULES.drain }, ..RULES };
     let mut report = AfternoonReport {
-        day: "restart-afternoon".into(),
+        scenario: "restart-afternoon".into(),
         seed: 3,
         without: afternoon(0, 0.9, all_held),
         hand_overs: afternoon(12, 0.875, RULES),
@@ -66,7 +66,7 @@
 #[test]
 fn a_report_of_budgets_prints_as_ever() {
     let mut report = BudgetReport {
-        day: "budgets".into(),
+        scenario: "budgets".into(),
         seed: 3,
         routers: 16,
         router_kills: 7,
--- a/crates/rehearsal/src/routers.rs
+++ b/crates/rehearsal/src/routers.rs
@@ -10,8 +10,8 @@
 
 use socket2::{Domain, Socket, Type};
 
-use crate::day::{Day, Sharing};
 use crate::record::Effect;
+use crate::scenario::{Scenario, Sharing};
 
 pub struct Routers {
     exe: PathBuf,
@@ -41,7 +41,7 @@
 const SALT: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
 fn settings(
-    day: &Day,
+    scenario: &Scenario,
     name: &str,
     listen: SocketAddr,
     register: SocketAddr,
@@ -49,7 +49,7 @@
     key_hashes: &[String],
     folder: &Path,
 ) -> String {
-    let f = &day.figures;
+    let f = &scenario.figures;
     let mut xml = format!(
         r#"<chalkyard xmlns="urn:chalkyard:settings:1">
   <router name="{name}" routers="{}" listen="{listen}" shared-port="true" register="{register}" list-file="{list}" drain="10s" control="{}/{name}.sock"/>
@@ -63,7 +63,7 @@
     <kind name="mixed" role="mixed" kv-tokens="160000"/>
   </kinds>
 "#,
-        day.told_routers.map_or(day.routers, |n| n as usize),
+        scenario.told_routers.map_or(scenario.routers, |n| n as usize),
         folder.display(),
         f.release_us,
         f.fall_multiple,
@@ -74,9 +74,9 @@
     );
     xml.push_str(&format!(
         "  <classes default=\"{}\">\n",
-        day.classes.first().map_or("", |c| c.name.as_str())
+        scenario.classes.first().map_or("", |c| c.name.as_str())
     ));
-    for c in &day.classes {
+    for c in &scenario.classes {
         let effect = match c.effect {
             Effect::Free => "effect=\"free\"".to_owned(),
             Effect::SingleShot => "effect=\"single-shot\"".to_owned(),
@@ -91,25 +91,25 @@
     }
     xml.push_str("  </classes>\n");
     xml.push_str(&format!("  <tenants salt=\"{SALT}\">\n"));
-    for ((tenant, _), hash) in keys(day).iter().zip(key_hashes) {
+    for ((tenant, _), hash) in keys(scenario).iter().zip(key_hashes) {
         xml.push_str(&format!("    <tenant name=\"{tenant}\"><key hash=\"{hash}\"/></tenant>\n"));
     }
     xml.push_str("  </tenants>\n");
-    xml.push_str(&budgets(day, name, folder));
+    xml.push_str(&budgets(scenario, name, folder));
     xml.push_str("</chalkyard>\n");
     xml
 }
 
 /// Tenants and their keys.
-fn keys(day: &Day) -> Vec<(&'static str, &'static str)> {
-    match &day.budgets {
+fn keys(scenario: &Scenario) -> Vec<(&'static str, &'static str)> {
+    match &scenario.budgets {
         Some(b) => b.tenants.iter().map(|t| (t.name, t.key)).collect(),
         None => vec![("yard", "rehearsal-key")],
     }
 }
 
-fn budgets(day: &Day, name: &str, folder: &Path) -> String {
-    let Some(b) = &day.budgets else { return String::new() };
+fn budgets(scenario: &Scenario, name: &str, folder: &Path) -> String {
+    let Some(b) = &scenario.budgets else { return String::new() };
     let at = folder.display();
     let grants = match b.sharing {
         Sharing::Leases => format!("grants=\"{at}/journal/grants/{name}.grant\""),
@@ -124,7 +124,7 @@
     xml.push_str(&format!(
         "    <settlement journal=\"{at}/journal\" epoch=\"250ms\" lease=\"3s\" clock-error=\"100ms\">\n"
     ));
-    for i in 1..=day.routers {
+    for i in 1..=scenario.routers {
         xml.push_str(&format!("      <ledger router=\"r{i}\" folder=\"{at}/r{i}.ledger\"/>\n"));
     }
     xml.push_str("    </settlement>\n");
@@ -139,15 +139,15 @@
 }
 
 impl Routers {
-    pub fn new(day: &Day, exe: PathBuf, registers: &[SocketAddr]) -> io::Result<Self> {
+    pub fn new(scenario: &Scenario, exe: PathBuf, registers: &[SocketAddr]) -> io::Result<Self> {
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder =
-            std::env::temp_dir().join(format!("chalkyard-{}-{}-{run}", std::process::id(), day.seed));
+            std::env::temp_dir().join(format!("chalkyard-{}-{}-{run}", std::process::id(), scenario.seed));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("lease.key"), "5a".repeat(32))?;
         let (mut names, mut kept) = (Vec::new(), Vec::new());
-        for i in 0..day.routers {
+        for i in 0..scenario.routers {
             let (socket, address) = keep_address()?;
             names.push((format!("r{}", i + 1), address));
             kept.push(socket);
@@ -163,17 +163,24 @@
             lives: 0,
         };
         let first = registers.first().copied().ok_or(io::ErrorKind::InvalidInput)?;
-        let none: Vec<String> = (0..keys(day).len()).map(|i| format!("{i:064}")).collect();
-        let bare = settings(day, "r0", first, first, "none", &none, &routers.folder);
+        let none: Vec<String> = (0..keys(scenario).len()).map(|i| format!("{i:064}")).collect();
+        let bare = settings(scenario, "r0", first, first, "none", &none, &routers.folder);
         let mut hashes = Vec::new();
-        for (_, key) in keys(day) {
+        for (_, key) in keys(scenario) {
             hashes.push(routers.hash_key(&bare, key)?);
         }
         for (i, (name, listen)) in routers.names.iter().enumerate() {
             let register = registers.get(i).copied().unwrap_or(first);
             let list = routers.folder.join(format!("{name}.list"));
-            let xml =
-                settings(day, name, *listen, register, &list.display().to_string(), &hashes, &routers.folder);
+            let xml = settings(
+                scenario,
+                name,
+                *listen,
+                register,
+                &list.display().to_string(),
+                &hashes,
+                &routers.folder,
+            );
             std::fs::write(routers.folder.join(format!("{name}.xml")), xml)?;
         }
         Ok(routers)
--- a/crates/rehearsal/src/day/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,11 +1,11 @@
 //! Days: a fleet, traffic and faults, by name or from a day file that the bench printed.
 
-mod bench;
+mod bench_file;
 mod named;
 
 use serde::{Deserialize, Serialize};
 
-use self::bench::bench_day;
+use self::bench_file::from_bench_file;
 pub use self::named::{afternoon, base, budgets, make, Restarts};
 use self::named::{bad_day, S};
 use crate::engine::Make;
@@ -187,7 +187,7 @@
 
 /// A day.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     pub name: String,
     pub seed: u64,
     pub length: u64,
@@ -220,19 +220,19 @@
 }
 
 /// A day by name, or a bench's day file by its path.
-pub fn load(day: &str, seed: u64, seconds: Option<u64>) -> Result<Day, String> {
-    match day {
+pub fn load(scenario: &str, seed: u64, seconds: Option<u64>) -> Result<Scenario, String> {
+    match scenario {
         "bad-day" => Ok(bad_day(seed, seconds.unwrap_or(60))),
         "calm-day" => Ok(base("calm-day", seed, seconds.unwrap_or(20) * S)),
         path => {
             let text = std::fs::read_to_string(path).map_err(|e| {
                 format!("{path}: no day of this name (bad-day, calm-day) and no day file: {e}")
             })?;
-            bench_day(&text, seed, seconds).map_err(|e| format!("{path}: {e}"))
+            from_bench_file(&text, seed, seconds).map_err(|e| format!("{path}: {e}"))
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../day_test.rs"]
+#[path = "../scenario_test.rs"]
 mod tests;
--- a/crates/rehearsal/src/day/named.rs
+++ b/crates/rehearsal/src/scenario/named.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{BudgetSpec, Day, EngineSpec, Fault, Kind, Sharing, TenantSpec};
+use super::{BudgetSpec, EngineSpec, Fault, Kind, Scenario, Sharing, TenantSpec};
 use crate::engine::{Make, Role};
 use crate::record::{Class, Effect, Figures};
 
@@ -25,7 +25,7 @@
 }
 
 /// A small fleet without faults; `length` in µs.
-pub fn base(name: &str, seed: u64, length: u64) -> Day {
+pub fn base(name: &str, seed: u64, length: u64) -> Scenario {
     let roles = [
         ("read-a1", Role::Reader, 1),
         ("read-a2", Role::Reader, 1),
@@ -48,7 +48,7 @@
         worth,
         deadline_us: deadline,
     };
-    Day {
+    Scenario {
         name: name.into(),
         seed,
         length,
@@ -97,13 +97,13 @@
 
 /// An afternoon in a lab: four routers, each replaced every few seconds, while one engine drains, one restarts cold and
 /// clients leave.
-pub fn afternoon(seed: u64, seconds: u64, restarts: Restarts) -> Day {
-    let mut day = base("restart-afternoon", seed, seconds * S);
-    day.routers = 4;
+pub fn afternoon(seed: u64, seconds: u64, restarts: Restarts) -> Scenario {
+    let mut scenario = base("restart-afternoon", seed, seconds * S);
+    scenario.routers = 4;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let engine = rng.random_range(3..7);
     let mut fault = |kind, at: u64, len: u64, on: Vec<usize>, size: f64| {
-        day.faults.push(Fault { kind, at, len, on, size, links: None });
+        scenario.faults.push(Fault { kind, at, len, on, size, links: None });
     };
     let length = seconds * S;
     fault(Kind::Drain, length / 5, length / 8, vec![engine], 0.0);
@@ -123,22 +123,22 @@
         }
         (at, turn) = (at + S + rng.random_range(0..S / 2), turn + 1);
     }
-    day.faults.sort_by_key(|f| f.at);
-    day
+    scenario.faults.sort_by_key(|f| f.at);
+    scenario
 }
 
 /// A day of budgets: sixteen routers, bursting tenants, kills of routers and of the settlement job.
-pub fn budgets(seed: u64, seconds: u64, sharing: Sharing) -> Day {
-    let mut day = base("budgets", seed, seconds * S);
-    day.routers = 16;
-    day.rate = 60.0;
-    day.counts_more = 180;
-    for e in &mut day.engines {
+pub fn budgets(seed: u64, seconds: u64, sharing: Sharing) -> Scenario {
+    let mut scenario = base("budgets", seed, seconds * S);
+    scenario.routers = 16;
+    scenario.rate = 60.0;
+    scenario.counts_more = 180;
+    for e in &mut scenario.engines {
         (e.make.slots, e.make.queue) = (e.make.slots * 2, e.make.queue * 4);
     }
     // Somewhat less than each tenant will ask for, so that what strands shows: conversations grow with the day.
     let each = (160 + 5 * seconds).min(330);
-    let tokens = |share: f64| (seconds as f64 * day.rate * share) as u64 * each;
+    let tokens = |share: f64| (seconds as f64 * scenario.rate * share) as u64 * each;
     let tenant = |name, key, share, limited: bool| TenantSpec {
         name,
         key,
@@ -150,7 +150,7 @@
         tenant("sued", "key-of-sued", 0.3, true),
         tenant("ost", "key-of-ost", 0.2, false),
     ];
-    day.budgets = Some(BudgetSpec { sharing, tenants, skew: 10.0, margin: 100 });
+    scenario.budgets = Some(BudgetSpec { sharing, tenants, skew: 10.0, margin: 100 });
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let plan = [
         (Kind::Volley, 0.04, 0.0, 96.0),
@@ -163,13 +163,13 @@
         (Kind::SettlementKilled, 0.52, 0.08, 0.0),
         (Kind::Crash, 0.60, 0.08, 0.0),
     ];
-    play(&mut day, &mut rng, &plan);
-    day
+    play(&mut scenario, &mut rng, &plan);
+    scenario
 }
 
 /// Most of the faults, overlapping; times as shares of the day, so that it can be shortened.
-pub(super) fn bad_day(seed: u64, seconds: u64) -> Day {
-    let mut day = base("bad-day", seed, seconds * S);
+pub(super) fn bad_day(seed: u64, seconds: u64) -> Scenario {
+    let mut scenario = base("bad-day", seed, seconds * S);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let plan = [
         (Kind::Crash, 0.06, 0.08, 0.0),
@@ -194,17 +194,17 @@
         (Kind::SlowClients, 0.74, 0.12, 0.1),
         (Kind::Ageing, 0.76, 0.16, 5.0),
     ];
-    play(&mut day, &mut rng, &plan);
-    day
+    play(&mut scenario, &mut rng, &plan);
+    scenario
 }
 
 /// Adds faults: kind, beginning and length as shares of the day, size. Each begins a little earlier or later.
-fn play(day: &mut Day, rng: &mut ChaCha8Rng, plan: &[(Kind, f64, f64, f64)]) {
-    let length = day.length as f64;
+fn play(scenario: &mut Scenario, rng: &mut ChaCha8Rng, plan: &[(Kind, f64, f64, f64)]) {
+    let length = scenario.length as f64;
     for (kind, at, len, size) in plan.iter().copied() {
         let at = (at + rng.random_range(-0.02..0.02)).max(0.03);
-        let on = strike(kind, size, day, rng);
-        day.faults.push(Fault {
+        let on = strike(kind, size, scenario, rng);
+        scenario.faults.push(Fault {
             kind,
             at: (at * length) as u64,
             len: (len * length) as u64,
@@ -213,24 +213,24 @@
             links: None,
         });
     }
-    day.faults.sort_by_key(|f| f.at);
+    scenario.faults.sort_by_key(|f| f.at);
 }
 
 /// Whom a fault strikes: one engine, all of a role in a restart of a whole kind, or some routers.
-pub(super) fn strike(kind: Kind, size: f64, day: &Day, rng: &mut ChaCha8Rng) -> Vec<usize> {
+pub(super) fn strike(kind: Kind, size: f64, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<usize> {
     match kind {
         Kind::MassRestart => {
             let role = if rng.random_bool(0.5) { Role::Reader } else { Role::Writer };
-            (0..day.engines.len())
-                .filter(|i| day.engines.get(*i).is_some_and(|e| e.make.role == role))
+            (0..scenario.engines.len())
+                .filter(|i| scenario.engines.get(*i).is_some_and(|e| e.make.role == role))
                 .collect()
         }
-        Kind::Flush => (0..day.engines.len()).collect(),
+        Kind::Flush => (0..scenario.engines.len()).collect(),
         Kind::BalancerRoll => {
-            let first = rng.random_range(0..day.routers);
-            (0..(size as usize).clamp(1, day.routers)).map(|i| (first + i) % day.routers).collect()
+            let first = rng.random_range(0..scenario.routers);
+            (0..(size as usize).clamp(1, scenario.routers)).map(|i| (first + i) % scenario.routers).collect()
         }
-        k if k.on_engines() => vec![rng.random_range(0..day.engines.len())],
+        k if k.on_engines() => vec![rng.random_range(0..scenario.engines.len())],
         _ => Vec::new(),
     }
 }
--- a/crates/rehearsal/src/day_test.rs
+++ b/crates/rehearsal/src/scenario_test.rs
@@ -20,10 +20,10 @@
     let text = r#"{"site":"x","length":40000000,"servers":[1,2,3,4],"troubles":[
         {"kind":"slow","at":10000000,"len":5000000,"size":3.0,"on":[0,1]},
         {"kind":"burst","at":20000000,"len":5000000,"size":1.5}]}"#;
-    let day = bench_day(text, 1, Some(20)).unwrap();
-    let slow = day.faults.first().unwrap();
+    let scenario = from_bench_file(text, 1, Some(20)).unwrap();
+    let slow = scenario.faults.first().unwrap();
     assert_eq!((slow.kind, slow.at, slow.len, slow.on.len()), (Kind::Slow, 5_000_000, 2_500_000, 4));
     let wrong = text.replace("burst", "bust");
-    assert!(bench_day(&wrong, 1, None).unwrap_err().contains("troubles[1].kind"));
-    assert!(bench_day("{}", 1, None).unwrap_err().contains("site"));
+    assert!(from_bench_file(&wrong, 1, None).unwrap_err().contains("troubles[1].kind"));
+    assert!(from_bench_file("{}", 1, None).unwrap_err().contains("site"));
 }
--- a/crates/rehearsal/src/scene.rs
+++ b/crates/rehearsal/src/scene.rs
@@ -7,11 +7,11 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::clients::Clients;
-use crate::day::{Day, Fault, Kind};
 use crate::fleet::{Fleet, Tape};
 use crate::links::Shaped;
 use crate::net::{Happened, Net};
 use crate::record::Seen;
+use crate::scenario::{Fault, Kind, Scenario};
 use crate::Error;
 
 /// After the last arrival, answers are waited for this long, µs.
@@ -22,7 +22,7 @@
 /// The stand-ins of a day.
 pub struct Scene<'a, N> {
     /// The day.
-    pub day: &'a Day,
+    pub scenario: &'a Scenario,
     /// What lies between them and the routers.
     pub net: Shaped<N>,
     /// What was seen.
@@ -39,32 +39,32 @@
 impl<'a, N: Net> Scene<'a, N> {
     /// The day's beginning, at `unix` µs since 1970. `routers` makes these, given where the register is.
     pub fn new<R>(
-        day: &'a Day,
+        scenario: &'a Scenario,
         net: N,
         unix: u64,
         routers: impl FnOnce(&mut N, &[SocketAddr]) -> Result<(Vec<(String, SocketAddr)>, R), Error>,
     ) -> Result<(Self, R), Error> {
         let mut tape = Tape { lines: Vec::new(), now: 0 };
-        let names = (1..=day.routers).map(|i| format!("r{i}")).collect();
-        tape.add(Seen::Day {
-            name: day.name.clone(),
-            seed: day.seed,
+        let names = (1..=scenario.routers).map(|i| format!("r{i}")).collect();
+        tape.add(Seen::Scenario {
+            name: scenario.name.clone(),
+            seed: scenario.seed,
             routers: names,
-            classes: day.classes.clone(),
-            figures: day.figures.clone(),
+            classes: scenario.classes.clone(),
+            figures: scenario.figures.clone(),
         });
-        let rng = |n: u64| ChaCha8Rng::seed_from_u64(day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(n));
-        let mut net = Shaped::new(net, day);
-        let fleet = Fleet::new(day, &mut net, &mut tape, unix, rng(1))?;
+        let rng = |n: u64| ChaCha8Rng::seed_from_u64(scenario.seed.wrapping_mul(0x9e37_79b9).wrapping_add(n));
+        let mut net = Shaped::new(net, scenario);
+        let fleet = Fleet::new(scenario, &mut net, &mut tape, unix, rng(1))?;
         let (names, routers) = routers(&mut net.inner, &fleet.register)?;
-        let clients = Clients::new(day, names, rng(2));
+        let clients = Clients::new(scenario, names, rng(2));
         let mut moments: Vec<(u64, bool, usize)> = Vec::new();
-        for (i, f) in day.faults.iter().enumerate() {
+        for (i, f) in scenario.faults.iter().enumerate() {
             moments.push((f.at, true, i));
             moments.push((f.at + f.len, false, i));
         }
         moments.sort_by(|a, b| b.cmp(a));
-        Ok((Self { day, net, tape, fleet, clients, moments, settled: None }, routers))
+        Ok((Self { scenario, net, tape, fleet, clients, moments, settled: None }, routers))
     }
 
     /// Time goes on, µs since the day began.
@@ -80,11 +80,11 @@
         self.fleet.tick(&mut self.net, &mut self.tape);
         self.clients.tick(&mut self.net, &mut self.tape);
         let now = self.tape.now;
-        if now > self.day.length && self.clients.is_done() && self.moments.is_empty() {
+        if now > self.scenario.length && self.clients.is_done() && self.moments.is_empty() {
             let until = *self.settled.get_or_insert(now + SETTLE);
             return now >= until;
         }
-        now > self.day.length + TAIL
+        now > self.scenario.length + TAIL
     }
 
     /// When that is next needed, µs.
@@ -98,7 +98,7 @@
     /// The next fault that begins, or ends, by now.
     pub fn next_fault(&mut self) -> Option<(&'a Fault, bool)> {
         let (_, begins, i) = self.moments.pop_if(|(at, ..)| *at <= self.tape.now)?;
-        self.day.faults.get(i).map(|f| (f, begins))
+        self.scenario.faults.get(i).map(|f| (f, begins))
     }
 
     /// Tells the stand-ins what happened on the network.
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -145,7 +145,7 @@
     let folder = std::env::temp_dir().join(format!("chalkyard-soak-{}-{}", std::process::id(), plan.seed));
     std::fs::create_dir_all(&folder)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()?;
-    let played = runtime.block_on(play_day(Arc::new(plan.clone()), &options.exe, &folder));
+    let played = runtime.block_on(play_scenario(Arc::new(plan.clone()), &options.exe, &folder));
     runtime.shutdown_timeout(Duration::from_secs(1));
     let _ = std::fs::remove_dir_all(&folder);
     let lines = played?;
@@ -212,7 +212,7 @@
     routers: Vec<Arc<RouterProcess>>,
 }
 
-async fn play_day(plan: Arc<SoakPlan>, exe: &Path, folder: &Path) -> io::Result<Vec<(u64, Seen)>> {
+async fn play_scenario(plan: Arc<SoakPlan>, exe: &Path, folder: &Path) -> io::Result<Vec<(u64, Seen)>> {
     let library = shim::build(folder)?;
     let record = Record::new();
     let states = Arc::new(States::default());
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::day::{Day, Fault, Kind, Sharing};
 use crate::net::Sockets;
 use crate::record::{Line, Seen};
 use crate::routers::Routers;
+use crate::scenario::{Fault, Kind, Scenario, Sharing};
 use crate::scene::Scene;
 use crate::{Error, Plan};
 
@@ -22,19 +22,19 @@
 }
 
 /// Plays the day and gives all that crossed the sockets.
-pub fn play(day: &Day, plan: &Plan) -> Result<Vec<Line>, Error> {
-    play_and(day, plan, |_, _| Ok(())).map(|(lines, ())| lines)
+pub fn play(scenario: &Scenario, plan: &Plan) -> Result<Vec<Line>, Error> {
+    play_and(scenario, plan, |_, _| Ok(())).map(|(lines, ())| lines)
 }
 
 /// Plays the day, and looks at what the routers left behind before it goes.
 pub fn play_and<T>(
-    day: &Day,
+    scenario: &Scenario,
     plan: &Plan,
     look: impl FnOnce(&Path, &[Line]) -> Result<T, Error>,
 ) -> Result<(Vec<Line>, T), Error> {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-    let (scene, routers) = Scene::new(day, Sockets::new()?, unix, |_, register| {
-        let routers = Routers::new(day, plan.exe.clone(), register)?;
+    let (scene, routers) = Scene::new(scenario, Sockets::new()?, unix, |_, register| {
+        let routers = Routers::new(scenario, plan.exe.clone(), register)?;
         Ok((routers.names.clone(), routers))
     })?;
     let mut world = World { scene, routers, returns: Vec::new() };
@@ -47,11 +47,11 @@
 
 impl World<'_> {
     fn run(&mut self) -> Result<(), Error> {
-        let day = self.scene.day;
-        for i in 0..day.routers {
-            self.routers.start(i, day.seed)?;
+        let scenario = self.scene.scenario;
+        for i in 0..scenario.routers {
+            self.routers.start(i, scenario.seed)?;
         }
-        if day.budgets.as_ref().is_some_and(|b| b.sharing == Sharing::Leases) {
+        if scenario.budgets.as_ref().is_some_and(|b| b.sharing == Sharing::Leases) {
             self.routers.start_settlement()?;
         }
         self.wait_ready()?;
@@ -88,7 +88,7 @@
             }
         }
         // Their first lists, and leases.
-        for _ in 0..if self.scene.day.budgets.is_some() { 200 } else { 20 } {
+        for _ in 0..if self.scene.scenario.budgets.is_some() { 200 } else { 20 } {
             let happened = self.scene.net.inner.wait(Duration::from_millis(5))?;
             self.scene.spread(happened);
         }
@@ -108,7 +108,7 @@
         self.returns = rest;
         let due: Vec<(u64, usize)> = due;
         for (_, i) in due {
-            self.routers.start(i, self.scene.day.seed)?;
+            self.routers.start(i, self.scene.scenario.seed)?;
             self.scene.router_is(i, true);
         }
         if let Some(why) = self.routers.ended() {
@@ -119,7 +119,7 @@
 
     /// What a fault does to the processes.
     fn strike(&mut self, fault: &Fault, begins: bool) -> Result<(), Error> {
-        let (now, seed) = (self.scene.tape.now, self.scene.day.seed);
+        let (now, seed) = (self.scene.tape.now, self.scene.scenario.seed);
         match fault.kind {
             Kind::BalancerRoll if begins => {
                 for (n, i) in fault.on.iter().copied().enumerate() {
--- a/crates/rehearsal/tests/forms.rs
+++ b/crates/rehearsal/tests/forms.rs
@@ -3,10 +3,10 @@
 
 use std::path::Path;
 
-use chalkyard_rehearsal::day::{self, Day, LinkOf, Restarts, Sharing};
 use chalkyard_rehearsal::record::{
     parse, text, Answer, Class, Effect, End, Figures, Freed, Line, Seen, Stage,
 };
+use chalkyard_rehearsal::scenario::{self, LinkOf, Restarts, Scenario, Sharing};
 use chalkyard_rehearsal::{audit, by_second};
 
 const SOUND: &str = include_str!("sound.jsonl");
@@ -30,7 +30,7 @@
 }
 
 fn first_line() -> Seen {
-    Seen::Day {
+    Seen::Scenario {
         name: "bad-day".into(),
         seed: 7,
         routers: vec!["r1".into(), "r2".into()],
@@ -183,19 +183,19 @@
 }
 
 /// A day's numbers, and its faults a line each.
-fn schedule(day: &Day) -> String {
+fn schedule(scenario: &Scenario) -> String {
     let mut out = format!(
         "{} seed {} length {} routers {} engines {} rate {} tries {} notice {}\n",
-        day.name,
-        day.seed,
-        day.length,
-        day.routers,
-        day.engines.len(),
-        day.rate,
-        day.tries,
-        day.notice
+        scenario.name,
+        scenario.seed,
+        scenario.length,
+        scenario.routers,
+        scenario.engines.len(),
+        scenario.rate,
+        scenario.tries,
+        scenario.notice
     );
-    for f in &day.faults {
+    for f in &scenario.faults {
         out += &format!("{} at {} len {} on {:?} size {}\n", f.kind.name(), f.at, f.len, f.on, f.size);
     }
     out
@@ -212,23 +212,23 @@
 fn a_seed_draws_the_same_schedule_as_ever() {
     let file = std::env::temp_dir().join(format!("chalkyard-forms-{}.json", std::process::id()));
     std::fs::write(&file, BENCH_DAY).unwrap();
-    let days = [
-        day::load("bad-day", 5, None).unwrap(),
-        day::load("calm-day", 5, Some(9)).unwrap(),
-        day::load(file.to_str().unwrap(), 5, None).unwrap(),
-        day::afternoon(5, 20, Restarts::None),
-        day::afternoon(5, 20, Restarts::HandOvers),
-        day::afternoon(5, 20, Restarts::Kills),
-        day::budgets(5, 20, Sharing::Leases),
+    let scenarios = [
+        scenario::load("bad-day", 5, None).unwrap(),
+        scenario::load("calm-day", 5, Some(9)).unwrap(),
+        scenario::load(file.to_str().unwrap(), 5, None).unwrap(),
+        scenario::afternoon(5, 20, Restarts::None),
+        scenario::afternoon(5, 20, Restarts::HandOvers),
+        scenario::afternoon(5, 20, Restarts::Kills),
+        scenario::budgets(5, 20, Sharing::Leases),
     ];
     std::fs::remove_file(&file).unwrap();
-    let text: String = days.iter().map(schedule).collect();
+    let text: String = scenarios.iter().map(schedule).collect();
     assert_eq!(text, stored("schedules.txt"));
 }
 
 #[test]
 fn a_day_that_cannot_be_read_says_why_as_ever() {
-    let why = |day: &str| day::load(day, 1, None).unwrap_err();
+    let why = |scenario: &str| scenario::load(scenario, 1, None).unwrap_err();
     let missing = why("no-such-day");
     assert!(
         missing.starts_with("no-such-day: no day of this name (bad-day, calm-day) and no day file: "),
