--- a/crates/daemon/tests/common/traffic.rs
+++ b/crates/daemon/tests/common/traffic.rs
@@ -97,7 +97,7 @@
             cold_us: 8_000_000,
             noise_us: 300_000,
         };
-        let day = Seen::Day {
+        let day = Seen::Scenario {
             name: "strict terms".into(),
             seed: 0,
             routers: vec![ROUTER.into()],
