--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -326,7 +326,7 @@
                     Some((report.text(), report.json(), report.held()))
                 }
                 "restart-afternoon" => {
-                    let report = chalkyard_rehearsal::rehearse_afternoon(&plan).map_err(trouble)?;
+                    let report = chalkyard_rehearsal::rehearse_restarts(&plan).map_err(trouble)?;
                     Some((report.text(), report.json(), report.held()))
                 }
                 _ => None,
--- a/crates/rehearsal/src/budgets.rs
+++ b/crates/rehearsal/src/budgets.rs
@@ -157,8 +157,7 @@
     };
     let (scenario, lines, bill) = play(Sharing::Leases)?;
     if let Some(file) = &plan.record {
-        let text = crate::record::text(&lines);
-        std::fs::write(file, text).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))?;
+        crate::record::write(file, &lines)?;
     }
     let mut audit = audit::judge(&lines);
     let leases = figures(&scenario, &lines);
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -4,7 +4,6 @@
 //! Routers under rehearsal are processes of their own; nothing here knows their insides. The stand-ins
 //! are models for rehearsing failures, not measurements of real engines.
 
-mod afternoon;
 mod audit;
 mod budgets;
 #[doc(hidden)]
@@ -20,6 +19,7 @@
 #[doc(hidden)]
 pub mod record;
 mod report;
+mod restart_scenario;
 mod routers;
 #[doc(hidden)]
 pub mod scenario;
@@ -32,10 +32,10 @@
 
 use std::path::PathBuf;
 
-pub use afternoon::{rehearse as rehearse_afternoon, AfternoonReport};
 pub use audit::{audit, by_second, judge};
 pub use budgets::{rehearse as rehearse_budgets, BudgetReport};
 pub use report::{Report, Rule, Rules};
+pub use restart_scenario::{rehearse as rehearse_restarts, RestartReport};
 pub use world::play;
 
 /// What a rehearsal is to do.
@@ -70,9 +70,8 @@
 pub fn rehearse(scenario: &str, plan: &Plan) -> Result<Report, Error> {
     let scenario = scenario::load(scenario, plan.seed, plan.seconds).map_err(Error::BadInput)?;
     let lines = world::play(&scenario, plan)?;
-    let text = record::text(&lines);
     if let Some(file) = &plan.record {
-        std::fs::write(file, &text).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))?;
+        record::write(file, &lines)?;
     }
     let report = audit::judge(&lines);
     if report.requests == 0 {
--- a/crates/rehearsal/src/record.rs
+++ b/crates/rehearsal/src/record.rs
@@ -1,9 +1,12 @@
 //! The recorded traffic: JSON lines, one thing seen a line, in the order of time. Documented in
 //! `docs/record.md`.
 
+use std::path::Path;
+
 use serde::{Deserialize, Serialize};
 
 use crate::scenario::LinkOf;
+use crate::Error;
 
 /// A line of the record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -354,6 +357,11 @@
     out
 }
 
+/// Writes the record to a file.
+pub fn write(file: &Path, lines: &[Line]) -> Result<(), Error> {
+    std::fs::write(file, text(lines)).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))
+}
+
 /// Reads a record; an error names its line.
 pub fn parse(text: &str) -> Result<Vec<Line>, String> {
     let mut lines: Vec<Line> = Vec::new();
--- a/crates/rehearsal/src/reports_test.rs
+++ b/crates/rehearsal/src/reports_test.rs
@@ -1,9 +1,9 @@
 //! The printed forms of reports, held to the byte.
 #![allow(clippy::unwrap_used)]
 
-use crate::afternoon::{Afternoon, AfternoonReport};
 use crate::budgets::{BudgetReport, Played, TenantFigures};
 use crate::report::{Rule, Rules};
+use crate::restart_scenario::{RestartReport, RestartRun};
 
 const RULES: Rules = Rules {
     answered: Rule { held: true, checked: 10, broken: 0 },
@@ -15,19 +15,19 @@
     told: Rule { held: true, checked: 7, broken: 0 },
 };
 
-fn afternoon(restarts: u64, goodput: f64, rules: Rules) -> Afternoon {
-    Afternoon { restarts, goodput, unreached: 0, broken: 0, rules }
+fn run(restarts: u64, goodput: f64, rules: Rules) -> RestartRun {
+    RestartRun { restarts, goodput, unreached: 0, broken: 0, rules }
 }
 
 #[test]
 fn a_report_of_the_restart_afternoon_prints_as_ever() {
     let all_held = Rules { drain: Rule { held: true, ..RULES.drain }, ..RULES };
-    let mut report = AfternoonReport {
+    let mut report = RestartReport {
         scenario: "restart-afternoon".into(),
         seed: 3,
-        without: afternoon(0, 0.9, all_held),
-        hand_overs: afternoon(12, 0.875, RULES),
-        kills: afternoon(11, 0.5, all_held),
+        without: run(0, 0.9, all_held),
+        hand_overs: run(12, 0.875, RULES),
+        kills: run(11, 0.5, all_held),
         ratio: 0.97,
         ratio_kills: 0.5556,
         broken: vec!["drain: attempt 4 at write, told out".into()],
--- a/crates/rehearsal/src/afternoon.rs
+++ b/crates/rehearsal/src/restart_scenario.rs
@@ -1,4 +1,4 @@
-//! `rehearse restart-afternoon`: routers replaced by successors under load, against the same day with none replaced and
+//! `rehearse restart-afternoon`: routers replaced by successors under load, against the same scenario with none replaced and
 //! with kills instead.
 
 use serde::Serialize;
@@ -9,9 +9,9 @@
 use crate::scenario::{self, Restarts};
 use crate::{world, Error, Plan};
 
-/// A day of one kind.
+/// One run of the scenario.
 #[derive(Debug, Clone, Serialize)]
-pub struct Afternoon {
+pub struct RestartRun {
     /// Hand-overs or kills.
     pub restarts: u64,
     /// Of the traffic.
@@ -26,18 +26,18 @@
 
 /// The report.
 #[derive(Debug, Clone, Serialize)]
-pub struct AfternoonReport {
+pub struct RestartReport {
     /// Always `restart-afternoon`.
     #[serde(rename = "day")]
     pub scenario: String,
     /// Seed.
     pub seed: u64,
     /// Routers run on.
-    pub without: Afternoon,
+    pub without: RestartRun,
     /// Successors take over.
-    pub hand_overs: Afternoon,
+    pub hand_overs: RestartRun,
     /// Routers are killed and start again.
-    pub kills: Afternoon,
+    pub kills: RestartRun,
     /// Goodput with hand-overs over that without restarts.
     pub ratio: f64,
     /// With kills likewise.
@@ -46,8 +46,8 @@
     pub broken: Vec<String>,
 }
 
-impl AfternoonReport {
-    /// Whether all rules held on all three days, and no hand-over cost a connection.
+impl RestartReport {
+    /// Whether all rules held in all three runs, and no hand-over cost a connection.
     pub fn held(&self) -> bool {
         let scenarios = [&self.without, &self.hand_overs, &self.kills];
         scenarios.iter().all(|d| d.rules.held()) && self.hand_overs.unreached == 0
@@ -81,26 +81,19 @@
     }
 }
 
-/// Plays the three days.
-pub fn rehearse(plan: &Plan) -> Result<AfternoonReport, Error> {
-    let mut told = Vec::new();
-    let mut play = |restarts| -> Result<Afternoon, Error> {
-        let scenario = scenario::afternoon(plan.seed, plan.seconds.unwrap_or(30), restarts);
+/// Plays the scenario three times: without restarts, with hand-overs and with kills.
+pub fn rehearse(plan: &Plan) -> Result<RestartReport, Error> {
+    let mut broken = Vec::new();
+    let mut play = |restarts| -> Result<RestartRun, Error> {
+        let scenario = scenario::restart_scenario(plan.seed, plan.seconds.unwrap_or(30), restarts);
         let lines = world::play(&scenario, plan)?;
         if let (Some(file), Restarts::HandOvers) = (&plan.record, restarts) {
-            let text = crate::record::text(&lines);
-            std::fs::write(file, text).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))?;
+            crate::record::write(file, &lines)?;
         }
         let report = audit::judge(&lines);
-        told.extend(report.broken);
-        let count = |wanted: &str| {
-            lines
-                .iter()
-                .filter(|l| matches!(&l.seen, Seen::Fault { name, begins: true, .. } if name == wanted))
-                .count()
-        };
-        Ok(Afternoon {
-            restarts: (count("hand_over") + count("balancer_roll")) as u64,
+        broken.extend(report.broken);
+        Ok(RestartRun {
+            restarts: count_faults(&lines, "hand_over") + count_faults(&lines, "balancer_roll"),
             goodput: report.goodput,
             unreached: unreached(&lines),
             broken: report.rules.answered.broken,
@@ -110,19 +103,25 @@
     let without = play(Restarts::None)?;
     let hand_overs = play(Restarts::HandOvers)?;
     let kills = play(Restarts::Kills)?;
-    let over = |d: &Afternoon| d.goodput / without.goodput.max(1e-9);
-    Ok(AfternoonReport {
+    let relative_goodput = |run: &RestartRun| run.goodput / without.goodput.max(1e-9);
+    Ok(RestartReport {
         scenario: "restart-afternoon".into(),
         seed: plan.seed,
-        ratio: over(&hand_overs),
-        ratio_kills: over(&kills),
+        ratio: relative_goodput(&hand_overs),
+        ratio_kills: relative_goodput(&kills),
         without,
         hand_overs,
         kills,
-        broken: told,
+        broken,
     })
 }
 
+/// How many faults of a kind began.
+fn count_faults(lines: &[Line], kind: &str) -> u64 {
+    let begins = |seen: &Seen| matches!(seen, Seen::Fault { name, begins: true, .. } if name == kind);
+    lines.iter().filter(|line| begins(&line.seen)).count() as u64
+}
+
 /// Tries that found no router though the kit had not killed it.
 fn unreached(lines: &[Line]) -> u64 {
     let mut down: Vec<&str> = Vec::new();
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use self::bench_file::from_bench_file;
-pub use self::named::{afternoon, base, budgets, make, Restarts};
 use self::named::{bad_day, S};
+pub use self::named::{base, budgets, make, restart_scenario, Restarts};
 use crate::engine::Make;
 use crate::record::{Class, Figures};
 
--- a/crates/rehearsal/src/scenario/named.rs
+++ b/crates/rehearsal/src/scenario/named.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// What becomes of the routers in an afternoon.
+/// What becomes of the routers in the restart scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Restarts {
     /// They run on.
@@ -95,9 +95,9 @@
     Kills,
 }
 
-/// An afternoon in a lab: four routers, each replaced every few seconds, while one engine drains, one restarts cold and
+/// The restart scenario: four routers, each replaced every few seconds, while one engine drains, one restarts cold and
 /// clients leave.
-pub fn afternoon(seed: u64, seconds: u64, restarts: Restarts) -> Scenario {
+pub fn restart_scenario(seed: u64, seconds: u64, restarts: Restarts) -> Scenario {
     let mut scenario = base("restart-afternoon", seed, seconds * S);
     scenario.routers = 4;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/rehearsal/tests/forms.rs
+++ b/crates/rehearsal/tests/forms.rs
@@ -216,9 +216,9 @@
         scenario::load("bad-day", 5, None).unwrap(),
         scenario::load("calm-day", 5, Some(9)).unwrap(),
         scenario::load(file.to_str().unwrap(), 5, None).unwrap(),
-        scenario::afternoon(5, 20, Restarts::None),
-        scenario::afternoon(5, 20, Restarts::HandOvers),
-        scenario::afternoon(5, 20, Restarts::Kills),
+        scenario::restart_scenario(5, 20, Restarts::None),
+        scenario::restart_scenario(5, 20, Restarts::HandOvers),
+        scenario::restart_scenario(5, 20, Restarts::Kills),
         scenario::budgets(5, 20, Sharing::Leases),
     ];
     std::fs::remove_file(&file).unwrap();
