--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -9,7 +9,7 @@
 use chalkyard_rehearsal::engine::Role;
 use chalkyard_rehearsal::record::{Effect, Line};
 use chalkyard_rehearsal::scenario::{Fault, Kind, Scenario};
-use chalkyard_rehearsal::scene::Scene;
+use chalkyard_rehearsal::topology::Topology;
 use chalkyard_rehearsal::Error;
 use chalkyard_router::{Bounds, ClassEntry, Config, Core, Finished, Input, KindEntry, Output, Tally, Waits};
 use rand::{Rng, SeedableRng};
@@ -44,7 +44,7 @@
 }
 
 struct Play<'a> {
-    scene: Scene<'a, Memory>,
+    topology: Topology<'a, Memory>,
     routers: Vec<Router>,
     names: Vec<(String, SocketAddr)>,
     registers: Vec<SocketAddr>,
@@ -120,7 +120,7 @@
 
 /// Plays a day. The same day gives the same record.
 pub fn emulate(scenario: &Scenario) -> Result<Emulated, Error> {
-    let (scene, (names, registers)) = Scene::new(scenario, Memory::new(), UNIX, |net, registers| {
+    let (topology, (names, registers)) = Topology::new(scenario, Memory::new(), UNIX, |net, registers| {
         let names: Vec<(String, SocketAddr)> =
             (1..=scenario.routers).map(|i| (format!("r{i}"), net.add_router())).collect();
         Ok((names.clone(), (names, registers.to_vec())))
@@ -132,7 +132,7 @@
     });
     let mut play = Play {
         routers: routers.collect(),
-        scene,
+        topology,
         names,
         registers,
         due: BTreeSet::new(),
@@ -143,7 +143,7 @@
     };
     play.run()?;
     Ok(Emulated {
-        lines: play.scene.tape.lines,
+        lines: play.topology.tape.lines,
         tallies: play.tallies.into_values().collect(),
         finished: play.finished,
     })
@@ -153,14 +153,14 @@
     fn run(&mut self) -> Result<(), Error> {
         for i in 0..self.routers.len() {
             self.start(i);
-            self.scene.router_is(i, true);
+            self.topology.router_is(i, true);
         }
         let (mut at, mut steps) = (0, 0_u32);
         loop {
             let cores = self.due.first().map_or(u64::MAX, |(at, _)| *at);
             let returns = self.returns.iter().map(|(at, _)| *at).min().unwrap_or(u64::MAX);
-            let net = self.scene.net.inner.next_due();
-            let next = self.scene.next_due().min(cores).min(returns).min(net);
+            let net = self.topology.net.inner.next_due();
+            let next = self.topology.next_due().min(cores).min(returns).min(net);
             if next == u64::MAX {
                 return Err(Error::CouldNotRun("nothing is due any more, and the day is not over".into()));
             }
@@ -169,10 +169,10 @@
                 return Err(Error::CouldNotRun(format!("time stands still at {at} µs")));
             }
             at = at.max(next);
-            self.scene.at(at);
+            self.topology.at(at);
             self.network();
             self.strike();
-            if self.scene.tick() {
+            if self.topology.tick() {
                 return Ok(());
             }
             while let Some((_, i)) = self.due.first().copied().filter(|(due, _)| *due <= at) {
@@ -183,9 +183,9 @@
 
     /// Brings what is due on the network to its side.
     fn network(&mut self) {
-        while let Some(due) = self.scene.net.inner.pop() {
+        while let Some(due) = self.topology.net.inner.pop() {
             match due {
-                Due::World(happened) => self.scene.spread(vec![happened]),
+                Due::World(happened) => self.topology.spread(vec![happened]),
                 Due::Core(i, conn, heard) => match heard {
                     Heard::Accepted => self.feed(i, Input::Accepted(conn)),
                     Heard::Connected => self.feed(i, Input::Connected(conn)),
@@ -200,7 +200,7 @@
 
     fn clock(&self, i: usize) -> Micros {
         let ahead = self.routers.get(i).map_or(0, |r| r.ahead);
-        Micros(UNIX + self.scene.tape.now + ahead)
+        Micros(UNIX + self.topology.tape.now + ahead)
     }
 
     fn start(&mut self, i: usize) {
@@ -209,13 +209,13 @@
         let register = self.registers.get(i).or(self.registers.first());
         let (Some(register), Some(router)) = (register, self.routers.get_mut(i)) else { return };
         router.life += 1;
-        let scenario = self.scene.scenario;
+        let scenario = self.topology.scenario;
         let seed = scenario.seed.wrapping_mul(1_000).wrapping_add(i as u64 * 64 + router.life);
         let mut core = Box::new(Core::new(config(scenario, name, *register), seed, now));
         core.count_seconds();
         core.start(now, None, &mut self.outputs);
         router.core = Some(core);
-        self.scene.net.inner.start(i);
+        self.topology.net.inner.start(i);
         self.carry_out(i);
     }
 
@@ -225,8 +225,8 @@
         if let Some(due) = router.due.take() {
             self.due.remove(&(due, i));
         }
-        self.scene.net.inner.kill(i);
-        self.scene.router_is(i, false);
+        self.topology.net.inner.kill(i);
+        self.topology.router_is(i, false);
     }
 
     fn feed(&mut self, i: usize, input: Input<'_>) {
@@ -243,7 +243,7 @@
             if let Output::CloseIfQuiet(id) = output {
                 closed.push(id);
             }
-            match self.scene.net.inner.carry_out(i, output) {
+            match self.topology.net.inner.carry_out(i, output) {
                 Some(Output::Finished(line)) => self.finished.push((i, line.0)),
                 Some(Output::Tally(tally)) => {
                     let ahead = self.routers.get(i).map_or(0, |r| r.ahead);
@@ -269,21 +269,21 @@
     }
 
     fn strike(&mut self) {
-        while let Some((fault, begins)) = self.scene.next_fault() {
-            self.scene.fault(fault, begins);
+        while let Some((fault, begins)) = self.topology.next_fault() {
+            self.topology.apply_fault(fault, begins);
             if let Fault { kind: Kind::BalancerRoll, on, len, .. } = fault {
                 for (n, i) in on.iter().copied().enumerate().filter(|_| begins) {
                     self.kill(i);
-                    self.returns.push((self.scene.tape.now + len + n as u64 * BACK, i));
+                    self.returns.push((self.topology.tape.now + len + n as u64 * BACK, i));
                 }
             }
         }
-        let now = self.scene.tape.now;
+        let now = self.topology.tape.now;
         let due: Vec<usize> = self.returns.iter().filter(|(at, _)| *at <= now).map(|(_, i)| *i).collect();
         self.returns.retain(|(at, _)| *at > now);
         for i in due {
             self.start(i);
-            self.scene.router_is(i, true);
+            self.topology.router_is(i, true);
         }
     }
 }
--- a/crates/rehearsal/src/budgets.rs
+++ b/crates/rehearsal/src/budgets.rs
@@ -10,8 +10,8 @@
 use crate::audit;
 use crate::record::{Answer, End, Line, Seen, Stage};
 use crate::report::Rules;
+use crate::runner::play_and;
 use crate::scenario::{self, Scenario, Sharing};
-use crate::world::play_and;
 use crate::{Error, Plan};
 
 /// A tenant's figures, in tokens.
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod clients;
 #[doc(hidden)]
 pub mod engine;
+mod fault_schedule;
 #[doc(hidden)]
 pub mod fleet;
 #[doc(hidden)]
@@ -21,14 +22,14 @@
 mod report;
 mod restart_scenario;
 mod routers;
+mod runner;
 #[doc(hidden)]
 pub mod scenario;
 #[doc(hidden)]
-pub mod scene;
-#[doc(hidden)]
 pub mod shim;
 pub mod soak;
-mod world;
+#[doc(hidden)]
+pub mod topology;
 
 use std::path::PathBuf;
 
@@ -36,7 +37,7 @@
 pub use budgets::{rehearse as rehearse_budgets, BudgetReport};
 pub use report::{Report, Rule, Rules};
 pub use restart_scenario::{rehearse as rehearse_restarts, RestartReport};
-pub use world::play;
+pub use runner::play;
 
 /// What a rehearsal is to do.
 #[derive(Debug, Clone)]
@@ -69,7 +70,7 @@
 /// Plays a day by its name, or by the path of a day file that the bench printed.
 pub fn rehearse(scenario: &str, plan: &Plan) -> Result<Report, Error> {
     let scenario = scenario::load(scenario, plan.seed, plan.seconds).map_err(Error::BadInput)?;
-    let lines = world::play(&scenario, plan)?;
+    let lines = runner::play(&scenario, plan)?;
     if let Some(file) = &plan.record {
         record::write(file, &lines)?;
     }
--- a/crates/rehearsal/src/restart_scenario.rs
+++ b/crates/rehearsal/src/restart_scenario.rs
@@ -7,7 +7,7 @@
 use crate::record::{Line, Seen};
 use crate::report::Rules;
 use crate::scenario::{self, Restarts};
-use crate::{world, Error, Plan};
+use crate::{runner, Error, Plan};
 
 /// One run of the scenario.
 #[derive(Debug, Clone, Serialize)]
@@ -86,7 +86,7 @@
     let mut broken = Vec::new();
     let mut play = |restarts| -> Result<RestartRun, Error> {
         let scenario = scenario::restart_scenario(plan.seed, plan.seconds.unwrap_or(30), restarts);
-        let lines = world::play(&scenario, plan)?;
+        let lines = runner::play(&scenario, plan)?;
         if let (Some(file), Restarts::HandOvers) = (&plan.record, restarts) {
             crate::record::write(file, &lines)?;
         }
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -8,14 +8,14 @@
 use crate::record::{Line, Seen};
 use crate::routers::Routers;
 use crate::scenario::{Fault, Kind, Scenario, Sharing};
-use crate::scene::Scene;
+use crate::topology::Topology;
 use crate::{Error, Plan};
 
 /// Routers must take connections within this time of their start.
 const READY: Duration = Duration::from_secs(10);
 
-struct World<'a> {
-    scene: Scene<'a, Sockets>,
+struct Runner<'a> {
+    topology: Topology<'a, Sockets>,
     routers: Routers,
     /// Routers to be started again at a time.
     returns: Vec<(u64, usize)>,
@@ -33,21 +33,21 @@
     look: impl FnOnce(&Path, &[Line]) -> Result<T, Error>,
 ) -> Result<(Vec<Line>, T), Error> {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-    let (scene, routers) = Scene::new(scenario, Sockets::new()?, unix, |_, register| {
+    let (topology, routers) = Topology::new(scenario, Sockets::new()?, unix, |_, register| {
         let routers = Routers::new(scenario, plan.exe.clone(), register)?;
         Ok((routers.names.clone(), routers))
     })?;
-    let mut world = World { scene, routers, returns: Vec::new() };
-    let result = world.run();
-    world.routers.stop();
-    let looked = result.and_then(|()| look(world.routers.folder(), &world.scene.tape.lines));
-    world.routers.finish(looked.is_err());
-    Ok((world.scene.tape.lines, looked?))
+    let mut runner = Runner { topology, routers, returns: Vec::new() };
+    let result = runner.run();
+    runner.routers.stop();
+    let looked = result.and_then(|()| look(runner.routers.folder(), &runner.topology.tape.lines));
+    runner.routers.finish(looked.is_err());
+    Ok((runner.topology.tape.lines, looked?))
 }
 
-impl World<'_> {
+impl Runner<'_> {
     fn run(&mut self) -> Result<(), Error> {
-        let scenario = self.scene.scenario;
+        let scenario = self.topology.scenario;
         for i in 0..scenario.routers {
             self.routers.start(i, scenario.seed)?;
         }
@@ -58,16 +58,16 @@
         let start = Instant::now();
         loop {
             let now = start.elapsed().as_micros() as u64;
-            self.scene.at(now);
+            self.topology.at(now);
             self.faults()?;
-            if self.scene.tick() {
+            if self.topology.tick() {
                 return Ok(());
             }
             let returns = self.returns.iter().map(|(at, _)| *at).min().unwrap_or(u64::MAX);
-            let wait = self.scene.next_due().min(returns).saturating_sub(now).clamp(0, 50_000);
-            let happened = self.scene.net.inner.wait(Duration::from_micros(wait))?;
-            self.scene.at(start.elapsed().as_micros() as u64);
-            self.scene.spread(happened);
+            let wait = self.topology.next_due().min(returns).saturating_sub(now).clamp(0, 50_000);
+            let happened = self.topology.net.inner.wait(Duration::from_micros(wait))?;
+            self.topology.at(start.elapsed().as_micros() as u64);
+            self.topology.spread(happened);
         }
     }
 
@@ -83,33 +83,33 @@
                 if start.elapsed() > READY {
                     return Err(Error::CouldNotRun(format!("no router came up at {address}")));
                 }
-                let happened = self.scene.net.inner.wait(Duration::from_millis(10))?;
-                self.scene.spread(happened);
+                let happened = self.topology.net.inner.wait(Duration::from_millis(10))?;
+                self.topology.spread(happened);
             }
         }
         // Their first lists, and leases.
-        for _ in 0..if self.scene.scenario.budgets.is_some() { 200 } else { 20 } {
-            let happened = self.scene.net.inner.wait(Duration::from_millis(5))?;
-            self.scene.spread(happened);
+        for _ in 0..if self.topology.scenario.budgets.is_some() { 200 } else { 20 } {
+            let happened = self.topology.net.inner.wait(Duration::from_millis(5))?;
+            self.topology.spread(happened);
         }
         for (name, _) in names {
-            self.scene.tape.add(Seen::Router { router: name, up: true });
+            self.topology.tape.add(Seen::Router { router: name, up: true });
         }
         Ok(())
     }
 
     fn faults(&mut self) -> Result<(), Error> {
-        while let Some((fault, begins)) = self.scene.next_fault() {
-            self.scene.fault(fault, begins);
+        while let Some((fault, begins)) = self.topology.next_fault() {
+            self.topology.apply_fault(fault, begins);
             self.strike(fault, begins)?;
         }
-        let now = self.scene.tape.now;
+        let now = self.topology.tape.now;
         let (due, rest) = std::mem::take(&mut self.returns).into_iter().partition(|(at, _)| *at <= now);
         self.returns = rest;
         let due: Vec<(u64, usize)> = due;
         for (_, i) in due {
-            self.routers.start(i, self.scene.scenario.seed)?;
-            self.scene.router_is(i, true);
+            self.routers.start(i, self.topology.scenario.seed)?;
+            self.topology.router_is(i, true);
         }
         if let Some(why) = self.routers.ended() {
             return Err(Error::CouldNotRun(why));
@@ -119,12 +119,12 @@
 
     /// What a fault does to the processes.
     fn strike(&mut self, fault: &Fault, begins: bool) -> Result<(), Error> {
-        let (now, seed) = (self.scene.tape.now, self.scene.scenario.seed);
+        let (now, seed) = (self.topology.tape.now, self.topology.scenario.seed);
         match fault.kind {
             Kind::BalancerRoll if begins => {
                 for (n, i) in fault.on.iter().copied().enumerate() {
                     self.routers.kill(i);
-                    self.scene.router_is(i, false);
+                    self.topology.router_is(i, false);
                     self.returns.push((now + fault.len + n as u64 * 300_000, i));
                 }
             }
