--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,375 +1,371 @@
-//! A control replica: votes on numbers, publishes, and keeps what was decided.
-
-use serde::{Deserialize, Serialize};
-
-use crate::acceptor::{Acceptor, Answer, Ballot, Vote};
-use crate::document::{Delta, Document};
-use crate::history::{CatchUp, History, NotTaken, Retention};
-use crate::messages::Message;
+//! A control replica: votes on the next revision, publishes changes, and stores what was decided.
+
+use crate::acceptor::{Acceptor, AcceptorReply};
+use crate::ballot::{Ballot, ReplicaId, Vote};
+use crate::digest::Digest;
+use crate::document::{Delta, Document, Entry};
+use crate::history::{CatchUp, History, HistoryError, Retention};
+use crate::message::Message;
 use crate::proposer::{Progress, Proposer};
-use crate::revision::{Number, Revision};
-
-/// A control replica, by its place in the list that all replicas of a site hold.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ReplicaId(pub u8);
-
-/// How many replicas decide.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Quorum {
-    replicas: usize,
-}
-
-impl Quorum {
-    /// Of so many replicas.
-    pub fn of(replicas: usize) -> Self {
-        Self { replicas }
-    }
+use crate::publication::{InvalidChangeError, Publication, PublishOutcome, Validator};
+use crate::quorum::Quorum;
+use crate::revision::{Revision, RevisionNumber};
 
-    /// So many that any two quorums share two replicas: one that comes back with an old disk, and so without its last
-    /// votes, decides nothing twice. Three of four; of three or fewer all of them.
-    pub fn size(self) -> usize {
-        (self.replicas / 2 + 1).max(self.replicas.div_ceil(2) + 1).min(self.replicas)
-    }
-}
-
-/// The check that a configuration has to pass before it gets a number.
-pub trait Check {
-    /// Says what is wrong, with its place and remedy.
-    ///
-    /// # Errors
-    /// If the configuration can't be put in force.
-    fn check(&self, document: &Document) -> Result<(), String>;
-}
-
-/// What came of a publication.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Outcome {
-    /// Decided under this number.
-    Published(Number),
-    /// It changes nothing.
-    NoChange,
-    /// The check, or a bound, refuses it; it has no number.
-    Invalid(String),
-    /// Another is on its way here; to be tried again.
-    Busy,
-    /// No quorum answered in time. It may be decided all the same, by another replica that finishes it.
-    NoQuorum,
-}
-
-/// What is to be done, in order. Nothing that follows a [`Output::Persist`] leaves the replica before it is on the disk.
+/// What the caller has to do, in order. Nothing that follows a [`ReplicaAction::PersistVotes`] may leave the replica before
+/// the votes are on its disk: a vote that is forgotten could let a number be decided twice.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Output {
-    /// Send to a replica.
-    Send(ReplicaId, Message),
-    /// Keep the votes.
-    Persist(Acceptor),
-    /// Keep a decided revision.
-    Keep(Revision),
-    /// Keep a whole, which replaces all that was kept.
-    KeepWhole(Number),
-    /// The publication is over.
-    Done(Outcome),
-    /// Another replica holds another content under a number: an operator has to look.
-    Diverged(ReplicaId, Number),
-}
-
-/// A publication under way.
-#[derive(Debug, Clone)]
-struct Publication {
-    changes: Delta,
-    author: Box<str>,
-    proposer: Proposer,
+pub enum ReplicaAction {
+    /// Send a message to another replica.
+    Send {
+        /// The receiver.
+        to: ReplicaId,
+        /// The message.
+        message: Message,
+    },
+    /// Store the votes.
+    PersistVotes(Acceptor),
+    /// Store a decided revision.
+    PersistRevision(Revision),
+    /// Store the current document, which replaces all that was stored before.
+    PersistSnapshot(RevisionNumber),
+    /// The publication has ended.
+    PublicationEnded(PublishOutcome),
+    /// Another replica has other content under a number: an operator has to look.
+    Diverged {
+        /// The other replica.
+        replica: ReplicaId,
+        /// The number.
+        number: RevisionNumber,
+    },
 }
 
-/// One control replica.
+/// One control replica, without input or output of its own.
 #[derive(Debug, Clone)]
 pub struct Replica {
-    own: ReplicaId,
+    id: ReplicaId,
     replicas: Vec<ReplicaId>,
     acceptor: Acceptor,
     history: History,
     publication: Option<Publication>,
-    /// The highest round seen of the present number.
+    /// The highest round seen for the next number.
     round: u64,
 }
 
 impl Replica {
-    /// One of `replicas` replicas, with what its disk holds.
-    pub fn new(own: ReplicaId, replicas: u8, history: History, votes: Option<Acceptor>) -> Self {
-        // Votes on a number that was decided since are of no use; those on a later one can't be.
+    /// The replica `id` of `replicas`, with what its disk holds.
+    pub fn new(id: ReplicaId, replicas: u8, history: History, votes: Option<Acceptor>) -> Self {
+        // Votes on a number that was decided since are obsolete. Votes on a later number can't exist.
         let votes = votes.filter(|votes| votes.number() == history.number().next());
         let acceptor = votes.unwrap_or_else(|| Acceptor::after(history.number()));
         let round = acceptor.round();
         let replicas = (0..replicas).map(ReplicaId).collect();
-        Self { own, replicas, acceptor, history, publication: None, round }
+        Self { id, replicas, acceptor, history, publication: None, round }
     }
 
-    /// One with nothing on its disk.
-    pub fn fresh(own: ReplicaId, replicas: u8) -> Self {
-        let history = History::new(Number::default(), Document::default(), Retention::default());
-        Self::new(own, replicas, history, None)
+    /// A replica with an empty disk.
+    pub fn fresh(id: ReplicaId, replicas: u8) -> Self {
+        let history = History::new(RevisionNumber::default(), Document::default(), Retention::default());
+        Self::new(id, replicas, history, None)
     }
 
-    /// The newest number that is decided, as far as this replica knows.
-    pub fn number(&self) -> Number {
+    /// The newest number that this replica knows to be decided.
+    pub fn number(&self) -> RevisionNumber {
         self.history.number()
     }
 
-    /// What was decided.
+    /// The decided configuration and its past.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    fn quorum(&self) -> Quorum {
-        Quorum::of(self.replicas.len())
+    /// The message that a replica sends to each other one when they connect, and periodically.
+    pub fn heartbeat(&self) -> Message {
+        Message::Heartbeat { number: self.history.number(), digest: self.history.document().digest() }
     }
 
-    fn others(&self) -> impl Iterator<Item = ReplicaId> + '_ {
-        self.replicas.iter().copied().filter(|replica| *replica != self.own)
+    /// Whether a publication is in progress.
+    pub fn is_publishing(&self) -> bool {
+        self.publication.is_some()
+    }
+
+    /// Publishes changes. They are validated before any other replica is asked.
+    pub fn publish(
+        &mut self,
+        changes: Delta,
+        author: &str,
+        validator: &dyn Validator,
+        actions: &mut Vec<ReplicaAction>,
+    ) {
+        if self.publication.is_some() {
+            return actions.push(ReplicaAction::PublicationEnded(PublishOutcome::Busy));
+        }
+        self.start_publication(changes, author.into(), validator, actions);
     }
 
-    /// What this replica tells a peer of itself: as they meet, and from time to time.
-    pub fn greeting(&self) -> Message {
-        Message::Holds { number: self.history.number(), digest: self.history.document().digest() }
+    /// Attempts the publication in progress once more, under a new ballot: a rejection or a timeout decides nothing. The
+    /// changes are validated again, since another revision may have been decided meanwhile.
+    pub fn retry(&mut self, validator: &dyn Validator, actions: &mut Vec<ReplicaAction>) {
+        let Some(Publication { changes, author, .. }) = self.publication.take() else { return };
+        self.start_publication(changes, author, validator, actions);
     }
 
-    /// Publishes changes. They are checked whole before anything is asked of others.
-    pub fn publish(&mut self, changes: Delta, author: &str, check: &dyn Check, out: &mut Vec<Output>) {
-        if self.publication.is_some() {
-            return out.push(Output::Done(Outcome::Busy));
+    /// Stops waiting for the publication in progress.
+    pub fn abandon(&mut self, actions: &mut Vec<ReplicaAction>) {
+        if self.publication.take().is_some() {
+            actions.push(ReplicaAction::PublicationEnded(PublishOutcome::NoQuorum));
         }
-        match self.revision(&changes, author, check) {
-            Ok(revision) => self.propose(changes, author.into(), revision, out),
-            Err(outcome) => out.push(Output::Done(outcome)),
+    }
+
+    fn start_publication(
+        &mut self,
+        changes: Delta,
+        author: Box<str>,
+        validator: &dyn Validator,
+        actions: &mut Vec<ReplicaAction>,
+    ) {
+        match self.next_revision(&changes, &author, validator) {
+            Ok(Some(revision)) => self.propose(changes, author, revision, actions),
+            Ok(None) => actions.push(ReplicaAction::PublicationEnded(PublishOutcome::NoChange)),
+            Err(error) => actions.push(ReplicaAction::PublicationEnded(PublishOutcome::Invalid(error))),
         }
     }
 
-    /// The revision that changes make of the present configuration.
-    fn revision(&self, changes: &Delta, author: &str, check: &dyn Check) -> Result<Revision, Outcome> {
+    /// The revision that the changes make of the current configuration, or none if they leave it as it is.
+    fn next_revision(
+        &self,
+        changes: &Delta,
+        author: &str,
+        validator: &dyn Validator,
+    ) -> Result<Option<Revision>, InvalidChangeError> {
         let document = self.history.document();
-        let invalid = |why: String| Outcome::Invalid(why);
-        let after = document.preview(changes).map_err(|why| invalid(why.to_string()))?;
+        let after = document.preview(changes)?;
         if after == document.digest() {
-            return Err(Outcome::NoChange);
+            return Ok(None);
         }
         let mut changed = document.clone();
-        changed.apply(changes, after).map_err(|why| invalid(why.to_string()))?;
-        check.check(&changed).map_err(invalid)?;
-        Ok(Revision {
+        changed.apply(changes, after)?;
+        validator.validate(&changed)?;
+        Ok(Some(Revision {
             number: self.history.number().next(),
             before: document.digest(),
             after,
             delta: changes.clone(),
             author: author.into(),
-        })
+        }))
     }
 
-    fn propose(&mut self, changes: Delta, author: Box<str>, revision: Revision, out: &mut Vec<Output>) {
+    fn propose(
+        &mut self,
+        changes: Delta,
+        author: Box<str>,
+        revision: Revision,
+        actions: &mut Vec<ReplicaAction>,
+    ) {
         self.round += 1;
-        let ballot = Ballot { round: self.round, replica: self.own };
+        let ballot = Ballot { round: self.round, replica: self.id };
         let number = revision.number;
         self.publication = Some(Publication { changes, author, proposer: Proposer::new(ballot, revision) });
-        for other in self.others() {
-            out.push(Output::Send(other, Message::Prepare { number, ballot }));
-        }
-        self.take(self.own, Message::Prepare { number, ballot }, out);
+        let prepare = Message::Prepare { number, ballot };
+        self.send_to_others(&prepare, actions);
+        self.receive(self.id, prepare, actions);
     }
 
-    /// Tries the publication under way once more: a refusal or a silence is no answer. `check` is asked again if another
-    /// revision was decided meanwhile.
-    pub fn retry(&mut self, check: &dyn Check, out: &mut Vec<Output>) {
-        let Some(Publication { changes, author, .. }) = self.publication.take() else { return };
-        match self.revision(&changes, &author, check) {
-            Ok(revision) => self.propose(changes, author, revision, out),
-            Err(outcome) => out.push(Output::Done(outcome)),
-        }
-    }
-
-    /// Gives the publication under way up.
-    pub fn give_up(&mut self, out: &mut Vec<Output>) {
-        if self.publication.take().is_some() {
-            out.push(Output::Done(Outcome::NoQuorum));
-        }
-    }
-
-    /// Whether a publication waits.
-    pub fn is_publishing(&self) -> bool {
-        self.publication.is_some()
-    }
-
-    /// Takes a message of a replica, or of itself. One that is not on the list has no vote and is told nothing.
-    pub fn take(&mut self, from: ReplicaId, message: Message, out: &mut Vec<Output>) {
+    /// Handles a message of another replica, or of this one to itself. A replica that is not part of the site has no vote
+    /// and gets no answer.
+    pub fn receive(&mut self, from: ReplicaId, message: Message, actions: &mut Vec<ReplicaAction>) {
         if !self.replicas.contains(&from) {
             return;
         }
         match message {
-            Message::Prepare { number, ballot } => self.prepare(from, number, ballot, out),
-            Message::Accept(vote) => self.accept(from, vote, out),
+            Message::Prepare { number, ballot } => self.handle_prepare(from, number, ballot, actions),
+            Message::Accept(vote) => self.handle_accept(from, vote, actions),
             Message::Promise { number, ballot, vote } => {
                 let quorum = self.quorum();
-                let Some(publication) = self.publication_on(number) else { return };
+                let Some(publication) = self.publication_of(number) else { return };
                 let progress = publication.proposer.promised(from, ballot, vote, quorum);
-                self.progress(progress, out);
+                self.advance_proposal(progress, actions);
             }
             Message::Accepted { number, ballot } => {
                 let quorum = self.quorum();
-                let Some(publication) = self.publication_on(number) else { return };
+                let Some(publication) = self.publication_of(number) else { return };
                 let progress = publication.proposer.accepted(from, ballot, quorum);
-                self.progress(progress, out);
+                self.advance_proposal(progress, actions);
             }
-            Message::Refused { number, newer } => {
+            Message::Rejected { number, newer } => {
                 if number == self.acceptor.number() {
                     self.round = self.round.max(newer.round);
                 }
             }
-            Message::Holds { number, digest } => self.bring_up_to_date(from, number, digest, out),
-            Message::Decided(revision) => self.learn(from, revision, out),
-            Message::Whole { number, entries } => self.learn_whole(from, number, entries, out),
+            Message::Heartbeat { number, digest } => self.bring_up_to_date(from, number, digest, actions),
+            Message::Decided(revision) => self.learn(from, revision, actions),
+            Message::Snapshot { number, entries } => self.learn_snapshot(from, number, entries, actions),
+            // Only routers send it, and only to their session.
             Message::CannotApply { .. } => {}
         }
     }
 
-    fn publication_on(&mut self, number: Number) -> Option<&mut Publication> {
-        self.publication.as_mut().filter(|p| p.proposer.number() == number)
-    }
-
-    fn answer(&mut self, to: ReplicaId, message: Message, out: &mut Vec<Output>) {
-        if to == self.own {
-            self.take(to, message, out);
-        } else {
-            out.push(Output::Send(to, message));
-        }
-    }
-
-    fn prepare(&mut self, from: ReplicaId, number: Number, ballot: Ballot, out: &mut Vec<Output>) {
+    fn handle_prepare(
+        &mut self,
+        from: ReplicaId,
+        number: RevisionNumber,
+        ballot: Ballot,
+        actions: &mut Vec<ReplicaAction>,
+    ) {
         self.round = self.round.max(ballot.round);
         match self.acceptor.prepare(number, ballot) {
-            Answer::Promised(vote) => {
-                out.push(Output::Persist(self.acceptor.clone()));
-                self.answer(from, Message::Promise { number, ballot, vote }, out);
+            AcceptorReply::Promised(vote) => {
+                actions.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
+                self.answer(from, Message::Promise { number, ballot, vote }, actions);
+            }
+            AcceptorReply::Rejected(newer) => {
+                self.answer(from, Message::Rejected { number, newer }, actions);
             }
-            Answer::Refused(newer) => self.answer(from, Message::Refused { number, newer }, out),
-            Answer::Accepted | Answer::NotNext => self.tell_of_head(from, number, out),
+            AcceptorReply::Accepted | AcceptorReply::NotNext => self.announce_newest(from, number, actions),
         }
     }
 
-    fn accept(&mut self, from: ReplicaId, vote: Vote, out: &mut Vec<Output>) {
-        let (number, ballot) = (vote.revision.number, vote.ballot);
+    fn handle_accept(&mut self, from: ReplicaId, vote: Vote, actions: &mut Vec<ReplicaAction>) {
+        let number = vote.revision.number;
+        let ballot = vote.ballot;
         match self.acceptor.accept(vote) {
-            Answer::Accepted => {
-                out.push(Output::Persist(self.acceptor.clone()));
-                self.answer(from, Message::Accepted { number, ballot }, out);
+            AcceptorReply::Accepted => {
+                actions.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
+                self.answer(from, Message::Accepted { number, ballot }, actions);
+            }
+            AcceptorReply::Rejected(newer) => {
+                self.answer(from, Message::Rejected { number, newer }, actions);
+            }
+            AcceptorReply::Promised(_) | AcceptorReply::NotNext => {
+                self.announce_newest(from, number, actions);
             }
-            Answer::Refused(newer) => self.answer(from, Message::Refused { number, newer }, out),
-            Answer::Promised(_) | Answer::NotNext => self.tell_of_head(from, number, out),
         }
     }
 
-    /// One of two replicas is behind: each tells what it holds, and the other brings it up to date.
-    fn tell_of_head(&mut self, to: ReplicaId, number: Number, out: &mut Vec<Output>) {
-        if to == self.own {
+    /// One of two replicas is behind. Each announces its newest revision, and the one ahead brings the other up to date.
+    fn announce_newest(&self, to: ReplicaId, number: RevisionNumber, actions: &mut Vec<ReplicaAction>) {
+        if to == self.id {
             return;
         }
-        if number <= self.history.number() {
-            if let Some(decided) = self.history.revision(number) {
-                return out.push(Output::Send(to, Message::Decided(decided.clone())));
-            }
-        }
-        out.push(Output::Send(to, self.greeting()));
+        let message = match self.history.revision(number) {
+            Some(decided) => Message::Decided(decided.clone()),
+            None => self.heartbeat(),
+        };
+        actions.push(ReplicaAction::Send { to, message });
     }
 
-    fn progress(&mut self, progress: Progress, out: &mut Vec<Output>) {
+    fn advance_proposal(&mut self, progress: Progress, actions: &mut Vec<ReplicaAction>) {
         match progress {
             Progress::Waiting => {}
             Progress::Propose(vote) => {
-                for other in self.others() {
-                    out.push(Output::Send(other, Message::Accept(vote.clone())));
-                }
-                self.take(self.own, Message::Accept(vote), out);
+                let accept = Message::Accept(vote);
+                self.send_to_others(&accept, actions);
+                self.receive(self.id, accept, actions);
             }
             Progress::Decided(revision) => {
-                for other in self.others() {
-                    out.push(Output::Send(other, Message::Decided(revision.clone())));
-                }
-                self.learn(self.own, revision, out);
+                self.send_to_others(&Message::Decided(revision.clone()), actions);
+                self.learn(self.id, revision, actions);
             }
         }
     }
 
     fn bring_up_to_date(
-        &mut self,
-        from: ReplicaId,
-        number: Number,
-        digest: crate::digest::Digest,
-        out: &mut Vec<Output>,
+        &self,
+        to: ReplicaId,
+        number: RevisionNumber,
+        digest: Digest,
+        actions: &mut Vec<ReplicaAction>,
     ) {
         if number > self.history.number() {
-            return out.push(Output::Send(from, self.greeting()));
+            return actions.push(ReplicaAction::Send { to, message: self.heartbeat() });
         }
-        match self.history.since(number, digest) {
+        match self.history.catch_up(number, digest) {
             CatchUp::Current => {}
             CatchUp::Revisions(revisions) => {
-                out.extend(revisions.into_iter().map(|r| Output::Send(from, Message::Decided(r))));
+                let send = |revision| ReplicaAction::Send { to, message: Message::Decided(revision) };
+                actions.extend(revisions.into_iter().map(send));
             }
-            CatchUp::OtherHistory => out.push(Output::Diverged(from, number)),
-            CatchUp::Whole => {
-                let whole = Message::whole(self.history.number(), self.history.document());
-                out.push(Output::Send(from, whole));
+            CatchUp::Diverged => actions.push(ReplicaAction::Diverged { replica: to, number }),
+            CatchUp::Snapshot => {
+                let message = Message::snapshot(self.history.number(), self.history.document());
+                actions.push(ReplicaAction::Send { to, message });
             }
         }
     }
 
-    fn learn(&mut self, from: ReplicaId, revision: Revision, out: &mut Vec<Output>) {
+    fn learn(&mut self, from: ReplicaId, revision: Revision, actions: &mut Vec<ReplicaAction>) {
         let number = revision.number;
-        let ours = self.history.revision(number).map(|ours| *ours == revision);
-        match self.history.take(revision.clone()) {
+        let contradicts_known = self.history.revision(number).is_some_and(|known| *known != revision);
+        match self.history.append(revision.clone()) {
             Ok(()) => {
-                out.push(Output::Keep(revision.clone()));
-                self.advance(out);
-                self.settle(&revision, out);
+                actions.push(ReplicaAction::PersistRevision(revision.clone()));
+                self.start_next_number(actions);
+                self.end_publication_of(&revision, actions);
             }
-            Err(NotTaken::NotNext(_)) if ours == Some(false) => out.push(Output::Diverged(from, number)),
-            Err(NotTaken::NotNext(held)) if held < number && from != self.own => {
-                out.push(Output::Send(from, self.greeting()));
+            Err(HistoryError::NotNext { .. }) if contradicts_known => {
+                actions.push(ReplicaAction::Diverged { replica: from, number });
+            }
+            Err(HistoryError::NotNext { current, .. }) if current < number && from != self.id => {
+                actions.push(ReplicaAction::Send { to: from, message: self.heartbeat() });
+            }
+            Err(HistoryError::NotNext { .. }) => {}
+            Err(HistoryError::Diverged { .. } | HistoryError::Invalid { .. }) => {
+                actions.push(ReplicaAction::Diverged { replica: from, number });
             }
-            Err(NotTaken::NotNext(_)) => {}
-            Err(NotTaken::OtherHistory | NotTaken::NotApplied(_)) => out.push(Output::Diverged(from, number)),
-        }
-    }
-
-    /// Votes are on the next number from now on.
-    fn advance(&mut self, out: &mut Vec<Output>) {
-        self.acceptor = Acceptor::after(self.history.number());
-        self.round = 0;
-        out.push(Output::Persist(self.acceptor.clone()));
-    }
-
-    /// A number is decided: our publication is over if it was ours, and waits for its next try if not.
-    fn settle(&mut self, decided: &Revision, out: &mut Vec<Output>) {
-        let ours = self.publication.as_ref().is_some_and(|p| {
-            p.proposer.number() == decided.number && p.changes == decided.delta && p.author == decided.author
-        });
-        if ours {
-            self.publication = None;
-            out.push(Output::Done(Outcome::Published(decided.number)));
         }
     }
 
-    fn learn_whole(
+    fn learn_snapshot(
         &mut self,
         from: ReplicaId,
-        number: Number,
-        entries: Vec<crate::document::Entry>,
-        out: &mut Vec<Output>,
+        number: RevisionNumber,
+        entries: Vec<Entry>,
+        actions: &mut Vec<ReplicaAction>,
     ) {
         if number <= self.history.number() {
             return;
         }
         let Ok(document) = Document::new(entries) else {
-            return out.push(Output::Diverged(from, number));
+            return actions.push(ReplicaAction::Diverged { replica: from, number });
         };
         self.history = History::new(number, document, Retention::default());
-        out.push(Output::KeepWhole(number));
-        self.advance(out);
+        actions.push(ReplicaAction::PersistSnapshot(number));
+        self.start_next_number(actions);
+    }
+
+    /// A number was decided: from now on, votes are on the next one.
+    fn start_next_number(&mut self, actions: &mut Vec<ReplicaAction>) {
+        self.acceptor = Acceptor::after(self.history.number());
+        self.round = 0;
+        actions.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
+    }
+
+    /// Ends the publication in progress if the decided revision is its own; otherwise it waits for its next attempt.
+    fn end_publication_of(&mut self, decided: &Revision, actions: &mut Vec<ReplicaAction>) {
+        if self.publication.as_ref().is_some_and(|publication| publication.is_decided_by(decided)) {
+            self.publication = None;
+            let outcome = PublishOutcome::Published(decided.number);
+            actions.push(ReplicaAction::PublicationEnded(outcome));
+        }
+    }
+
+    fn quorum(&self) -> Quorum {
+        Quorum::of(self.replicas.len())
+    }
+
+    fn publication_of(&mut self, number: RevisionNumber) -> Option<&mut Publication> {
+        self.publication.as_mut().filter(|publication| publication.proposer.number() == number)
+    }
+
+    fn send_to_others(&self, message: &Message, actions: &mut Vec<ReplicaAction>) {
+        let others = self.replicas.iter().copied().filter(|replica| *replica != self.id);
+        actions.extend(others.map(|to| ReplicaAction::Send { to, message: message.clone() }));
+    }
+
+    fn answer(&mut self, to: ReplicaId, message: Message, actions: &mut Vec<ReplicaAction>) {
+        if to == self.id {
+            self.receive(to, message, actions);
+        } else {
+            actions.push(ReplicaAction::Send { to, message });
+        }
     }
 }
--- /dev/null
+++ b/crates/control/src/simulation/mod.rs
@@ -0,0 +1,177 @@
+//! A deterministic simulation of control replicas and routers: time is fed, the network can be partitioned, and the same seed
+//! gives the same run. The code is the same that sockets would drive; messages are encoded, tagged and decoded as on a wire.
+
+mod control;
+mod network;
+mod nodes;
+mod routers;
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+
+use self::network::Event;
+use self::nodes::ControlNode;
+pub use self::nodes::{Disk, Head, RecordingApplier, RouterNode};
+use crate::authentication::SiteKey;
+use crate::ballot::ReplicaId;
+use crate::document::{Delta, Document};
+use crate::history::{History, Retention};
+use crate::publication::{PublishOutcome, Validator};
+use crate::random::Xorshift64;
+use crate::revision::{RevisionId, RevisionNumber};
+use crate::sessions::SessionId;
+use crate::subscriber::Input;
+use crate::time::Micros;
+
+/// A second of simulated time.
+pub const SECOND: Micros = 1_000_000;
+/// Replicas send heartbeats to each other this often.
+const HEARTBEAT_INTERVAL: Micros = SECOND;
+
+/// An event with its time. Events of the same time happen in the order in which they were scheduled.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEvent {
+    at: Micros,
+    sequence: u64,
+    event: Event,
+}
+
+/// Control replicas, routers and the network between them.
+pub struct Simulation<'a> {
+    now: Micros,
+    scheduled: u64,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
+    controls: Vec<ControlNode>,
+    /// All routers; those with an even index are in the first region.
+    pub routers: Vec<RouterNode>,
+    router_by_session: BTreeMap<SessionId, usize>,
+    next_session: u64,
+    key: SiteKey,
+    validator: &'a dyn Validator,
+    random: Xorshift64,
+    /// Whether the two regions are cut off from each other.
+    pub partitioned: bool,
+    /// When each revision was requested.
+    pub requested_at: BTreeMap<RevisionNumber, Micros>,
+    /// For each revision and router, the time from the request until the router applied it.
+    pub apply_delays: Vec<Micros>,
+    /// How each publication ended.
+    pub outcomes: Vec<PublishOutcome>,
+    /// How often a replica or a router reported other content under a number.
+    pub diverged: u64,
+    decided: BTreeMap<RevisionNumber, RevisionId>,
+    /// How often a number was decided with other content than before: has to stay 0.
+    pub conflicts: u64,
+    /// Bytes that control replicas received and sent.
+    pub control_bytes: u64,
+}
+
+impl<'a> Simulation<'a> {
+    /// So many replicas and routers, all of which have this document.
+    pub fn new(
+        replicas: u8,
+        routers: usize,
+        document: &Document,
+        validator: &'a dyn Validator,
+        seed: u64,
+    ) -> Self {
+        let history = History::new(RevisionNumber(0), document.clone(), Retention::default());
+        let control = |index: u8| ControlNode::new(ReplicaId(index), replicas, &history);
+        let router = |index: usize| RouterNode::new(document, replicas, seed + index as u64);
+        let mut simulation = Self {
+            now: SECOND,
+            scheduled: 0,
+            events: BinaryHeap::new(),
+            controls: (0..replicas).map(control).collect(),
+            routers: (0..routers).map(router).collect(),
+            router_by_session: BTreeMap::new(),
+            next_session: 0,
+            key: SiteKey::new([7; 32]),
+            validator,
+            random: Xorshift64::new(seed),
+            partitioned: false,
+            requested_at: BTreeMap::new(),
+            apply_delays: Vec::new(),
+            outcomes: Vec::new(),
+            diverged: 0,
+            decided: BTreeMap::new(),
+            conflicts: 0,
+            control_bytes: 0,
+        };
+        for index in 0..replicas {
+            let after = HEARTBEAT_INTERVAL / u64::from(replicas) * u64::from(index);
+            simulation.schedule(after, Event::Heartbeat { replica: ReplicaId(index) });
+        }
+        simulation
+    }
+
+    /// The simulated time.
+    pub fn now(&self) -> Micros {
+        self.now
+    }
+
+    /// An operator requests a change of a replica, `after` from now.
+    pub fn publish(&mut self, replica: ReplicaId, changes: Delta, after: Micros) {
+        self.schedule(after, Event::Publish { replica, changes });
+    }
+
+    /// The newest number that a replica knows.
+    pub fn number(&self, replica: ReplicaId) -> Option<RevisionNumber> {
+        self.controls.get(usize::from(replica.0)).map(|control| control.replica.number())
+    }
+
+    /// The different states of all running replicas and of all routers: one if all agree.
+    pub fn heads(&self) -> BTreeSet<Head> {
+        let running = self.controls.iter().filter(|control| control.is_running);
+        let replicas = running.map(|control| Head::of_history(control.replica.history()));
+        let routers = self.routers.iter().map(|router| Head::of_subscriber(&router.subscriber));
+        replicas.chain(routers).collect()
+    }
+
+    /// Runs for a span of simulated time.
+    pub fn run(&mut self, span: Micros) {
+        let end = self.now + span;
+        loop {
+            let event_due = self.events.peek().map(|Reverse(next)| next.at);
+            let router_due = self.next_due_router();
+            let sessions_due = self.next_due_sessions();
+            let router_due_at = router_due.map(|due| due.at);
+            let next = [event_due, router_due_at, sessions_due].into_iter().flatten().min();
+            let Some(next) = next.filter(|at| *at <= end) else { break };
+            self.now = self.now.max(next);
+            if event_due == Some(next) {
+                if let Some(Reverse(scheduled)) = self.events.pop() {
+                    self.handle(scheduled.event);
+                }
+            } else if let Some(due) = router_due.filter(|due| due.at == next) {
+                self.router_input(due.router, Input::Tick);
+            } else {
+                self.tick_sessions();
+            }
+        }
+        self.now = end;
+    }
+
+    fn next_due_router(&self) -> Option<DueRouter> {
+        let due = |(router, node): (usize, &RouterNode)| DueRouter { at: node.subscriber.next_due(), router };
+        self.routers.iter().enumerate().map(due).min()
+    }
+
+    fn next_due_sessions(&self) -> Option<Micros> {
+        let running = self.controls.iter().filter(|control| control.is_running);
+        running.filter_map(|control| control.sessions.next_due()).min()
+    }
+
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.scheduled += 1;
+        let at = self.now + after;
+        self.events.push(Reverse(ScheduledEvent { at, sequence: self.scheduled, event }));
+    }
+}
+
+/// The router that is due first; the one with the lower index if two are due at the same time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct DueRouter {
+    at: Micros,
+    router: usize,
+}
