--- a/crates/budget/src/bill.rs
+++ b/crates/budget/src/bill.rs
@@ -19,11 +19,14 @@
 #[serde(rename_all = "snake_case")]
 pub enum Work {
     /// Read and keep.
-    Read,
+    #[serde(rename = "read")]
+    Prefill,
     /// Pull state and write.
-    Pull,
+    #[serde(rename = "pull")]
+    Decode,
     /// Read and write.
-    Whole,
+    #[serde(rename = "whole")]
+    Combined,
 }
 
 /// One line of an engine's own record: an attempt that did work. Documented in `docs/bills.md`.
@@ -41,7 +44,8 @@
     /// Prompt tokens; of a pull, pulled ones.
     pub prompt: u64,
     /// Of these, not read: kept or pulled.
-    pub kept: u64,
+    #[serde(rename = "kept")]
+    pub cached: u64,
     /// Tokens written.
     pub output: u64,
     /// When it ended, µs since 1970.
@@ -52,10 +56,10 @@
     /// The tokens that it did: a pull reads none.
     fn done(&self) -> Usage {
         match self.work {
-            Work::Pull => Usage { prompt: 0, kept: 0, output: self.output },
+            Work::Decode => Usage { prompt: 0, cached: 0, output: self.output },
             // A read's one token is the writer's to write again.
-            Work::Read => Usage { prompt: self.prompt, kept: self.kept, output: 0 },
-            Work::Whole => Usage { prompt: self.prompt, kept: self.kept, output: self.output },
+            Work::Prefill => Usage { prompt: self.prompt, cached: self.cached, output: 0 },
+            Work::Combined => Usage { prompt: self.prompt, cached: self.cached, output: self.output },
         }
     }
 }
@@ -291,7 +295,7 @@
         let off = |a: u64, b: u64| a.abs_diff(b);
         let differs = off(usage.prompt, engines.prompt)
             + off(usage.output, engines.output)
-            + if off(usage.prompt, engines.prompt) == 0 { off(usage.kept, engines.kept) } else { 0 };
+            + if off(usage.prompt, engines.prompt) == 0 { off(usage.cached, engines.cached) } else { 0 };
         if differs > 0 {
             let cause = if missing { Cause::NoEngineRecord } else { Cause::Mismatch };
             bill.differences.push(Difference {
@@ -340,6 +344,6 @@
 }
 
 /// A sum of millionths as whole smallest units, rounded half up; once for each printed sum.
-pub fn whole(millionths: u128) -> u128 {
+pub fn round_to_smallest_unit(millionths: u128) -> u128 {
     (millionths + 500_000) / 1_000_000
 }
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -25,7 +25,7 @@
     };
     Plan {
         calendar: Calendar::new("UTC").unwrap(),
-        weights: Weights { prompt: 1, kept: 1, output: 0 },
+        weights: Weights { prompt: 1, cached: 1, output: 0 },
         limits: BTreeMap::from([(key, limit)]),
         rates: BTreeMap::new(),
         margin: 0,
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -78,7 +78,8 @@
     /// A prompt token that was read.
     pub prompt: u64,
     /// One that was kept.
-    pub kept: u64,
+    #[serde(rename = "kept")]
+    pub cached: u64,
     /// A token of an answer.
     pub output: u64,
 }
@@ -86,9 +87,9 @@
 impl Price {
     /// Millionths of the smallest unit; rounded only in sums of a bill.
     pub fn of(&self, usage: Usage) -> u128 {
-        let kept = usage.kept.min(usage.prompt);
-        u128::from(usage.prompt - kept) * u128::from(self.prompt)
-            + u128::from(kept) * u128::from(self.kept)
+        let cached = usage.cached.min(usage.prompt);
+        u128::from(usage.prompt - cached) * u128::from(self.prompt)
+            + u128::from(cached) * u128::from(self.cached)
             + u128::from(usage.output) * u128::from(self.output)
     }
 }
--- a/crates/budget/src/units.rs
+++ b/crates/budget/src/units.rs
@@ -49,13 +49,13 @@
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// This times `part` of `whole`, rounded down; 0 of nothing.
+    /// This times `part` of `total`, rounded down; 0 of nothing.
     #[must_use]
-    pub fn share(self, part: u64, whole: u64) -> Self {
-        if whole == 0 {
+    pub fn share(self, part: u64, total: u64) -> Self {
+        if total == 0 {
             return Self(0);
         }
-        let value = u128::from(self.0) * u128::from(part) / u128::from(whole);
+        let value = u128::from(self.0) * u128::from(part) / u128::from(total);
         Self(u64::try_from(value).unwrap_or(u64::MAX))
     }
 }
@@ -72,7 +72,8 @@
     /// Of the prompt, kept ones included.
     pub prompt: u64,
     /// Of these, found kept and not read again.
-    pub kept: u64,
+    #[serde(rename = "kept")]
+    pub cached: u64,
     /// Of the answer.
     pub output: u64,
 }
@@ -83,7 +84,7 @@
     pub fn plus(self, other: Self) -> Self {
         Self {
             prompt: self.prompt.saturating_add(other.prompt),
-            kept: self.kept.saturating_add(other.kept),
+            cached: self.cached.saturating_add(other.cached),
             output: self.output.saturating_add(other.output),
         }
     }
@@ -100,29 +101,30 @@
     /// A prompt token that was read.
     pub prompt: u32,
     /// A prompt token that was kept.
-    pub kept: u32,
+    #[serde(rename = "kept")]
+    pub cached: u32,
     /// A token of the answer.
     pub output: u32,
 }
 
 impl Default for Weights {
     fn default() -> Self {
-        Self { prompt: 1_000, kept: 1_000, output: 1_000 }
+        Self { prompt: 1_000, cached: 1_000, output: 1_000 }
     }
 }
 
 impl Weights {
     /// What a usage costs.
     pub fn cost(&self, usage: Usage) -> Units {
-        let kept = usage.kept.min(usage.prompt);
+        let cached = usage.cached.min(usage.prompt);
         let of = |tokens: u64, weight: u32| tokens.saturating_mul(u64::from(weight));
-        let read = of(usage.prompt - kept, self.prompt);
-        Units(read.saturating_add(of(kept, self.kept)).saturating_add(of(usage.output, self.output)))
+        let read = of(usage.prompt - cached, self.prompt);
+        Units(read.saturating_add(of(cached, self.cached)).saturating_add(of(usage.output, self.output)))
     }
 
     /// The most that a request can cost: nothing is kept, or all, whichever is dearer.
     pub fn worst(&self, prompt: u64, output: u64) -> Units {
-        let dearer = self.prompt.max(self.kept);
+        let dearer = self.prompt.max(self.cached);
         Units(
             prompt
                 .saturating_mul(u64::from(dearer))
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -34,14 +34,26 @@
 fn plan(limits: Vec<(AccountKey, Limit)>, mode: Mode) -> Plan {
     Plan {
         calendar: Calendar::new("Europe/Zurich").unwrap(),
-        weights: Weights { prompt: 1_000, kept: 100, output: 4_000 },
+        weights: Weights { prompt: 1_000, cached: 100, output: 4_000 },
         limits: limits.into_iter().collect(),
         rates: BTreeMap::new(),
         margin: 0,
         mode,
         prices: vec![
-            Price { from: "2026-01-01".into(), currency: "Rp".into(), prompt: 300, kept: 30, output: 1_500 },
-            Price { from: "2026-12-01".into(), currency: "Rp".into(), prompt: 400, kept: 30, output: 1_500 },
+            Price {
+                from: "2026-01-01".into(),
+                currency: "Rp".into(),
+                prompt: 300,
+                cached: 30,
+                output: 1_500,
+            },
+            Price {
+                from: "2026-12-01".into(),
+                currency: "Rp".into(),
+                prompt: 400,
+                cached: 30,
+                output: 1_500,
+            },
         ],
     }
 }
@@ -54,8 +66,8 @@
     ReservationRequest { id, tenant: "nord", class: "help", identity: None, prompt, output }
 }
 
-fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, kept: u64, output: u64) -> bool {
-    k.settle(now, id, Ending::Served, Usage { prompt, kept, output }, (None, Some(0)), true)
+fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, cached: u64, output: u64) -> bool {
+    k.settle(now, id, Ending::Served, Usage { prompt, cached, output }, (None, Some(0)), true)
 }
 
 fn records(k: &mut BudgetEnforcer) -> Vec<(u64, Record)> {
@@ -76,7 +88,7 @@
     assert!(!served(&mut k, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
     assert!(!served(&mut k, noon(), "never", 1, 0, 1));
     assert!(k.admit(noon(), ask("b", 300, 50)).is_ok());
-    k.settle(noon(), "b", Ending::Failed, Usage { prompt: 300, kept: 0, output: 9 }, (None, None), false);
+    k.settle(noon(), "b", Ending::Failed, Usage { prompt: 300, cached: 0, output: 9 }, (None, None), false);
     assert_eq!(
         k.state().usage.get(&place().0, place().1).used(),
         Units(151_000),
@@ -521,7 +533,7 @@
 }
 
 fn end(id: &str, ending: Ending, usage: (u64, u64, u64), attempts: (Option<u32>, Option<u32>)) -> Record {
-    let usage = Usage { prompt: usage.0, kept: usage.1, output: usage.2 };
+    let usage = Usage { prompt: usage.0, cached: usage.1, output: usage.2 };
     let (read, write) = attempts;
     Record::Settled(Settled {
         id: id.into(),
@@ -542,7 +554,7 @@
         attempt,
         work,
         prompt: usage.0,
-        kept: usage.1,
+        cached: usage.1,
         output: usage.2,
         at: noon(),
     }
@@ -579,20 +591,20 @@
     let mut b = Books::new();
     let two = (Some(0), Some(1));
     b.put("r1", [charge("a", None, "help", noon()), end("a", Ending::Served, (100, 20, 30), two)]);
-    b.biller.work(work("a", 0, Work::Read, (100, 20, 1)));
-    b.biller.work(work("a", 1, Work::Pull, (100, 100, 30)));
+    b.biller.work(work("a", 0, Work::Prefill, (100, 20, 1)));
+    b.biller.work(work("a", 1, Work::Decode, (100, 100, 30)));
     b.put("r2", [charge("b", None, "help", noon()), end("b", Ending::Served, (50, 0, 5), (None, Some(0)))]);
-    b.biller.work(work("b", 0, Work::Whole, (50, 0, 5)));
+    b.biller.work(work("b", 0, Work::Combined, (50, 0, 5)));
     let bill = b.bill();
     assert_eq!((bill.engine_tokens, bill.billed_tokens), (185, 185));
     assert_eq!((bill.explained_tokens, bill.unexplained_tokens, bill.differences.len()), (0, 0, 0));
     let line = &bill.lines[&("nord".into(), "help".into(), "2026-12-01".into())];
     let price = 130 * 400 + 20 * 30 + 35 * 1_500;
-    let usage = Usage { prompt: 150, kept: 20, output: 35 };
+    let usage = Usage { prompt: 150, cached: 20, output: 35 };
     let expected =
         BillLine { requests: 2, usage, price_millionths: Some(price), currency: Some("Rp".into()) };
     assert_eq!(line, &expected);
-    assert_eq!(bill::whole(499_999) + bill::whole(500_000), 1);
+    assert_eq!(bill::round_to_smallest_unit(499_999) + bill::round_to_smallest_unit(500_000), 1);
 }
 
 #[test]
@@ -604,27 +616,27 @@
         [charge(id, identity, "help", noon()), end(id, ending, usage, attempts)]
     };
     b.put("r1", both("broken", None, Ending::Broken, (0, 0, 0), none));
-    b.biller.work(work("broken", 0, Work::Whole, (10, 0, 7)));
+    b.biller.work(work("broken", 0, Work::Combined, (10, 0, 7)));
     // The client left after the router had counted 3 tokens; the engine had written 5.
     b.put("r1", both("left", None, Ending::Left, (11, 0, 3), whole));
-    b.biller.work(work("left", 0, Work::Whole, (12, 2, 5)));
+    b.biller.work(work("left", 0, Work::Combined, (12, 2, 5)));
     b.put("r1", both("early", None, Ending::LeftEarly, (0, 0, 0), none));
-    b.biller.work(work("early", 0, Work::Read, (13, 0, 1)));
+    b.biller.work(work("early", 0, Work::Prefill, (13, 0, 1)));
     b.put("r1", both("failed", None, Ending::Failed, (0, 0, 0), none));
-    b.biller.work(work("failed", 0, Work::Whole, (14, 0, 0)));
+    b.biller.work(work("failed", 0, Work::Combined, (14, 0, 0)));
     // Kept text was lost, so the prompt was read again by a second attempt.
     b.put("r1", both("again", None, Ending::Served, (15, 0, 2), (Some(2), Some(3))));
-    b.biller.work(work("again", 0, Work::Read, (15, 8, 1)));
-    b.biller.work(work("again", 2, Work::Read, (15, 0, 1)));
-    b.biller.work(work("again", 3, Work::Pull, (15, 15, 2)));
+    b.biller.work(work("again", 0, Work::Prefill, (15, 8, 1)));
+    b.biller.work(work("again", 2, Work::Prefill, (15, 0, 1)));
+    b.biller.work(work("again", 3, Work::Decode, (15, 15, 2)));
     // The router died between the answer's end and its settlement.
     b.put("r1", both("orphan", None, Ending::Orphaned, (0, 0, 0), none));
-    b.biller.work(work("orphan", 0, Work::Whole, (16, 0, 9)));
+    b.biller.work(work("orphan", 0, Work::Combined, (16, 0, 9)));
     // The same identity at two routers.
     b.put("r1", both("first", Some("k"), Ending::Served, (17, 0, 1), whole));
     b.put("r2", both("second", Some("k"), Ending::Served, (17, 0, 1), whole));
-    b.biller.work(work("first", 0, Work::Whole, (17, 0, 1)));
-    b.biller.work(work("second", 0, Work::Whole, (17, 0, 1)));
+    b.biller.work(work("first", 0, Work::Combined, (17, 0, 1)));
+    b.biller.work(work("second", 0, Work::Combined, (17, 0, 1)));
     b.put("r2", both("refused", None, Ending::Refused, (0, 0, 0), none));
     let bill = b.bill();
     let mut got = causes(&bill);
@@ -650,8 +662,8 @@
     let whole = (None, Some(0));
     b.put("r1", [charge("gone", None, "help", noon()), end("gone", Ending::Served, (10, 0, 1), whole)]);
     b.put("r1", [charge("off", None, "help", noon()), end("off", Ending::Served, (10, 0, 4), whole)]);
-    b.biller.work(work("off", 0, Work::Whole, (10, 0, 1)));
-    b.biller.work(work("unknown", 0, Work::Whole, (7, 0, 1)));
+    b.biller.work(work("off", 0, Work::Combined, (10, 0, 1)));
+    b.biller.work(work("unknown", 0, Work::Combined, (7, 0, 1)));
     let bill = b.bill();
     let expected = [
         ("gone", Cause::NoEngineRecord, 11),
@@ -669,7 +681,7 @@
     for _ in 0..2 {
         b.biller.record("r1", 2, &records[1]);
         b.biller.record("r1", 1, &records[0]);
-        b.biller.work(work("a", 0, Work::Whole, (10, 0, 1)));
+        b.biller.work(work("a", 0, Work::Combined, (10, 0, 1)));
     }
     // What was taken in November is in November's bill, and what is still open in none.
     let november = at("2026-11-30T23:59:59[Europe/Zurich]");
@@ -677,7 +689,7 @@
         "r3",
         [charge("old", None, "help", november), end("old", Ending::Served, (5, 0, 1), (None, Some(0)))],
     );
-    b.biller.work(work("old", 0, Work::Whole, (5, 0, 1)));
+    b.biller.work(work("old", 0, Work::Combined, (5, 0, 1)));
     b.put("r3", [charge("open", None, "help", noon())]);
     let bill = b.bill();
     assert_eq!((bill.billed_tokens, bill.unexplained_tokens, bill.open), (11, 0, 1));
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -84,7 +84,7 @@
         id: format!("r1-{n}").into(),
         at: START.after(4 * S + n),
         ending,
-        usage: Usage { prompt: 200 + n, kept: 20, output: n },
+        usage: Usage { prompt: 200 + n, cached: 20, output: n },
         cost: Units(1_000 * n + 250),
         read: n.is_multiple_of(2).then_some(0),
         write: (n != 1).then_some(300),
@@ -316,11 +316,11 @@
         attempt,
         work,
         prompt: 200,
-        kept: 20,
+        cached: 20,
         output: 3,
         at: START,
     };
-    let expected = [line(0, Work::Read), line(1, Work::Pull), line(2, Work::Whole)];
+    let expected = [line(0, Work::Prefill), line(1, Work::Decode), line(2, Work::Combined)];
     assert_eq!(stored.lines().count(), expected.len());
     for (expected, stored) in expected.iter().zip(stored.lines()) {
         assert_eq!(&serde_json::from_str::<EngineLine>(stored).unwrap(), expected);
--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use chalkyard_budget::bill::{whole, Bill, Biller, EngineLine};
+use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, EngineLine};
 use chalkyard_budget::{Record, Span};
 use chalkyard_ledger::{read, segment_number, Folder, Volume};
 
@@ -150,13 +150,13 @@
         let price = line.price_millionths.map(|p| {
             let currency = line.currency.as_deref().unwrap_or("");
             *sums.entry((tenant, currency)).or_default() += p;
-            format!("{} {currency}", whole(p))
+            format!("{} {currency}", round_to_smallest_unit(p))
         });
         println!(
             "{tenant} {class} {day}: {} requests, {} prompt tokens ({} of them kept), {} output tokens, {}",
             line.requests,
             line.usage.prompt,
-            line.usage.kept,
+            line.usage.cached,
             line.usage.output,
             price.unwrap_or_else(|| "no price".into())
         );
@@ -168,7 +168,8 @@
     }
     for ((tenant, currency), sum) in sums {
         let amounts = hand.iter().filter(|((t, ..), _)| t == tenant).flat_map(|(_, l)| l).map(|(_, a, _)| *a);
-        let total = i128::try_from(whole(sum)).unwrap_or(i128::MAX) + amounts.map(i128::from).sum::<i128>();
+        let total = i128::try_from(round_to_smallest_unit(sum)).unwrap_or(i128::MAX)
+            + amounts.map(i128::from).sum::<i128>();
         println!("{tenant}: {total} {currency} in all");
     }
     if bill.open > 0 {
--- a/crates/daemon/tests/stored_budgets.rs
+++ b/crates/daemon/tests/stored_budgets.rs
@@ -194,7 +194,7 @@
         id: "a".into(),
         at,
         ending: Ending::Served,
-        usage: Usage { prompt: 200, kept: 0, output: 50 },
+        usage: Usage { prompt: 200, cached: 0, output: 50 },
         cost: Units::tokens(400),
         read: None,
         write: Some(0),
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -98,7 +98,7 @@
         let taken = enforcer.admit(NOW.after(n), request);
         admit.record(start.elapsed().as_nanos() as u64)?;
         refused += u64::from(taken.is_err());
-        let usage = Usage { prompt: 910, kept: 64, output: 120 };
+        let usage = Usage { prompt: 910, cached: 64, output: 120 };
         let start = Instant::now();
         enforcer.settle(NOW.after(n), &id, Ending::Served, usage, (Some(0), Some(1)), true);
         settle.record(start.elapsed().as_nanos() as u64)?;
@@ -119,7 +119,7 @@
     let id: Box<str> = format!("r1-64a3c2b1f-{n:x}").into();
     let at = NOW.after(n * 50);
     let slot = |kind| Place { class: None, kind, start: NOW };
-    let usage = Usage { prompt: 910, kept: 64, output: 120 };
+    let usage = Usage { prompt: 910, cached: 64, output: 120 };
     [
         Record::Reserved(Charge {
             id: id.clone(),
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -97,7 +97,7 @@
             output: 400,
         };
         if member.enforcer.admit(at, request).is_ok() {
-            let usage = Usage { prompt: 910, kept: 64, output: 120 };
+            let usage = Usage { prompt: 910, cached: 64, output: 120 };
             member.enforcer.settle(at, &id, Ending::Served, usage, (Some(0), Some(1)), true);
         }
     }
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -252,7 +252,7 @@
         let u = self.usage;
         let prompt = if u.prompt_tokens == 0 { self.request.prompt_tokens } else { u.prompt_tokens };
         let output = if cut || u.output_tokens == 0 { self.pieces } else { u.output_tokens };
-        Tokens { prompt, kept: u.kept_tokens.min(prompt), output }
+        Tokens { prompt, cached: u.kept_tokens.min(prompt), output }
     }
 
     /// The attempt that read the prompt for the one whose answer was given, and that one.
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -119,7 +119,7 @@
     assert!(record.unwrap() < said.unwrap(), "{out:?}");
     let Some(Output::Record(_, r)) = out.get(record.unwrap()) else { panic!() };
     let Record::Settled(s) = &**r else { panic!() };
-    assert_eq!((s.ending, s.usage.prompt, s.usage.kept, s.usage.output), (Ending::Served, 4_000, 64, 2));
+    assert_eq!((s.ending, s.usage.prompt, s.usage.cached, s.usage.output), (Ending::Served, 4_000, 64, 2));
     assert_eq!((s.read, s.write), (Some(0), Some(1)));
 }
 
--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -215,7 +215,7 @@
         from: e.must("from", Day("2000-01-01".into()), errors).0,
         currency: e.must("currency", Currency("x".into()), errors).0,
         prompt: e.must("prompt", 0_u64, errors),
-        kept: e.must("kept", 0_u64, errors),
+        cached: e.must("kept", 0_u64, errors),
         output: e.must("output", 0_u64, errors),
     }
 }
@@ -264,7 +264,7 @@
             "weights" => {
                 let mut weight = |name| child.or(name, Thousandths(1_000), errors).0;
                 weights =
-                    Weights { prompt: weight("prompt"), kept: weight("kept"), output: weight("output") };
+                    Weights { prompt: weight("prompt"), cached: weight("kept"), output: weight("output") };
             }
             "settlement" => {
                 if settle.replace(settlement(&mut child, errors)).is_some() {
