--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -6,7 +6,7 @@
 
 use chalkyard_budget::bill::{EngineLine, Work};
 use chalkyard_budget::*;
-use chalkyard_ledger::{encode, read, segment_name, Folder, Tail};
+use chalkyard_ledger::{encode, read, segment_name, DirectoryVolume, Tail};
 
 const START: Time = Time(1_796_100_000_000_000);
 const S: u64 = 1_000_000;
@@ -134,14 +134,14 @@
 fn read_segment(folder: &str) -> (chalkyard_ledger::Report, Vec<(u64, Record)>) {
     let mut records = Vec::new();
     let names = [segment_name(1)];
-    let report = read(&Folder::reader(&data(folder)), &names, |n, r| records.push((n, r))).unwrap();
+    let report = read(&DirectoryVolume::reader(&data(folder)), &names, |n, r| records.push((n, r))).unwrap();
     (report, records)
 }
 
 #[test]
 fn ledger_with_every_record_gives_their_values() {
     let (report, read) = read_segment("ledger");
-    assert_eq!((report.records, report.tail, report.trouble()), (20, Tail::Whole, None));
+    assert_eq!((report.records, report.tail, report.describe_damage()), (20, Tail::Complete, None));
     assert_eq!(read, records());
 }
 
--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -7,7 +7,7 @@
 
 use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, EngineLine};
 use chalkyard_budget::{Record, Span};
-use chalkyard_ledger::{read, segment_number, Folder, Volume};
+use chalkyard_ledger::{read, segment_number, DirectoryVolume, Volume};
 
 use crate::settle::{Adjustments, Change};
 use crate::{Format, Trouble};
@@ -28,7 +28,7 @@
 
 /// All segments of a ledger.
 fn all_segments(folder: &Path) -> Result<Vec<String>, Trouble> {
-    let names = Folder::reader(folder).list();
+    let names = DirectoryVolume::reader(folder).list();
     let names = names.map_err(|e| Trouble::BadInput(format!("{}: {e}", folder.display())))?;
     let mut segments: Vec<(u64, String)> =
         names.into_iter().filter_map(|n| segment_number(&n).map(|i| (i, n))).collect();
@@ -41,9 +41,9 @@
     if names.is_empty() {
         return Err(Trouble::BadInput(format!("{}: no ledger there", folder.display())));
     }
-    let report = read(&Folder::reader(folder), &names, &mut take)
+    let report = read(&DirectoryVolume::reader(folder), &names, &mut take)
         .map_err(|e| Trouble::BadInput(format!("{}: {e}", folder.display())))?;
-    Ok(report.trouble())
+    Ok(report.describe_damage())
 }
 
 fn read_engines(file: &Path, biller: &mut Biller) -> Result<(), Trouble> {
@@ -80,7 +80,7 @@
         let name = folder.display().to_string();
         let trouble = read_ledger(folder, |number, record| biller.record(&name, number, &record))?;
         troubles.extend(trouble.map(|t| format!("{name}: {t}")));
-        for sums in Folder::reader(folder).list().unwrap_or_default() {
+        for sums in DirectoryVolume::reader(folder).list().unwrap_or_default() {
             let before = sums.strip_prefix("sums-before-").and_then(|s| s.strip_suffix(".json"));
             let before = before.and_then(|b| budgets.plan.calendar.named(b).ok());
             if before.is_some_and(|(_, cut)| cut.start > period.start) {
@@ -204,8 +204,8 @@
     let (_, cut) =
         budgets.plan.calendar.named(before).map_err(|why| Trouble::BadInput(format!("--before: {why}")))?;
     let names = all_segments(folder)?;
-    let volume = Folder::reader(folder);
-    let wrong = |e: chalkyard_ledger::Error| Trouble::BadInput(format!("{}: {e}", folder.display()));
+    let volume = DirectoryVolume::reader(folder);
+    let wrong = |e: chalkyard_ledger::LedgerError| Trouble::BadInput(format!("{}: {e}", folder.display()));
     // A segment may go if a later one begins with a checkpoint and no record in it is as late as the cut.
     let (mut old, mut biller, mut records) = (Vec::new(), Biller::default(), 0_u64);
     let mut open: BTreeSet<Box<str>> = BTreeSet::new();
--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use chalkyard_budget::{BudgetEnforcer, Figures, Grant, Record, Settled, SigningKey, State, Time};
-use chalkyard_ledger::{Folder, Limits, Writer};
+use chalkyard_ledger::{DirectoryVolume, Limits, Writer};
 use chalkyard_router::shell::{News, Sink};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
 use chalkyard_state::Act;
@@ -59,7 +59,7 @@
 
 /// The ledger of a running router.
 pub struct Ledger {
-    writer: Writer<Folder>,
+    writer: Writer<DirectoryVolume>,
     sync: Duration,
     told: bool,
     failing: bool,
@@ -88,19 +88,19 @@
     news: &SyncSender<News>,
 ) -> Result<Recovered, Trouble> {
     let at = budgets.ledger.display();
-    let folder = Folder::writer(&budgets.ledger).map_err(|e| match e.kind() {
+    let folder = DirectoryVolume::writer(&budgets.ledger).map_err(|e| match e.kind() {
         std::io::ErrorKind::WouldBlock => {
             Trouble::CouldNotRun(format!("ledger {at}: another process writes this ledger"))
         }
         _ => Trouble::CouldNotRun(format!("ledger {at}: {e}")),
     })?;
-    let limits = Limits { segment: budgets.segment, ..Limits::default() };
+    let limits = Limits { segment_bytes: budgets.segment, ..Limits::default() };
     let (mut state, start) = (State::default(), Instant::now());
     let opened = Writer::open(folder, limits, is_checkpoint, |number, record| {
         state.take(number, &record);
     });
     let opened = opened.map_err(|e| Trouble::CouldNotRun(format!("ledger {at}: {e}")))?;
-    if let Some(trouble) = opened.report.trouble() {
+    if let Some(trouble) = opened.report.describe_damage() {
         warn!(target: "ledger", "{trouble}");
     }
     // Numbers of records that were damaged are not given again.
@@ -187,7 +187,7 @@
         let again = self.again <= Instant::now();
         if again {
             self.again = Instant::now() + AGAIN;
-            self.writer.heal();
+            self.writer.retry_reserve();
         }
         if self.told != self.writer.is_writable() {
             self.told = self.writer.is_writable();
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use chalkyard_budget::{AccountKey, LeaseAllocator, Plan, Round, SigningKey, State, Time};
-use chalkyard_ledger::{Folder, Follower, Item, Limits, Writer};
+use chalkyard_ledger::{DirectoryVolume, FollowEvent, Follower, Limits, Writer};
 use serde::{Deserialize, Serialize};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -79,8 +79,8 @@
             let told = self.follower.poll(
                 |_: &Adjustment| false,
                 |item| match item {
-                    Item::Again => read.clear(),
-                    Item::Record(number, adjustment) => read.push((number, adjustment)),
+                    FollowEvent::Restart => read.clear(),
+                    FollowEvent::Record(number, adjustment) => read.push((number, adjustment)),
                 },
             );
             let wrong = |what: String| Trouble::CouldNotRun(format!("{}: {what}", self.folder.display()));
@@ -96,8 +96,8 @@
 pub fn add_adjustment(settlement: &Settlement, adjustment: &Adjustment) -> Result<u64, Trouble> {
     let folder = adjustments(settlement);
     let wrong = |e: String| Trouble::CouldNotRun(format!("{}: {e}", folder.display()));
-    let volume = Folder::writer(&folder).map_err(|e| wrong(e.to_string()))?;
-    let limits = Limits { ballast: 0, ..Limits::default() };
+    let volume = DirectoryVolume::writer(&folder).map_err(|e| wrong(e.to_string()))?;
+    let limits = Limits { reserve_bytes: 0, ..Limits::default() };
     let opened =
         Writer::open(volume, limits, |_: &Adjustment| false, |_, _| {}).map_err(|e| wrong(e.to_string()))?;
     let mut writer = opened.writer;
@@ -228,8 +228,8 @@
         for (name, follower, state) in &mut self.ledgers {
             let read_at = now();
             let told = follower.poll(is_checkpoint, |item| match item {
-                Item::Again => *state = State::default(),
-                Item::Record(number, record) => {
+                FollowEvent::Restart => *state = State::default(),
+                FollowEvent::Record(number, record) => {
                     state.take(number, &record);
                 }
             });
--- a/crates/daemon/src/settle_test.rs
+++ b/crates/daemon/src/settle_test.rs
@@ -43,9 +43,9 @@
 fn stored_adjustments_are_read_with_their_values() {
     let mut records = Vec::new();
     let names = [segment_name(1)];
-    let volume = Folder::reader(Path::new(STORED));
+    let volume = DirectoryVolume::reader(Path::new(STORED));
     let report = read(&volume, &names, |n, a: Adjustment| records.push((n, a))).unwrap();
-    assert_eq!(report.trouble(), None);
+    assert_eq!(report.describe_damage(), None);
     assert_eq!(records, stored());
 }
 
--- a/crates/daemon/tests/stored_budgets.rs
+++ b/crates/daemon/tests/stored_budgets.rs
@@ -10,7 +10,7 @@
     AccountKey, Adopted, Calendar, Charge, Ending, Kind, Place, Record, Settled, SigningKey, Span, Time,
     Units, Usage,
 };
-use chalkyard_ledger::{Folder, Limits, Writer};
+use chalkyard_ledger::{DirectoryVolume, Limits, Writer};
 use common::*;
 
 const S: u64 = 1_000_000;
@@ -211,8 +211,8 @@
 }
 
 fn write_ledger(folder: &Path, records: &[Record]) {
-    let limits = Limits { ballast: 0, ..Limits::default() };
-    let volume = Folder::writer(folder).unwrap();
+    let limits = Limits { reserve_bytes: 0, ..Limits::default() };
+    let volume = DirectoryVolume::writer(folder).unwrap();
     let opened = Writer::open(volume, limits, |_: &Record| false, |_, _| {});
     let mut writer = opened.unwrap().writer;
     for record in records {
--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -107,7 +107,7 @@
     }
 
     /// Offset after the last good frame.
-    pub fn good(&self) -> usize {
+    pub fn valid_length(&self) -> usize {
         self.at
     }
 
@@ -134,7 +134,7 @@
 impl<'a> Iterator for Frames<'a> {
     type Item = (u64, &'a [u8]);
 
-    /// The next record's number and payload. At the end, [`Frames::good`] says where the good part ends.
+    /// The next record's number and payload. At the end, [`Frames::valid_length`] says where the good part ends.
     fn next(&mut self) -> Option<Self::Item> {
         let mut at = self.at;
         let found = loop {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -11,15 +11,15 @@
 mod volume;
 mod writer;
 
-pub use follow::{Follower, Item};
+pub use follow::{FollowEvent, Follower};
 pub use frame::{decode, encode, Damage, Frames, FRAME_BYTES};
 pub use reader::{last_segments, read, Report, Tail};
-pub use volume::{segment_name, segment_number, Folder, Volume};
+pub use volume::{segment_name, segment_number, DirectoryVolume, Volume};
 pub use writer::{Limits, Opened, Writer};
 
 /// Why a ledger can't be read or written.
 #[derive(Debug)]
-pub enum Error {
+pub enum LedgerError {
     /// The file system refused.
     Io(String, std::io::Error),
     /// Another process writes it.
@@ -30,7 +30,7 @@
     TooLarge(usize),
 }
 
-impl std::fmt::Display for Error {
+impl std::fmt::Display for LedgerError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Io(what, e) => write!(f, "{what}: {e}"),
@@ -41,4 +41,4 @@
     }
 }
 
-impl std::error::Error for Error {}
+impl std::error::Error for LedgerError {}
--- a/crates/ledger/src/reader.rs
+++ b/crates/ledger/src/reader.rs
@@ -4,13 +4,13 @@
 
 use crate::frame::{decode, Damage, Frames, HEAD};
 use crate::volume::{segment_number, Volume};
-use crate::Error;
+use crate::LedgerError;
 
 /// How the newest segment ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tail {
     /// With a whole record, or it has none.
-    Whole,
+    Complete,
     /// So many bytes after the last whole record are none: cut short by a crash.
     Torn(usize),
 }
@@ -25,7 +25,7 @@
     /// The number that the next record gets.
     pub next: u64,
     /// Length of the newest segment's good part.
-    pub good: usize,
+    pub valid_length: usize,
     /// The newest segment's end.
     pub tail: Tail,
     /// Damage stepped over, by segment. Of records that could not be decoded the numbers are named.
@@ -39,10 +39,10 @@
 pub fn last_segments<T: DeserializeOwned>(
     volume: &impl Volume,
     is_checkpoint: impl Fn(&T) -> bool,
-) -> Result<Vec<String>, Error> {
+) -> Result<Vec<String>, LedgerError> {
     let all = segments(volume)?;
     for (i, name) in all.iter().enumerate().rev() {
-        let bytes = volume.read(name).map_err(|e| Error::Io(name.clone(), e))?;
+        let bytes = volume.read(name).map_err(|e| LedgerError::Io(name.clone(), e))?;
         let Ok(mut frames) = Frames::new(&bytes) else { continue };
         let first = frames.next().filter(|_| frames.damage.is_empty()).and_then(|(_, p)| decode(p));
         if first.is_some_and(|record| is_checkpoint(&record)) {
@@ -52,8 +52,8 @@
     Ok(all)
 }
 
-pub(crate) fn segments(volume: &impl Volume) -> Result<Vec<String>, Error> {
-    let names = volume.list().map_err(|e| Error::Io("ledger".into(), e))?;
+pub(crate) fn segments(volume: &impl Volume) -> Result<Vec<String>, LedgerError> {
+    let names = volume.list().map_err(|e| LedgerError::Io("ledger".into(), e))?;
     let mut numbered: Vec<(u64, String)> =
         names.into_iter().filter_map(|n| segment_number(&n).map(|i| (i, n))).collect();
     numbered.sort();
@@ -68,32 +68,32 @@
     volume: &impl Volume,
     names: &[String],
     mut take: impl FnMut(u64, T),
-) -> Result<Report, Error> {
+) -> Result<Report, LedgerError> {
     let mut report = Report {
         segments: names.to_vec(),
         records: 0,
         next: 1,
-        good: 0,
-        tail: Tail::Whole,
+        valid_length: 0,
+        tail: Tail::Complete,
         damage: Vec::new(),
     };
     for (i, name) in names.iter().enumerate() {
         let newest = i + 1 == names.len();
-        let bytes = volume.read(name).map_err(|e| Error::Io(name.clone(), e))?;
+        let bytes = volume.read(name).map_err(|e| LedgerError::Io(name.clone(), e))?;
         let mut frames = match Frames::new(&bytes) {
             Ok(frames) => frames,
             Err(_) if newest && bytes.len() <= HEAD => {
-                report.good = 0;
+                report.valid_length = 0;
                 report.tail = Tail::Torn(bytes.len());
                 continue;
             }
-            Err(why) => return Err(Error::Foreign(name.clone(), why)),
+            Err(why) => return Err(LedgerError::Foreign(name.clone(), why)),
         };
         while let Some((number, payload)) = frames.next() {
             match decode(payload) {
                 Some(record) => take(number, record),
                 None => {
-                    let at = frames.good();
+                    let at = frames.valid_length();
                     let lost = (number, number + 1);
                     report.damage.push((name.clone(), Damage { from: at - payload.len(), to: at, lost }));
                 }
@@ -102,12 +102,12 @@
         }
         report.damage.extend(std::mem::take(&mut frames.damage).into_iter().map(|d| (name.clone(), d)));
         report.next = report.next.max(frames.next_number());
-        report.good = frames.good();
-        let rest = bytes.len() - frames.good();
-        report.tail = if rest == 0 { Tail::Whole } else { Tail::Torn(rest) };
+        report.valid_length = frames.valid_length();
+        let rest = bytes.len() - frames.valid_length();
+        report.tail = if rest == 0 { Tail::Complete } else { Tail::Torn(rest) };
         if rest > 0 && !newest {
             let lost = (frames.next_number(), frames.next_number());
-            report.damage.push((name.clone(), Damage { from: frames.good(), to: bytes.len(), lost }));
+            report.damage.push((name.clone(), Damage { from: frames.valid_length(), to: bytes.len(), lost }));
         }
     }
     Ok(report)
--- a/crates/ledger/src/volume.rs
+++ b/crates/ledger/src/volume.rs
@@ -34,11 +34,11 @@
     /// Appends to it; how many bytes were taken.
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize>;
     /// Cuts it.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// Has all written so far brought to the disk; it need not be there on return.
     fn sync(&mut self) -> io::Result<()>;
     /// Keeps so much space aside under a name.
-    fn set_aside(&mut self, name: &str, bytes: usize) -> io::Result<()>;
+    fn reserve_space(&mut self, name: &str, bytes: usize) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
@@ -46,7 +46,7 @@
 /// A folder of the file system. Syncing happens on a thread of its own; if it fails, that is told at the
 /// next call.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DirectoryVolume {
     path: PathBuf,
     file: Option<File>,
     syncer: SyncSender<File>,
@@ -54,7 +54,7 @@
     _lock: Option<File>,
 }
 
-impl Folder {
+impl DirectoryVolume {
     /// For reading only.
     pub fn reader(path: &Path) -> Self {
         let (syncer, _) = sync_channel(0);
@@ -99,7 +99,7 @@
     }
 }
 
-impl Volume for Folder {
+impl Volume for DirectoryVolume {
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
@@ -138,7 +138,7 @@
         self.current()?.write(bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.current()?.set_len(length)
     }
 
@@ -150,7 +150,7 @@
         self.sync_later(file)
     }
 
-    fn set_aside(&mut self, name: &str, bytes: usize) -> io::Result<()> {
+    fn reserve_space(&mut self, name: &str, bytes: usize) -> io::Result<()> {
         let path = self.path.join(name);
         if std::fs::metadata(&path).is_ok_and(|m| m.len() == bytes as u64) {
             return Ok(());
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -8,26 +8,30 @@
 use crate::frame::{encode, head};
 use crate::reader::{read, segments, Report, Tail};
 use crate::volume::{segment_name, segment_number, Volume};
-use crate::{last_segments, Error};
+use crate::{last_segments, LedgerError};
 
 /// Bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// A segment of this many bytes is followed by a new one.
-    pub segment: usize,
+    pub segment_bytes: usize,
     /// Bytes kept aside for the time when the disk is full: what is open then can still be settled.
-    pub ballast: usize,
+    pub reserve_bytes: usize,
     /// Bytes of records that wait for the disk; from then on the ledger counts as unwritable.
-    pub waiting: usize,
+    pub buffered_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { segment: 64 * 1024 * 1024, ballast: 4 * 1024 * 1024, waiting: 4 * 1024 * 1024 }
+        Self {
+            segment_bytes: 64 * 1024 * 1024,
+            reserve_bytes: 4 * 1024 * 1024,
+            buffered_bytes: 4 * 1024 * 1024,
+        }
     }
 }
 
-const BALLAST: &str = "ballast";
+const RESERVE_FILE: &str = "ballast";
 
 /// Appends to a ledger.
 #[derive(Debug)]
@@ -65,23 +69,23 @@
         limits: Limits,
         is_checkpoint: impl Fn(&T) -> bool,
         take: impl FnMut(u64, T),
-    ) -> Result<Opened<V>, Error> {
+    ) -> Result<Opened<V>, LedgerError> {
         let names = last_segments(&volume, is_checkpoint)?;
         let report = read(&volume, &names, take)?;
         let wrong = |what: &str| {
             let what = what.to_owned();
-            move |e| Error::Io(what, e)
+            move |e| LedgerError::Io(what, e)
         };
         let newest = segments(&volume)?.last().cloned();
         let (segment, length) = match &newest {
             // A head that was cut: the segment is made anew.
-            Some(name) if report.good == 0 => {
+            Some(name) if report.valid_length == 0 => {
                 volume.remove(name).map_err(wrong(name))?;
                 (segment_number(name).unwrap_or(1), None)
             }
             Some(name) => {
-                volume.open(name, report.good as u64).map_err(wrong(name))?;
-                (segment_number(name).unwrap_or(1), Some(report.good as u64))
+                volume.open(name, report.valid_length as u64).map_err(wrong(name))?;
+                (segment_number(name).unwrap_or(1), Some(report.valid_length as u64))
             }
             None => (1, None),
         };
@@ -89,7 +93,7 @@
             Some(length) => length,
             None => begin(&mut volume, segment, report.next).map_err(wrong(&segment_name(segment)))?,
         };
-        let full = volume.set_aside(BALLAST, limits.ballast).is_err();
+        let full = volume.reserve_space(RESERVE_FILE, limits.reserve_bytes).is_err();
         let next = report.next;
         let writer =
             Self { volume, limits, segment, length, next, waiting: Vec::new(), unsynced: false, full };
@@ -103,20 +107,20 @@
 
     /// Whether new work may rely on it: there is room and nothing waits for long.
     pub fn is_writable(&self) -> bool {
-        !self.full && self.waiting.len() < self.limits.waiting
+        !self.full && self.waiting.len() < self.limits.buffered_bytes
     }
 
     /// Whether a new segment should begin, with a checkpoint at its head.
     pub fn wants_rotation(&self) -> bool {
-        self.length as usize + self.waiting.len() >= self.limits.segment && !self.full
+        self.length as usize + self.waiting.len() >= self.limits.segment_bytes && !self.full
     }
 
     /// Takes a record, to be written by the next [`Writer::flush`].
     ///
     /// # Errors
     /// If it is too large for a frame.
-    pub fn append(&mut self, record: &impl Serialize) -> Result<u64, Error> {
-        encode(self.next, record, &mut self.waiting).map_err(Error::TooLarge)?;
+    pub fn append(&mut self, record: &impl Serialize) -> Result<u64, LedgerError> {
+        encode(self.next, record, &mut self.waiting).map_err(LedgerError::TooLarge)?;
         self.next += 1;
         Ok(self.next - 1)
     }
@@ -129,7 +133,7 @@
     pub fn flush(&mut self) -> io::Result<()> {
         let mut done = self.write();
         if done.is_err() && !std::mem::replace(&mut self.full, true) {
-            let _ = self.volume.remove(BALLAST);
+            let _ = self.volume.remove(RESERVE_FILE);
             done = self.write();
         }
         done
@@ -155,7 +159,7 @@
 
     /// A group is written whole or not at all: half a group is cut again.
     fn undo(&mut self, error: io::Error) -> io::Result<()> {
-        self.volume.cut(self.length)?;
+        self.volume.truncate(self.length)?;
         Err(error)
     }
 
@@ -171,8 +175,11 @@
     }
 
     /// Tries whether there is room again: if what is kept aside can be kept aside anew.
-    pub fn heal(&mut self) {
-        if self.full && self.flush().is_ok() && self.volume.set_aside(BALLAST, self.limits.ballast).is_ok() {
+    pub fn retry_reserve(&mut self) {
+        if self.full
+            && self.flush().is_ok()
+            && self.volume.reserve_space(RESERVE_FILE, self.limits.reserve_bytes).is_ok()
+        {
             self.full = false;
         }
     }
@@ -181,19 +188,19 @@
     ///
     /// # Errors
     /// The file system's; the old segment goes on then, and the checkpoint was not taken.
-    pub fn rotate(&mut self, checkpoint: &impl Serialize) -> Result<(), Error> {
+    pub fn rotate(&mut self, checkpoint: &impl Serialize) -> Result<(), LedgerError> {
         let old = segment_name(self.segment);
-        self.flush().map_err(|e| Error::Io(old.clone(), e))?;
+        self.flush().map_err(|e| LedgerError::Io(old.clone(), e))?;
         let name = segment_name(self.segment + 1);
         match begin(&mut self.volume, self.segment + 1, self.next) {
             Ok(length) => (self.segment, self.length) = (self.segment + 1, length),
             Err(e) => {
-                self.volume.open(&old, self.length).map_err(|e| Error::Io(old, e))?;
-                return Err(Error::Io(name, e));
+                self.volume.open(&old, self.length).map_err(|e| LedgerError::Io(old, e))?;
+                return Err(LedgerError::Io(name, e));
             }
         }
         self.append(checkpoint)?;
-        self.flush().map_err(|e| Error::Io(name, e))
+        self.flush().map_err(|e| LedgerError::Io(name, e))
     }
 }
 
@@ -211,10 +218,13 @@
 
 impl Report {
     /// In words, for the log; none: nothing is wrong.
-    pub fn trouble(&self) -> Option<String> {
+    pub fn describe_damage(&self) -> Option<String> {
         let mut out = Vec::new();
         if let (Tail::Torn(bytes), Some(name)) = (self.tail, self.segments.last()) {
-            out.push(format!("{name}: a torn tail of {bytes} bytes after byte {} was cut", self.good));
+            out.push(format!(
+                "{name}: a torn tail of {bytes} bytes after byte {} was cut",
+                self.valid_length
+            ));
         }
         for (name, d) in &self.damage {
             out.push(format!(
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -41,7 +41,7 @@
     }
     fn open(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.current = name.into();
-        self.cut(length)
+        self.truncate(length)
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let free = self.room.borrow().saturating_sub(self.used());
@@ -52,14 +52,14 @@
         self.files.borrow_mut().get_mut(&self.current).unwrap().extend(&bytes[..n]);
         Ok(n)
     }
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.files.borrow_mut().get_mut(&self.current).unwrap().truncate(length as usize);
         Ok(())
     }
     fn sync(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn set_aside(&mut self, name: &str, bytes: usize) -> io::Result<()> {
+    fn reserve_space(&mut self, name: &str, bytes: usize) -> io::Result<()> {
         if self.room.borrow().saturating_sub(self.used()) < bytes {
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -87,7 +87,7 @@
     (opened.writer, opened.report, got)
 }
 
-const LIMITS: Limits = Limits { segment: 1 << 20, ballast: 256, waiting: 512 };
+const LIMITS: Limits = Limits { segment_bytes: 1 << 20, reserve_bytes: 256, buffered_bytes: 512 };
 
 fn written(n: u32) -> (Memory, Vec<usize>) {
     let volume = Memory::new(1 << 20);
@@ -117,7 +117,7 @@
         w.flush().unwrap();
         drop(w);
         let (_, report, got) = open(cut, LIMITS);
-        assert_eq!((got.len(), report.trouble()), (expected + 1, None));
+        assert_eq!((got.len(), report.describe_damage()), (expected + 1, None));
     }
 }
 
@@ -138,7 +138,7 @@
             let mut got = Vec::new();
             let read = read(&flipped, &names, |n, r: Rec| got.push((n, r)));
             if at < 20 {
-                prop_assert!(matches!(read, Err(Error::Foreign(..))), "a damaged head is refused: {at}");
+                prop_assert!(matches!(read, Err(LedgerError::Foreign(..))), "a damaged head is refused: {at}");
                 continue;
             }
             let report = read.unwrap();
@@ -146,7 +146,7 @@
             let expected: Vec<(u64, Rec)> =
                 (0..n).filter(|i| *i != hit).map(|i| (u64::from(i) + 1, rec(i))).collect();
             prop_assert_eq!(got, expected);
-            prop_assert!(report.trouble().is_some());
+            prop_assert!(report.describe_damage().is_some());
         }
     }
 
@@ -160,7 +160,7 @@
         let mut n = 0;
         let report = read(&volume, &[segment_name(1)], |_, _: Rec| n += 1).unwrap();
         prop_assert_eq!(report.records, n);
-        prop_assert_eq!(report.tail == Tail::Whole, bytes.is_empty());
+        prop_assert_eq!(report.tail == Tail::Complete, bytes.is_empty());
     }
 }
 
@@ -191,15 +191,15 @@
     let before = volume.files.borrow()[&segment_name(1)].clone();
     assert!(w.flush().is_err());
     assert_eq!(volume.files.borrow()[&segment_name(1)], before);
-    w.heal();
+    w.retry_reserve();
     assert!(!w.is_writable(), "still no room");
     *volume.room.borrow_mut() = 1 << 20;
-    w.heal();
+    w.retry_reserve();
     assert!(w.is_writable());
     drop(w);
     let (_, report, got) = open(volume, LIMITS);
     assert_eq!(got.len() as u32, taken + 3 + waiting);
-    assert_eq!(report.trouble(), None);
+    assert_eq!(report.describe_damage(), None);
 }
 
 /// No room for a new segment's head: the old one goes on, and nothing that is written later is lost.
@@ -221,13 +221,13 @@
     w.flush().unwrap();
     drop(w);
     let (_, report, got) = open(volume, LIMITS);
-    assert_eq!((got.len(), report.trouble()), (11, None));
+    assert_eq!((got.len(), report.describe_damage()), (11, None));
 }
 
 #[test]
 fn a_checkpoint_is_where_reading_begins() {
     let volume = Memory::new(1 << 20);
-    let (mut w, ..) = open(volume.clone(), Limits { segment: 200, ..LIMITS });
+    let (mut w, ..) = open(volume.clone(), Limits { segment_bytes: 200, ..LIMITS });
     let mut rotations = 0;
     for i in 0..60 {
         w.append(&rec(i)).unwrap();
@@ -240,7 +240,7 @@
     assert!(rotations > 3);
     drop(w);
     let mut got: Vec<(u64, Rec)> = Vec::new();
-    let limits = Limits { segment: 200, ..LIMITS };
+    let limits = Limits { segment_bytes: 200, ..LIMITS };
     let opened =
         Writer::open(volume.clone(), limits, |r: &Rec| r.0 == u32::MAX, |n, r| got.push((n, r))).unwrap();
     assert_eq!(got[0].1 .0, u32::MAX);
@@ -257,21 +257,24 @@
 #[test]
 fn a_ledger_is_followed_while_it_is_written() {
     let dir = tempfile::tempdir().unwrap();
-    let limits = Limits { segment: 300, ..LIMITS };
+    let limits = Limits { segment_bytes: 300, ..LIMITS };
     let checkpoint = |r: &Rec| r.0 == u32::MAX;
-    let reopen =
-        || Writer::open(Folder::writer(dir.path()).unwrap(), limits, checkpoint, |_, _| {}).unwrap().writer;
+    let reopen = || {
+        Writer::open(DirectoryVolume::writer(dir.path()).unwrap(), limits, checkpoint, |_, _| {})
+            .unwrap()
+            .writer
+    };
     let mut w = reopen();
     let mut follower = Follower::new(dir.path());
     let (mut got, mut again) = (Vec::new(), 0);
     let mut poll = |got: &mut Vec<u64>| {
         let mut again = 0;
         let told = follower.poll(checkpoint, |item| match item {
-            Item::Again => {
+            FollowEvent::Restart => {
                 got.clear();
                 again += 1;
             }
-            Item::Record(n, _) => got.push(n),
+            FollowEvent::Record(n, _) => got.push(n),
         });
         assert_eq!(told.unwrap(), None);
         again
@@ -307,19 +310,19 @@
 #[test]
 fn a_folder_is_written_by_one_process_and_read_by_others() {
     let dir = tempfile::tempdir().unwrap();
-    let folder = Folder::writer(dir.path()).unwrap();
+    let folder = DirectoryVolume::writer(dir.path()).unwrap();
     let opened = Writer::open(folder, LIMITS, no_checkpoint, |_, _: Rec| {}).unwrap();
     let mut w = opened.writer;
-    assert_eq!(Folder::writer(dir.path()).unwrap_err().kind(), io::ErrorKind::WouldBlock);
+    assert_eq!(DirectoryVolume::writer(dir.path()).unwrap_err().kind(), io::ErrorKind::WouldBlock);
     w.append(&rec(7)).unwrap();
     w.flush().unwrap();
     w.sync().unwrap();
     let mut got = Vec::new();
-    read(&Folder::reader(dir.path()), &[segment_name(1)], |n, r: Rec| got.push((n, r))).unwrap();
+    read(&DirectoryVolume::reader(dir.path()), &[segment_name(1)], |n, r: Rec| got.push((n, r))).unwrap();
     assert_eq!(got, [(1, rec(7))]);
     std::fs::write(dir.path().join(segment_name(2)), "something else that is longer than a head").unwrap();
     drop(w);
-    let folder = Folder::writer(dir.path()).unwrap();
+    let folder = DirectoryVolume::writer(dir.path()).unwrap();
     let refused = Writer::open(folder, LIMITS, no_checkpoint, |_, _: Rec| {});
     assert!(refused.err().unwrap().to_string().contains("000000000002.ledger: not a ledger's segment"));
 }
--- a/crates/ledger/tests/stored_data.rs
+++ b/crates/ledger/tests/stored_data.rs
@@ -49,10 +49,10 @@
     (first..).zip(entries).collect()
 }
 
-fn read_all(folder: &str, segments: &[u64]) -> Result<(Report, Vec<(u64, Entry)>), Error> {
+fn read_all(folder: &str, segments: &[u64]) -> Result<(Report, Vec<(u64, Entry)>), LedgerError> {
     let names: Vec<String> = segments.iter().map(|n| segment_name(*n)).collect();
     let mut records = Vec::new();
-    let report = read(&Folder::reader(&data(folder)), &names, |n, entry| records.push((n, entry)))?;
+    let report = read(&DirectoryVolume::reader(&data(folder)), &names, |n, entry| records.push((n, entry)))?;
     Ok((report, records))
 }
 
@@ -68,17 +68,17 @@
             segments: vec!["000000000001.ledger".into(), "000000000002.ledger".into()],
             records: 7,
             next: 8,
-            good: bytes("complete", 2).len(),
-            tail: Tail::Whole,
+            valid_length: bytes("complete", 2).len(),
+            tail: Tail::Complete,
             damage: vec![],
         }
     );
-    assert_eq!(report.trouble(), None);
+    assert_eq!(report.describe_damage(), None);
 }
 
 #[test]
 fn checkpoint_at_a_segments_head_is_where_recovery_begins() {
-    let volume = Folder::reader(&data("complete"));
+    let volume = DirectoryVolume::reader(&data("complete"));
     assert_eq!(last_segments(&volume, is_checkpoint).unwrap(), ["000000000002.ledger"]);
     assert_eq!(
         last_segments(&volume, |_: &Entry| false).unwrap(),
@@ -91,8 +91,9 @@
     let mut items = Vec::new();
     let mut follower = Follower::new(&data("complete"));
     assert_eq!(follower.poll(is_checkpoint, |item| items.push(item)).unwrap(), None);
-    let mut expected = vec![Item::Again];
-    expected.extend(numbered(6, second_segment()).into_iter().map(|(n, entry)| Item::Record(n, entry)));
+    let mut expected = vec![FollowEvent::Restart];
+    expected
+        .extend(numbered(6, second_segment()).into_iter().map(|(n, entry)| FollowEvent::Record(n, entry)));
     assert_eq!(items, expected);
     assert_eq!(follower.poll(is_checkpoint, |item| items.push(item)).unwrap(), None);
     assert_eq!(items, expected, "nothing new");
@@ -114,8 +115,8 @@
 #[test]
 fn writer_of_the_same_records_gives_the_same_files() {
     let dir = tempfile::tempdir().unwrap();
-    let limits = Limits { segment: 1 << 20, ballast: 0, waiting: 1 << 20 };
-    let volume = Folder::writer(dir.path()).unwrap();
+    let limits = Limits { segment_bytes: 1 << 20, reserve_bytes: 0, buffered_bytes: 1 << 20 };
+    let volume = DirectoryVolume::writer(dir.path()).unwrap();
     let mut writer = Writer::open(volume, limits, is_checkpoint, |_, _| {}).unwrap().writer;
     for (number, entry) in numbered(1, first_segment()) {
         assert_eq!(writer.append(&entry).unwrap(), number);
@@ -136,10 +137,10 @@
 fn torn_tail_is_reported_and_the_records_before_it_are_read() {
     let (report, records) = read_all("torn", &[1]).unwrap();
     assert_eq!(records, numbered(1, first_segment()[..3].to_vec()));
-    assert_eq!((report.records, report.next, report.good, report.tail), (3, 4, 86, Tail::Torn(18)));
+    assert_eq!((report.records, report.next, report.valid_length, report.tail), (3, 4, 86, Tail::Torn(18)));
     assert_eq!(report.damage, []);
     assert_eq!(
-        report.trouble().unwrap(),
+        report.describe_damage().unwrap(),
         "000000000001.ledger: a torn tail of 18 bytes after byte 86 was cut"
     );
 }
@@ -153,9 +154,9 @@
     assert_eq!(records, expected);
     let damage = Damage { from: 62, to: 86, lost: (3, 4) };
     assert_eq!(report.damage, [("000000000001.ledger".into(), damage)]);
-    assert_eq!((report.records, report.next, report.tail), (4, 6, Tail::Whole));
+    assert_eq!((report.records, report.next, report.tail), (4, 6, Tail::Complete));
     assert_eq!(
-        report.trouble().unwrap(),
+        report.describe_damage().unwrap(),
         "000000000001.ledger: bytes 62..86 are damaged; records 3..4 are lost"
     );
 }
@@ -167,7 +168,7 @@
     assert_eq!(records, [(1, Entry::Unit), (3, Entry::Unit)]);
     assert_eq!(report.records, 3);
     assert_eq!(
-        report.trouble().unwrap(),
+        report.describe_damage().unwrap(),
         "000000000001.ledger: bytes 53..58 are damaged; records 2..3 are lost"
     );
 }
@@ -180,13 +181,13 @@
     ];
     for (folder, told) in cases {
         let error = read_all(folder, &[1]).unwrap_err();
-        assert!(matches!(error, Error::Foreign(..)), "{error:?}");
+        assert!(matches!(error, LedgerError::Foreign(..)), "{error:?}");
         assert_eq!(error.to_string(), told);
     }
     // A head that was cut is a crash at the newest segment, and foreign at an older one.
     let (report, records) = read_all("cut-head", &[1]).unwrap();
-    assert_eq!((records, report.good, report.tail), (vec![], 0, Tail::Torn(11)));
-    let volume = Folder::reader(&data("cut-head"));
+    assert_eq!((records, report.valid_length, report.tail), (vec![], 0, Tail::Torn(11)));
+    let volume = DirectoryVolume::reader(&data("cut-head"));
     let names = [segment_name(1), segment_name(2)];
     let error = read(&volume, &names, |_, _: Entry| {}).unwrap_err();
     assert_eq!(error.to_string(), "000000000001.ledger: cut within its head");
@@ -195,12 +196,15 @@
 #[test]
 fn missing_segment_is_an_io_error_with_its_name() {
     let error = read_all("complete", &[9]).unwrap_err();
-    assert!(matches!(error, Error::Io(..)), "{error:?}");
+    assert!(matches!(error, LedgerError::Io(..)), "{error:?}");
     assert!(error.to_string().starts_with("000000000009.ledger: "), "{error}");
 }
 
 #[test]
 fn errors_are_printed_as_before() {
-    assert_eq!(Error::Locked("here".into()).to_string(), "here: another process writes this ledger");
-    assert_eq!(Error::TooLarge(67_108_865).to_string(), "a record of 67108865 bytes is larger than 67108864");
+    assert_eq!(LedgerError::Locked("here".into()).to_string(), "here: another process writes this ledger");
+    assert_eq!(
+        LedgerError::TooLarge(67_108_865).to_string(),
+        "a record of 67108865 bytes is larger than 67108864"
+    );
 }
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -9,7 +9,7 @@
     AccountKey, Allowance, AtHard, AtSoft, BudgetEnforcer, Calendar, Charge, Ending, Grant, Kind, Limit,
     Mode, Place, Plan, RateLimit, Record, ReservationRequest, Settled, State, Time, Units, Usage, Weights,
 };
-use chalkyard_ledger::{read, Folder, Limits, Volume, Writer};
+use chalkyard_ledger::{read, DirectoryVolume, Limits, Volume, Writer};
 use hdrhistogram::Histogram;
 
 use crate::clients::{self, Style};
@@ -147,9 +147,9 @@
     matches!(record, Record::State(_))
 }
 
-fn open(folder: &Path) -> Result<Writer<Folder>, Error> {
-    let limits = Limits { segment: 64 * 1024 * 1024, ..Limits::default() };
-    Ok(Writer::open(Folder::writer(folder)?, limits, is_checkpoint, |_, _: Record| {})?.writer)
+fn open(folder: &Path) -> Result<Writer<DirectoryVolume>, Error> {
+    let limits = Limits { segment_bytes: 64 * 1024 * 1024, ..Limits::default() };
+    Ok(Writer::open(DirectoryVolume::writer(folder)?, limits, is_checkpoint, |_, _: Record| {})?.writer)
 }
 
 /// Settlements a second, with so many requests a turn of the loop, and syncing beside every 50 ms.
@@ -190,7 +190,7 @@
     }
     writer.flush()?;
     drop(writer);
-    let volume = Folder::reader(folder);
+    let volume = DirectoryVolume::reader(folder);
     let mut names = volume.list()?;
     names.retain(|n| chalkyard_ledger::segment_number(n).is_some());
     let bytes: u64 =
@@ -207,7 +207,7 @@
         start.elapsed().as_secs_f64()
     );
     let (mut last, start) = (State::default(), Instant::now());
-    let opened = Writer::open(Folder::writer(folder)?, Limits::default(), is_checkpoint, |n, r| {
+    let opened = Writer::open(DirectoryVolume::writer(folder)?, Limits::default(), is_checkpoint, |n, r| {
         last.take(n, &r);
     })?;
     println!(
