--- a/crates/budget/src/bill.rs
+++ b/crates/budget/src/bill.rs
@@ -9,9 +9,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::calendar::Span;
+use crate::calendar::Period;
 use crate::plan::Plan;
-use crate::record::{Charge, Ending, Record, Settled};
+use crate::record::{Ending, Record, Reservation, Settled};
 use crate::units::{Time, Usage};
 
 /// What an engine was asked to do.
@@ -165,7 +165,7 @@
 
 #[derive(Debug, Clone)]
 struct Request {
-    charge: Charge,
+    reservation: Reservation,
     settled: Option<Settled>,
 }
 
@@ -188,11 +188,11 @@
             return;
         }
         match record {
-            Record::Reserved(charge) => {
-                let settled = self.early.remove(&charge.id);
+            Record::Reserved(reservation) => {
+                let settled = self.early.remove(&reservation.id);
                 self.requests
-                    .entry(charge.id.clone())
-                    .or_insert_with(|| Request { charge: charge.clone(), settled });
+                    .entry(reservation.id.clone())
+                    .or_insert_with(|| Request { reservation: reservation.clone(), settled });
             }
             Record::Settled(settled) => match self.requests.get_mut(&settled.id) {
                 // The first counts; a second would be a fault of the router's, and bills nothing more.
@@ -220,11 +220,11 @@
     }
 
     /// The bill of a period: of requests taken in it.
-    pub fn bill(mut self, plan: &Plan, period: Span) -> Bill {
+    pub fn bill(mut self, plan: &Plan, period: Period) -> Bill {
         let mut bill = Bill::default();
         let mut billed_identities: BTreeSet<(Box<str>, Box<str>)> = BTreeSet::new();
         let mut order: Vec<(Time, Box<str>)> =
-            self.requests.values().map(|r| (r.charge.at, r.charge.id.clone())).collect();
+            self.requests.values().map(|r| (r.reservation.at, r.reservation.id.clone())).collect();
         order.sort();
         for (at, id) in order {
             let Some(request) = self.requests.get(&id).cloned() else { continue };
@@ -247,13 +247,14 @@
                 Ending::Orphaned => Cause::Orphaned,
             };
             if cause == Cause::AttemptLost {
-                let identity = request.charge.identity.clone().map(|i| (request.charge.tenant.clone(), i));
+                let identity =
+                    request.reservation.identity.clone().map(|i| (request.reservation.tenant.clone(), i));
                 let repeated = identity.is_some_and(|i| !billed_identities.insert(i));
                 if repeated {
                     self.rest(&id, Cause::Repeated, &mut bill);
                     continue;
                 }
-                self.charge(&request.charge, &settled, plan, &mut bill);
+                self.charge(&request.reservation, &settled, plan, &mut bill);
             }
             self.rest(&id, cause, &mut bill);
         }
@@ -284,9 +285,9 @@
     }
 
     /// Bills a request whose answer was given, whole or in part.
-    fn charge(&mut self, charge: &Charge, settled: &Settled, plan: &Plan, bill: &mut Bill) {
-        let read = self.take_work(&charge.id, settled.read, bill);
-        let write = self.take_work(&charge.id, settled.write, bill);
+    fn charge(&mut self, reservation: &Reservation, settled: &Settled, plan: &Plan, bill: &mut Bill) {
+        let read = self.take_work(&reservation.id, settled.read, bill);
+        let write = self.take_work(&reservation.id, settled.write, bill);
         let did = |line: &Option<EngineLine>| line.as_ref().map_or(Usage::default(), EngineLine::done);
         let engines = did(&read).plus(did(&write));
         let missing = write.is_none() || (settled.read.is_some() && read.is_none());
@@ -299,16 +300,17 @@
         if differs > 0 {
             let cause = if missing { Cause::NoEngineRecord } else { Cause::Mismatch };
             bill.differences.push(Difference {
-                request: charge.id.clone(),
+                request: reservation.id.clone(),
                 attempt: settled.write,
                 engine: write.or(read).map(|l| l.engine),
                 cause,
                 tokens: differs,
             });
         }
-        let day = plan.calendar.date(charge.at);
+        let day = plan.calendar.date(reservation.at);
         let price = plan.price(&day);
-        let line = bill.lines.entry((charge.tenant.clone(), charge.class.clone(), day)).or_default();
+        let line =
+            bill.lines.entry((reservation.tenant.clone(), reservation.class.clone(), day)).or_default();
         line.requests += 1;
         line.usage = line.usage.plus(usage);
         if let Some(price) = price {
--- a/crates/budget/src/budget_enforcer.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -2,11 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::calendar::{Kind, Span};
+use crate::calendar::{Period, PeriodKind};
 use crate::grant::Grant;
 use crate::plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan};
 use crate::rate::Bucket;
-use crate::record::{AccountUsage, Adopted, Charge, Ending, Open, Place, Record, Settled, State};
+use crate::record::{
+    AccountPeriod, AccountUsage, AdoptedLease, Ending, OpenReservation, Record, Reservation, Settled, State,
+};
 use crate::units::{Time, Units, Usage};
 
 /// A request that wants to be taken.
@@ -116,7 +118,7 @@
 struct TenantAccount {
     limits: Vec<(AccountKey, Limit)>,
     /// By account and period: the limit that the newest grant named, and what was used elsewhere.
-    told: BTreeMap<Place, (Units, Units)>,
+    told: BTreeMap<AccountPeriod, (Units, Units)>,
     bucket: Option<Bucket>,
     /// Refused for want of room since the last lease, by account: sum and largest.
     wanted: BTreeMap<AccountKey, (Units, Units)>,
@@ -130,7 +132,7 @@
     plan: Plan,
     state: State,
     /// Spans as the calendar gave them last.
-    spans: BTreeMap<Kind, Span>,
+    spans: BTreeMap<PeriodKind, Period>,
     tenants: BTreeMap<Box<str>, TenantAccount>,
     writable: bool,
     /// Requests that the life before has taken and still ends.
@@ -285,7 +287,7 @@
             let mut accounts = Vec::with_capacity(tenant_account.limits.len());
             for (key, limit) in limits {
                 let span = span(spans, plan, key.kind, now);
-                let place = Place::new(key, span.start);
+                let place = AccountPeriod::new(key, span.start);
                 let usage = mine.and_then(|m| m.get(&place)).copied().unwrap_or_default();
                 let told = tenant_account.told.get(&place).copied();
                 let account = Account { key, limit, usage, told };
@@ -329,14 +331,14 @@
                 admission.marks.extend(passed.map(|m| (account.key.clone(), *m)));
             }
         }
-        self.write(Record::Reserved(Charge {
+        self.write(Record::Reserved(Reservation {
             id: request.id.into(),
             tenant: request.tenant.into(),
             class: request.class.into(),
             identity: request.identity.map(Into::into),
             at: now,
             amount,
-            slots: places,
+            account_periods: places,
         }));
         Ok(admission)
     }
@@ -395,7 +397,7 @@
             let used = self.state.usage.get(&a.key, a.span.start).used();
             ceilings.push((a.key.clone(), a.span, a.ceiling.max(used)));
             if let Some(tenant_account) = self.tenants.get_mut(&a.key.tenant) {
-                tenant_account.told.insert(Place::new(&a.key, a.span.start), (a.limit, a.elsewhere));
+                tenant_account.told.insert(AccountPeriod::new(&a.key, a.span.start), (a.limit, a.elsewhere));
             }
         }
         let mut wanted = Vec::new();
@@ -404,7 +406,7 @@
                 std::mem::take(&mut tenant_account.wanted).into_iter().map(|(k, (sum, most))| (k, sum, most)),
             );
         }
-        self.write(Record::Adopted(Adopted {
+        self.write(Record::Adopted(AdoptedLease {
             number: grant.number,
             at: now,
             until: grant.until,
@@ -428,7 +430,7 @@
     /// A tenant's figures here, over its accounts of the longest kind without a class; for metrics.
     pub fn figures(&self, now: Time) -> BTreeMap<Box<str>, Figures> {
         let now = self.time(now);
-        let spans = Kind::ALL.map(|kind| (kind, self.plan.calendar.span(kind, now).start));
+        let spans = PeriodKind::ALL.map(|kind| (kind, self.plan.calendar.span(kind, now).start));
         let mut out: BTreeMap<Box<str>, Figures> = BTreeMap::new();
         for (tenant, tenant_account) in &self.tenants {
             let longest =
@@ -457,7 +459,7 @@
     }
 
     /// What an open request has reserved, and where; for tests and the operator's view.
-    pub fn reservation(&self, id: &str) -> Option<&Open> {
+    pub fn reservation(&self, id: &str) -> Option<&OpenReservation> {
         self.state.open.get(id)
     }
 }
@@ -535,7 +537,7 @@
 }
 
 /// The period of a kind, from the calendar once for each.
-fn span(spans: &mut BTreeMap<Kind, Span>, plan: &Plan, kind: Kind, now: Time) -> Span {
+fn span(spans: &mut BTreeMap<PeriodKind, Period>, plan: &Plan, kind: PeriodKind, now: Time) -> Period {
     match spans.get(&kind) {
         Some(span) if span.holds(now) => *span,
         _ => {
--- a/crates/budget/src/calendar.rs
+++ b/crates/budget/src/calendar.rs
@@ -9,7 +9,7 @@
 /// How long a period is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum PeriodKind {
     /// From one full hour to the next on the zone's clock.
     Hour,
     /// From midnight to midnight: 23 or 25 hours where the clock is changed.
@@ -18,7 +18,7 @@
     Month,
 }
 
-impl Kind {
+impl PeriodKind {
     /// All, shortest first.
     pub const ALL: [Self; 3] = [Self::Hour, Self::Day, Self::Month];
 
@@ -34,14 +34,14 @@
 
 /// A period: from its start until just before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Span {
+pub struct Period {
     /// First µs.
     pub start: Time,
     /// First µs after it.
     pub end: Time,
 }
 
-impl Span {
+impl Period {
     /// Whether a time lies in it.
     pub fn holds(&self, at: Time) -> bool {
         self.start <= at && at < self.end
@@ -75,20 +75,20 @@
     }
 
     /// The period of a kind in which a time lies.
-    pub fn span(&self, kind: Kind, at: Time) -> Span {
+    pub fn span(&self, kind: PeriodKind, at: Time) -> Period {
         self.by_calendar(kind, at).filter(|span| span.holds(at)).unwrap_or_else(|| {
             let start = at.0 / FALLBACK * FALLBACK;
-            Span { start: Time(start), end: Time(start.saturating_add(FALLBACK)) }
+            Period { start: Time(start), end: Time(start.saturating_add(FALLBACK)) }
         })
     }
 
-    fn by_calendar(&self, kind: Kind, at: Time) -> Option<Span> {
+    fn by_calendar(&self, kind: PeriodKind, at: Time) -> Option<Period> {
         let micros = i64::try_from(at.0).ok()?;
         let zoned = Timestamp::from_microsecond(micros).ok()?.to_zoned_datetime(self.zone.clone());
         let (start, end) = match kind {
             // By elapsed time: an hour that the clock shows twice is two periods. Where the clock is changed
             // within an hour (by half an hour, say), that is a border too.
-            Kind::Hour => {
+            PeriodKind::Hour => {
                 let t = zoned.timestamp();
                 let since = i64::from(zoned.minute()) * 60 + i64::from(zoned.second());
                 let full = t.as_second().checked_sub(since)?;
@@ -100,12 +100,12 @@
                 let after = self.zone.following(t).next().map(|c| c.timestamp());
                 return span(before.map_or(start, |b| start.max(b)), after.map_or(end, |a| end.min(a)));
             }
-            Kind::Day => {
+            PeriodKind::Day => {
                 let start = zoned.start_of_day().ok()?;
                 let end = start.checked_add(1.day()).ok()?.start_of_day().ok()?;
                 (start, end)
             }
-            Kind::Month => {
+            PeriodKind::Month => {
                 let start = zoned.first_of_month().ok()?.start_of_day().ok()?;
                 let end = start.checked_add(1.month()).ok()?.start_of_day().ok()?;
                 (start, end)
@@ -127,13 +127,13 @@
     ///
     /// # Errors
     /// Says what is wrong with the text.
-    pub fn named(&self, text: &str) -> Result<(Kind, Span), String> {
+    pub fn named(&self, text: &str) -> Result<(PeriodKind, Period), String> {
         let wrong =
             || format!("`{text}` is no period: 2026-12 (month), 2026-12-01 (day) or 2026-12-01T14 (hour)");
         let (kind, full) = match text.len() {
-            7 => (Kind::Month, format!("{text}-01T00:00")),
-            10 => (Kind::Day, format!("{text}T00:00")),
-            13 => (Kind::Hour, format!("{text}:00")),
+            7 => (PeriodKind::Month, format!("{text}-01T00:00")),
+            10 => (PeriodKind::Day, format!("{text}T00:00")),
+            13 => (PeriodKind::Hour, format!("{text}:00")),
             _ => return Err(wrong()),
         };
         let civil: jiff::civil::DateTime = full.parse().map_err(|_| wrong())?;
@@ -143,9 +143,9 @@
     }
 }
 
-fn span(start: Timestamp, end: Timestamp) -> Option<Span> {
+fn span(start: Timestamp, end: Timestamp) -> Option<Period> {
     let micros = |t: Timestamp| u64::try_from(t.as_microsecond()).ok().map(Time);
-    Some(Span { start: micros(start)?, end: micros(end)? })
+    Some(Period { start: micros(start)?, end: micros(end)? })
 }
 
 #[cfg(test)]
--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-use crate::calendar::Span;
+use crate::calendar::Period;
 use crate::plan::AccountKey;
 use crate::units::{Time, Units};
 
@@ -15,7 +15,7 @@
     /// The account.
     pub key: AccountKey,
     /// The period.
-    pub span: Span,
+    pub span: Period,
     /// Spent and reserved there together never pass it.
     pub ceiling: Units,
     /// What the period allows over all routers.
@@ -45,7 +45,7 @@
     /// Of which account.
     pub key: AccountKey,
     /// In which period.
-    pub span: Span,
+    pub span: Period,
     /// The highest of those out.
     pub ceiling: Units,
     /// The newest round that named it.
--- a/crates/budget/src/lease_allocator.rs
+++ b/crates/budget/src/lease_allocator.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::calendar::{Kind, Span};
+use crate::calendar::{Period, PeriodKind};
 use crate::grant::{Allowance, Grant, Outstanding, Round};
 use crate::plan::{AccountKey, Plan};
 use crate::record::State;
@@ -198,7 +198,7 @@
         Ok(Round { number, at: now, grants, outstanding })
     }
 
-    fn spans(&self, kind: Kind, now: Time) -> Vec<Span> {
+    fn spans(&self, kind: PeriodKind, now: Time) -> Vec<Period> {
         let span = self.plan.calendar.span(kind, now);
         let soon = now.after(self.terms.epoch.saturating_mul(EARLY).max(self.terms.lease / 2));
         if soon >= span.end {
@@ -221,7 +221,7 @@
     }
 
     /// Allowances of one account in one period, of routers for which it changes.
-    fn share(&self, key: &AccountKey, span: Span) -> Vec<(Box<str>, Allowance)> {
+    fn share(&self, key: &AccountKey, span: Period) -> Vec<(Box<str>, Allowance)> {
         let place = (key.clone(), span.start);
         let limit = self.limit(key, span.start);
         let used = |seen: &Seen| seen.state.usage.get(key, span.start).used();
@@ -284,10 +284,10 @@
         until: Time,
         now: Time,
     ) -> Vec<Outstanding> {
-        let ended = |span: Span| now > span.end.after(self.terms.clock_error);
+        let ended = |span: Period| now > span.end.after(self.terms.clock_error);
         let mut fresh: BTreeMap<(AccountKey, Time, &str), Outstanding> = BTreeMap::new();
         for (router, allowances) in grants {
-            let out = |key: &AccountKey, span: Span, ceiling: Units| Outstanding {
+            let out = |key: &AccountKey, span: Period, ceiling: Units| Outstanding {
                 router: router.clone(),
                 key: key.clone(),
                 span,
@@ -304,7 +304,7 @@
             };
             for (tenant, place, usage) in seen.state.usage.iter() {
                 let span =
-                    Span { start: place.start, end: self.plan.calendar.span(place.kind, place.start).end };
+                    Period { start: place.start, end: self.plan.calendar.span(place.kind, place.start).end };
                 let key = AccountKey { tenant: tenant.into(), class: place.class.clone(), kind: place.kind };
                 if let Some(ceiling) = usage.ceiling.filter(|_| !ended(span)) {
                     let entry = fresh.entry((key.clone(), place.start, router));
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -15,7 +15,7 @@
 const ROUTERS: [&str; 2] = ["r1", "r2"];
 
 fn plan(mode: Mode) -> Plan {
-    let key = AccountKey { tenant: "t".into(), class: None, kind: Kind::Day };
+    let key = AccountKey { tenant: "t".into(), class: None, kind: PeriodKind::Day };
     let limit = Limit {
         hard: Units(BUDGET),
         soft: 1_000,
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -21,11 +21,12 @@
 pub use budget_enforcer::{
     Admission, AdoptLeaseError, BudgetEnforcer, Denial, DenialReason, Figures, ReservationRequest,
 };
-pub use calendar::{Calendar, Kind, Span};
+pub use calendar::{Calendar, Period, PeriodKind};
 pub use grant::{Allowance, Grant, Outstanding, Round, SignatureError, SigningKey};
 pub use lease_allocator::{AccountSummary, JournalForkError, LeaseAllocator, LeaseTerms};
 pub use plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, Price, RateLimit};
 pub use record::{
-    AccountUsage, Adopted, Charge, Ending, Open, Place, Ran, Record, Settled, State, UsageTable,
+    AccountPeriod, AccountUsage, AdoptedLease, Ending, ExecutedRequest, OpenReservation, Record, Reservation,
+    Settled, State, UsageTable,
 };
 pub use units::{Time, Units, Usage, Weights};
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::calendar::{Calendar, Kind};
+use crate::calendar::{Calendar, PeriodKind};
 use crate::units::{Units, Usage, Weights};
 
 /// An account: one budget of a tenant.
@@ -15,7 +15,7 @@
     /// For one class of requests, or for all.
     pub class: Option<Box<str>>,
     /// Its periods.
-    pub kind: Kind,
+    pub kind: PeriodKind,
 }
 
 impl std::fmt::Display for AccountKey {
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::calendar::{Kind, Span};
+use crate::calendar::{Period, PeriodKind};
 use crate::plan::AccountKey;
 use crate::units::{Time, Units, Usage};
 
 /// A reservation: a request was taken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Charge {
+pub struct Reservation {
     /// The router's id of the request.
     pub id: Box<str>,
     /// Tenant; empty: none.
@@ -24,7 +24,7 @@
     /// The worst case.
     pub amount: Units,
     /// What it was charged to.
-    pub slots: Vec<Place>,
+    pub account_periods: Vec<AccountPeriod>,
 }
 
 /// How a request ended, for its bill.
@@ -70,7 +70,7 @@
 
 /// A lease that was taken, as it holds from then on.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Adopted {
+pub struct AdoptedLease {
     /// The round's number.
     pub number: u64,
     /// When.
@@ -78,7 +78,7 @@
     /// Nothing is taken by it from then on.
     pub until: Time,
     /// By account and period: the most that this router ever spends in it. What is not named stays.
-    pub ceilings: Vec<(AccountKey, Span, Units)>,
+    pub ceilings: Vec<(AccountKey, Period, Units)>,
     /// Refused for want of room since the lease before, and the largest single one.
     pub wanted: Vec<(AccountKey, Units, Units)>,
 }
@@ -91,11 +91,11 @@
     /// A life of the router took over from the one before, which still ends what it had taken.
     Succeeded(Time),
     /// A request was taken.
-    Reserved(Charge),
+    Reserved(Reservation),
     /// It ended.
     Settled(Settled),
     /// A lease was taken.
-    Adopted(Adopted),
+    Adopted(AdoptedLease),
     /// All state so far: reading can begin here.
     State(Box<State>),
 }
@@ -120,16 +120,16 @@
 
 /// One account in one period, of a tenant that is named beside.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct AccountPeriod {
     /// The account's class; none: the tenant's account for all.
     pub class: Option<Box<str>>,
     /// Its periods.
-    pub kind: Kind,
+    pub kind: PeriodKind,
     /// The period's start.
     pub start: Time,
 }
 
-impl Place {
+impl AccountPeriod {
     /// Of an account.
     pub fn new(key: &AccountKey, start: Time) -> Self {
         Self { class: key.class.clone(), kind: key.kind, start }
@@ -138,21 +138,21 @@
 
 /// Use by tenant, account and period: a request looks its tenant up once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct UsageTable(BTreeMap<Box<str>, BTreeMap<Place, AccountUsage>>);
+pub struct UsageTable(BTreeMap<Box<str>, BTreeMap<AccountPeriod, AccountUsage>>);
 
 impl UsageTable {
     /// Of an account in a period; nothing, if there was none.
     pub fn get(&self, key: &AccountKey, start: Time) -> AccountUsage {
         let of_tenant = self.0.get(&key.tenant);
-        of_tenant.and_then(|t| t.get(&Place::new(key, start))).copied().unwrap_or_default()
+        of_tenant.and_then(|t| t.get(&AccountPeriod::new(key, start))).copied().unwrap_or_default()
     }
 
     /// All of a tenant.
-    pub fn of_tenant(&self, tenant: &str) -> Option<&BTreeMap<Place, AccountUsage>> {
+    pub fn of_tenant(&self, tenant: &str) -> Option<&BTreeMap<AccountPeriod, AccountUsage>> {
         self.0.get(tenant)
     }
 
-    fn of_tenant_mut(&mut self, tenant: &str) -> &mut BTreeMap<Place, AccountUsage> {
+    fn of_tenant_mut(&mut self, tenant: &str) -> &mut BTreeMap<AccountPeriod, AccountUsage> {
         if !self.0.contains_key(tenant) {
             self.0.insert(tenant.into(), BTreeMap::new());
         }
@@ -160,7 +160,7 @@
     }
 
     /// All: tenant, account and period, use.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &Place, &AccountUsage)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &AccountPeriod, &AccountUsage)> {
         self.0.iter().flat_map(|(tenant, places)| places.iter().map(move |(p, h)| (&**tenant, p, h)))
     }
 
@@ -172,20 +172,20 @@
 
 /// A reservation without its settlement.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Open {
+pub struct OpenReservation {
     /// Whose.
     pub tenant: Box<str>,
     /// How much.
     pub amount: Units,
     /// From what.
-    pub slots: Vec<Place>,
+    pub account_periods: Vec<AccountPeriod>,
     /// The client's identity for it, and its class.
     pub identity: Option<(Box<str>, Box<str>)>,
 }
 
 /// A request under an identity that may have run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ran {
+pub struct ExecutedRequest {
     /// Whose.
     pub tenant: Box<str>,
     /// The client's identity for it.
@@ -202,7 +202,7 @@
     /// Use by account and period's start.
     pub usage: UsageTable,
     /// Reservations without settlement, by the request's id.
-    pub open: BTreeMap<Box<str>, Open>,
+    pub open: BTreeMap<Box<str>, OpenReservation>,
     /// The newest lease taken, and how long it holds.
     pub lease: (u64, Time),
     /// Last time told by any record: no clock goes behind it.
@@ -210,7 +210,7 @@
     /// Settled, in all.
     pub settled: u64,
     /// Requests under an identity that may have run, oldest first; bounded in number and age.
-    pub ran: VecDeque<Ran>,
+    pub executed: VecDeque<ExecutedRequest>,
     /// Records taken: the number of the last. A ledger's records are numbered without gaps.
     pub sequence: u64,
     /// Refused for want of room, as the newest lease's record told: sum and largest.
@@ -237,7 +237,7 @@
             Record::Started(at) => self.start(*at),
             // Nothing was lost: leases and reservations go on.
             Record::Succeeded(at) => self.last = self.last.max(*at),
-            Record::Reserved(charge) => return self.reserve(charge),
+            Record::Reserved(reservation) => return self.reserve(reservation),
             Record::Settled(settled) => return self.settle(settled),
             Record::Adopted(adopted) => return self.adopt(adopted),
             Record::State(state) => {
@@ -254,7 +254,7 @@
             usage: self.usage.clone(),
             wanted: self.wanted.clone(),
             open: BTreeMap::new(),
-            ran: VecDeque::new(),
+            executed: VecDeque::new(),
             ..*self
         }
     }
@@ -270,30 +270,30 @@
         }
     }
 
-    fn reserve(&mut self, charge: &Charge) -> bool {
-        self.last = self.last.max(charge.at);
-        if self.open.contains_key(&charge.id) {
+    fn reserve(&mut self, reservation: &Reservation) -> bool {
+        self.last = self.last.max(reservation.at);
+        if self.open.contains_key(&reservation.id) {
             return false;
         }
-        if !charge.slots.is_empty() {
-            let of_tenant = self.usage.of_tenant_mut(&charge.tenant);
+        if !reservation.account_periods.is_empty() {
+            let of_tenant = self.usage.of_tenant_mut(&reservation.tenant);
             let known = of_tenant.len();
-            for place in &charge.slots {
+            for place in &reservation.account_periods {
                 let usage = of_tenant.entry(place.clone()).or_default();
-                usage.reserved = usage.reserved.plus(charge.amount);
+                usage.reserved = usage.reserved.plus(reservation.amount);
             }
             // A period that is new puts an old one out.
             if of_tenant.len() > known {
                 forget_old(of_tenant);
             }
         }
-        let open = Open {
-            tenant: charge.tenant.clone(),
-            amount: charge.amount,
-            slots: charge.slots.clone(),
-            identity: charge.identity.clone().map(|i| (i, charge.class.clone())),
+        let open = OpenReservation {
+            tenant: reservation.tenant.clone(),
+            amount: reservation.amount,
+            account_periods: reservation.account_periods.clone(),
+            identity: reservation.identity.clone().map(|i| (i, reservation.class.clone())),
         };
-        self.open.insert(charge.id.clone(), open);
+        self.open.insert(reservation.id.clone(), open);
         true
     }
 
@@ -301,11 +301,11 @@
         self.last = self.last.max(settled.at);
         let Some(mut open) = self.open.remove(&settled.id) else { return false };
         if let Some((identity, class)) = open.identity.take().filter(|_| settled.may_have_run) {
-            self.remember(Ran { tenant: open.tenant.clone(), identity, class, at: settled.at });
+            self.remember(ExecutedRequest { tenant: open.tenant.clone(), identity, class, at: settled.at });
         }
-        if !open.slots.is_empty() {
+        if !open.account_periods.is_empty() {
             let of_tenant = self.usage.of_tenant_mut(&open.tenant);
-            for place in open.slots {
+            for place in open.account_periods {
                 let usage = of_tenant.entry(place).or_default();
                 usage.reserved = usage.reserved.minus(open.amount);
                 usage.spent = usage.spent.plus(settled.cost);
@@ -315,15 +315,15 @@
         true
     }
 
-    fn remember(&mut self, ran: Ran) {
-        let old = |r: &Ran| ran.at.since(r.at) > REMEMBERED;
-        while self.ran.len() >= MOST_REMEMBERED || self.ran.front().is_some_and(old) {
-            self.ran.pop_front();
+    fn remember(&mut self, ran: ExecutedRequest) {
+        let old = |r: &ExecutedRequest| ran.at.since(r.at) > REMEMBERED;
+        while self.executed.len() >= MOST_REMEMBERED || self.executed.front().is_some_and(old) {
+            self.executed.pop_front();
         }
-        self.ran.push_back(ran);
+        self.executed.push_back(ran);
     }
 
-    fn adopt(&mut self, adopted: &Adopted) -> bool {
+    fn adopt(&mut self, adopted: &AdoptedLease) -> bool {
         if adopted.number <= self.lease.0 {
             return false;
         }
@@ -332,7 +332,7 @@
         for (key, span, ceiling) in &adopted.ceilings {
             let of_tenant = self.usage.of_tenant_mut(&key.tenant);
             let known = of_tenant.len();
-            of_tenant.entry(Place::new(key, span.start)).or_default().ceiling = Some(*ceiling);
+            of_tenant.entry(AccountPeriod::new(key, span.start)).or_default().ceiling = Some(*ceiling);
             if of_tenant.len() > known {
                 forget_old(of_tenant);
             }
@@ -343,9 +343,9 @@
 }
 
 /// Drops a tenant's periods beyond those remembered, unless something is open in them.
-fn forget_old(places: &mut BTreeMap<Place, AccountUsage>) {
-    let mut periods: BTreeMap<(Option<Box<str>>, Kind), usize> = BTreeMap::new();
-    let newest_first: Vec<Place> = places.keys().rev().cloned().collect();
+fn forget_old(places: &mut BTreeMap<AccountPeriod, AccountUsage>) {
+    let mut periods: BTreeMap<(Option<Box<str>>, PeriodKind), usize> = BTreeMap::new();
+    let newest_first: Vec<AccountPeriod> = places.keys().rev().cloned().collect();
     for place in newest_first {
         let n = periods.entry((place.class.clone(), place.kind)).or_default();
         *n += 1;
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -17,7 +17,7 @@
     at("2026-12-01T12:00[Europe/Zurich]")
 }
 
-fn key(kind: Kind) -> AccountKey {
+fn key(kind: PeriodKind) -> AccountKey {
     AccountKey { tenant: "nord".into(), class: None, kind }
 }
 
@@ -76,12 +76,12 @@
 
 #[test]
 fn a_request_reserves_its_worst_case_and_settles_once_on_what_was_done() {
-    let mut k = one(vec![(key(Kind::Day), limit(1_000))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000))]);
     k.admit(noon(), ask("a", 200, 100)).unwrap();
-    let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
+    let place = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(k.state().usage.get(&place().0, place().1).reserved, Units::tokens(600));
     let denial = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
-    assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(Kind::Day))));
+    assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(PeriodKind::Day))));
     assert_eq!(denial.retry_after, 12 * 3_600 * S, "come back at midnight");
     assert!(served(&mut k, noon(), "a", 210, 110, 10));
     assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
@@ -100,16 +100,16 @@
 #[test]
 fn soft_limits_warn_clamp_and_lower_and_hard_ones_can_clamp() {
     let soft = |at_soft| Limit { soft: 500, at_soft, marks: vec![500, 900], ..limit(1_000) };
-    let mut k = one(vec![(key(Kind::Day), soft(AtSoft::Clamp(20)))]);
+    let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Clamp(20)))]);
     let first = k.admit(noon(), ask("a", 100, 100)).unwrap();
-    assert_eq!((first.output, &first.marks[..]), (100, &[(key(Kind::Day), 500)][..]));
+    assert_eq!((first.output, &first.marks[..]), (100, &[(key(PeriodKind::Day), 500)][..]));
     assert_eq!(k.admit(noon(), ask("b", 100, 100)).unwrap().output, 20);
 
-    let mut k = one(vec![(key(Kind::Day), soft(AtSoft::Lower("later".into())))]);
+    let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Lower("later".into())))]);
     assert_eq!(k.admit(noon(), ask("a", 100, 100)).unwrap().lower_to, None);
     assert_eq!(k.admit(noon(), ask("b", 100, 10)).unwrap().lower_to.as_deref(), Some("later"));
 
-    let mut k = one(vec![(key(Kind::Day), Limit { at_hard: AtHard::Clamp(16), ..limit(1_000) })]);
+    let mut k = one(vec![(key(PeriodKind::Day), Limit { at_hard: AtHard::Clamp(16), ..limit(1_000) })]);
     assert_eq!(k.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
     assert_eq!(k.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "what is left");
     assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
@@ -117,8 +117,8 @@
 
 #[test]
 fn a_class_has_its_own_budget_beside_the_tenants() {
-    let of_class = AccountKey { class: Some("report".into()), ..key(Kind::Hour) };
-    let mut k = one(vec![(key(Kind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
+    let of_class = AccountKey { class: Some("report".into()), ..key(PeriodKind::Hour) };
+    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
     let report = |id| ReservationRequest { class: "report", ..ask(id, 50, 10) };
     assert!(k.admit(noon(), report("a")).is_ok());
     let denial = k.admit(noon(), report("b")).unwrap_err();
@@ -144,13 +144,13 @@
 
 #[test]
 fn a_stream_over_the_periods_change_is_charged_to_the_period_that_took_it() {
-    let mut k = one(vec![(key(Kind::Day), limit(500))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(500))]);
     let before = at("2026-12-01T23:59:59[Europe/Zurich]");
     k.admit(before, ask("a", 100, 100)).unwrap();
     let after = before.after(5 * S);
     k.admit(after, ask("b", 100, 100)).unwrap();
     served(&mut k, after, "a", 100, 0, 100);
-    let used = |day: &str| k.state().usage.get(&key(Kind::Day), at(day));
+    let used = |day: &str| k.state().usage.get(&key(PeriodKind::Day), at(day));
     let (first, second) = (used("2026-12-01T00:00[Europe/Zurich]"), used("2026-12-02T00:00[Europe/Zurich]"));
     assert_eq!((first.spent, first.reserved), (Units::tokens(500), Units(0)));
     assert_eq!((second.spent, second.reserved), (Units(0), Units::tokens(500)));
@@ -159,7 +159,7 @@
 /// With equal shares as with leases: a long life remembers few periods, and all in which something is open.
 #[test]
 fn old_periods_are_forgotten() {
-    let mut k = one(vec![(key(Kind::Hour), limit(1_000)), (key(Kind::Day), limit(100_000))]);
+    let mut k = one(vec![(key(PeriodKind::Hour), limit(1_000)), (key(PeriodKind::Day), limit(100_000))]);
     k.admit(noon(), ask("stays open", 10, 1)).unwrap();
     for hour in 0..200 {
         let (now, id) = (noon().after(hour * 3_600 * S), format!("q{hour}"));
@@ -168,27 +168,30 @@
     }
     // Four of each kind, and the two in which one is open.
     assert_eq!(k.state().usage.iter().count(), 4 + 4 + 2);
-    let first = k.reservation("stays open").unwrap().slots[0].start;
-    assert_eq!(k.state().usage.get(&key(Kind::Hour), first).reserved, Units::tokens(14));
+    let first = k.reservation("stays open").unwrap().account_periods[0].start;
+    assert_eq!(k.state().usage.get(&key(PeriodKind::Hour), first).reserved, Units::tokens(14));
 }
 
 #[test]
 fn the_hour_that_is_shown_twice_has_two_budgets_and_its_day_one() {
-    let mut k = one(vec![(key(Kind::Hour), limit(500)), (key(Kind::Day), limit(1_000))]);
+    let mut k = one(vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))]);
     let once = at("2026-10-25T02:30+02:00[Europe/Zurich]");
     // The ledger's last time holds back an older clock, so a router of that day is needed.
-    let fresh = plan(vec![(key(Kind::Hour), limit(500)), (key(Kind::Day), limit(1_000))], Mode::Shares(1));
+    let fresh = plan(
+        vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))],
+        Mode::Shares(1),
+    );
     let mut of_then = BudgetEnforcer::new("r1", fresh, State::default(), once);
     assert!(of_then.admit(once, ask("a", 100, 100)).is_ok());
-    assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(Kind::Hour)));
+    assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(PeriodKind::Hour)));
     let twice = once.after(3_600 * S);
     assert!(of_then.admit(twice, ask("b", 100, 100)).is_ok());
     let denial = of_then.admit(twice.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
-    assert_eq!(denial.account, Some(key(Kind::Day)));
+    assert_eq!(denial.account, Some(key(PeriodKind::Day)));
     assert!(k.admit(once, ask("a", 100, 100)).is_ok());
     let now = at("2026-12-01T12:00[Europe/Zurich]");
     assert_eq!(
-        k.reservation("a").unwrap().slots[0].start,
+        k.reservation("a").unwrap().account_periods[0].start,
         now,
         "a clock that stepped back opens no old period"
     );
@@ -196,13 +199,13 @@
 
 fn leased(now: Time) -> BudgetEnforcer {
     let mode = Mode::Leases { epoch: S, routers: 2 };
-    BudgetEnforcer::new("r1", plan(vec![(key(Kind::Day), limit(1_000))], mode), State::default(), now)
+    BudgetEnforcer::new("r1", plan(vec![(key(PeriodKind::Day), limit(1_000))], mode), State::default(), now)
 }
 
 fn grant(number: u64, until: Time, tokens: u64) -> Grant {
-    let span = Calendar::new("Europe/Zurich").unwrap().span(Kind::Day, noon());
+    let span = Calendar::new("Europe/Zurich").unwrap().span(PeriodKind::Day, noon());
     let allowance = Allowance {
-        key: key(Kind::Day),
+        key: key(PeriodKind::Day),
         span,
         ceiling: Units::tokens(tokens),
         limit: Units::tokens(1_000),
@@ -269,14 +272,14 @@
 
 #[test]
 fn a_tenant_removed_while_it_streams_is_settled_and_billed() {
-    let mut k = one(vec![(key(Kind::Day), limit(1_000))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000))]);
     k.admit(noon(), ask("a", 100, 100)).unwrap();
     k.replan(plan(vec![], Mode::Shares(1)));
     assert!(served(&mut k, noon(), "a", 100, 0, 40));
-    let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
+    let place = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units::tokens(260));
     // Put back, it finds what it had spent.
-    k.replan(plan(vec![(key(Kind::Day), limit(300))], Mode::Shares(1)));
+    k.replan(plan(vec![(key(PeriodKind::Day), limit(300))], Mode::Shares(1)));
     assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
     assert!(k.admit(noon(), ask("b", 40, 0)).is_ok());
 }
@@ -296,7 +299,7 @@
 /// The sums after a crash at any record are those of the records, and nothing is left reserved.
 #[test]
 fn recovery_gives_the_sums_that_the_records_say() {
-    let mut k = one(vec![(key(Kind::Day), limit(100_000))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(100_000))]);
     for i in 0..20_u64 {
         k.admit(noon().after(i), ask(&format!("q{i}"), 10 + i, 5)).unwrap();
         if i % 3 > 0 {
@@ -338,7 +341,7 @@
         old.admit(noon(), ask(id, 10, 10)).unwrap();
     }
     let mode = Mode::Leases { epoch: S, routers: 2 };
-    let plan = plan(vec![(key(Kind::Day), limit(1_000))], mode);
+    let plan = plan(vec![(key(PeriodKind::Day), limit(1_000))], mode);
     let mut new = BudgetEnforcer::succeed("r1", plan, old.state().clone(), noon());
     assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease goes on");
     let said = |k: &mut BudgetEnforcer, id: &str| {
@@ -375,7 +378,7 @@
         } else {
             Mode::Shares(routers as u32)
         };
-        let plan = plan(vec![(key(Kind::Day), limit(tokens))], mode);
+        let plan = plan(vec![(key(PeriodKind::Day), limit(tokens))], mode);
         let enforcer = |n: &String| BudgetEnforcer::new(n, plan.clone(), State::default(), noon());
         let terms = LeaseTerms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -521,14 +524,14 @@
 // ---- Bills.
 
 fn charge(id: &str, identity: Option<&str>, class: &str, when: Time) -> Record {
-    Record::Reserved(Charge {
+    Record::Reserved(Reservation {
         id: id.into(),
         tenant: "nord".into(),
         class: class.into(),
         identity: identity.map(Into::into),
         at: when,
         amount: Units::tokens(1),
-        slots: vec![],
+        account_periods: vec![],
     })
 }
 
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -11,9 +11,9 @@
 const START: Time = Time(1_796_100_000_000_000);
 const S: u64 = 1_000_000;
 /// December 2026 in Zurich.
-const MONTH: Span = Span { start: Time(1_796_079_600_000_000), end: Time(1_798_758_000_000_000) };
-const HOUR: Span = Span { start: Time(1_796_097_600_000_000), end: Time(1_796_101_200_000_000) };
-const DAY: Span = Span { start: Time(1_796_079_600_000_000), end: Time(1_796_166_000_000_000) };
+const MONTH: Period = Period { start: Time(1_796_079_600_000_000), end: Time(1_798_758_000_000_000) };
+const HOUR: Period = Period { start: Time(1_796_097_600_000_000), end: Time(1_796_101_200_000_000) };
+const DAY: Period = Period { start: Time(1_796_079_600_000_000), end: Time(1_796_166_000_000_000) };
 
 const ENDINGS: [Ending; 7] = [
     Ending::Served,
@@ -30,31 +30,31 @@
 }
 
 fn tenant_month() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: None, kind: Kind::Month }
+    AccountKey { tenant: "nord".into(), class: None, kind: PeriodKind::Month }
 }
 
 fn class_hour() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: Kind::Hour }
+    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: PeriodKind::Hour }
 }
 
 fn tenant_day() -> AccountKey {
-    AccountKey { tenant: "ost".into(), class: None, kind: Kind::Day }
+    AccountKey { tenant: "ost".into(), class: None, kind: PeriodKind::Day }
 }
 
-fn month_place() -> Place {
-    Place { class: None, kind: Kind::Month, start: MONTH.start }
+fn month_place() -> AccountPeriod {
+    AccountPeriod { class: None, kind: PeriodKind::Month, start: MONTH.start }
 }
 
-fn hour_place() -> Place {
-    Place { class: Some("help".into()), kind: Kind::Hour, start: HOUR.start }
+fn hour_place() -> AccountPeriod {
+    AccountPeriod { class: Some("help".into()), kind: PeriodKind::Hour, start: HOUR.start }
 }
 
-fn day_place() -> Place {
-    Place { class: None, kind: Kind::Day, start: DAY.start }
+fn day_place() -> AccountPeriod {
+    AccountPeriod { class: None, kind: PeriodKind::Day, start: DAY.start }
 }
 
-fn adopted() -> Adopted {
-    Adopted {
+fn adopted() -> AdoptedLease {
+    AdoptedLease {
         number: 7,
         at: START.after(2 * S),
         until: START.after(12 * S),
@@ -67,15 +67,15 @@
     }
 }
 
-fn reserved(id: &str, n: u64) -> Charge {
-    Charge {
+fn reserved(id: &str, n: u64) -> Reservation {
+    Reservation {
         id: id.into(),
         tenant: "nord".into(),
         class: "help".into(),
         identity: Some(format!("order-{n}").into()),
         at: START.after(3 * S + n),
         amount: Units(28_800),
-        slots: vec![month_place(), hour_place()],
+        account_periods: vec![month_place(), hour_place()],
     }
 }
 
@@ -100,23 +100,23 @@
         records.push(Record::Reserved(reserved(&format!("r1-{n}"), n)));
         records.push(Record::Settled(settled(n, ending)));
     }
-    records.push(Record::Reserved(Charge {
+    records.push(Record::Reserved(Reservation {
         id: "r1-open".into(),
         tenant: "ost".into(),
         class: "later".into(),
         identity: Some("order-99".into()),
         at: START.after(5 * S),
         amount: Units(12_345),
-        slots: vec![day_place()],
+        account_periods: vec![day_place()],
     }));
-    records.push(Record::Reserved(Charge {
+    records.push(Record::Reserved(Reservation {
         id: "r1-free".into(),
         tenant: "".into(),
         class: "help".into(),
         identity: None,
         at: START.after(6 * S),
         amount: Units(0),
-        slots: vec![],
+        account_periods: vec![],
     }));
     let state = recovered(&records);
     records.push(Record::State(Box::new(state)));
@@ -165,7 +165,7 @@
     assert_eq!(state.lease, (7, START.after(12 * S)));
     let usage =
         |spent, reserved, ceiling| AccountUsage { spent: Units(spent), reserved: Units(reserved), ceiling };
-    let uses: Vec<(&str, Place, AccountUsage)> =
+    let uses: Vec<(&str, AccountPeriod, AccountUsage)> =
         state.usage.iter().map(|(tenant, place, usage)| (tenant, place.clone(), *usage)).collect();
     assert_eq!(
         uses,
@@ -175,22 +175,24 @@
             ("ost", day_place(), usage(0, 12_345, Some(Units(40_000)))),
         ]
     );
-    let open: Vec<(&str, Open)> = state.open.iter().map(|(id, open)| (&**id, open.clone())).collect();
-    let ost = Open {
+    let open: Vec<(&str, OpenReservation)> =
+        state.open.iter().map(|(id, open)| (&**id, open.clone())).collect();
+    let ost = OpenReservation {
         tenant: "ost".into(),
         amount: Units(12_345),
-        slots: vec![day_place()],
+        account_periods: vec![day_place()],
         identity: Some(("order-99".into(), "later".into())),
     };
-    let free = Open { tenant: "".into(), amount: Units(0), slots: vec![], identity: None };
+    let free =
+        OpenReservation { tenant: "".into(), amount: Units(0), account_periods: vec![], identity: None };
     assert_eq!(open, [("r1-free", free), ("r1-open", ost)]);
-    let ran = |n: u64| Ran {
+    let ran = |n: u64| ExecutedRequest {
         tenant: "nord".into(),
         identity: format!("order-{n}").into(),
         class: "help".into(),
         at: START.after(4 * S + n),
     };
-    assert_eq!(state.ran, [ran(0), ran(3), ran(6)]);
+    assert_eq!(state.executed, [ran(0), ran(3), ran(6)]);
     let wanted: Vec<(AccountKey, (Units, Units))> = state.wanted.clone().into_iter().collect();
     assert_eq!(
         wanted,
--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, EngineLine};
-use chalkyard_budget::{Record, Span};
+use chalkyard_budget::{Period, Record};
 use chalkyard_ledger::{read, segment_number, DirectoryVolume, Volume};
 
 use crate::settle::{Adjustments, Change};
@@ -64,7 +64,7 @@
 }
 
 /// Makes the bill of a period; damage met in ledgers is told beside.
-pub fn make(sources: &Sources<'_>, period: Span) -> Result<(Bill, Vec<String>), Trouble> {
+pub fn make(sources: &Sources<'_>, period: Period) -> Result<(Bill, Vec<String>), Trouble> {
     let budgets = sources.budgets;
     let settled = budgets.settlement.iter().flat_map(|s| &s.routers).map(|(_, folder)| folder.clone());
     let mut folders: Vec<PathBuf> = sources.ledgers.clone();
@@ -244,7 +244,7 @@
         println!("nothing to compact: no segment before {before} with all its requests settled and a checkpoint after it");
         return Ok(ExitCode::SUCCESS);
     }
-    let all = Span { start: chalkyard_budget::Time(0), end: cut.start };
+    let all = Period { start: chalkyard_budget::Time(0), end: cut.start };
     let bill = biller.bill(&budgets.plan, all);
     let target = folder.join(format!("sums-before-{before}.json"));
     if target.exists() {
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use chalkyard_budget::{AccountKey, Kind};
+use chalkyard_budget::{AccountKey, PeriodKind};
 use clap::{Args, Subcommand, ValueEnum};
 
 use crate::keeping::now;
@@ -20,7 +20,7 @@
     Month,
 }
 
-impl From<Period> for Kind {
+impl From<Period> for PeriodKind {
     fn from(p: Period) -> Self {
         match p {
             Period::Hour => Self::Hour,
@@ -169,7 +169,7 @@
             }
             let budgets = load(&file)?;
             match budgets.plan.calendar.named(&day) {
-                Ok((Kind::Day, _)) => {}
+                Ok((PeriodKind::Day, _)) => {}
                 Ok(_) => return Err(Trouble::BadInput(format!("--day: `{day}` is no day"))),
                 Err(why) => return Err(Trouble::BadInput(format!("--day: {why}"))),
             }
--- a/crates/daemon/src/settle_test.rs
+++ b/crates/daemon/src/settle_test.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use super::*;
-use chalkyard_budget::{AtHard, AtSoft, Calendar, Kind, Limit, Mode, Units, Weights};
+use chalkyard_budget::{AtHard, AtSoft, Calendar, Limit, Mode, PeriodKind, Units, Weights};
 use chalkyard_ledger::{encode, read, segment_name};
 
 const STORED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/budgets/adjustments");
@@ -10,11 +10,11 @@
 const NOVEMBER: Time = Time(1_793_487_600_000_000);
 
 fn tenant_month() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: None, kind: Kind::Month }
+    AccountKey { tenant: "nord".into(), class: None, kind: PeriodKind::Month }
 }
 
 fn class_hour() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: Kind::Hour }
+    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: PeriodKind::Hour }
 }
 
 fn adjustment(n: u64, what: Change) -> Adjustment {
--- a/crates/daemon/tests/stored_budgets.rs
+++ b/crates/daemon/tests/stored_budgets.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 
 use chalkyard_budget::{
-    AccountKey, Adopted, Calendar, Charge, Ending, Kind, Place, Record, Settled, SigningKey, Span, Time,
-    Units, Usage,
+    AccountKey, AccountPeriod, AdoptedLease, Calendar, Ending, Period, PeriodKind, Record, Reservation,
+    Settled, SigningKey, Time, Units, Usage,
 };
 use chalkyard_ledger::{DirectoryVolume, Limits, Writer};
 use common::*;
@@ -168,11 +168,11 @@
 }
 
 /// A ledger of the present month with one open and one settled request, under a lease.
-fn write_present_ledger(folder: &Path, month: Span) {
-    let key = AccountKey { tenant: "nord".into(), class: None, kind: Kind::Month };
-    let place = Place { class: None, kind: Kind::Month, start: month.start };
+fn write_present_ledger(folder: &Path, month: Period) {
+    let key = AccountKey { tenant: "nord".into(), class: None, kind: PeriodKind::Month };
+    let place = AccountPeriod { class: None, kind: PeriodKind::Month, start: month.start };
     let at = month.start;
-    let adopted = Adopted {
+    let adopted = AdoptedLease {
         number: 7,
         at,
         until: month.end,
@@ -180,14 +180,14 @@
         wanted: vec![],
     };
     let reserved = |id: &str| {
-        Record::Reserved(Charge {
+        Record::Reserved(Reservation {
             id: id.into(),
             tenant: "nord".into(),
             class: "help".into(),
             identity: None,
             at,
             amount: Units::tokens(600),
-            slots: vec![place.clone()],
+            account_periods: vec![place.clone()],
         })
     };
     let settled = Settled {
@@ -221,7 +221,7 @@
     writer.flush().unwrap();
 }
 
-fn present(kind: Kind) -> Span {
+fn present(kind: PeriodKind) -> Period {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     Calendar::new("Europe/Zurich").unwrap().span(kind, Time(since.as_micros() as u64))
 }
@@ -230,7 +230,7 @@
 fn budget_show_prints_standings_and_adjustments_as_before() {
     let site = Site::new("stored-show", &[]);
     std::fs::copy(data("round-000000000007"), site.state("journal/round-000000000007")).unwrap();
-    let (month, hour) = (present(Kind::Month), present(Kind::Hour));
+    let (month, hour) = (present(PeriodKind::Month), present(PeriodKind::Hour));
     write_present_ledger(&site.state("r1"), month);
     let (code, out, err) = site.run(&["budget", "show", "SETTINGS"]);
     assert_eq!((code, err.as_str()), (0, ""));
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -6,8 +6,9 @@
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_budget::{
-    AccountKey, Allowance, AtHard, AtSoft, BudgetEnforcer, Calendar, Charge, Ending, Grant, Kind, Limit,
-    Mode, Place, Plan, RateLimit, Record, ReservationRequest, Settled, State, Time, Units, Usage, Weights,
+    AccountKey, AccountPeriod, Allowance, AtHard, AtSoft, BudgetEnforcer, Calendar, Ending, Grant, Limit,
+    Mode, PeriodKind, Plan, RateLimit, Record, Reservation, ReservationRequest, Settled, State, Time, Units,
+    Usage, Weights,
 };
 use chalkyard_ledger::{read, DirectoryVolume, Limits, Volume, Writer};
 use hdrhistogram::Histogram;
@@ -26,7 +27,7 @@
     let (mut limits, mut rates) = (BTreeMap::new(), BTreeMap::new());
     for i in 0..tenants {
         let tenant: Box<str> = format!("tenant-{i:05}").into();
-        for kind in [Kind::Day, Kind::Month] {
+        for kind in [PeriodKind::Day, PeriodKind::Month] {
             let key = AccountKey { tenant: tenant.clone(), class: None, kind };
             let limit = Limit {
                 hard: Units::tokens(1_000_000_000),
@@ -118,17 +119,17 @@
 fn pair(n: u64) -> [Record; 2] {
     let id: Box<str> = format!("r1-64a3c2b1f-{n:x}").into();
     let at = NOW.after(n * 50);
-    let slot = |kind| Place { class: None, kind, start: NOW };
+    let slot = |kind| AccountPeriod { class: None, kind, start: NOW };
     let usage = Usage { prompt: 910, cached: 64, output: 120 };
     [
-        Record::Reserved(Charge {
+        Record::Reserved(Reservation {
             id: id.clone(),
             tenant: format!("tenant-{:05}", n % 10_000).into(),
             class: "help".into(),
             identity: Some(format!("k{n}").into()),
             at,
             amount: Units::tokens(1_300),
-            slots: vec![slot(Kind::Day), slot(Kind::Month)],
+            account_periods: vec![slot(PeriodKind::Day), slot(PeriodKind::Month)],
         }),
         Record::Settled(Settled {
             id,
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -17,7 +17,7 @@
     /// run twice are known from its ledger.
     pub fn keep_budgets(&mut self, budget_enforcer: BudgetEnforcer) {
         let (now, wait) = (self.now, self.config.waits.identity);
-        for ran in &budget_enforcer.state().ran {
+        for ran in &budget_enforcer.state().executed {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
             let class = self.config.classes.iter().position(|c| *c.name == *ran.class);
             let class = class.and_then(|c| self.config.policy.classes.get(c));
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use chalkyard_budget::{
-    AccountKey, AtHard, AtSoft, BudgetEnforcer, Calendar, Ending, Kind, Limit, Mode, Plan, Record, State,
-    Time, Units, Weights,
+    AccountKey, AtHard, AtSoft, BudgetEnforcer, Calendar, Ending, Limit, Mode, PeriodKind, Plan, Record,
+    State, Time, Units, Weights,
 };
 use chalkyard_router::*;
 use common::*;
@@ -18,7 +18,7 @@
 
 fn plan(tokens: u64, at_hard: AtHard) -> Plan {
     // No tenants: all requests are nobody's, who has a budget here.
-    let key = AccountKey { tenant: "".into(), class: None, kind: Kind::Day };
+    let key = AccountKey { tenant: "".into(), class: None, kind: PeriodKind::Day };
     let limit =
         Limit { hard: Units::tokens(tokens), soft: 1_000, at_soft: AtSoft::Warn, at_hard, marks: vec![] };
     Plan {
--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chalkyard_budget::{
-    AccountKey, AtHard, AtSoft, Calendar, Kind, LeaseTerms, Limit, Mode, Plan, Price, RateLimit, Units,
+    AccountKey, AtHard, AtSoft, Calendar, LeaseTerms, Limit, Mode, PeriodKind, Plan, Price, RateLimit, Units,
     Weights,
 };
 use chalkyard_policy as p;
@@ -74,11 +74,11 @@
     }
 }
 
-struct KindWord(Kind);
+struct KindWord(PeriodKind);
 
 impl Value for KindWord {
     fn read(text: &str) -> Result<Self, String> {
-        let kind = Kind::ALL.into_iter().find(|k| k.word() == text);
+        let kind = PeriodKind::ALL.into_iter().find(|k| k.word() == text);
         kind.map(Self).ok_or_else(|| "must be one of hour, day, month".into())
     }
 }
@@ -107,7 +107,7 @@
 impl Value for Day {
     fn read(text: &str) -> Result<Self, String> {
         let is_day =
-            Calendar::new("UTC").and_then(|c| c.named(text)).is_ok_and(|(kind, _)| kind == Kind::Day);
+            Calendar::new("UTC").and_then(|c| c.named(text)).is_ok_and(|(kind, _)| kind == PeriodKind::Day);
         is_day.then(|| Self(text.into())).ok_or_else(|| "must be a day such as 2026-12-01".into())
     }
 }
@@ -181,7 +181,7 @@
     if class.as_ref().is_some_and(|c| !known.classes.iter().any(|(n, _)| n == c)) {
         e.wrong(Some("class"), "no such <class>", errors);
     }
-    let kind = e.must("period", KindWord(Kind::Day), errors).0;
+    let kind = e.must("period", KindWord(PeriodKind::Day), errors).0;
     let tokens = e.must("tokens", 1_u64, errors);
     if tokens == 0 || tokens > u64::MAX / Units::A_TOKEN / 1_000 {
         e.wrong(Some("tokens"), "must be 1 to 18446744073709", errors);
