--- a/crates/budget/src/calendar.rs
+++ b/crates/budget/src/calendar.rs
@@ -43,7 +43,7 @@
 
 impl Period {
     /// Whether a time lies in it.
-    pub fn holds(&self, at: Time) -> bool {
+    pub fn contains(&self, at: Time) -> bool {
         self.start <= at && at < self.end
     }
 }
@@ -75,8 +75,8 @@
     }
 
     /// The period of a kind in which a time lies.
-    pub fn span(&self, kind: PeriodKind, at: Time) -> Period {
-        self.by_calendar(kind, at).filter(|span| span.holds(at)).unwrap_or_else(|| {
+    pub fn period(&self, kind: PeriodKind, at: Time) -> Period {
+        self.by_calendar(kind, at).filter(|period| period.contains(at)).unwrap_or_else(|| {
             let start = at.0 / FALLBACK * FALLBACK;
             Period { start: Time(start), end: Time(start.saturating_add(FALLBACK)) }
         })
@@ -98,7 +98,7 @@
                 let until_now = t.checked_add(1.nanosecond()).ok()?;
                 let before = self.zone.preceding(until_now).next().map(|c| c.timestamp());
                 let after = self.zone.following(t).next().map(|c| c.timestamp());
-                return span(before.map_or(start, |b| start.max(b)), after.map_or(end, |a| end.min(a)));
+                return period(before.map_or(start, |b| start.max(b)), after.map_or(end, |a| end.min(a)));
             }
             PeriodKind::Day => {
                 let start = zoned.start_of_day().ok()?;
@@ -111,7 +111,7 @@
                 (start, end)
             }
         };
-        span(start.timestamp(), end.timestamp())
+        period(start.timestamp(), end.timestamp())
     }
 
     /// The date on which a time lies, as `2026-12-01`.
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     /// Says what is wrong with the text.
-    pub fn named(&self, text: &str) -> Result<(PeriodKind, Period), String> {
+    pub fn parse_period(&self, text: &str) -> Result<(PeriodKind, Period), String> {
         let wrong =
             || format!("`{text}` is no period: 2026-12 (month), 2026-12-01 (day) or 2026-12-01T14 (hour)");
         let (kind, full) = match text.len() {
@@ -139,11 +139,11 @@
         let civil: jiff::civil::DateTime = full.parse().map_err(|_| wrong())?;
         let zoned = civil.to_zoned_datetime(self.zone.clone()).map_err(|_| wrong())?;
         let micros = u64::try_from(zoned.timestamp().as_microsecond()).map_err(|_| wrong())?;
-        Ok((kind, self.span(kind, Time(micros))))
+        Ok((kind, self.period(kind, Time(micros))))
     }
 }
 
-fn span(start: Timestamp, end: Timestamp) -> Option<Period> {
+fn period(start: Timestamp, end: Timestamp) -> Option<Period> {
     let micros = |t: Timestamp| u64::try_from(t.as_microsecond()).ok().map(Time);
     Some(Period { start: micros(start)?, end: micros(end)? })
 }
--- a/crates/budget/src/calendar_test.rs
+++ b/crates/budget/src/calendar_test.rs
@@ -13,7 +13,7 @@
 fn days_are_as_long_as_the_clock_makes_them() {
     let calendar = Calendar::new("Europe/Zurich").unwrap();
     let length = |z: &str| {
-        let span = calendar.span(PeriodKind::Day, at(z));
+        let span = calendar.period(PeriodKind::Day, at(z));
         span.end.since(span.start) / HOUR
     };
     assert_eq!(length("2026-03-29T12:00[Europe/Zurich]"), 23);
@@ -24,19 +24,19 @@
 #[test]
 fn an_hour_that_is_shown_twice_is_two_periods() {
     let calendar = Calendar::new("Europe/Zurich").unwrap();
-    let first = calendar.span(PeriodKind::Hour, at("2026-10-25T02:30+02:00[Europe/Zurich]"));
-    let second = calendar.span(PeriodKind::Hour, at("2026-10-25T02:30+01:00[Europe/Zurich]"));
+    let first = calendar.period(PeriodKind::Hour, at("2026-10-25T02:30+02:00[Europe/Zurich]"));
+    let second = calendar.period(PeriodKind::Hour, at("2026-10-25T02:30+01:00[Europe/Zurich]"));
     assert_eq!((first.end, second.end.since(second.start)), (second.start, HOUR));
 }
 
 #[test]
 fn february_of_a_leap_year_has_its_29th() {
     let calendar = Calendar::new("Asia/Kolkata").unwrap();
-    let span = calendar.span(PeriodKind::Month, at("2028-02-29T23:59:59[Asia/Kolkata]"));
+    let span = calendar.period(PeriodKind::Month, at("2028-02-29T23:59:59[Asia/Kolkata]"));
     assert_eq!(span.end.since(span.start), 29 * 24 * HOUR);
     assert_eq!(calendar.date(at("2028-02-29T23:59[Asia/Kolkata]")), "2028-02-29");
-    assert_eq!(calendar.named("2028-02").unwrap(), (PeriodKind::Month, span));
-    assert!(calendar.named("2027-02-29").is_err());
+    assert_eq!(calendar.parse_period("2028-02").unwrap(), (PeriodKind::Month, span));
+    assert!(calendar.parse_period("2027-02-29").is_err());
 }
 
 #[test]
@@ -47,15 +47,15 @@
             // Zurich's clock changed on 29 March, Lord Howe's (by half an hour) on 5 April.
             let mut t = at("2026-03-25T00:00[UTC]");
             for _ in 0..500 {
-                let span = calendar.span(kind, t);
+                let span = calendar.period(kind, t);
                 assert!(
-                    span.holds(t) && calendar.span(kind, Time(span.end.0 - 1)) == span,
+                    span.contains(t) && calendar.period(kind, Time(span.end.0 - 1)) == span,
                     "{zone} {kind:?}"
                 );
                 t = span.end;
             }
         }
     }
-    assert!(Calendar::new("UTC").unwrap().span(PeriodKind::Day, Time(u64::MAX - FALLBACK)).start > Time(0));
+    assert!(Calendar::new("UTC").unwrap().period(PeriodKind::Day, Time(u64::MAX - FALLBACK)).start > Time(0));
     assert!(Calendar::new("Nowhere/City").is_err());
 }
--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -15,7 +15,8 @@
     /// The account.
     pub key: AccountKey,
     /// The period.
-    pub span: Period,
+    #[serde(rename = "span")]
+    pub period: Period,
     /// Spent and reserved there together never pass it.
     pub ceiling: Units,
     /// What the period allows over all routers.
@@ -45,7 +46,8 @@
     /// Of which account.
     pub key: AccountKey,
     /// In which period.
-    pub span: Period,
+    #[serde(rename = "span")]
+    pub period: Period,
     /// The highest of those out.
     pub ceiling: Units,
     /// The newest round that named it.
--- /dev/null
+++ b/crates/budget/src/lease_allocator/outstanding.rs
@@ -0,0 +1,133 @@
+//! Ceilings that were granted and may still be adopted.
+
+use std::collections::BTreeMap;
+
+use crate::calendar::Period;
+use crate::grant::{Allowance, Outstanding};
+use crate::plan::AccountKey;
+use crate::units::{Time, Units};
+
+use super::{AccountStart, LeaseAllocator, RouterView};
+
+/// All ceilings that the newest round names as outstanding, by account, then router.
+#[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct OutstandingCeilings(BTreeMap<AccountStart, BTreeMap<Box<str>, Vec<Outstanding>>>);
+
+impl OutstandingCeilings {
+    pub fn new(outstanding: &[Outstanding]) -> Self {
+        let mut by_account: BTreeMap<AccountStart, BTreeMap<Box<str>, Vec<Outstanding>>> = BTreeMap::new();
+        for out in outstanding {
+            let account = AccountStart { key: out.key.clone(), start: out.period.start };
+            let by_router = by_account.entry(account).or_default();
+            by_router.entry(out.router.clone()).or_default().push(out.clone());
+        }
+        Self(by_account)
+    }
+
+    fn of_router(&self, router: &str, account: &AccountStart) -> Option<&[Outstanding]> {
+        self.0.get(account)?.get(router).map(Vec::as_slice)
+    }
+
+    fn iter(&self) -> impl Iterator<Item = &Outstanding> {
+        self.0.values().flat_map(BTreeMap::values).flatten()
+    }
+}
+
+/// Whose ceiling it is; rounds name them in this order.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CeilingKey<'a> {
+    account: AccountStart,
+    router: &'a str,
+}
+
+impl<'a> CeilingKey<'a> {
+    fn new(key: &AccountKey, period: Period, router: &'a str) -> Self {
+        Self { account: AccountStart { key: key.clone(), start: period.start }, router }
+    }
+}
+
+impl LeaseAllocator {
+    /// The highest ceiling that was granted to a router for an account and may still be adopted.
+    pub(super) fn unanswered(
+        &self,
+        router: &str,
+        view: &RouterView,
+        account: &AccountStart,
+    ) -> Option<Units> {
+        let granted = self.outstanding.of_router(router, account)?;
+        granted.iter().filter(|out| self.may_be_adopted(view, out)).map(|out| out.ceiling).max()
+    }
+
+    fn may_be_adopted(&self, view: &RouterView, out: &Outstanding) -> bool {
+        out.number > view.state.lease.number && !self.is_over(view, out.until)
+    }
+
+    /// What is outstanding once these grants are given.
+    pub(super) fn outstanding_after(
+        &self,
+        grants: &BTreeMap<Box<str>, Vec<Allowance>>,
+        number: u64,
+        until: Time,
+        now: Time,
+    ) -> Vec<Outstanding> {
+        let mut fresh: BTreeMap<CeilingKey<'_>, Outstanding> = BTreeMap::new();
+        for (router, allowances) in grants {
+            for allowance in allowances {
+                let out = Outstanding {
+                    router: router.clone(),
+                    key: allowance.key.clone(),
+                    period: allowance.period,
+                    ceiling: allowance.ceiling,
+                    number,
+                    until,
+                };
+                fresh.insert(CeilingKey::new(&out.key, out.period, router), out);
+            }
+            // A lease that names nothing new still extends the ceilings held under the one before.
+            for out in self.extended(router, number, until, now) {
+                fresh.entry(CeilingKey::new(&out.key, out.period, router)).or_insert(out);
+            }
+        }
+        let mut all: Vec<Outstanding> =
+            self.outstanding.iter().filter(|old| self.still_counts(old, &fresh, now)).cloned().collect();
+        all.extend(fresh.into_values());
+        all
+    }
+
+    /// The ceilings that a router holds under a lease whose time may not be over.
+    fn extended(&self, router: &str, number: u64, until: Time, now: Time) -> Vec<Outstanding> {
+        let Some(view) = self.routers.get(router) else { return Vec::new() };
+        if self.is_over(view, view.state.lease.until) {
+            return Vec::new();
+        }
+        let mut held = Vec::new();
+        for (tenant, account, usage) in view.state.usage.iter() {
+            let Some(ceiling) = usage.ceiling else { continue };
+            let end = self.plan.calendar.period(account.kind, account.start).end;
+            let period = Period { start: account.start, end };
+            if !self.has_ended(period, now) {
+                let key =
+                    AccountKey { tenant: tenant.into(), class: account.class.clone(), kind: account.kind };
+                held.push(Outstanding { router: router.into(), key, period, ceiling, number, until });
+            }
+        }
+        held
+    }
+
+    fn still_counts(
+        &self,
+        old: &Outstanding,
+        fresh: &BTreeMap<CeilingKey<'_>, Outstanding>,
+        now: Time,
+    ) -> bool {
+        let may_be_adopted = self.routers.get(&old.router).is_none_or(|view| self.may_be_adopted(view, old));
+        // A newer one that is as high lasts longer and covers it.
+        let newer = fresh.get(&CeilingKey::new(&old.key, old.period, &old.router));
+        let is_covered = newer.is_some_and(|newer| newer.ceiling >= old.ceiling);
+        may_be_adopted && !self.has_ended(old.period, now) && !is_covered
+    }
+
+    fn has_ended(&self, period: Period, now: Time) -> bool {
+        now > period.end.after(self.terms.clock_error)
+    }
+}
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -5,8 +5,6 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::budget_enforcer::{BudgetEnforcer, ReservationRequest};
-use super::lease_allocator::{LeaseAllocator, LeaseTerms};
 use super::*;
 
 const START: u64 = 1_796_083_200_000_000;
@@ -188,7 +186,7 @@
                     &id,
                     ending,
                     Usage { prompt, ..Usage::default() },
-                    (None, None),
+                    BilledAttempts::default(),
                     false,
                 );
                 self.truth[r] -= u64::from(!used);
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -14,19 +14,22 @@
 #[allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 mod lease_test;
 mod plan;
-mod rate;
 mod record;
+mod state;
+mod token_bucket;
 mod units;
+mod usage_table;
 
 pub use budget_enforcer::{
-    Admission, AdoptLeaseError, BudgetEnforcer, Denial, DenialReason, Figures, ReservationRequest,
+    Admission, AdoptLeaseError, BudgetEnforcer, BudgetMark, Denial, DenialReason, Figures, ReservationRequest,
 };
 pub use calendar::{Calendar, Period, PeriodKind};
 pub use grant::{Allowance, Grant, Outstanding, Round, SignatureError, SigningKey};
-pub use lease_allocator::{AccountSummary, JournalForkError, LeaseAllocator, LeaseTerms};
+pub use lease_allocator::{AccountStart, AccountSummary, JournalForkError, LeaseAllocator, LeaseTerms};
 pub use plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, Price, RateLimit};
 pub use record::{
-    AccountPeriod, AccountUsage, AdoptedLease, Ending, ExecutedRequest, OpenReservation, Record, Reservation,
-    Settled, State, UsageTable,
+    AccountCeiling, AdoptedLease, BilledAttempts, DeniedDemand, Ending, Record, Reservation, Settled,
 };
+pub use state::{Demand, ExecutedRequest, Lease, OpenReservation, RequestIdentity, State};
 pub use units::{Time, Units, Usage, Weights};
+pub use usage_table::{AccountPeriod, AccountUsage, UsageTable};
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -130,6 +130,17 @@
     pub prices: Vec<Price>,
 }
 
+impl Mode {
+    /// The number of routers among which rates are divided; at least 1.
+    pub fn routers(self) -> u64 {
+        match self {
+            Self::Shares(routers) | Self::Leases { routers, .. } | Self::Unreserved(routers) => {
+                u64::from(routers.max(1))
+            }
+        }
+    }
+}
+
 impl Plan {
     /// The price of a day: the last that began by then.
     pub fn price(&self, day: &str) -> Option<&Price> {
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -1,14 +1,16 @@
-//! What a router's ledger keeps.
-
-use std::collections::{BTreeMap, VecDeque};
+//! The records of a router's ledger.
+//!
+//! They are stored with postcard, which writes variants and fields by their order: none may be reordered.
+//! Renaming is free, but for [`Settled`], which processes also hand over as JSON.
 
 use serde::{Deserialize, Serialize};
 
-use crate::calendar::{Period, PeriodKind};
+use crate::calendar::Period;
 use crate::plan::AccountKey;
+use crate::state::{AccountPeriod, State};
 use crate::units::{Time, Units, Usage};
 
-/// A reservation: a request was taken.
+/// A reservation: a request was admitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
     /// The router's id of the request.
@@ -17,13 +19,13 @@
     pub tenant: Box<str>,
     /// The class that it was asked for.
     pub class: Box<str>,
-    /// The client's identity for it.
+    /// The client's idempotency key.
     pub identity: Option<Box<str>>,
     /// When; decides the period and the bill's day.
     pub at: Time,
     /// The worst case.
     pub amount: Units,
-    /// What it was charged to.
+    /// The accounts' periods that it is charged to.
     pub account_periods: Vec<AccountPeriod>,
 }
 
@@ -31,9 +33,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// Answered whole: costs what the engine counted.
+    /// Answered completely: costs what the engine counted.
     Served,
-    /// Refused: costs nothing.
+    /// Rejected: costs nothing.
     Refused,
     /// Failed before a token of the answer: costs nothing.
     Failed,
@@ -43,314 +45,117 @@
     Left,
     /// The client left before: costs nothing.
     LeftEarly,
-    /// Open when its router's life ended; its client was cut off: costs nothing.
+    /// Open when its router's process ended, and its client was cut off: costs nothing.
     Orphaned,
 }
 
+/// The attempts whose work a request is billed for.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct BilledAttempts {
+    /// The attempt that read the prompt, where another wrote the answer.
+    pub prefill: Option<u32>,
+    /// The attempt whose answer it was.
+    pub answering: Option<u32>,
+}
+
 /// The end of a reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settled {
-    /// Of the reservation.
+    /// The request's id, as reserved.
     pub id: Box<str>,
     /// When.
     pub at: Time,
-    /// How.
+    /// How the request ended.
     pub ending: Ending,
     /// What is billed; for [`Ending::Left`] by the router's count, which the engine's record corrects.
     pub usage: Usage,
     /// What it cost the budget.
     pub cost: Units,
-    /// The attempt that read the prompt, where another wrote.
-    pub read: Option<u32>,
+    /// The attempt that read the prompt, where another wrote the answer.
+    #[serde(rename = "read")]
+    pub prefill_attempt: Option<u32>,
     /// The attempt whose answer it was.
-    pub write: Option<u32>,
+    #[serde(rename = "write")]
+    pub answering_attempt: Option<u32>,
     /// Whether it may have had its effect.
     pub may_have_run: bool,
 }
 
-/// A lease that was taken, as it holds from then on.
+impl Settled {
+    /// The attempts that it is billed for.
+    pub fn attempts(&self) -> BilledAttempts {
+        BilledAttempts { prefill: self.prefill_attempt, answering: self.answering_attempt }
+    }
+}
+
+/// The most that a router ever spends of an account in a period.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct AccountCeiling {
+    /// The account.
+    pub key: AccountKey,
+    /// The period.
+    pub period: Period,
+    /// Spent and reserved together never pass it.
+    pub ceiling: Units,
+}
+
+/// Demand for an account that was denied because the router's share was too small.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct DeniedDemand {
+    /// The account.
+    pub key: AccountKey,
+    /// The worst cases of all denied requests.
+    pub total: Units,
+    /// The largest of them.
+    pub largest: Units,
+}
+
+/// A lease as it holds from its adoption on.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AdoptedLease {
     /// The round's number.
     pub number: u64,
-    /// When.
+    /// When it was adopted.
     pub at: Time,
-    /// Nothing is taken by it from then on.
+    /// Nothing is reserved under it from then on.
     pub until: Time,
-    /// By account and period: the most that this router ever spends in it. What is not named stays.
-    pub ceilings: Vec<(AccountKey, Period, Units)>,
-    /// Refused for want of room since the lease before, and the largest single one.
-    pub wanted: Vec<(AccountKey, Units, Units)>,
+    /// Ceilings that changed; those that are not named stay.
+    pub ceilings: Vec<AccountCeiling>,
+    /// Denied since the lease before.
+    pub demand: Vec<DeniedDemand>,
 }
 
-/// One line of a ledger.
+/// One record of a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A life of the router began.
+    /// The router's process started.
     Started(Time),
-    /// A life of the router took over from the one before, which still ends what it had taken.
+    /// The router's process took over from a predecessor, which still settles what it had admitted.
     Succeeded(Time),
-    /// A request was taken.
+    /// A request was admitted.
     Reserved(Reservation),
     /// It ended.
     Settled(Settled),
-    /// A lease was taken.
+    /// A lease was adopted.
     Adopted(AdoptedLease),
-    /// All state so far: reading can begin here.
+    /// A checkpoint: recovery can begin here.
     State(Box<State>),
 }
 
-/// Use of one account in one period at one router.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AccountUsage {
-    /// Settled.
-    pub spent: Units,
-    /// Reserved and not settled.
-    pub reserved: Units,
-    /// The most that may be used here; none: no lease has told it.
-    pub ceiling: Option<Units>,
-}
-
-impl AccountUsage {
-    /// Spent or reserved.
-    pub fn used(&self) -> Units {
-        self.spent.plus(self.reserved)
-    }
-}
-
-/// One account in one period, of a tenant that is named beside.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AccountPeriod {
-    /// The account's class; none: the tenant's account for all.
-    pub class: Option<Box<str>>,
-    /// Its periods.
-    pub kind: PeriodKind,
-    /// The period's start.
-    pub start: Time,
-}
-
-impl AccountPeriod {
-    /// Of an account.
-    pub fn new(key: &AccountKey, start: Time) -> Self {
-        Self { class: key.class.clone(), kind: key.kind, start }
-    }
-}
-
-/// Use by tenant, account and period: a request looks its tenant up once.
-#[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct UsageTable(BTreeMap<Box<str>, BTreeMap<AccountPeriod, AccountUsage>>);
-
-impl UsageTable {
-    /// Of an account in a period; nothing, if there was none.
-    pub fn get(&self, key: &AccountKey, start: Time) -> AccountUsage {
-        let of_tenant = self.0.get(&key.tenant);
-        of_tenant.and_then(|t| t.get(&AccountPeriod::new(key, start))).copied().unwrap_or_default()
-    }
-
-    /// All of a tenant.
-    pub fn of_tenant(&self, tenant: &str) -> Option<&BTreeMap<AccountPeriod, AccountUsage>> {
-        self.0.get(tenant)
-    }
-
-    fn of_tenant_mut(&mut self, tenant: &str) -> &mut BTreeMap<AccountPeriod, AccountUsage> {
-        if !self.0.contains_key(tenant) {
-            self.0.insert(tenant.into(), BTreeMap::new());
+impl Record {
+    /// When it was made; a checkpoint has no time of its own.
+    pub fn at(&self) -> Option<Time> {
+        match self {
+            Self::Started(at) | Self::Succeeded(at) => Some(*at),
+            Self::Reserved(reservation) => Some(reservation.at),
+            Self::Settled(settled) => Some(settled.at),
+            Self::Adopted(lease) => Some(lease.at),
+            Self::State(_) => None,
         }
-        self.0.entry(tenant.into()).or_default()
     }
 
-    /// All: tenant, account and period, use.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &AccountPeriod, &AccountUsage)> {
-        self.0.iter().flat_map(|(tenant, places)| places.iter().map(move |(p, h)| (&**tenant, p, h)))
-    }
-
-    /// All uses.
-    pub fn values(&self) -> impl Iterator<Item = &AccountUsage> {
-        self.0.values().flat_map(BTreeMap::values)
-    }
-}
-
-/// A reservation without its settlement.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OpenReservation {
-    /// Whose.
-    pub tenant: Box<str>,
-    /// How much.
-    pub amount: Units,
-    /// From what.
-    pub account_periods: Vec<AccountPeriod>,
-    /// The client's identity for it, and its class.
-    pub identity: Option<(Box<str>, Box<str>)>,
-}
-
-/// A request under an identity that may have run.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ExecutedRequest {
-    /// Whose.
-    pub tenant: Box<str>,
-    /// The client's identity for it.
-    pub identity: Box<str>,
-    /// The class it was asked for.
-    pub class: Box<str>,
-    /// When it ended.
-    pub at: Time,
-}
-
-/// The sums of a ledger: what recovery gives, and what a lease's grantor sees.
-#[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct State {
-    /// Use by account and period's start.
-    pub usage: UsageTable,
-    /// Reservations without settlement, by the request's id.
-    pub open: BTreeMap<Box<str>, OpenReservation>,
-    /// The newest lease taken, and how long it holds.
-    pub lease: (u64, Time),
-    /// Last time told by any record: no clock goes behind it.
-    pub last: Time,
-    /// Settled, in all.
-    pub settled: u64,
-    /// Requests under an identity that may have run, oldest first; bounded in number and age.
-    pub executed: VecDeque<ExecutedRequest>,
-    /// Records taken: the number of the last. A ledger's records are numbered without gaps.
-    pub sequence: u64,
-    /// Refused for want of room, as the newest lease's record told: sum and largest.
-    pub wanted: BTreeMap<AccountKey, (Units, Units)>,
-}
-
-/// Periods of one account that are remembered after their end, newest first: enough for streams over a
-/// period's change, and bounded.
-const PERIODS: usize = 4;
-/// Identities that may have run are remembered so long, µs, and so many: a day is the longest that settings can
-/// ask for.
-const REMEMBERED: u64 = 86_400_000_000;
-const MOST_REMEMBERED: usize = 100_000;
-
-impl State {
-    /// Takes a record by its number. False: it says nothing new, being one that was taken, so that the same
-    /// ledger fed twice changes nothing; or it settles what is not open.
-    pub fn take(&mut self, number: u64, record: &Record) -> bool {
-        if number <= self.sequence {
-            return false;
-        }
-        self.sequence = number;
-        match record {
-            Record::Started(at) => self.start(*at),
-            // Nothing was lost: leases and reservations go on.
-            Record::Succeeded(at) => self.last = self.last.max(*at),
-            Record::Reserved(reservation) => return self.reserve(reservation),
-            Record::Settled(settled) => return self.settle(settled),
-            Record::Adopted(adopted) => return self.adopt(adopted),
-            Record::State(state) => {
-                *self = (**state).clone();
-                self.sequence = number;
-            }
-        }
-        true
-    }
-
-    /// What a lease's grantor needs: without single requests.
-    pub fn sums(&self) -> Self {
-        Self {
-            usage: self.usage.clone(),
-            wanted: self.wanted.clone(),
-            open: BTreeMap::new(),
-            executed: VecDeque::new(),
-            ..*self
-        }
-    }
-
-    /// A new life spends nothing by the leases of the one before: what was written of them last may have
-    /// been lost with the machine's power.
-    fn start(&mut self, at: Time) {
-        self.last = self.last.max(at);
-        self.lease.1 = Time(0);
-        self.wanted.clear();
-        for usage in self.usage.0.values_mut().flat_map(BTreeMap::values_mut) {
-            usage.ceiling = None;
-        }
-    }
-
-    fn reserve(&mut self, reservation: &Reservation) -> bool {
-        self.last = self.last.max(reservation.at);
-        if self.open.contains_key(&reservation.id) {
-            return false;
-        }
-        if !reservation.account_periods.is_empty() {
-            let of_tenant = self.usage.of_tenant_mut(&reservation.tenant);
-            let known = of_tenant.len();
-            for place in &reservation.account_periods {
-                let usage = of_tenant.entry(place.clone()).or_default();
-                usage.reserved = usage.reserved.plus(reservation.amount);
-            }
-            // A period that is new puts an old one out.
-            if of_tenant.len() > known {
-                forget_old(of_tenant);
-            }
-        }
-        let open = OpenReservation {
-            tenant: reservation.tenant.clone(),
-            amount: reservation.amount,
-            account_periods: reservation.account_periods.clone(),
-            identity: reservation.identity.clone().map(|i| (i, reservation.class.clone())),
-        };
-        self.open.insert(reservation.id.clone(), open);
-        true
-    }
-
-    fn settle(&mut self, settled: &Settled) -> bool {
-        self.last = self.last.max(settled.at);
-        let Some(mut open) = self.open.remove(&settled.id) else { return false };
-        if let Some((identity, class)) = open.identity.take().filter(|_| settled.may_have_run) {
-            self.remember(ExecutedRequest { tenant: open.tenant.clone(), identity, class, at: settled.at });
-        }
-        if !open.account_periods.is_empty() {
-            let of_tenant = self.usage.of_tenant_mut(&open.tenant);
-            for place in open.account_periods {
-                let usage = of_tenant.entry(place).or_default();
-                usage.reserved = usage.reserved.minus(open.amount);
-                usage.spent = usage.spent.plus(settled.cost);
-            }
-        }
-        self.settled += 1;
-        true
-    }
-
-    fn remember(&mut self, ran: ExecutedRequest) {
-        let old = |r: &ExecutedRequest| ran.at.since(r.at) > REMEMBERED;
-        while self.executed.len() >= MOST_REMEMBERED || self.executed.front().is_some_and(old) {
-            self.executed.pop_front();
-        }
-        self.executed.push_back(ran);
-    }
-
-    fn adopt(&mut self, adopted: &AdoptedLease) -> bool {
-        if adopted.number <= self.lease.0 {
-            return false;
-        }
-        self.last = self.last.max(adopted.at);
-        self.lease = (adopted.number, adopted.until);
-        for (key, span, ceiling) in &adopted.ceilings {
-            let of_tenant = self.usage.of_tenant_mut(&key.tenant);
-            let known = of_tenant.len();
-            of_tenant.entry(AccountPeriod::new(key, span.start)).or_default().ceiling = Some(*ceiling);
-            if of_tenant.len() > known {
-                forget_old(of_tenant);
-            }
-        }
-        self.wanted = adopted.wanted.iter().map(|(k, sum, most)| (k.clone(), (*sum, *most))).collect();
-        true
-    }
-}
-
-/// Drops a tenant's periods beyond those remembered, unless something is open in them.
-fn forget_old(places: &mut BTreeMap<AccountPeriod, AccountUsage>) {
-    let mut periods: BTreeMap<(Option<Box<str>>, PeriodKind), usize> = BTreeMap::new();
-    let newest_first: Vec<AccountPeriod> = places.keys().rev().cloned().collect();
-    for place in newest_first {
-        let n = periods.entry((place.class.clone(), place.kind)).or_default();
-        *n += 1;
-        if *n > PERIODS && places.get(&place).is_some_and(|h| h.reserved == Units(0)) {
-            places.remove(&place);
-        }
+    /// Whether recovery can begin with it.
+    pub fn is_checkpoint(&self) -> bool {
+        matches!(self, Self::State(_))
     }
 }
--- /dev/null
+++ b/crates/budget/src/token_bucket.rs
@@ -0,0 +1,74 @@
+//! Token rates: a token bucket that may go into debt, refilled in integral units.
+
+use crate::units::{Time, Units};
+
+/// The token bucket of a tenant at one router. A request is admitted if the bucket holds its worst case, or is
+/// full; what was not used is given back at its settlement.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct TokenBucket {
+    per_second: u64,
+    burst: i64,
+    level: i64,
+    /// Refilled up to then; the time for a part of a unit is not lost.
+    filled_at: Time,
+}
+
+/// Microseconds in a second.
+const MICROS_PER_SECOND: u128 = 1_000_000;
+
+impl TokenBucket {
+    /// A full bucket.
+    pub fn new(per_second: Units, burst: Units, now: Time) -> Self {
+        let burst = i64::try_from(burst.0).unwrap_or(i64::MAX).max(1);
+        Self { per_second: per_second.0.max(1), burst, level: burst, filled_at: now }
+    }
+
+    /// Changes the rate; the level is cut to the new burst.
+    pub fn change(&mut self, per_second: Units, burst: Units) {
+        self.per_second = per_second.0.max(1);
+        self.burst = i64::try_from(burst.0).unwrap_or(i64::MAX).max(1);
+        self.level = self.level.min(self.burst);
+    }
+
+    fn refill(&mut self, now: Time) {
+        let passed = u128::from(now.since(self.filled_at));
+        let units = passed * u128::from(self.per_second) / MICROS_PER_SECOND;
+        if units == 0 {
+            return;
+        }
+        let micros = (units * MICROS_PER_SECOND).div_ceil(u128::from(self.per_second));
+        self.filled_at = self.filled_at.after(u64::try_from(micros).unwrap_or(u64::MAX)).min(now);
+        self.level = self.level.saturating_add(i64::try_from(units).unwrap_or(i64::MAX)).min(self.burst);
+    }
+
+    /// Whether so much may be taken now.
+    ///
+    /// # Errors
+    /// The time until then, µs.
+    pub fn check_available(&mut self, now: Time, units: Units) -> Result<(), u64> {
+        self.refill(now);
+        let wanted = i64::try_from(units.0).unwrap_or(i64::MAX).min(self.burst);
+        let short = wanted.saturating_sub(self.level);
+        if short <= 0 {
+            return Ok(());
+        }
+        let wait =
+            (u128::from(short.unsigned_abs()) * MICROS_PER_SECOND).div_ceil(u128::from(self.per_second));
+        Err(u64::try_from(wait).unwrap_or(u64::MAX))
+    }
+
+    /// Takes units, if need be into debt.
+    pub fn take(&mut self, units: Units) {
+        self.level = self.level.saturating_sub(i64::try_from(units.0).unwrap_or(i64::MAX));
+    }
+
+    /// Gives back what was not used.
+    pub fn give_back(&mut self, units: Units) {
+        let level = self.level.saturating_add(i64::try_from(units.0).unwrap_or(i64::MAX));
+        self.level = level.min(self.burst);
+    }
+}
+
+#[cfg(test)]
+#[path = "token_bucket_test.rs"]
+mod tests;
--- a/crates/budget/src/rate_test.rs
+++ b/crates/budget/src/token_bucket_test.rs
@@ -1,14 +1,14 @@
-//! Tests of `rate`.
+//! Tests of `token_bucket`.
 use super::*;
 
 #[test]
 fn a_rate_holds_over_time_whatever_the_steps() {
     for step in [1_u64, 7, 999, 250_000] {
-        let mut bucket = Bucket::new(Units(3_000), Units(6_000), Time(0));
+        let mut bucket = TokenBucket::new(Units(3_000), Units(6_000), Time(0));
         let (mut taken, mut now) = (0, 0);
         while now < 2_000_000 {
             now += step;
-            while bucket.room(Time(now), Units(500)).is_ok() {
+            while bucket.check_available(Time(now), Units(500)).is_ok() {
                 bucket.take(Units(500));
                 taken += 500;
             }
@@ -20,11 +20,15 @@
 
 #[test]
 fn what_is_larger_than_the_burst_waits_for_a_full_bucket_and_leaves_debt() {
-    let mut bucket = Bucket::new(Units(1_000), Units(2_000), Time(0));
-    assert_eq!(bucket.room(Time(0), Units(5_000)), Ok(()));
+    let mut bucket = TokenBucket::new(Units(1_000), Units(2_000), Time(0));
+    assert_eq!(bucket.check_available(Time(0), Units(5_000)), Ok(()));
     bucket.take(Units(5_000));
-    assert_eq!(bucket.room(Time(0), Units(1)), Err(3_001_000));
+    assert_eq!(bucket.check_available(Time(0), Units(1)), Err(3_001_000));
     bucket.give_back(Units(4_000));
-    assert_eq!(bucket.room(Time(0), Units(1_000)), Ok(()));
-    assert_eq!(bucket.room(Time(u64::MAX), Units(2_000)), Ok(()), "no overflow at the end of time");
+    assert_eq!(bucket.check_available(Time(0), Units(1_000)), Ok(()));
+    assert_eq!(
+        bucket.check_available(Time(u64::MAX), Units(2_000)),
+        Ok(()),
+        "no overflow at the end of time"
+    );
 }
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use chalkyard_budget::bill::{BillLine, Biller, Cause, EngineLine, Work};
+use chalkyard_budget::bill::{BillLine, Biller, Cause, EngineLine, LineKey, Work};
 use chalkyard_budget::*;
 
 const S: u64 = 1_000_000;
@@ -67,7 +67,8 @@
 }
 
 fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, cached: u64, output: u64) -> bool {
-    k.settle(now, id, Ending::Served, Usage { prompt, cached, output }, (None, Some(0)), true)
+    let attempts = BilledAttempts { prefill: None, answering: Some(0) };
+    k.settle(now, id, Ending::Served, Usage { prompt, cached, output }, attempts, true)
 }
 
 fn records(k: &mut BudgetEnforcer) -> Vec<(u64, Record)> {
@@ -88,7 +89,14 @@
     assert!(!served(&mut k, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
     assert!(!served(&mut k, noon(), "never", 1, 0, 1));
     assert!(k.admit(noon(), ask("b", 300, 50)).is_ok());
-    k.settle(noon(), "b", Ending::Failed, Usage { prompt: 300, cached: 0, output: 9 }, (None, None), false);
+    k.settle(
+        noon(),
+        "b",
+        Ending::Failed,
+        Usage { prompt: 300, cached: 0, output: 9 },
+        BilledAttempts::default(),
+        false,
+    );
     assert_eq!(
         k.state().usage.get(&place().0, place().1).used(),
         Units(151_000),
@@ -102,7 +110,10 @@
     let soft = |at_soft| Limit { soft: 500, at_soft, marks: vec![500, 900], ..limit(1_000) };
     let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Clamp(20)))]);
     let first = k.admit(noon(), ask("a", 100, 100)).unwrap();
-    assert_eq!((first.output, &first.marks[..]), (100, &[(key(PeriodKind::Day), 500)][..]));
+    assert_eq!(
+        (first.output, &first.marks[..]),
+        (100, &[BudgetMark { account: key(PeriodKind::Day), thousandths: 500 }][..])
+    );
     assert_eq!(k.admit(noon(), ask("b", 100, 100)).unwrap().output, 20);
 
     let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Lower("later".into())))]);
@@ -203,10 +214,10 @@
 }
 
 fn grant(number: u64, until: Time, tokens: u64) -> Grant {
-    let span = Calendar::new("Europe/Zurich").unwrap().span(PeriodKind::Day, noon());
+    let period = Calendar::new("Europe/Zurich").unwrap().period(PeriodKind::Day, noon());
     let allowance = Allowance {
         key: key(PeriodKind::Day),
-        span,
+        period,
         ceiling: Units::tokens(tokens),
         limit: Units::tokens(1_000),
         elsewhere: Units(0),
@@ -235,8 +246,8 @@
     // A ceiling under what is used already: what is used is told.
     k.adopt(noon(), &grant(6, until, 10)).unwrap();
     let Some((_, Record::Adopted(adopted))) = records(&mut k).pop() else { panic!() };
-    assert_eq!(adopted.ceilings[0].2, Units::tokens(140));
-    assert_eq!(adopted.wanted[0].1, Units::tokens(240));
+    assert_eq!(adopted.ceilings[0].ceiling, Units::tokens(140));
+    assert_eq!(adopted.demand[0].total, Units::tokens(240));
     k.adopt(noon(), &grant(7, until, 1_000)).unwrap();
     assert!(k.admit(noon().after(9 * S), ask("c", 10, 1)).is_ok());
     assert_eq!(k.admit(until, ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
@@ -537,15 +548,15 @@
 
 fn end(id: &str, ending: Ending, usage: (u64, u64, u64), attempts: (Option<u32>, Option<u32>)) -> Record {
     let usage = Usage { prompt: usage.0, cached: usage.1, output: usage.2 };
-    let (read, write) = attempts;
+    let (prefill_attempt, answering_attempt) = attempts;
     Record::Settled(Settled {
         id: id.into(),
         at: noon(),
         ending,
         usage,
         cost: Units(0),
-        read,
-        write,
+        prefill_attempt,
+        answering_attempt,
         may_have_run: true,
     })
 }
@@ -580,7 +591,7 @@
     }
     fn bill(self) -> bill::Bill {
         let plan = plan(vec![], Mode::Shares(1));
-        let (_, december) = plan.calendar.named("2026-12").unwrap();
+        let (_, december) = plan.calendar.parse_period("2026-12").unwrap();
         self.biller.bill(&plan, december)
     }
 }
@@ -601,7 +612,8 @@
     let bill = b.bill();
     assert_eq!((bill.engine_tokens, bill.billed_tokens), (185, 185));
     assert_eq!((bill.explained_tokens, bill.unexplained_tokens, bill.differences.len()), (0, 0, 0));
-    let line = &bill.lines[&("nord".into(), "help".into(), "2026-12-01".into())];
+    let line =
+        &bill.lines[&LineKey { tenant: "nord".into(), class: "help".into(), day: "2026-12-01".into() }];
     let price = 130 * 400 + 20 * 30 + 35 * 1_500;
     let usage = Usage { prompt: 150, cached: 20, output: 35 };
     let expected =
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -53,17 +53,25 @@
     AccountPeriod { class: None, kind: PeriodKind::Day, start: DAY.start }
 }
 
+fn ceiling(key: AccountKey, period: Period, ceiling: u64) -> AccountCeiling {
+    AccountCeiling { key, period, ceiling: Units(ceiling) }
+}
+
+fn denied(key: AccountKey, total: u64, largest: u64) -> DeniedDemand {
+    DeniedDemand { key, total: Units(total), largest: Units(largest) }
+}
+
 fn adopted() -> AdoptedLease {
     AdoptedLease {
         number: 7,
         at: START.after(2 * S),
         until: START.after(12 * S),
         ceilings: vec![
-            (tenant_month(), MONTH, Units(5_000_000)),
-            (class_hour(), HOUR, Units(700_000)),
-            (tenant_day(), DAY, Units(40_000)),
+            ceiling(tenant_month(), MONTH, 5_000_000),
+            ceiling(class_hour(), HOUR, 700_000),
+            ceiling(tenant_day(), DAY, 40_000),
         ],
-        wanted: vec![(tenant_month(), Units(300_500), Units(200_250)), (class_hour(), Units(9), Units(9))],
+        demand: vec![denied(tenant_month(), 300_500, 200_250), denied(class_hour(), 9, 9)],
     }
 }
 
@@ -86,8 +94,8 @@
         ending,
         usage: Usage { prompt: 200 + n, cached: 20, output: n },
         cost: Units(1_000 * n + 250),
-        read: n.is_multiple_of(2).then_some(0),
-        write: (n != 1).then_some(300),
+        prefill_attempt: n.is_multiple_of(2).then_some(0),
+        answering_attempt: (n != 1).then_some(300),
         may_have_run: n.is_multiple_of(3),
     }
 }
@@ -162,7 +170,7 @@
     assert_eq!(state.sequence, 19);
     assert_eq!(state.last, START.after(6 * S));
     assert_eq!(state.settled, 7);
-    assert_eq!(state.lease, (7, START.after(12 * S)));
+    assert_eq!(state.lease, Lease { number: 7, until: START.after(12 * S) });
     let usage =
         |spent, reserved, ceiling| AccountUsage { spent: Units(spent), reserved: Units(reserved), ceiling };
     let uses: Vec<(&str, AccountPeriod, AccountUsage)> =
@@ -181,7 +189,7 @@
         tenant: "ost".into(),
         amount: Units(12_345),
         account_periods: vec![day_place()],
-        identity: Some(("order-99".into(), "later".into())),
+        identity: Some(RequestIdentity { identity: "order-99".into(), class: "later".into() }),
     };
     let free =
         OpenReservation { tenant: "".into(), amount: Units(0), account_periods: vec![], identity: None };
@@ -193,11 +201,9 @@
         at: START.after(4 * S + n),
     };
     assert_eq!(state.executed, [ran(0), ran(3), ran(6)]);
-    let wanted: Vec<(AccountKey, (Units, Units))> = state.wanted.clone().into_iter().collect();
-    assert_eq!(
-        wanted,
-        [(tenant_month(), (Units(300_500), Units(200_250))), (class_hour(), (Units(9), Units(9)))]
-    );
+    let demand: Vec<(AccountKey, Demand)> = state.demand.clone().into_iter().collect();
+    let denied = |total, largest| Demand { total: Units(total), largest: Units(largest) };
+    assert_eq!(demand, [(tenant_month(), denied(300_500, 200_250)), (class_hour(), denied(9, 9))]);
 }
 
 #[test]
@@ -233,9 +239,9 @@
 }
 
 fn stored_grant() -> Grant {
-    let allowance = |key, span, ceiling| Allowance {
+    let allowance = |key, period, ceiling| Allowance {
         key,
-        span,
+        period,
         ceiling: Units(ceiling),
         limit: Units(9_000_000),
         elsewhere: Units(1_234),
@@ -257,7 +263,7 @@
     let outstanding = Outstanding {
         router: "r1".into(),
         key: class_hour(),
-        span: HOUR,
+        period: HOUR,
         ceiling: Units(700_000),
         number: 6,
         until: START.after(9 * S),
--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, EngineLine};
+use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, EngineLine, LineKey};
 use chalkyard_budget::{Period, Record};
 use chalkyard_ledger::{read, segment_number, DirectoryVolume, Volume};
 
@@ -82,7 +82,7 @@
         troubles.extend(trouble.map(|t| format!("{name}: {t}")));
         for sums in DirectoryVolume::reader(folder).list().unwrap_or_default() {
             let before = sums.strip_prefix("sums-before-").and_then(|s| s.strip_suffix(".json"));
-            let before = before.and_then(|b| budgets.plan.calendar.named(b).ok());
+            let before = before.and_then(|b| budgets.plan.calendar.parse_period(b).ok());
             if before.is_some_and(|(_, cut)| cut.start > period.start) {
                 troubles
                     .push(format!("{name}: records of this period were compacted; their sums are in {sums}"));
@@ -114,7 +114,8 @@
 /// `chalkyard bill`: exit code 3 if engines and bill differ and nothing explains it.
 pub fn bill(sources: &Sources<'_>, period: &str, format: Format) -> Result<ExitCode, Trouble> {
     let calendar = &sources.budgets.plan.calendar;
-    let (_, span) = calendar.named(period).map_err(|why| Trouble::BadInput(format!("--period: {why}")))?;
+    let (_, span) =
+        calendar.parse_period(period).map_err(|why| Trouble::BadInput(format!("--period: {why}")))?;
     let (bill, troubles) = make(sources, span)?;
     let (first, last) = (calendar.date(span.start), calendar.date(chalkyard_budget::Time(span.end.0 - 1)));
     let mut hand = by_hand(sources.budgets)?;
@@ -146,7 +147,7 @@
 fn print(bill: &Bill, period: &str, reconciled: bool, hand: &ByHand, troubles: &[String]) {
     println!("bill for {period}");
     let mut sums: BTreeMap<(&str, &str), u128> = BTreeMap::new();
-    for ((tenant, class, day), line) in &bill.lines {
+    for (LineKey { tenant, class, day }, line) in &bill.lines {
         let price = line.price_millionths.map(|p| {
             let currency = line.currency.as_deref().unwrap_or("");
             *sums.entry((tenant, currency)).or_default() += p;
@@ -201,8 +202,11 @@
 
 /// `chalkyard compact`: sums of whole months are kept, their records go.
 pub fn compact(budgets: &Budgets, folder: &Path, before: &str) -> Result<ExitCode, Trouble> {
-    let (_, cut) =
-        budgets.plan.calendar.named(before).map_err(|why| Trouble::BadInput(format!("--before: {why}")))?;
+    let (_, cut) = budgets
+        .plan
+        .calendar
+        .parse_period(before)
+        .map_err(|why| Trouble::BadInput(format!("--before: {why}")))?;
     let names = all_segments(folder)?;
     let volume = DirectoryVolume::reader(folder);
     let wrong = |e: chalkyard_ledger::LedgerError| Trouble::BadInput(format!("{}: {e}", folder.display()));
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -150,13 +150,13 @@
             if tokens == Some(0) {
                 return Err(Trouble::BadInput("--tokens must be at least 1".into()));
             }
-            let start = budgets.plan.calendar.span(key.kind, now()).start;
+            let start = budgets.plan.calendar.period(key.kind, now()).start;
             add(&budgets, who, Change::Set(key, start, tokens))
         }
         Command::Grant { which, tokens, who } => {
             let budgets = load(&which.file)?;
             let key = account(&which, &budgets)?;
-            let start = budgets.plan.calendar.span(key.kind, now()).start;
+            let start = budgets.plan.calendar.period(key.kind, now()).start;
             add(&budgets, who, Change::Grant(key, start, tokens))
         }
         Command::Adjust { file, tenant, class, day, amount, who } => {
@@ -168,7 +168,7 @@
                 )));
             }
             let budgets = load(&file)?;
-            match budgets.plan.calendar.named(&day) {
+            match budgets.plan.calendar.parse_period(&day) {
                 Ok((PeriodKind::Day, _)) => {}
                 Ok(_) => return Err(Trouble::BadInput(format!("--day: `{day}` is no day"))),
                 Err(why) => return Err(Trouble::BadInput(format!("--day: {why}"))),
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{AccountKey, LeaseAllocator, Plan, Round, SigningKey, State, Time};
+use chalkyard_budget::{AccountKey, AccountStart, LeaseAllocator, Plan, Round, SigningKey, State, Time};
 use chalkyard_ledger::{DirectoryVolume, FollowEvent, Follower, Limits, Writer};
 use serde::{Deserialize, Serialize};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -111,9 +111,9 @@
 }
 
 /// The plan with what was set by hand, and what was granted beyond it by period.
-pub fn adjusted(plan: &Plan, changes: &[(u64, Adjustment)]) -> (Plan, BTreeMap<(AccountKey, Time), i64>) {
+pub fn adjusted(plan: &Plan, changes: &[(u64, Adjustment)]) -> (Plan, BTreeMap<AccountStart, i64>) {
     let (settings, mut plan) = (plan, plan.clone());
-    let mut extra: BTreeMap<(AccountKey, Time), i64> = BTreeMap::new();
+    let mut extra: BTreeMap<AccountStart, i64> = BTreeMap::new();
     for (_, change) in changes {
         match &change.what {
             Change::Set(key, _, tokens) => {
@@ -124,7 +124,7 @@
                 }
             }
             Change::Grant(key, start, tokens) => {
-                let sum = extra.entry((key.clone(), *start)).or_default();
+                let sum = extra.entry(AccountStart { key: key.clone(), start: *start }).or_default();
                 *sum = sum.saturating_add(tokens.saturating_mul(1_000));
             }
             Change::Bill { .. } => {}
--- a/crates/daemon/src/settle_test.rs
+++ b/crates/daemon/src/settle_test.rs
@@ -102,5 +102,5 @@
     let (adjusted, extra) = adjusted(&plan, &stored());
     assert_eq!(adjusted.limits[&tenant_month()].hard, Units::tokens(3_000));
     assert_eq!(adjusted.limits[&class_hour()].hard, Units::tokens(200));
-    assert_eq!(extra, [((tenant_month(), NOVEMBER), 380_000)].into());
+    assert_eq!(extra, [(AccountStart { key: tenant_month(), start: NOVEMBER }, 380_000)].into());
 }
--- a/crates/daemon/tests/stored_budgets.rs
+++ b/crates/daemon/tests/stored_budgets.rs
@@ -7,14 +7,12 @@
 use std::path::{Path, PathBuf};
 
 use chalkyard_budget::{
-    AccountKey, AccountPeriod, AdoptedLease, Calendar, Ending, Period, PeriodKind, Record, Reservation,
-    Settled, SigningKey, Time, Units, Usage,
+    AccountCeiling, AccountKey, AccountPeriod, AdoptedLease, Calendar, Ending, Period, PeriodKind, Record,
+    Reservation, Settled, SigningKey, Time, Units, Usage,
 };
 use chalkyard_ledger::{DirectoryVolume, Limits, Writer};
 use common::*;
 
-const S: u64 = 1_000_000;
-
 fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/budgets").join(name)
 }
@@ -176,8 +174,8 @@
         number: 7,
         at,
         until: month.end,
-        ceilings: vec![(key, month, Units::tokens(5_000))],
-        wanted: vec![],
+        ceilings: vec![AccountCeiling { key, period: month, ceiling: Units::tokens(5_000) }],
+        demand: vec![],
     };
     let reserved = |id: &str| {
         Record::Reserved(Reservation {
@@ -196,8 +194,8 @@
         ending: Ending::Served,
         usage: Usage { prompt: 200, cached: 0, output: 50 },
         cost: Units::tokens(400),
-        read: None,
-        write: Some(0),
+        prefill_attempt: None,
+        answering_attempt: Some(0),
         may_have_run: true,
     };
     let records = [
@@ -223,7 +221,7 @@
 
 fn present(kind: PeriodKind) -> Period {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    Calendar::new("Europe/Zurich").unwrap().span(kind, Time(since.as_micros() as u64))
+    Calendar::new("Europe/Zurich").unwrap().period(kind, Time(since.as_micros() as u64))
 }
 
 #[test]
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -6,9 +6,9 @@
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_budget::{
-    AccountKey, AccountPeriod, Allowance, AtHard, AtSoft, BudgetEnforcer, Calendar, Ending, Grant, Limit,
-    Mode, PeriodKind, Plan, RateLimit, Record, Reservation, ReservationRequest, Settled, State, Time, Units,
-    Usage, Weights,
+    AccountKey, AccountPeriod, Allowance, AtHard, AtSoft, BilledAttempts, BudgetEnforcer, Calendar, Ending,
+    Grant, Limit, Mode, PeriodKind, Plan, RateLimit, Record, Reservation, ReservationRequest, Settled, State,
+    Time, Units, Usage, Weights,
 };
 use chalkyard_ledger::{read, DirectoryVolume, Limits, Volume, Writer};
 use hdrhistogram::Histogram;
@@ -62,7 +62,7 @@
     let plan = plan(tenants);
     let allowance = |key: &AccountKey| Allowance {
         key: key.clone(),
-        span: plan.calendar.span(key.kind, NOW),
+        period: plan.calendar.period(key.kind, NOW),
         ceiling: Units::tokens(900_000_000),
         limit: Units::tokens(1_000_000_000),
         elsewhere: Units::tokens(1),
@@ -100,8 +100,9 @@
         admit.record(start.elapsed().as_nanos() as u64)?;
         refused += u64::from(taken.is_err());
         let usage = Usage { prompt: 910, cached: 64, output: 120 };
+        let attempts = BilledAttempts { prefill: Some(0), answering: Some(1) };
         let start = Instant::now();
-        enforcer.settle(NOW.after(n), &id, Ending::Served, usage, (Some(0), Some(1)), true);
+        enforcer.settle(NOW.after(n), &id, Ending::Served, usage, attempts, true);
         settle.record(start.elapsed().as_nanos() as u64)?;
         enforcer.take_records().for_each(drop);
     }
@@ -137,8 +138,8 @@
             ending: Ending::Served,
             usage,
             cost: Units::tokens(1_030),
-            read: Some(0),
-            write: Some(1),
+            prefill_attempt: Some(0),
+            answering_attempt: Some(1),
             may_have_run: true,
         }),
     ]
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use chalkyard_budget::{
-    BudgetEnforcer, Ending, Grant, LeaseAllocator, LeaseTerms, ReservationRequest, SigningKey, State, Time,
-    Usage,
+    BilledAttempts, BudgetEnforcer, Ending, Grant, LeaseAllocator, LeaseTerms, ReservationRequest,
+    SigningKey, State, Time, Usage,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -98,7 +98,8 @@
         };
         if member.enforcer.admit(at, request).is_ok() {
             let usage = Usage { prompt: 910, cached: 64, output: 120 };
-            member.enforcer.settle(at, &id, Ending::Served, usage, (Some(0), Some(1)), true);
+            let attempts = BilledAttempts { prefill: Some(0), answering: Some(1) };
+            member.enforcer.settle(at, &id, Ending::Served, usage, attempts, true);
         }
     }
     // The ledger's part, which nobody reads here.
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -76,9 +76,12 @@
             let place = self.config.classes.iter().position(|c| *c.name == *lower);
             job.request.class = place.map_or(job.request.class, p::ClassId);
         }
-        for (account, mark) in admission.marks {
-            let part = f64::from(mark) / 10.0;
-            self.note("budget", format!("{account}: {part} % of the period's budget is reserved or spent"));
+        for mark in admission.marks {
+            let part = f64::from(mark.thousandths) / 10.0;
+            self.note(
+                "budget",
+                format!("{}: {part} % of the period's budget is reserved or spent", mark.account),
+            );
         }
         self.write_records();
         Ok(())
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -1,7 +1,7 @@
 //! A request from arrival to its last verdict, as the core holds it.
 
 use chalkyard_api::client::{MessagesRequest, Usage};
-use chalkyard_budget::Usage as Tokens;
+use chalkyard_budget::{BilledAttempts, Usage as Tokens};
 use chalkyard_policy as p;
 use chalkyard_policy::obligations::{AnswerState, AttemptFacts, Obligations, Stage};
 use chalkyard_policy::{Micros, Outcome, WorkerId};
@@ -256,12 +256,12 @@
     }
 
     /// The attempt that read the prompt for the one whose answer was given, and that one.
-    pub(super) fn billed_attempts(&self) -> (Option<u32>, Option<u32>) {
+    pub(super) fn billed_attempts(&self) -> BilledAttempts {
         let write = self.winner.and_then(|w| u32::try_from(w).ok());
         let pulled = self.winner.and_then(|w| self.attempts.get(w)).is_some_and(|a| a.at == At::Pull);
         let parsed = |a: &Attempt| a.at == At::Read && a.ended.is_some_and(|(o, _)| o == Outcome::Parsed);
         let read = self.attempts.iter().rposition(parsed).filter(|_| pulled);
-        (read.and_then(|r| u32::try_from(r).ok()), write)
+        BilledAttempts { prefill: read.and_then(|r| u32::try_from(r).ok()), answering: write }
     }
 
     /// Its attempts as operators see them.
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -98,7 +98,7 @@
             has_list: self.has_list,
             register: self.register.is_some(),
             identities: self.identities.len(),
-            lease: lease.map(|(number, until)| (number, until.0.saturating_sub(self.now.0))),
+            lease: lease.map(|lease| (lease.number, lease.until.0.saturating_sub(self.now.0))),
         }
     }
 
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -43,7 +43,9 @@
 
 fn settled(yard: &Yard) -> Vec<Bill> {
     let of = |r: &Record| match r {
-        Record::Settled(s) => Some((s.ending, s.usage.prompt, s.usage.output, s.read, s.write)),
+        Record::Settled(s) => {
+            Some((s.ending, s.usage.prompt, s.usage.output, s.prefill_attempt, s.answering_attempt))
+        }
         _ => None,
     };
     yard.records.iter().filter_map(|(_, r)| of(r)).collect()
@@ -120,7 +122,7 @@
     let Some(Output::Record(_, r)) = out.get(record.unwrap()) else { panic!() };
     let Record::Settled(s) = &**r else { panic!() };
     assert_eq!((s.ending, s.usage.prompt, s.usage.cached, s.usage.output), (Ending::Served, 4_000, 64, 2));
-    assert_eq!((s.read, s.write), (Some(0), Some(1)));
+    assert_eq!((s.prefill_attempt, s.answering_attempt), (Some(0), Some(1)));
 }
 
 #[test]
--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -106,8 +106,9 @@
 
 impl Value for Day {
     fn read(text: &str) -> Result<Self, String> {
-        let is_day =
-            Calendar::new("UTC").and_then(|c| c.named(text)).is_ok_and(|(kind, _)| kind == PeriodKind::Day);
+        let is_day = Calendar::new("UTC")
+            .and_then(|c| c.parse_period(text))
+            .is_ok_and(|(kind, _)| kind == PeriodKind::Day);
         is_day.then(|| Self(text.into())).ok_or_else(|| "must be a day such as 2026-12-01".into())
     }
 }
