--- a/crates/control/src/model/nodes.rs
+++ b/crates/control/src/model/nodes.rs
@@ -1,13 +1,13 @@
-//! The machines and routers of the model.
+//! The replicas and routers of the model.
 
 use std::collections::BTreeSet;
 
 use crate::acceptor::Acceptor;
 use crate::document::{Delta, Document};
 use crate::history::History;
-use crate::machine::{Machine, MachineId};
+use crate::replica::{Replica, ReplicaId};
 use crate::revision::Number;
-use crate::station::{RouterId, Station};
+use crate::sessions::{SessionId, SubscriberSessions};
 use crate::subscriber::{Apply, Subscriber, Time};
 
 /// A router that puts all in force and counts it.
@@ -30,18 +30,18 @@
     }
 }
 
-/// What a machine has on its disk.
+/// What a replica has on its disk.
 #[derive(Debug, Clone)]
 pub(super) struct Disk {
     pub(super) history: History,
     pub(super) votes: Option<Acceptor>,
 }
 
-/// A control machine of the model.
+/// A control replica of the model.
 #[derive(Debug)]
 pub(super) struct ControlNode {
-    pub(super) machine: Machine,
-    pub(super) station: Station,
+    pub(super) replica: Replica,
+    pub(super) sessions: SubscriberSessions,
     pub(super) disk: Disk,
     pub(super) up: bool,
     /// The publication under way: when it was asked for, and what it changes.
@@ -55,7 +55,7 @@
     pub subscriber: Subscriber,
     /// What it puts in force.
     pub in_force: InForce,
-    pub(super) connection: Option<(MachineId, RouterId)>,
+    pub(super) connection: Option<(ReplicaId, SessionId)>,
     /// Bytes that it got and sent.
     pub bytes: u64,
     /// Time that its own work took, ns of the real clock.
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -4,15 +4,13 @@
 //! Routers under rehearsal are processes of their own; nothing here knows their insides. The stand-ins
 //! are models for rehearsing failures, not measurements of real engines.
 
-mod afternoon;
 mod audit;
 mod budgets;
 #[doc(hidden)]
 pub mod clients;
 #[doc(hidden)]
-pub mod day;
-#[doc(hidden)]
 pub mod engine;
+mod fault_schedule;
 #[doc(hidden)]
 pub mod fleet;
 #[doc(hidden)]
@@ -22,21 +20,24 @@
 #[doc(hidden)]
 pub mod record;
 mod report;
+mod restart_scenario;
 mod routers;
+mod runner;
 #[doc(hidden)]
-pub mod scene;
+pub mod scenario;
 #[doc(hidden)]
 pub mod shim;
 pub mod soak;
-mod world;
+#[doc(hidden)]
+pub mod topology;
 
 use std::path::PathBuf;
 
-pub use afternoon::{rehearse as rehearse_afternoon, AfternoonReport};
 pub use audit::{audit, by_second, judge};
 pub use budgets::{rehearse as rehearse_budgets, BudgetReport};
 pub use report::{Report, Rule, Rules};
-pub use world::play;
+pub use restart_scenario::{rehearse as rehearse_restarts, RestartReport};
+pub use runner::play;
 
 /// What a rehearsal is to do.
 #[derive(Debug, Clone)]
@@ -67,12 +68,11 @@
 }
 
 /// Plays a day by its name, or by the path of a day file that the bench printed.
-pub fn rehearse(day: &str, plan: &Plan) -> Result<Report, Error> {
-    let day = day::load(day, plan.seed, plan.seconds).map_err(Error::BadInput)?;
-    let lines = world::play(&day, plan)?;
-    let text = record::text(&lines);
+pub fn rehearse(scenario: &str, plan: &Plan) -> Result<Report, Error> {
+    let scenario = scenario::load(scenario, plan.seed, plan.seconds).map_err(Error::BadInput)?;
+    let lines = runner::play(&scenario, plan)?;
     if let Some(file) = &plan.record {
-        std::fs::write(file, &text).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))?;
+        record::write(file, &lines)?;
     }
     let report = audit::judge(&lines);
     if report.requests == 0 {
@@ -80,3 +80,6 @@
     }
     Ok(report)
 }
+
+#[cfg(test)]
+mod reports_test;
