--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -5,8 +5,6 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::budget_enforcer::{BudgetEnforcer, ReservationRequest};
-use super::lease_allocator::{LeaseAllocator, LeaseTerms};
 use super::*;
 
 const START: u64 = 1_796_083_200_000_000;
@@ -15,7 +13,7 @@
 const ROUTERS: [&str; 2] = ["r1", "r2"];
 
 fn plan(mode: Mode) -> Plan {
-    let key = AccountKey { tenant: "t".into(), class: None, kind: Kind::Day };
+    let key = AccountKey { tenant: "t".into(), class: None, kind: PeriodKind::Day };
     let limit = Limit {
         hard: Units(BUDGET),
         soft: 1_000,
@@ -25,7 +23,7 @@
     };
     Plan {
         calendar: Calendar::new("UTC").unwrap(),
-        weights: Weights { prompt: 1, kept: 1, output: 0 },
+        weights: Weights { prompt: 1, cached: 1, output: 0 },
         limits: BTreeMap::from([(key, limit)]),
         rates: BTreeMap::new(),
         margin: 0,
@@ -188,7 +186,7 @@
                     &id,
                     ending,
                     Usage { prompt, ..Usage::default() },
-                    (None, None),
+                    BilledAttempts::default(),
                     false,
                 );
                 self.truth[r] -= u64::from(!used);
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::calendar::{Calendar, Kind};
+use crate::calendar::{Calendar, PeriodKind};
 use crate::units::{Units, Usage, Weights};
 
 /// An account: one budget of a tenant.
@@ -15,7 +15,7 @@
     /// For one class of requests, or for all.
     pub class: Option<Box<str>>,
     /// Its periods.
-    pub kind: Kind,
+    pub kind: PeriodKind,
 }
 
 impl std::fmt::Display for AccountKey {
@@ -78,7 +78,8 @@
     /// A prompt token that was read.
     pub prompt: u64,
     /// One that was kept.
-    pub kept: u64,
+    #[serde(rename = "kept")]
+    pub cached: u64,
     /// A token of an answer.
     pub output: u64,
 }
@@ -86,9 +87,9 @@
 impl Price {
     /// Millionths of the smallest unit; rounded only in sums of a bill.
     pub fn of(&self, usage: Usage) -> u128 {
-        let kept = usage.kept.min(usage.prompt);
-        u128::from(usage.prompt - kept) * u128::from(self.prompt)
-            + u128::from(kept) * u128::from(self.kept)
+        let cached = usage.cached.min(usage.prompt);
+        u128::from(usage.prompt - cached) * u128::from(self.prompt)
+            + u128::from(cached) * u128::from(self.cached)
             + u128::from(usage.output) * u128::from(self.output)
     }
 }
@@ -129,6 +130,17 @@
     pub prices: Vec<Price>,
 }
 
+impl Mode {
+    /// The number of routers among which rates are divided; at least 1.
+    pub fn routers(self) -> u64 {
+        match self {
+            Self::Shares(routers) | Self::Leases { routers, .. } | Self::Unreserved(routers) => {
+                u64::from(routers.max(1))
+            }
+        }
+    }
+}
+
 impl Plan {
     /// The price of a day: the last that began by then.
     pub fn price(&self, day: &str) -> Option<&Price> {
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use chalkyard_budget::bill::{BillLine, Biller, Cause, EngineLine, Work};
+use chalkyard_budget::bill::{BillLine, Biller, Cause, EngineLine, LineKey, Work};
 use chalkyard_budget::*;
 
 const S: u64 = 1_000_000;
@@ -17,7 +17,7 @@
     at("2026-12-01T12:00[Europe/Zurich]")
 }
 
-fn key(kind: Kind) -> AccountKey {
+fn key(kind: PeriodKind) -> AccountKey {
     AccountKey { tenant: "nord".into(), class: None, kind }
 }
 
@@ -34,14 +34,26 @@
 fn plan(limits: Vec<(AccountKey, Limit)>, mode: Mode) -> Plan {
     Plan {
         calendar: Calendar::new("Europe/Zurich").unwrap(),
-        weights: Weights { prompt: 1_000, kept: 100, output: 4_000 },
+        weights: Weights { prompt: 1_000, cached: 100, output: 4_000 },
         limits: limits.into_iter().collect(),
         rates: BTreeMap::new(),
         margin: 0,
         mode,
         prices: vec![
-            Price { from: "2026-01-01".into(), currency: "Rp".into(), prompt: 300, kept: 30, output: 1_500 },
-            Price { from: "2026-12-01".into(), currency: "Rp".into(), prompt: 400, kept: 30, output: 1_500 },
+            Price {
+                from: "2026-01-01".into(),
+                currency: "Rp".into(),
+                prompt: 300,
+                cached: 30,
+                output: 1_500,
+            },
+            Price {
+                from: "2026-12-01".into(),
+                currency: "Rp".into(),
+                prompt: 400,
+                cached: 30,
+                output: 1_500,
+            },
         ],
     }
 }
@@ -54,8 +66,9 @@
     ReservationRequest { id, tenant: "nord", class: "help", identity: None, prompt, output }
 }
 
-fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, kept: u64, output: u64) -> bool {
-    k.settle(now, id, Ending::Served, Usage { prompt, kept, output }, (None, Some(0)), true)
+fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, cached: u64, output: u64) -> bool {
+    let attempts = BilledAttempts { prefill: None, answering: Some(0) };
+    k.settle(now, id, Ending::Served, Usage { prompt, cached, output }, attempts, true)
 }
 
 fn records(k: &mut BudgetEnforcer) -> Vec<(u64, Record)> {
@@ -64,19 +77,26 @@
 
 #[test]
 fn a_request_reserves_its_worst_case_and_settles_once_on_what_was_done() {
-    let mut k = one(vec![(key(Kind::Day), limit(1_000))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000))]);
     k.admit(noon(), ask("a", 200, 100)).unwrap();
-    let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
+    let place = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(k.state().usage.get(&place().0, place().1).reserved, Units::tokens(600));
     let denial = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
-    assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(Kind::Day))));
+    assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(PeriodKind::Day))));
     assert_eq!(denial.retry_after, 12 * 3_600 * S, "come back at midnight");
     assert!(served(&mut k, noon(), "a", 210, 110, 10));
     assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
     assert!(!served(&mut k, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
     assert!(!served(&mut k, noon(), "never", 1, 0, 1));
     assert!(k.admit(noon(), ask("b", 300, 50)).is_ok());
-    k.settle(noon(), "b", Ending::Failed, Usage { prompt: 300, kept: 0, output: 9 }, (None, None), false);
+    k.settle(
+        noon(),
+        "b",
+        Ending::Failed,
+        Usage { prompt: 300, cached: 0, output: 9 },
+        BilledAttempts::default(),
+        false,
+    );
     assert_eq!(
         k.state().usage.get(&place().0, place().1).used(),
         Units(151_000),
@@ -88,16 +108,19 @@
 #[test]
 fn soft_limits_warn_clamp_and_lower_and_hard_ones_can_clamp() {
     let soft = |at_soft| Limit { soft: 500, at_soft, marks: vec![500, 900], ..limit(1_000) };
-    let mut k = one(vec![(key(Kind::Day), soft(AtSoft::Clamp(20)))]);
+    let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Clamp(20)))]);
     let first = k.admit(noon(), ask("a", 100, 100)).unwrap();
-    assert_eq!((first.output, &first.marks[..]), (100, &[(key(Kind::Day), 500)][..]));
+    assert_eq!(
+        (first.output, &first.marks[..]),
+        (100, &[BudgetMark { account: key(PeriodKind::Day), thousandths: 500 }][..])
+    );
     assert_eq!(k.admit(noon(), ask("b", 100, 100)).unwrap().output, 20);
 
-    let mut k = one(vec![(key(Kind::Day), soft(AtSoft::Lower("later".into())))]);
+    let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Lower("later".into())))]);
     assert_eq!(k.admit(noon(), ask("a", 100, 100)).unwrap().lower_to, None);
     assert_eq!(k.admit(noon(), ask("b", 100, 10)).unwrap().lower_to.as_deref(), Some("later"));
 
-    let mut k = one(vec![(key(Kind::Day), Limit { at_hard: AtHard::Clamp(16), ..limit(1_000) })]);
+    let mut k = one(vec![(key(PeriodKind::Day), Limit { at_hard: AtHard::Clamp(16), ..limit(1_000) })]);
     assert_eq!(k.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
     assert_eq!(k.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "what is left");
     assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
@@ -105,8 +128,8 @@
 
 #[test]
 fn a_class_has_its_own_budget_beside_the_tenants() {
-    let of_class = AccountKey { class: Some("report".into()), ..key(Kind::Hour) };
-    let mut k = one(vec![(key(Kind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
+    let of_class = AccountKey { class: Some("report".into()), ..key(PeriodKind::Hour) };
+    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
     let report = |id| ReservationRequest { class: "report", ..ask(id, 50, 10) };
     assert!(k.admit(noon(), report("a")).is_ok());
     let denial = k.admit(noon(), report("b")).unwrap_err();
@@ -132,13 +155,13 @@
 
 #[test]
 fn a_stream_over_the_periods_change_is_charged_to_the_period_that_took_it() {
-    let mut k = one(vec![(key(Kind::Day), limit(500))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(500))]);
     let before = at("2026-12-01T23:59:59[Europe/Zurich]");
     k.admit(before, ask("a", 100, 100)).unwrap();
     let after = before.after(5 * S);
     k.admit(after, ask("b", 100, 100)).unwrap();
     served(&mut k, after, "a", 100, 0, 100);
-    let used = |day: &str| k.state().usage.get(&key(Kind::Day), at(day));
+    let used = |day: &str| k.state().usage.get(&key(PeriodKind::Day), at(day));
     let (first, second) = (used("2026-12-01T00:00[Europe/Zurich]"), used("2026-12-02T00:00[Europe/Zurich]"));
     assert_eq!((first.spent, first.reserved), (Units::tokens(500), Units(0)));
     assert_eq!((second.spent, second.reserved), (Units(0), Units::tokens(500)));
@@ -147,7 +170,7 @@
 /// With equal shares as with leases: a long life remembers few periods, and all in which something is open.
 #[test]
 fn old_periods_are_forgotten() {
-    let mut k = one(vec![(key(Kind::Hour), limit(1_000)), (key(Kind::Day), limit(100_000))]);
+    let mut k = one(vec![(key(PeriodKind::Hour), limit(1_000)), (key(PeriodKind::Day), limit(100_000))]);
     k.admit(noon(), ask("stays open", 10, 1)).unwrap();
     for hour in 0..200 {
         let (now, id) = (noon().after(hour * 3_600 * S), format!("q{hour}"));
@@ -156,27 +179,30 @@
     }
     // Four of each kind, and the two in which one is open.
     assert_eq!(k.state().usage.iter().count(), 4 + 4 + 2);
-    let first = k.reservation("stays open").unwrap().slots[0].start;
-    assert_eq!(k.state().usage.get(&key(Kind::Hour), first).reserved, Units::tokens(14));
+    let first = k.reservation("stays open").unwrap().account_periods[0].start;
+    assert_eq!(k.state().usage.get(&key(PeriodKind::Hour), first).reserved, Units::tokens(14));
 }
 
 #[test]
 fn the_hour_that_is_shown_twice_has_two_budgets_and_its_day_one() {
-    let mut k = one(vec![(key(Kind::Hour), limit(500)), (key(Kind::Day), limit(1_000))]);
+    let mut k = one(vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))]);
     let once = at("2026-10-25T02:30+02:00[Europe/Zurich]");
     // The ledger's last time holds back an older clock, so a router of that day is needed.
-    let fresh = plan(vec![(key(Kind::Hour), limit(500)), (key(Kind::Day), limit(1_000))], Mode::Shares(1));
+    let fresh = plan(
+        vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))],
+        Mode::Shares(1),
+    );
     let mut of_then = BudgetEnforcer::new("r1", fresh, State::default(), once);
     assert!(of_then.admit(once, ask("a", 100, 100)).is_ok());
-    assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(Kind::Hour)));
+    assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(PeriodKind::Hour)));
     let twice = once.after(3_600 * S);
     assert!(of_then.admit(twice, ask("b", 100, 100)).is_ok());
     let denial = of_then.admit(twice.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
-    assert_eq!(denial.account, Some(key(Kind::Day)));
+    assert_eq!(denial.account, Some(key(PeriodKind::Day)));
     assert!(k.admit(once, ask("a", 100, 100)).is_ok());
     let now = at("2026-12-01T12:00[Europe/Zurich]");
     assert_eq!(
-        k.reservation("a").unwrap().slots[0].start,
+        k.reservation("a").unwrap().account_periods[0].start,
         now,
         "a clock that stepped back opens no old period"
     );
@@ -184,14 +210,14 @@
 
 fn leased(now: Time) -> BudgetEnforcer {
     let mode = Mode::Leases { epoch: S, routers: 2 };
-    BudgetEnforcer::new("r1", plan(vec![(key(Kind::Day), limit(1_000))], mode), State::default(), now)
+    BudgetEnforcer::new("r1", plan(vec![(key(PeriodKind::Day), limit(1_000))], mode), State::default(), now)
 }
 
 fn grant(number: u64, until: Time, tokens: u64) -> Grant {
-    let span = Calendar::new("Europe/Zurich").unwrap().span(Kind::Day, noon());
+    let period = Calendar::new("Europe/Zurich").unwrap().period(PeriodKind::Day, noon());
     let allowance = Allowance {
-        key: key(Kind::Day),
-        span,
+        key: key(PeriodKind::Day),
+        period,
         ceiling: Units::tokens(tokens),
         limit: Units::tokens(1_000),
         elsewhere: Units(0),
@@ -220,8 +246,8 @@
     // A ceiling under what is used already: what is used is told.
     k.adopt(noon(), &grant(6, until, 10)).unwrap();
     let Some((_, Record::Adopted(adopted))) = records(&mut k).pop() else { panic!() };
-    assert_eq!(adopted.ceilings[0].2, Units::tokens(140));
-    assert_eq!(adopted.wanted[0].1, Units::tokens(240));
+    assert_eq!(adopted.ceilings[0].ceiling, Units::tokens(140));
+    assert_eq!(adopted.demand[0].total, Units::tokens(240));
     k.adopt(noon(), &grant(7, until, 1_000)).unwrap();
     assert!(k.admit(noon().after(9 * S), ask("c", 10, 1)).is_ok());
     assert_eq!(k.admit(until, ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
@@ -257,14 +283,14 @@
 
 #[test]
 fn a_tenant_removed_while_it_streams_is_settled_and_billed() {
-    let mut k = one(vec![(key(Kind::Day), limit(1_000))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000))]);
     k.admit(noon(), ask("a", 100, 100)).unwrap();
     k.replan(plan(vec![], Mode::Shares(1)));
     assert!(served(&mut k, noon(), "a", 100, 0, 40));
-    let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
+    let place = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units::tokens(260));
     // Put back, it finds what it had spent.
-    k.replan(plan(vec![(key(Kind::Day), limit(300))], Mode::Shares(1)));
+    k.replan(plan(vec![(key(PeriodKind::Day), limit(300))], Mode::Shares(1)));
     assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
     assert!(k.admit(noon(), ask("b", 40, 0)).is_ok());
 }
@@ -284,7 +310,7 @@
 /// The sums after a crash at any record are those of the records, and nothing is left reserved.
 #[test]
 fn recovery_gives_the_sums_that_the_records_say() {
-    let mut k = one(vec![(key(Kind::Day), limit(100_000))]);
+    let mut k = one(vec![(key(PeriodKind::Day), limit(100_000))]);
     for i in 0..20_u64 {
         k.admit(noon().after(i), ask(&format!("q{i}"), 10 + i, 5)).unwrap();
         if i % 3 > 0 {
@@ -326,7 +352,7 @@
         old.admit(noon(), ask(id, 10, 10)).unwrap();
     }
     let mode = Mode::Leases { epoch: S, routers: 2 };
-    let plan = plan(vec![(key(Kind::Day), limit(1_000))], mode);
+    let plan = plan(vec![(key(PeriodKind::Day), limit(1_000))], mode);
     let mut new = BudgetEnforcer::succeed("r1", plan, old.state().clone(), noon());
     assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease goes on");
     let said = |k: &mut BudgetEnforcer, id: &str| {
@@ -363,7 +389,7 @@
         } else {
             Mode::Shares(routers as u32)
         };
-        let plan = plan(vec![(key(Kind::Day), limit(tokens))], mode);
+        let plan = plan(vec![(key(PeriodKind::Day), limit(tokens))], mode);
         let enforcer = |n: &String| BudgetEnforcer::new(n, plan.clone(), State::default(), noon());
         let terms = LeaseTerms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -509,28 +535,28 @@
 // ---- Bills.
 
 fn charge(id: &str, identity: Option<&str>, class: &str, when: Time) -> Record {
-    Record::Reserved(Charge {
+    Record::Reserved(Reservation {
         id: id.into(),
         tenant: "nord".into(),
         class: class.into(),
         identity: identity.map(Into::into),
         at: when,
         amount: Units::tokens(1),
-        slots: vec![],
+        account_periods: vec![],
     })
 }
 
 fn end(id: &str, ending: Ending, usage: (u64, u64, u64), attempts: (Option<u32>, Option<u32>)) -> Record {
-    let usage = Usage { prompt: usage.0, kept: usage.1, output: usage.2 };
-    let (read, write) = attempts;
+    let usage = Usage { prompt: usage.0, cached: usage.1, output: usage.2 };
+    let (prefill_attempt, answering_attempt) = attempts;
     Record::Settled(Settled {
         id: id.into(),
         at: noon(),
         ending,
         usage,
         cost: Units(0),
-        read,
-        write,
+        prefill_attempt,
+        answering_attempt,
         may_have_run: true,
     })
 }
@@ -542,7 +568,7 @@
         attempt,
         work,
         prompt: usage.0,
-        kept: usage.1,
+        cached: usage.1,
         output: usage.2,
         at: noon(),
     }
@@ -565,7 +591,7 @@
     }
     fn bill(self) -> bill::Bill {
         let plan = plan(vec![], Mode::Shares(1));
-        let (_, december) = plan.calendar.named("2026-12").unwrap();
+        let (_, december) = plan.calendar.parse_period("2026-12").unwrap();
         self.biller.bill(&plan, december)
     }
 }
@@ -579,20 +605,21 @@
     let mut b = Books::new();
     let two = (Some(0), Some(1));
     b.put("r1", [charge("a", None, "help", noon()), end("a", Ending::Served, (100, 20, 30), two)]);
-    b.biller.work(work("a", 0, Work::Read, (100, 20, 1)));
-    b.biller.work(work("a", 1, Work::Pull, (100, 100, 30)));
+    b.biller.work(work("a", 0, Work::Prefill, (100, 20, 1)));
+    b.biller.work(work("a", 1, Work::Decode, (100, 100, 30)));
     b.put("r2", [charge("b", None, "help", noon()), end("b", Ending::Served, (50, 0, 5), (None, Some(0)))]);
-    b.biller.work(work("b", 0, Work::Whole, (50, 0, 5)));
+    b.biller.work(work("b", 0, Work::Combined, (50, 0, 5)));
     let bill = b.bill();
     assert_eq!((bill.engine_tokens, bill.billed_tokens), (185, 185));
     assert_eq!((bill.explained_tokens, bill.unexplained_tokens, bill.differences.len()), (0, 0, 0));
-    let line = &bill.lines[&("nord".into(), "help".into(), "2026-12-01".into())];
+    let line =
+        &bill.lines[&LineKey { tenant: "nord".into(), class: "help".into(), day: "2026-12-01".into() }];
     let price = 130 * 400 + 20 * 30 + 35 * 1_500;
-    let usage = Usage { prompt: 150, kept: 20, output: 35 };
+    let usage = Usage { prompt: 150, cached: 20, output: 35 };
     let expected =
         BillLine { requests: 2, usage, price_millionths: Some(price), currency: Some("Rp".into()) };
     assert_eq!(line, &expected);
-    assert_eq!(bill::whole(499_999) + bill::whole(500_000), 1);
+    assert_eq!(bill::round_to_smallest_unit(499_999) + bill::round_to_smallest_unit(500_000), 1);
 }
 
 #[test]
@@ -604,27 +631,27 @@
         [charge(id, identity, "help", noon()), end(id, ending, usage, attempts)]
     };
     b.put("r1", both("broken", None, Ending::Broken, (0, 0, 0), none));
-    b.biller.work(work("broken", 0, Work::Whole, (10, 0, 7)));
+    b.biller.work(work("broken", 0, Work::Combined, (10, 0, 7)));
     // The client left after the router had counted 3 tokens; the engine had written 5.
     b.put("r1", both("left", None, Ending::Left, (11, 0, 3), whole));
-    b.biller.work(work("left", 0, Work::Whole, (12, 2, 5)));
+    b.biller.work(work("left", 0, Work::Combined, (12, 2, 5)));
     b.put("r1", both("early", None, Ending::LeftEarly, (0, 0, 0), none));
-    b.biller.work(work("early", 0, Work::Read, (13, 0, 1)));
+    b.biller.work(work("early", 0, Work::Prefill, (13, 0, 1)));
     b.put("r1", both("failed", None, Ending::Failed, (0, 0, 0), none));
-    b.biller.work(work("failed", 0, Work::Whole, (14, 0, 0)));
+    b.biller.work(work("failed", 0, Work::Combined, (14, 0, 0)));
     // Kept text was lost, so the prompt was read again by a second attempt.
     b.put("r1", both("again", None, Ending::Served, (15, 0, 2), (Some(2), Some(3))));
-    b.biller.work(work("again", 0, Work::Read, (15, 8, 1)));
-    b.biller.work(work("again", 2, Work::Read, (15, 0, 1)));
-    b.biller.work(work("again", 3, Work::Pull, (15, 15, 2)));
+    b.biller.work(work("again", 0, Work::Prefill, (15, 8, 1)));
+    b.biller.work(work("again", 2, Work::Prefill, (15, 0, 1)));
+    b.biller.work(work("again", 3, Work::Decode, (15, 15, 2)));
     // The router died between the answer's end and its settlement.
     b.put("r1", both("orphan", None, Ending::Orphaned, (0, 0, 0), none));
-    b.biller.work(work("orphan", 0, Work::Whole, (16, 0, 9)));
+    b.biller.work(work("orphan", 0, Work::Combined, (16, 0, 9)));
     // The same identity at two routers.
     b.put("r1", both("first", Some("k"), Ending::Served, (17, 0, 1), whole));
     b.put("r2", both("second", Some("k"), Ending::Served, (17, 0, 1), whole));
-    b.biller.work(work("first", 0, Work::Whole, (17, 0, 1)));
-    b.biller.work(work("second", 0, Work::Whole, (17, 0, 1)));
+    b.biller.work(work("first", 0, Work::Combined, (17, 0, 1)));
+    b.biller.work(work("second", 0, Work::Combined, (17, 0, 1)));
     b.put("r2", both("refused", None, Ending::Refused, (0, 0, 0), none));
     let bill = b.bill();
     let mut got = causes(&bill);
@@ -650,8 +677,8 @@
     let whole = (None, Some(0));
     b.put("r1", [charge("gone", None, "help", noon()), end("gone", Ending::Served, (10, 0, 1), whole)]);
     b.put("r1", [charge("off", None, "help", noon()), end("off", Ending::Served, (10, 0, 4), whole)]);
-    b.biller.work(work("off", 0, Work::Whole, (10, 0, 1)));
-    b.biller.work(work("unknown", 0, Work::Whole, (7, 0, 1)));
+    b.biller.work(work("off", 0, Work::Combined, (10, 0, 1)));
+    b.biller.work(work("unknown", 0, Work::Combined, (7, 0, 1)));
     let bill = b.bill();
     let expected = [
         ("gone", Cause::NoEngineRecord, 11),
@@ -669,7 +696,7 @@
     for _ in 0..2 {
         b.biller.record("r1", 2, &records[1]);
         b.biller.record("r1", 1, &records[0]);
-        b.biller.work(work("a", 0, Work::Whole, (10, 0, 1)));
+        b.biller.work(work("a", 0, Work::Combined, (10, 0, 1)));
     }
     // What was taken in November is in November's bill, and what is still open in none.
     let november = at("2026-11-30T23:59:59[Europe/Zurich]");
@@ -677,7 +704,7 @@
         "r3",
         [charge("old", None, "help", november), end("old", Ending::Served, (5, 0, 1), (None, Some(0)))],
     );
-    b.biller.work(work("old", 0, Work::Whole, (5, 0, 1)));
+    b.biller.work(work("old", 0, Work::Combined, (5, 0, 1)));
     b.put("r3", [charge("open", None, "help", noon())]);
     let bill = b.bill();
     assert_eq!((bill.billed_tokens, bill.unexplained_tokens, bill.open), (11, 0, 1));
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{AccountKey, LeaseAllocator, Plan, Round, SigningKey, State, Time};
-use chalkyard_ledger::{Folder, Follower, Item, Limits, Writer};
+use chalkyard_budget::{AccountKey, AccountStart, LeaseAllocator, Plan, Round, SigningKey, State, Time};
+use chalkyard_ledger::{DirectoryVolume, FollowEvent, Follower, Limits, Writer};
 use serde::{Deserialize, Serialize};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -79,8 +79,8 @@
             let told = self.follower.poll(
                 |_: &Adjustment| false,
                 |item| match item {
-                    Item::Again => read.clear(),
-                    Item::Record(number, adjustment) => read.push((number, adjustment)),
+                    FollowEvent::Restart => read.clear(),
+                    FollowEvent::Record(number, adjustment) => read.push((number, adjustment)),
                 },
             );
             let wrong = |what: String| Trouble::CouldNotRun(format!("{}: {what}", self.folder.display()));
@@ -96,8 +96,8 @@
 pub fn add_adjustment(settlement: &Settlement, adjustment: &Adjustment) -> Result<u64, Trouble> {
     let folder = adjustments(settlement);
     let wrong = |e: String| Trouble::CouldNotRun(format!("{}: {e}", folder.display()));
-    let volume = Folder::writer(&folder).map_err(|e| wrong(e.to_string()))?;
-    let limits = Limits { ballast: 0, ..Limits::default() };
+    let volume = DirectoryVolume::writer(&folder).map_err(|e| wrong(e.to_string()))?;
+    let limits = Limits { reserve_bytes: 0, ..Limits::default() };
     let opened =
         Writer::open(volume, limits, |_: &Adjustment| false, |_, _| {}).map_err(|e| wrong(e.to_string()))?;
     let mut writer = opened.writer;
@@ -111,9 +111,9 @@
 }
 
 /// The plan with what was set by hand, and what was granted beyond it by period.
-pub fn adjusted(plan: &Plan, changes: &[(u64, Adjustment)]) -> (Plan, BTreeMap<(AccountKey, Time), i64>) {
+pub fn adjusted(plan: &Plan, changes: &[(u64, Adjustment)]) -> (Plan, BTreeMap<AccountStart, i64>) {
     let (settings, mut plan) = (plan, plan.clone());
-    let mut extra: BTreeMap<(AccountKey, Time), i64> = BTreeMap::new();
+    let mut extra: BTreeMap<AccountStart, i64> = BTreeMap::new();
     for (_, change) in changes {
         match &change.what {
             Change::Set(key, _, tokens) => {
@@ -124,7 +124,7 @@
                 }
             }
             Change::Grant(key, start, tokens) => {
-                let sum = extra.entry((key.clone(), *start)).or_default();
+                let sum = extra.entry(AccountStart { key: key.clone(), start: *start }).or_default();
                 *sum = sum.saturating_add(tokens.saturating_mul(1_000));
             }
             Change::Bill { .. } => {}
@@ -228,8 +228,8 @@
         for (name, follower, state) in &mut self.ledgers {
             let read_at = now();
             let told = follower.poll(is_checkpoint, |item| match item {
-                Item::Again => *state = State::default(),
-                Item::Record(number, record) => {
+                FollowEvent::Restart => *state = State::default(),
+                FollowEvent::Record(number, record) => {
                     state.take(number, &record);
                 }
             });
--- a/crates/daemon/src/settle_test.rs
+++ b/crates/daemon/src/settle_test.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use super::*;
-use chalkyard_budget::{AtHard, AtSoft, Calendar, Kind, Limit, Mode, Units, Weights};
+use chalkyard_budget::{AtHard, AtSoft, Calendar, Limit, Mode, PeriodKind, Units, Weights};
 use chalkyard_ledger::{encode, read, segment_name};
 
 const STORED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/budgets/adjustments");
@@ -10,11 +10,11 @@
 const NOVEMBER: Time = Time(1_793_487_600_000_000);
 
 fn tenant_month() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: None, kind: Kind::Month }
+    AccountKey { tenant: "nord".into(), class: None, kind: PeriodKind::Month }
 }
 
 fn class_hour() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: Kind::Hour }
+    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: PeriodKind::Hour }
 }
 
 fn adjustment(n: u64, what: Change) -> Adjustment {
@@ -43,9 +43,9 @@
 fn stored_adjustments_are_read_with_their_values() {
     let mut records = Vec::new();
     let names = [segment_name(1)];
-    let volume = Folder::reader(Path::new(STORED));
+    let volume = DirectoryVolume::reader(Path::new(STORED));
     let report = read(&volume, &names, |n, a: Adjustment| records.push((n, a))).unwrap();
-    assert_eq!(report.trouble(), None);
+    assert_eq!(report.describe_damage(), None);
     assert_eq!(records, stored());
 }
 
@@ -102,5 +102,5 @@
     let (adjusted, extra) = adjusted(&plan, &stored());
     assert_eq!(adjusted.limits[&tenant_month()].hard, Units::tokens(3_000));
     assert_eq!(adjusted.limits[&class_hour()].hard, Units::tokens(200));
-    assert_eq!(extra, [((tenant_month(), NOVEMBER), 380_000)].into());
+    assert_eq!(extra, [(AccountStart { key: tenant_month(), start: NOVEMBER }, 380_000)].into());
 }
