--- a/crates/proto/src/body.rs
+++ b/crates/proto/src/body.rs
@@ -1,8 +1,8 @@
-//! Bodies: by length, chunked, or until the peer closes.
+//! Message bodies: by length, chunked, or until the peer closes (RFC 9112, section 6).
 
 use crate::{Error, Limits, Reason};
 
-/// How a body ends.
+/// How the end of a body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Framing {
     Length(u64),
@@ -10,25 +10,29 @@
     UntilClose,
 }
 
-/// Longest line of a chunk's size: sixteen digits and the line end.
-const SIZE_LINE: usize = 18;
-/// ... and with an extension; a trailer's line is no longer, and there are no more of them than this.
-const EXTRA_LINE: usize = 512;
-const TRAILERS: u32 = 16;
+/// Longest size line of a chunk: sixteen digits and CR LF.
+const CHUNK_SIZE_LINE_BYTES: usize = 18;
+/// Longest size line with a chunk extension, and longest trailer line.
+const EXTENDED_LINE_BYTES: usize = 512;
+/// Most digits of a chunk's size: those of a 64-bit number.
+const CHUNK_SIZE_DIGITS: usize = 16;
+/// Most trailer lines of one message.
+const MAX_TRAILERS: u32 = 16;
+const CRLF: &[u8] = b"\r\n";
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// So many bytes to the end of the body.
+    /// This many bytes remain of a body with a known length.
     Plain(u64),
-    /// A chunk's size line comes.
-    Size,
-    /// So many bytes of a chunk.
+    /// The size line of a chunk is next.
+    ChunkSize,
+    /// This many bytes remain of a chunk.
     Chunk(u64),
-    /// The line end behind a chunk.
+    /// The line end after a chunk is next.
     ChunkEnd,
-    /// The empty line behind the last chunk.
-    Last,
-    /// The lines behind the last chunk, so many so far, up to an empty one.
+    /// The empty line after the last chunk is next.
+    LastLine,
+    /// Trailer lines up to an empty one; this many were read.
     Trailers(u32),
     UntilClose,
     Done,
@@ -38,28 +42,43 @@
 #[derive(Debug)]
 pub(crate) struct Body {
     state: State,
-    taken: u64,
+    /// Bytes of data so far.
+    received: u64,
 }
 
-/// What a step over the buffer gave: bytes used, and data among them.
+/// The result of one step over the buffer.
 pub(crate) struct Step {
+    /// Bytes of the buffer that the step consumed.
     pub used: usize,
+    /// Body data among them.
     pub data: Option<Vec<u8>>,
+    /// The body has ended.
     pub done: bool,
 }
 
+impl Step {
+    /// A step over framing bytes that carry no data.
+    fn framing(used: usize) -> Self {
+        Self { used, data: None, done: false }
+    }
+
+    fn data(data: Vec<u8>) -> Self {
+        Self { used: data.len(), data: Some(data), done: false }
+    }
+}
+
 impl Body {
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Done,
-            Framing::Length(n) => State::Plain(n),
-            Framing::Chunked => State::Size,
+            Framing::Length(length) => State::Plain(length),
+            Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
         };
-        Self { state, taken: 0 }
+        Self { state, received: 0 }
     }
 
-    /// Whether a close of the peer ends it well.
+    /// Whether the body is complete once the peer closes.
     pub fn ends_at_close(&self) -> bool {
         self.state == State::UntilClose
     }
@@ -73,100 +92,112 @@
             return Ok(None);
         }
         match self.state {
-            State::Plain(left) => {
-                let data = self.data(bytes, left, limits)?;
-                let left = left - data.len() as u64;
-                self.state = if left == 0 { State::Done } else { State::Plain(left) };
-                Ok(Some(Step { used: data.len(), data: Some(data), done: false }))
-            }
-            State::UntilClose => {
-                let data = self.data(bytes, u64::MAX, limits)?;
-                Ok(Some(Step { used: data.len(), data: Some(data), done: false }))
-            }
-            State::Chunk(left) => {
-                let data = self.data(bytes, left, limits)?;
-                let left = left - data.len() as u64;
-                self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
-                Ok(Some(Step { used: data.len(), data: Some(data), done: false }))
+            State::Plain(remaining) => {
+                let data = self.take_data(bytes, remaining, limits)?;
+                let remaining = remaining - data.len() as u64;
+                self.state = if remaining == 0 { State::Done } else { State::Plain(remaining) };
+                Ok(Some(Step::data(data)))
             }
-            State::Size => {
-                let most = if limits.chunk_extras { EXTRA_LINE } else { SIZE_LINE };
-                let Some(line) = line(bytes, most, Reason::BadChunk)? else { return Ok(None) };
-                let digits = if limits.chunk_extras { size(line)? } else { line };
-                let hex =
-                    !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
-                let text = std::str::from_utf8(digits).ok().filter(|_| hex).ok_or(Reason::BadChunk)?;
-                let size = u64::from_str_radix(text, 16).map_err(|_| Reason::BadChunk)?;
-                if size > limits.chunk_bytes {
-                    return Err(Reason::ChunkTooLong.into());
-                }
-                if self.taken.saturating_add(size) > limits.body_bytes {
-                    return Err(Reason::BodyTooLong.into());
-                }
-                self.state = match size {
-                    0 if limits.chunk_extras => State::Trailers(0),
-                    0 => State::Last,
-                    size => State::Chunk(size),
-                };
-                Ok(Some(Step { used: line.len() + 2, data: None, done: false }))
-            }
-            State::ChunkEnd | State::Last => {
-                let wrong = if self.state == State::Last { Reason::Trailers } else { Reason::BadChunk };
-                if !b"\r\n".starts_with(bytes.get(..2).unwrap_or(bytes)) {
-                    return Err(wrong.into());
-                }
-                if bytes.len() < 2 {
-                    return Ok(None);
-                }
-                self.state = if self.state == State::Last { State::Done } else { State::Size };
-                Ok(Some(Step { used: 2, data: None, done: false }))
-            }
-            State::Trailers(before) => {
-                let Some(line) = line(bytes, EXTRA_LINE, Reason::Trailers)? else { return Ok(None) };
-                let named = line.iter().position(|b| *b == b':').is_some_and(|at| at > 0);
-                self.state = match line {
-                    [] => State::Done,
-                    _ if named && visible(line) && before < TRAILERS => State::Trailers(before + 1),
-                    _ => return Err(Reason::Trailers.into()),
-                };
-                Ok(Some(Step { used: line.len() + 2, data: None, done: false }))
+            State::UntilClose => Ok(Some(Step::data(self.take_data(bytes, u64::MAX, limits)?))),
+            State::Chunk(remaining) => {
+                let data = self.take_data(bytes, remaining, limits)?;
+                let remaining = remaining - data.len() as u64;
+                self.state = if remaining == 0 { State::ChunkEnd } else { State::Chunk(remaining) };
+                Ok(Some(Step::data(data)))
             }
+            State::ChunkSize => self.chunk_size(bytes, limits),
+            State::ChunkEnd => self.line_end(bytes, State::ChunkSize, Reason::BadChunk),
+            State::LastLine => self.line_end(bytes, State::Done, Reason::Trailers),
+            State::Trailers(count) => self.trailer(bytes, count),
             State::Done => Ok(None),
         }
     }
 
-    fn data(&mut self, bytes: &[u8], left: u64, limits: &Limits) -> Result<Vec<u8>, Error> {
-        let n = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-        self.taken = self.taken.saturating_add(n as u64);
-        if self.taken > limits.body_bytes {
+    /// Reads the size line of a chunk.
+    fn chunk_size(&mut self, bytes: &[u8], limits: &Limits) -> Result<Option<Step>, Error> {
+        let max_bytes = if limits.chunk_extras { EXTENDED_LINE_BYTES } else { CHUNK_SIZE_LINE_BYTES };
+        let Some(line) = take_line(bytes, max_bytes, Reason::BadChunk)? else { return Ok(None) };
+        let digits = if limits.chunk_extras { without_extension(line)? } else { line };
+        let size = parse_chunk_size(digits)?;
+        if size > limits.chunk_bytes {
+            return Err(Reason::ChunkTooLong.into());
+        }
+        if self.received.saturating_add(size) > limits.body_bytes {
             return Err(Reason::BodyTooLong.into());
         }
-        Ok(bytes.get(..n).unwrap_or_default().to_vec())
+        self.state = match size {
+            0 if limits.chunk_extras => State::Trailers(0),
+            0 => State::LastLine,
+            size => State::Chunk(size),
+        };
+        Ok(Some(Step::framing(line.len() + CRLF.len())))
+    }
+
+    /// Reads CR LF and goes on to `next`; anything else is refused with `reason`.
+    fn line_end(&mut self, bytes: &[u8], next: State, reason: Reason) -> Result<Option<Step>, Error> {
+        if !CRLF.starts_with(bytes.get(..CRLF.len()).unwrap_or(bytes)) {
+            return Err(reason.into());
+        }
+        if bytes.len() < CRLF.len() {
+            return Ok(None);
+        }
+        self.state = next;
+        Ok(Some(Step::framing(CRLF.len())))
+    }
+
+    /// Skips one trailer line, or ends the body at the empty line; `count` lines were skipped before.
+    fn trailer(&mut self, bytes: &[u8], count: u32) -> Result<Option<Step>, Error> {
+        let Some(line) = take_line(bytes, EXTENDED_LINE_BYTES, Reason::Trailers)? else { return Ok(None) };
+        let has_name = line.iter().position(|b| *b == b':').is_some_and(|at| at > 0);
+        self.state = match line {
+            [] => State::Done,
+            _ if has_name && is_printable(line) && count < MAX_TRAILERS => State::Trailers(count + 1),
+            _ => return Err(Reason::Trailers.into()),
+        };
+        Ok(Some(Step::framing(line.len() + CRLF.len())))
+    }
+
+    /// Copies at most `remaining` bytes of data, and counts them against the limit.
+    fn take_data(&mut self, bytes: &[u8], remaining: u64, limits: &Limits) -> Result<Vec<u8>, Error> {
+        let length = usize::try_from(remaining).unwrap_or(usize::MAX).min(bytes.len());
+        self.received = self.received.saturating_add(length as u64);
+        if self.received > limits.body_bytes {
+            return Err(Reason::BodyTooLong.into());
+        }
+        Ok(bytes.get(..length).unwrap_or_default().to_vec())
     }
 }
 
-fn visible(line: &[u8]) -> bool {
+fn is_printable(line: &[u8]) -> bool {
     line.iter().all(|b| *b == b'\t' || !b.is_ascii_control())
 }
 
-/// The digits of a size line, before a well-formed extension.
-fn size(line: &[u8]) -> Result<&[u8], Error> {
+fn parse_chunk_size(digits: &[u8]) -> Result<u64, Error> {
+    let is_plain =
+        (1..=CHUNK_SIZE_DIGITS).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(digits).ok().filter(|_| is_plain).ok_or(Reason::BadChunk)?;
+    Ok(u64::from_str_radix(text, 16).map_err(|_| Reason::BadChunk)?)
+}
+
+/// The digits of a size line, in front of a well-formed extension.
+fn without_extension(line: &[u8]) -> Result<&[u8], Error> {
     let end = line.iter().position(|b| *b == b';').unwrap_or(line.len());
     let (digits, extension) = line.split_at(end);
-    if !visible(extension) || extension == b";" {
+    if !is_printable(extension) || extension == b";" {
         return Err(Reason::BadChunk.into());
     }
     Ok(digits.trim_ascii_end())
 }
 
-/// A line up to CR LF, without it; `most` bounds it with its end.
-fn line(bytes: &[u8], most: usize, wrong: Reason) -> Result<Option<&[u8]>, Error> {
-    match bytes.iter().take(most).position(|b| *b == b'\n') {
+/// A line up to CR LF, without them; none when more bytes are needed. A line of more than `max_bytes` with its end, or
+/// one that ends otherwise, is refused with `reason`.
+fn take_line(bytes: &[u8], max_bytes: usize, reason: Reason) -> Result<Option<&[u8]>, Error> {
+    match bytes.iter().take(max_bytes).position(|b| *b == b'\n') {
         Some(end) => {
-            let line = bytes.get(..end).and_then(|l| l.strip_suffix(b"\r"));
-            line.map(Some).ok_or_else(|| wrong.into())
+            let line = bytes.get(..end).and_then(|line| line.strip_suffix(b"\r"));
+            line.map(Some).ok_or_else(|| reason.into())
         }
-        None if bytes.len() >= most => Err(wrong.into()),
+        None if bytes.len() >= max_bytes => Err(reason.into()),
         None => Ok(None),
     }
 }
--- a/crates/proto/src/head.rs
+++ b/crates/proto/src/head.rs
@@ -1,4 +1,4 @@
-//! Start line and headers, read strictly.
+//! Start line and headers, parsed strictly.
 
 use crate::body::Framing;
 use crate::{Error, Limits, Reason, Side, MAX_HEADERS};
@@ -29,7 +29,7 @@
     pub http11: bool,
     /// Names in lower case, with values as sent.
     pub headers: Vec<(String, String)>,
-    /// The connection stays open after this message.
+    /// Whether the connection stays open after this message.
     pub keep_alive: bool,
     /// The sender waits for `100 Continue` before the body.
     pub expects_continue: bool,
@@ -49,92 +49,114 @@
     }
 }
 
-/// The length of a head within `bytes` up to and with its empty line, scanning from `from` on.
-/// Checks the bounds and line ends on the way, so that a bad head is refused before it is whole.
+/// The length of a head within `bytes`, its empty line included, scanning from `from` on.
+///
+/// Checks limits and line ends on the way, so that a bad head is refused before it is complete.
 pub(crate) fn find_end(bytes: &[u8], from: usize, limits: &Limits) -> Result<Option<usize>, Error> {
-    let mut before = from.checked_sub(1).and_then(|i| bytes.get(i)).copied();
-    for (i, b) in bytes.iter().copied().enumerate().skip(from) {
+    let mut previous = from.checked_sub(1).and_then(|i| bytes.get(i)).copied();
+    for (i, byte) in bytes.iter().copied().enumerate().skip(from) {
         if i >= limits.head_bytes {
             return Err(Reason::HeadTooLong.into());
         }
-        match b {
+        match byte {
             0 => return Err(Reason::Nul.into()),
-            b'\n' if before != Some(b'\r') => return Err(Reason::BareLineEnd.into()),
+            b'\n' if previous != Some(b'\r') => return Err(Reason::BareLineEnd.into()),
             b'\n' if bytes.get(..=i).is_some_and(|head| head.ends_with(b"\r\n\r\n")) => {
                 return Ok(Some(i + 1))
             }
             b'\n' => {}
-            _ if before == Some(b'\r') => return Err(Reason::BareLineEnd.into()),
-            b' ' | b'\t' if before == Some(b'\n') => return Err(Reason::Folding.into()),
+            _ if previous == Some(b'\r') => return Err(Reason::BareLineEnd.into()),
+            b' ' | b'\t' if previous == Some(b'\n') => return Err(Reason::Folding.into()),
             _ => {}
         }
-        before = Some(b);
+        previous = Some(byte);
     }
-    let line_open = !bytes.iter().take(limits.start_line_bytes + 1).any(|b| *b == b'\n');
-    if line_open && bytes.len() > limits.start_line_bytes {
+    let is_start_line_open = !bytes.iter().take(limits.start_line_bytes + 1).any(|b| *b == b'\n');
+    if is_start_line_open && bytes.len() > limits.start_line_bytes {
         return Err(Reason::StartLineTooLong.into());
     }
     Ok(None)
 }
 
-/// Reads a whole head.
+/// Parses a complete head, and tells how the body after it is framed.
 pub(crate) fn parse(bytes: &[u8], side: Side, limits: &Limits) -> Result<(Head, Framing), Error> {
-    let line = bytes.iter().position(|b| *b == b'\n').unwrap_or(bytes.len());
-    if line > limits.start_line_bytes {
+    let start_line_end = bytes.iter().position(|b| *b == b'\n').unwrap_or(bytes.len());
+    if start_line_end > limits.start_line_bytes {
         return Err(Reason::StartLineTooLong.into());
     }
-    // An empty line ahead of a message is passed over by some parsers and not by others.
+    // Some parsers skip an empty line in front of a message, others don't.
     if bytes.starts_with(b"\r") {
         return Err(Reason::Malformed.into());
     }
+    let mut head = parse_fields(bytes, side)?;
+    let framing = framing(&head, limits)?;
+    head.has_body = framing != Framing::Length(0);
+    head.keep_alive = is_persistent(&head) && framing != Framing::UntilClose;
+    if side == Side::Request {
+        check_request(&mut head)?;
+    }
+    Ok((head, framing))
+}
+
+/// Start line and headers; what follows from them is not filled in yet.
+fn parse_fields(bytes: &[u8], side: Side) -> Result<Head, Error> {
     let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let refused = |e: httparse::Error| match e {
-        httparse::Error::TooManyHeaders => Reason::TooManyHeaders,
-        _ => Reason::Malformed,
-    };
-    let (start, version, parsed): (_, _, &[httparse::Header]) = match side {
+    let (start, version, parsed): (Start, Option<u8>, &[httparse::Header<'_>]) = match side {
         Side::Request => {
-            let mut r = httparse::Request::new(&mut table);
-            r.parse(bytes).map_err(refused)?;
-            let (method, target) = r.method.zip(r.path).ok_or(Reason::Malformed)?;
-            (Start::Request { method: method.into(), target: target.into() }, r.version, r.headers)
+            let mut request = httparse::Request::new(&mut table);
+            request.parse(bytes).map_err(parse_failure)?;
+            let (method, target) = request.method.zip(request.path).ok_or(Reason::Malformed)?;
+            let start = Start::Request { method: method.into(), target: target.into() };
+            (start, request.version, request.headers)
         }
         Side::Response => {
-            let mut r = httparse::Response::new(&mut table);
-            r.parse(bytes).map_err(refused)?;
-            (Start::Response { status: r.code.ok_or(Reason::Malformed)? }, r.version, r.headers)
+            let mut response = httparse::Response::new(&mut table);
+            response.parse(bytes).map_err(parse_failure)?;
+            let status = response.code.ok_or(Reason::Malformed)?;
+            (Start::Response { status }, response.version, response.headers)
         }
     };
-    let http11 = version == Some(1);
     let mut headers = Vec::with_capacity(parsed.len());
-    for h in parsed {
-        let value = std::str::from_utf8(h.value).map_err(|_| Reason::Malformed)?;
-        headers.push((h.name.to_ascii_lowercase(), value.trim_matches([' ', '\t']).to_owned()));
+    for header in parsed {
+        let value = std::str::from_utf8(header.value).map_err(|_| Reason::Malformed)?;
+        headers.push((header.name.to_ascii_lowercase(), value.trim_matches([' ', '\t']).to_owned()));
     }
-    let mut head =
-        Head { start, http11, headers, keep_alive: http11, expects_continue: false, has_body: false };
-    let framing = framing(&head, limits)?;
-    head.has_body = framing != Framing::Length(0);
-    let says = |word: &str| {
-        head.header("connection").is_some_and(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case(word)))
-    };
-    head.keep_alive = (http11 || says("keep-alive")) && !says("close") && framing != Framing::UntilClose;
-    if side == Side::Request {
-        if (http11 && head.count("host") != 1) || head.count("host") > 1 {
-            return Err(Reason::Host.into());
-        }
-        match head.header("expect") {
-            Some(e) if e.eq_ignore_ascii_case("100-continue") && http11 => {
-                head.expects_continue = head.has_body
-            }
-            Some(_) => return Err(Reason::Expectation.into()),
-            None => {}
+    let http11 = version == Some(1);
+    Ok(Head { start, http11, headers, keep_alive: http11, expects_continue: false, has_body: false })
+}
+
+fn parse_failure(error: httparse::Error) -> Reason {
+    match error {
+        httparse::Error::TooManyHeaders => Reason::TooManyHeaders,
+        _ => Reason::Malformed,
+    }
+}
+
+/// Whether version and `Connection` leave the connection open (RFC 9112, section 9.3).
+fn is_persistent(head: &Head) -> bool {
+    let options = head.header("connection").unwrap_or_default();
+    let has_option = |option: &str| options.split(',').any(|o| o.trim().eq_ignore_ascii_case(option));
+    (head.http11 || has_option("keep-alive")) && !has_option("close")
+}
+
+/// Checks what requests alone must or may have: `Host` and `Expect`.
+fn check_request(head: &mut Head) -> Result<(), Error> {
+    let hosts = head.count("host");
+    if (head.http11 && hosts != 1) || hosts > 1 {
+        return Err(Reason::Host.into());
+    }
+    match head.header("expect") {
+        Some(value) if value.eq_ignore_ascii_case("100-continue") && head.http11 => {
+            head.expects_continue = head.has_body;
         }
+        Some(_) => return Err(Reason::Expectation.into()),
+        None => {}
     }
-    Ok((head, framing))
+    Ok(())
 }
 
-/// How the body ends (RFC 9112, 6.3), but stricter: no second opinion is possible.
+/// How the body ends (RFC 9112, section 6.3). Stricter than the standard: whatever two parsers could read differently is
+/// refused.
 fn framing(head: &Head, limits: &Limits) -> Result<Framing, Error> {
     let (lengths, encodings) = (head.count("content-length"), head.count("transfer-encoding"));
     if lengths > 0 && encodings > 0 {
