--- a/crates/proto/src/decode.rs
+++ b/crates/proto/src/decode.rs
@@ -1,14 +1,17 @@
-//! The decoder of one direction of a connection.
+//! The incremental decoder of one direction of a connection.
 
 use crate::body::Body;
 use crate::{head, Error, Head, Limits, Reason, Start};
 
-/// Which messages come.
+/// Capacity of the buffer that an idle connection keeps.
+const IDLE_BUFFER_BYTES: usize = 1_024;
+
+/// Which messages are decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// Requests: this is a server.
+    /// Requests, as a server receives them.
     Request,
-    /// Responses: this is a client.
+    /// Responses, as a client receives them.
     Response,
 }
 
@@ -17,20 +20,22 @@
 pub enum Part {
     /// A message begins.
     Head(Box<Head>),
-    /// Bytes of its body, never none.
+    /// Bytes of its body, at least one.
     Data(Vec<u8>),
-    /// It is whole.
+    /// The message is complete.
     End,
 }
 
-/// Reads the messages of one direction, in any splitting of the bytes. Holds at most a head, or what
-/// was pushed and not yet asked for: past [`Limits::pipelined_bytes`] it asks not to be given more.
+/// Decodes the messages of one direction, however their bytes are split.
+///
+/// Buffers at most one head, or what was pushed and not yet consumed: beyond [`Limits::pipelined_bytes`] the caller should
+/// stop reading ([`Decoder::is_crowded`]).
 #[derive(Debug)]
 pub struct Decoder {
     side: Side,
     limits: Limits,
     buffer: Vec<u8>,
-    /// Bytes of the buffer in which no end of the head was found.
+    /// Bytes of the buffer that were searched for the end of the head without finding it.
     scanned: usize,
     body: Option<Body>,
     closed: bool,
@@ -55,36 +60,39 @@
         self.closed = true;
     }
 
-    /// Whether nothing of a message has come since the last end.
+    /// Whether no byte of a further message has arrived since the last [`Part::End`].
     pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.body.is_none()
     }
 
-    /// Bytes that wait.
+    /// Bytes that were pushed and not yet decoded.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether so much waits behind the message being handled that no more should be read until it is taken.
+    /// Whether so many bytes wait after the current message that no more should be read until they are decoded.
     pub fn is_crowded(&self) -> bool {
         self.buffer.len() > self.limits.pipelined_bytes
     }
 
-    /// The next part; none when more bytes are needed. After an error, always that error.
+    /// The next part; none when more bytes are needed.
+    ///
+    /// # Errors
+    /// The bytes are no message within the limits. From then on every call gives the same error.
     pub fn next_part(&mut self) -> Result<Option<Part>, Error> {
-        if let Some(e) = self.failed {
-            return Err(e);
+        if let Some(error) = self.failed {
+            return Err(error);
         }
         match self.advance() {
             Ok(part) => Ok(part),
-            Err(e) => self.fail(e),
+            Err(error) => self.fail(error),
         }
     }
 
-    fn fail<T>(&mut self, e: Error) -> Result<T, Error> {
-        self.failed = Some(e);
+    fn fail<T>(&mut self, error: Error) -> Result<T, Error> {
+        self.failed = Some(error);
         self.buffer = Vec::new();
-        Err(e)
+        Err(error)
     }
 
     fn advance(&mut self) -> Result<Option<Part>, Error> {
@@ -96,7 +104,7 @@
                     return Ok(Some(Part::End));
                 }
                 Some(step) => {
-                    self.take(step.used);
+                    self.consume(step.used);
                     if let Some(data) = step.data {
                         return Ok(Some(Part::Data(data)));
                     }
@@ -122,9 +130,9 @@
             };
             let bytes = self.buffer.get(..end).unwrap_or_default();
             let (head, framing) = head::parse(bytes, self.side, &self.limits)?;
-            self.take(end);
+            self.consume(end);
             self.scanned = 0;
-            // An interim response is passed over, but a switch of protocols is none of ours.
+            // Interim responses are skipped, but switching protocols was never requested.
             match head.start {
                 Start::Response { status: 101 } => return Err(Reason::Malformed.into()),
                 Start::Response { status: 100..=199 } => continue,
@@ -135,13 +143,13 @@
         }
     }
 
-    fn take(&mut self, n: usize) {
-        if n >= self.buffer.len() {
-            // An idle connection keeps no more than a small buffer.
+    fn consume(&mut self, length: usize) {
+        if length >= self.buffer.len() {
+            // An idle connection keeps a small buffer only.
             self.buffer.clear();
-            self.buffer.shrink_to(1_024);
+            self.buffer.shrink_to(IDLE_BUFFER_BYTES);
         } else {
-            self.buffer.drain(..n);
+            self.buffer.drain(..length);
         }
     }
 }
--- a/crates/proto/src/encode.rs
+++ b/crates/proto/src/encode.rs
@@ -1,43 +1,46 @@
-//! Messages to bytes.
+//! Writes messages as bytes.
 
 use std::io::Write;
 
-fn text(out: &mut Vec<u8>, value: &str) {
-    // No value can end its line: a header can't be smuggled in through an echoed name.
+/// Capacity for the head of a message; most are shorter.
+const HEAD_CAPACITY: usize = 256;
+
+/// Writes a value with its control characters replaced, so that an echoed name can't end its line and inject a header.
+fn push_text(out: &mut Vec<u8>, value: &str) {
     if !value.bytes().any(|b| b < b' ' || b == 0x7f) {
         return out.extend_from_slice(value.as_bytes());
     }
     out.extend(value.bytes().map(|b| if b < b' ' || b == 0x7f { b'_' } else { b }));
 }
 
-fn headers(out: &mut Vec<u8>, headers: &[(&str, &str)]) {
+fn push_headers(out: &mut Vec<u8>, headers: &[(&str, &str)]) {
     for (name, value) in headers {
-        text(out, name);
+        push_text(out, name);
         out.extend_from_slice(b": ");
-        text(out, value);
+        push_text(out, value);
         out.extend_from_slice(b"\r\n");
     }
 }
 
 /// A request with its body, if any.
 pub fn request(method: &str, target: &str, host: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(256 + body.len());
-    text(&mut out, method);
+    let mut out = Vec::with_capacity(HEAD_CAPACITY + body.len());
+    push_text(&mut out, method);
     out.push(b' ');
-    text(&mut out, target);
+    push_text(&mut out, target);
     out.extend_from_slice(b" HTTP/1.1\r\n");
-    headers(&mut out, &[("host", host)]);
-    headers(&mut out, fields);
+    push_headers(&mut out, &[("host", host)]);
+    push_headers(&mut out, fields);
     let _ = write!(out, "content-length: {}\r\n\r\n", body.len());
     out.extend_from_slice(body);
     out
 }
 
-/// A whole response.
+/// A complete response.
 pub fn response(status: u16, fields: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Vec<u8> {
-    let mut out = Vec::with_capacity(256 + body.len());
-    status_line(&mut out, status, keep_alive);
-    headers(&mut out, fields);
+    let mut out = Vec::with_capacity(HEAD_CAPACITY + body.len());
+    push_status_line(&mut out, status, keep_alive);
+    push_headers(&mut out, fields);
     let _ = write!(out, "content-length: {}\r\n\r\n", body.len());
     out.extend_from_slice(body);
     out
@@ -45,14 +48,14 @@
 
 /// The head of a chunked response.
 pub fn chunked_head(status: u16, fields: &[(&str, &str)], keep_alive: bool) -> Vec<u8> {
-    let mut out = Vec::with_capacity(256);
-    status_line(&mut out, status, keep_alive);
-    headers(&mut out, fields);
+    let mut out = Vec::with_capacity(HEAD_CAPACITY);
+    push_status_line(&mut out, status, keep_alive);
+    push_headers(&mut out, fields);
     out.extend_from_slice(b"transfer-encoding: chunked\r\n\r\n");
     out
 }
 
-/// One chunk; empty data gives nothing, since an empty chunk would be the last.
+/// Appends one chunk; nothing for empty data, since an empty chunk would be the last one.
 pub fn chunk(out: &mut Vec<u8>, data: &[u8]) {
     if !data.is_empty() {
         let _ = write!(out, "{:x}\r\n", data.len());
@@ -64,17 +67,17 @@
 /// The end of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// The interim answer to `Expect: 100-continue`.
+/// The interim response to `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-fn status_line(out: &mut Vec<u8>, status: u16, keep_alive: bool) {
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", phrase(status));
+fn push_status_line(out: &mut Vec<u8>, status: u16, keep_alive: bool) {
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     if !keep_alive {
         out.extend_from_slice(b"connection: close\r\n");
     }
 }
 
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/proto/src/error.rs
+++ b/crates/proto/src/error.rs
@@ -1,4 +1,4 @@
-//! Why bytes were refused, and with which status a server says so.
+//! Why the bytes of a peer were refused, and the status with which a server answers them.
 
 use std::fmt;
 
@@ -35,9 +35,9 @@
     BodyTooLong,
     /// A chunk is longer than its bound.
     ChunkTooLong,
-    /// A chunk size that is not plain hexadecimal; extensions are not taken.
+    /// A chunk size that is not plain hexadecimal, or an extension where none is accepted.
     BadChunk,
-    /// A chunked body with trailers, which are not taken.
+    /// A chunked body with trailers where none are accepted, or malformed ones.
     Trailers,
     /// The peer closed in the middle of a message.
     Truncated,
@@ -46,7 +46,7 @@
 }
 
 impl Reason {
-    /// The status with which a server refuses it.
+    /// The status with which a server answers.
     pub fn status(self) -> u16 {
         match self {
             Self::StartLineTooLong => 414,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// In words.
+    /// A short description for logs and error bodies.
     pub fn text(self) -> &'static str {
         match self {
             Self::StartLineTooLong => "start line too long",
@@ -84,7 +84,7 @@
     }
 }
 
-/// Bytes that were refused. Nothing after them on the connection can be trusted.
+/// Bytes that were refused. Nothing after them on the connection can be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Error {
     /// What is wrong.
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,8 +1,8 @@
-//! Sans-IO HTTP/1.1, both sides, and server-sent events: bytes in, messages out, every length bounded.
+//! HTTP/1.1 for clients and servers, and server-sent events: bytes in, messages out, without I/O. Every length is bounded.
 //!
-//! [`Decoder`] takes bytes in any splitting and gives the same [`Part`]s. What two parsers could read
-//! differently (request smuggling) is refused with a status and a reason. Source: RFC 9112; event
-//! streams: the HTML standard, "Server-sent events".
+//! [`Decoder`] gives the same [`Part`]s however the bytes are split. A message that two parsers could read differently
+//! (request smuggling) is refused with a status and a [`Reason`]. Sources: RFC 9112; for event streams the HTML standard,
+//! section "Server-sent events".
 
 mod body;
 mod decode;
@@ -15,7 +15,7 @@
 pub use error::{Error, Reason};
 pub use head::{Head, Start};
 
-/// Named bounds of one connection's decoder.
+/// Limits of one connection's decoder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of the start line.
@@ -26,14 +26,14 @@
     pub body_bytes: u64,
     /// Bytes of one chunk.
     pub chunk_bytes: u64,
-    /// Bytes behind the message being taken (pipelined requests) past which no more should be read.
+    /// Bytes after the current message (pipelined requests) beyond which no more should be read.
     pub pipelined_bytes: usize,
-    /// Chunk extensions and trailers that are well formed are passed over, not refused. For answers only: a
-    /// request's end must not be open to a second reading.
+    /// Well-formed chunk extensions and trailers are skipped instead of refused. For responses only: the end of a request
+    /// must be unambiguous.
     pub chunk_extras: bool,
 }
 
-/// Headers of one message at most; a constant, since they are parsed into a table of this size.
+/// Most headers of one message; a constant, since they are parsed into a table of this size.
 pub const MAX_HEADERS: usize = 64;
 
 impl Default for Limits {
--- a/crates/proto/src/sse.rs
+++ b/crates/proto/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, read and written.
+//! Server-sent events: an incremental parser, and a writer.
 
 use crate::{Error, Reason};
 
@@ -13,48 +13,54 @@
     pub id: String,
 }
 
-/// Reads a stream of events in any splitting of its bytes.
+/// Parses a stream of events, however its bytes are split.
 #[derive(Debug)]
 pub struct Reader {
-    most: usize,
+    max_event_bytes: usize,
+    /// The line that is not complete yet.
     line: Vec<u8>,
-    /// The last byte was a CR, whose LF may follow.
+    /// The last byte was a CR, and an LF of the same line end may follow.
     after_cr: bool,
-    first: bool,
+    /// No line was complete yet: a byte order mark may stand in front.
+    is_first_line: bool,
+    /// The event that is not complete yet.
     event: Event,
     has_data: bool,
 }
 
 impl Reader {
-    /// `most`: bytes of one event, and of one line.
-    pub fn new(most: usize) -> Self {
+    /// A parser at the start of a stream; neither an event nor a line may be longer than `max_event_bytes`.
+    pub fn new(max_event_bytes: usize) -> Self {
         Self {
-            most,
+            max_event_bytes,
             line: Vec::new(),
             after_cr: false,
-            first: true,
+            is_first_line: true,
             event: Event::default(),
             has_data: false,
         }
     }
 
-    /// Takes bytes and appends the events that they end.
+    /// Takes bytes and appends the events that they complete.
+    ///
+    /// # Errors
+    /// An event or a line is too long, or a line is not UTF-8.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), Error> {
         let mut rest = bytes;
         loop {
             if std::mem::take(&mut self.after_cr) {
                 rest = rest.strip_prefix(b"\n").unwrap_or(rest);
-                // The LF may come with the next bytes.
+                // The LF may arrive with the next bytes.
                 self.after_cr = rest.is_empty() && !bytes.ends_with(b"\n");
             }
             let end = rest.iter().position(|b| matches!(b, b'\n' | b'\r'));
             let (line, after) = rest.split_at(end.unwrap_or(rest.len()));
-            if self.line.len() + line.len() > self.most {
+            if self.line.len() + line.len() > self.max_event_bytes {
                 return Err(Reason::EventTooLong.into());
             }
             self.line.extend_from_slice(line);
-            let Some((stop, after)) = after.split_first() else { return Ok(()) };
-            self.after_cr = *stop == b'\r';
+            let Some((line_end, after)) = after.split_first() else { return Ok(()) };
+            self.after_cr = *line_end == b'\r';
             rest = after;
             self.end_line(out)?;
         }
@@ -62,15 +68,17 @@
 
     fn end_line(&mut self, out: &mut Vec<Event>) -> Result<(), Error> {
         let mut bytes = std::mem::take(&mut self.line);
-        let ended = self.line_text(&bytes, out);
+        let result = self.parse_line(&bytes, out);
+        // The buffer is reused for the next line.
         bytes.clear();
         self.line = bytes;
-        ended
+        result
     }
 
-    fn line_text(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), Error> {
+    fn parse_line(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), Error> {
         let text = std::str::from_utf8(bytes).map_err(|_| Reason::Malformed)?;
-        let text = if std::mem::take(&mut self.first) { text.trim_start_matches('\u{feff}') } else { text };
+        let is_first_line = std::mem::take(&mut self.is_first_line);
+        let text = if is_first_line { text.trim_start_matches('\u{feff}') } else { text };
         if text.is_empty() {
             let event = std::mem::take(&mut self.event);
             if std::mem::take(&mut self.has_data) {
@@ -82,7 +90,7 @@
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
             "data" => {
-                if self.event.data.len() + value.len() + 1 > self.most {
+                if self.event.data.len() + value.len() + 1 > self.max_event_bytes {
                     return Err(Reason::EventTooLong.into());
                 }
                 if self.has_data {
@@ -99,7 +107,7 @@
     }
 }
 
-/// Appends one event; a line end within `data` becomes a further data line.
+/// Appends one event; each line of `data` becomes a data line.
 pub fn write(out: &mut Vec<u8>, name: &str, id: Option<u64>, data: &str) {
     let mut field = |name: &[u8], value: &[u8]| {
         out.extend_from_slice(name);
