--- a/crates/proto/tests/messages.rs
+++ b/crates/proto/tests/messages.rs
@@ -1,10 +1,10 @@
-//! Splitting, bounds and refusals.
+//! Messages split anywhere, limits, and what is refused.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use chalkyard_proto::*;
 use proptest::prelude::*;
 
-fn all(side: Side, pieces: &[&[u8]], close: bool) -> Result<Vec<Part>, Reason> {
+fn decode_all(side: Side, pieces: &[&[u8]], close: bool) -> Result<Vec<Part>, Reason> {
     let mut d = Decoder::new(side, Limits::default());
     let mut parts: Vec<Part> = Vec::new();
     let drain = |d: &mut Decoder, parts: &mut Vec<Part>| -> Result<(), Reason> {
@@ -27,16 +27,16 @@
     Ok(parts)
 }
 
-fn refused(text: &str) -> Reason {
-    match all(Side::Request, &[text.as_bytes()], true) {
+fn rejection(text: &str) -> Reason {
+    match decode_all(Side::Request, &[text.as_bytes()], true) {
         Err(r) => r,
         Ok(parts) => panic!("taken: {parts:?}"),
     }
 }
 
 #[test]
-fn what_two_parsers_could_read_differently_is_refused() {
-    let with = |headers: &str| refused(&format!("POST /x HTTP/1.1\r\nHost: a\r\n{headers}\r\n\r\n"));
+fn ambiguous_or_malformed_messages_are_refused_with_their_reason() {
+    let with = |headers: &str| rejection(&format!("POST /x HTTP/1.1\r\nHost: a\r\n{headers}\r\n\r\n"));
     assert_eq!(with("Content-Length: 3\r\nTransfer-Encoding: chunked"), Reason::BothLengths);
     assert_eq!(with("Content-Length: 3\r\nContent-Length: 4"), Reason::TwoLengths);
     assert_eq!(with("Content-Length: 3\r\nContent-Length: 3"), Reason::TwoLengths);
@@ -55,11 +55,11 @@
     assert_eq!(with("Host: b"), Reason::Host);
     assert_eq!(with("Expect: bread"), Reason::Expectation);
     assert_eq!(with("Content-Length: 3"), Reason::Truncated);
-    assert_eq!(refused("GET / HTTP/1.1\r\n\r\n"), Reason::Host);
-    assert_eq!(refused("\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n"), Reason::Malformed);
-    assert_eq!(refused("GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Reason::Encoding);
+    assert_eq!(rejection("GET / HTTP/1.1\r\n\r\n"), Reason::Host);
+    assert_eq!(rejection("\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n"), Reason::Malformed);
+    assert_eq!(rejection("GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Reason::Encoding);
     let chunked = |body: &str| {
-        refused(&format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{body}"))
+        rejection(&format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{body}"))
     };
     for body in [
         "x\r\n",
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn bounds_are_kept_before_the_message_is_whole() {
+fn limits_apply_before_a_message_is_complete() {
     let long = |n: usize| "a".repeat(n);
-    assert_eq!(refused(&format!("GET /{}", long(2_048))), Reason::StartLineTooLong);
-    assert_eq!(refused(&format!("GET / HTTP/1.1\r\nHost: {}", long(17_000))), Reason::HeadTooLong);
+    assert_eq!(rejection(&format!("GET /{}", long(2_048))), Reason::StartLineTooLong);
+    assert_eq!(rejection(&format!("GET / HTTP/1.1\r\nHost: {}", long(17_000))), Reason::HeadTooLong);
     let many = "A: b\r\n".repeat(MAX_HEADERS);
-    assert_eq!(refused(&format!("GET / HTTP/1.1\r\nHost: a\r\n{many}\r\n")), Reason::TooManyHeaders);
+    assert_eq!(rejection(&format!("GET / HTTP/1.1\r\nHost: a\r\n{many}\r\n")), Reason::TooManyHeaders);
     let mut d = Decoder::new(Side::Request, Limits::default());
     d.push(&vec![b'a'; 64 * 1024]);
     assert!(!d.is_crowded());
@@ -96,20 +96,21 @@
 }
 
 #[test]
-fn responses_end_by_length_chunks_or_close_and_interim_ones_are_passed_over() {
+fn responses_end_by_length_chunks_or_close_and_interim_ones_are_skipped() {
     let text =
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nabHTTP/1.1 204 No\r\n\r\n";
-    let parts = all(Side::Response, &[text], true).unwrap();
+    let parts = decode_all(Side::Response, &[text], true).unwrap();
     assert_eq!(parts.iter().filter(|p| matches!(p, Part::End)).count(), 2);
     assert!(parts.contains(&Part::Data(b"ab".to_vec())));
-    let open = all(Side::Response, &[b"HTTP/1.1 200 OK\r\n\r\nrest"], true).unwrap();
+    let open = decode_all(Side::Response, &[b"HTTP/1.1 200 OK\r\n\r\nrest"], true).unwrap();
     assert_eq!(open.last(), Some(&Part::End));
-    let cut = all(Side::Response, &[b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nab"], true);
+    let cut =
+        decode_all(Side::Response, &[b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nab"], true);
     assert_eq!(cut, Err(Reason::Truncated));
 }
 
 #[test]
-fn events_are_read_whatever_their_line_ends() {
+fn events_with_any_line_end_are_parsed() {
     let mut out = Vec::new();
     let mut r = sse::Reader::new(100);
     r.push(b"\xef\xbb\xbfevent: a\rdata: 1\r\ndata:2\n\n: comment\n\nid: 7\ndata\n\n", &mut out).unwrap();
@@ -130,7 +131,7 @@
 
 proptest! {
     #[test]
-    fn any_splitting_gives_the_same_messages(
+    fn bytes_split_anywhere_give_the_same_messages(
         bodies in prop::collection::vec((prop::collection::vec(any::<u8>(), 0..200), any::<bool>()), 1..4),
         at in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
     ) {
@@ -146,17 +147,17 @@
                 bytes.extend(encode::request("POST", "/v", "h", &[("a", "b")], body));
             }
         }
-        let whole = all(Side::Request, &[&bytes], true).unwrap();
+        let whole = decode_all(Side::Request, &[&bytes], true).unwrap();
         let pieces = cut(&bytes, &at);
         let split: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
-        prop_assert_eq!(&whole, &all(Side::Request, &split, true).unwrap());
+        prop_assert_eq!(&whole, &decode_all(Side::Request, &split, true).unwrap());
         let sent: Vec<u8> = bodies.iter().flat_map(|(b, _)| b.clone()).collect();
         let got: Vec<u8> = whole.iter().flat_map(|p| match p { Part::Data(d) => d.clone(), _ => vec![] }).collect();
         prop_assert_eq!(sent, got);
     }
 
     #[test]
-    fn no_input_panics_and_splitting_never_changes_a_verdict(
+    fn arbitrary_bytes_split_anywhere_give_the_same_result(
         seed in prop::collection::vec(prop_oneof![
             Just(b"GET / HTTP/1.1\r\n".to_vec()), Just(b"Host: a\r\n".to_vec()), Just(b"\r\n".to_vec()),
             Just(b"Content-Length: 5\r\n".to_vec()), Just(b"Transfer-Encoding: chunked\r\n".to_vec()),
@@ -170,11 +171,11 @@
         let side = if response { Side::Response } else { Side::Request };
         let pieces = cut(&bytes, &at);
         let split: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
-        prop_assert_eq!(all(side, &[&bytes], true), all(side, &split, true));
+        prop_assert_eq!(decode_all(side, &[&bytes], true), decode_all(side, &split, true));
     }
 
     #[test]
-    fn event_streams_split_anywhere(
+    fn event_streams_split_anywhere_give_the_same_events(
         events in prop::collection::vec(("[a-z]{0,6}", "[ -~\n]{0,40}"), 0..6),
         at in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
@@ -194,7 +195,7 @@
 
 proptest! {
     #[test]
-    fn no_input_is_held_past_the_bound(
+    fn arbitrary_input_is_buffered_within_the_limit(
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..3_000), 0..40),
         start in prop_oneof![Just(&b""[..]), Just(&b"GET / HTTP/1.1\r\nHost: "[..]),
             Just(&b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"[..]),
@@ -206,7 +207,7 @@
         for piece in &pieces {
             d.push(piece);
             while let Ok(Some(_)) = d.next_part() {}
-            // Asked for all that it has, it keeps at most a head that is not whole.
+            // All that can be decoded was: at most an incomplete head is left.
             prop_assert!(d.buffered() <= limits.head_bytes);
         }
     }
