--- /dev/null
+++ b/crates/api/src/client/request.rs
@@ -0,0 +1,264 @@
+//! The request of the messages call: its body, checked field by field.
+
+use serde::{Deserialize, Serialize};
+use serde_json::value::RawValue;
+
+use super::error::Refusal;
+use super::prompt;
+use crate::tokens;
+
+/// Limits of one call.
+#[derive(Debug, Clone, Copy)]
+pub struct Bounds {
+    /// Most messages.
+    pub messages: usize,
+    /// Most tokens of the prompt, as estimated.
+    pub prompt_tokens: u64,
+    /// Most tokens of the answer; also the default where the client names none.
+    pub max_tokens: u64,
+}
+
+impl Default for Bounds {
+    fn default() -> Self {
+        Self { messages: 1_000, prompt_tokens: 128_000, max_tokens: 4_096 }
+    }
+}
+
+/// Longest name that a client may choose: of a session, class, idempotency key or model.
+pub const NAME_BYTES: usize = 128;
+
+/// Most stop sequences of one call.
+const STOP_SEQUENCES: usize = 4;
+/// Hexadecimal digits of a prefix's hash.
+const PREFIX_HASH_DIGITS: usize = 32;
+
+/// The author of a message.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum MessageRole {
+    /// The client.
+    User,
+    /// The model, in an earlier answer.
+    Assistant,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(untagged)]
+pub(super) enum Content {
+    Plain(String),
+    Blocks(Vec<Block>),
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(tag = "type", rename_all = "lowercase", deny_unknown_fields)]
+pub(super) enum Block {
+    Text { text: String },
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct RawMessage {
+    pub role: MessageRole,
+    pub content: Content,
+}
+
+#[derive(Debug, Default, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+struct RawMetadata {
+    class: Option<String>,
+    session: Option<String>,
+    deadline_ms: Option<u64>,
+    retry: bool,
+    came_back: bool,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RawRequest {
+    model: String,
+    #[serde(default)]
+    system: Option<String>,
+    messages: Vec<RawMessage>,
+    #[serde(default)]
+    max_tokens: Option<u64>,
+    #[serde(default)]
+    stream: bool,
+    #[serde(default)]
+    metadata: RawMetadata,
+    #[serde(default)]
+    temperature: Option<f64>,
+    #[serde(default)]
+    top_p: Option<f64>,
+    #[serde(default)]
+    stop_sequences: Vec<String>,
+}
+
+/// Sampling parameters, forwarded to the engine unchanged.
+#[derive(Debug, Clone, Default, PartialEq, Serialize)]
+pub struct Sampling {
+    /// Softmax temperature, 0 to 2.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub temperature: Option<f64>,
+    /// Nucleus sampling probability, 0 to 1.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub top_p: Option<f64>,
+    /// Stop sequences, at most four.
+    #[serde(skip_serializing_if = "Vec::is_empty")]
+    pub stop: Vec<String>,
+}
+
+/// A checked call.
+#[derive(Debug, Clone)]
+pub struct MessagesRequest {
+    /// The model's name.
+    pub model: String,
+    /// The complete prompt as engines receive it: a JSON string, built once for all attempts.
+    pub prompt: Box<RawValue>,
+    /// Hash and estimated tokens of the system text: a prefix that sessions may share.
+    pub prefix: Option<(String, u64)>,
+    /// Estimated tokens of the complete prompt.
+    pub prompt_tokens: u64,
+    /// Most tokens of the answer.
+    pub max_tokens: u64,
+    /// The answer is wanted as a stream of events.
+    pub stream: bool,
+    /// Name of the class; none stands for the default class.
+    pub class: Option<String>,
+    /// Name of the session.
+    pub session: Option<String>,
+    /// How long the client waits for this attempt, in ms.
+    pub deadline_ms: Option<u64>,
+    /// The client retries an earlier request.
+    pub retry: bool,
+    /// The client returns after a stream that broke off.
+    pub came_back: bool,
+    /// Sampling parameters.
+    pub sampling: Sampling,
+}
+
+/// Whether a name that a client chose is valid: 1 to [`NAME_BYTES`] visible ASCII characters without quotes.
+pub fn is_name(text: &str) -> bool {
+    (1..=NAME_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic() && b != b'"')
+}
+
+fn check_name(field: &str, value: Option<&str>) -> Result<(), Refusal> {
+    match value {
+        Some(name) if !is_name(name) => Err(Refusal::new(
+            field,
+            format!("must be 1 to {NAME_BYTES} visible ASCII characters without quotes"),
+        )),
+        _ => Ok(()),
+    }
+}
+
+/// The idempotency key in the value of an `Idempotency-Key` header: a quoted string (IETF draft) or a bare one.
+///
+/// # Errors
+/// The key is not a valid name.
+pub fn identity(header: &str) -> Result<String, Refusal> {
+    let unquoted = header.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
+    let key = unquoted.unwrap_or(header).to_owned();
+    check_name("Idempotency-Key", Some(&key))?;
+    Ok(key)
+}
+
+impl MessagesRequest {
+    /// Parses and checks a request body.
+    ///
+    /// # Errors
+    /// The first field that is wrong, and why.
+    pub fn parse(body: &[u8], bounds: &Bounds) -> Result<Self, Refusal> {
+        let raw = RawRequest::parse(body)?;
+        raw.check(bounds)?;
+        let (prompt, prompt_tokens) = prompt::build(raw.system.as_deref(), &raw.messages)
+            .map_err(|e| Refusal::new("messages", e.to_string()))?;
+        if prompt_tokens > bounds.prompt_tokens {
+            let reason = format!("about {prompt_tokens} prompt tokens, over {}", bounds.prompt_tokens);
+            return Err(Refusal { status: 413, field: "messages".into(), reason });
+        }
+        Ok(Self {
+            prefix: raw.prefix(),
+            max_tokens: raw.max_tokens(bounds),
+            model: raw.model,
+            prompt,
+            prompt_tokens,
+            stream: raw.stream,
+            class: raw.metadata.class,
+            session: raw.metadata.session,
+            deadline_ms: raw.metadata.deadline_ms,
+            retry: raw.metadata.retry,
+            came_back: raw.metadata.came_back,
+            sampling: Sampling { temperature: raw.temperature, top_p: raw.top_p, stop: raw.stop_sequences },
+        })
+    }
+}
+
+impl RawRequest {
+    fn parse(body: &[u8]) -> Result<Self, Refusal> {
+        let mut json = serde_json::Deserializer::from_slice(body);
+        let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+            let path = e.path().to_string();
+            // The body itself is wrong, not one of its fields.
+            let field = if path == "." || path == "?" { "body".into() } else { path };
+            Refusal::new(field, e.into_inner().to_string())
+        })?;
+        json.end().map_err(|e| Refusal::new("body", e.to_string()))?;
+        Ok(raw)
+    }
+
+    /// Checks what the JSON types alone do not.
+    fn check(&self, bounds: &Bounds) -> Result<(), Refusal> {
+        check_name("model", Some(&self.model))?;
+        check_name("metadata.class", self.metadata.class.as_deref())?;
+        check_name("metadata.session", self.metadata.session.as_deref())?;
+        self.check_messages(bounds)?;
+        if !(1..=bounds.max_tokens).contains(&self.max_tokens(bounds)) {
+            return Err(Refusal::new("max_tokens", format!("must be 1 to {}", bounds.max_tokens)));
+        }
+        if self.metadata.deadline_ms == Some(0) {
+            return Err(Refusal::new("metadata.deadline_ms", "must be at least 1"));
+        }
+        self.check_sampling()
+    }
+
+    fn check_messages(&self, bounds: &Bounds) -> Result<(), Refusal> {
+        if !(1..=bounds.messages).contains(&self.messages.len()) {
+            return Err(Refusal::new("messages", format!("must be 1 to {} messages", bounds.messages)));
+        }
+        if self.messages.last().is_some_and(|message| message.role != MessageRole::User) {
+            let last = self.messages.len() - 1;
+            return Err(Refusal::new(
+                format!("messages[{last}].role"),
+                "the last message must be the user's",
+            ));
+        }
+        Ok(())
+    }
+
+    fn check_sampling(&self) -> Result<(), Refusal> {
+        if self.temperature.is_some_and(|t| !(0.0..=2.0).contains(&t)) {
+            return Err(Refusal::new("temperature", "must be 0 to 2"));
+        }
+        if self.top_p.is_some_and(|p| !(0.0..=1.0).contains(&p)) {
+            return Err(Refusal::new("top_p", "must be 0 to 1"));
+        }
+        let is_stop_valid = |stop: &String| (1..=NAME_BYTES).contains(&stop.len());
+        if self.stop_sequences.len() > STOP_SEQUENCES || !self.stop_sequences.iter().all(is_stop_valid) {
+            return Err(Refusal::new("stop_sequences", "must be at most 4 texts of 1 to 128 bytes"));
+        }
+        Ok(())
+    }
+
+    fn max_tokens(&self, bounds: &Bounds) -> u64 {
+        self.max_tokens.unwrap_or(bounds.max_tokens)
+    }
+
+    /// Hash and estimated tokens of the system text. The hash covers the model: engines of another model can't share it.
+    fn prefix(&self) -> Option<(String, u64)> {
+        let system = self.system.as_ref().filter(|system| !system.is_empty())?;
+        let mut hash = blake3::Hasher::new();
+        hash.update(self.model.as_bytes()).update(&[0]).update(system.as_bytes());
+        let hex = hash.finalize().to_hex();
+        Some((hex.get(..PREFIX_HASH_DIGITS).unwrap_or_default().to_owned(), tokens::estimate(system)))
+    }
+}
--- a/crates/api/src/client_test.rs
+++ b/crates/api/src/client_test.rs
@@ -1,6 +1,7 @@
 //! Tests of `client`.
 #![allow(clippy::unwrap_used)]
 use super::*;
+use crate::tokens;
 
 fn refused(body: &str) -> (String, String) {
     let r = MessagesRequest::parse(body.as_bytes(), &Bounds::default()).unwrap_err();
@@ -8,7 +9,7 @@
 }
 
 #[test]
-fn a_call_is_read_and_its_prompt_begins_with_the_system_text() {
+fn a_valid_call_is_parsed_and_its_prompt_begins_with_the_system_text() {
     let body = r#"{"model":"m","system":"You help.","max_tokens":9,"stream":true,
         "messages":[{"role":"user","content":[{"type":"text","text":"Hello"}]}],
         "metadata":{"class":"help","session":"s1","deadline_ms":900,"retry":true}}"#;
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn whatever_is_said_reaches_the_engine_as_it_was_said() {
+fn text_with_special_characters_reaches_the_prompt_unchanged() {
     let said = "\"quoted\" \\ back\nline\u{1}\u{7f} Grüezi \u{2028}";
     let body = serde_json::json!({"model": "m", "system": said, "messages": [
         {"role": "user", "content": [{"type": "text", "text": said}, {"type": "text", "text": "b"}]},
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn refusals_name_the_field_and_the_reason() {
+fn an_invalid_call_is_refused_with_field_and_reason() {
     let user = r#"[{"role":"user","content":"x"}]"#;
     let cases = [
         ("{", "body", "EOF"),
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn identities_are_names_quoted_or_bare() {
+fn idempotency_keys_quoted_or_bare_are_accepted_within_their_length() {
     assert_eq!(identity("\"k-1\"").unwrap(), "k-1");
     assert_eq!(identity("k-1").unwrap(), "k-1");
     assert!(identity("\"\"").is_err());
