--- a/crates/api/src/engine.rs
+++ b/crates/api/src/engine.rs
@@ -1,9 +1,8 @@
-//! What is said to engines and what they say: the OpenAI-compatible completion call with
-//! `kv_transfer_params` as vLLM publishes it, and load reports as ORCA's `endpoint-load-metrics` header.
+//! Messages between router and engines: the OpenAI-compatible completion call with `kv_transfer_params` as vLLM publishes
+//! it, and load reports in ORCA's `endpoint-load-metrics` header.
 //!
-//! A call of our own, which an engine offers beside it: `POST /v1/kv/release` lets go of a request's read
-//! state. Refusals: status 429 says that nothing has run; 409 with the
-//! error type `no_state` says that, and that there is no state to pull.
+//! Engines offer one more call, defined here: `POST /v1/kv/release` releases the KV state of a request. Status 429 proves
+//! that nothing has run; 409 with the error type `no_state` proves that too, and says that there is no state to pull.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -14,21 +13,24 @@
 pub const COMPLETIONS: &str = "/v1/completions";
 /// Target of the release call.
 pub const RELEASE: &str = "/v1/kv/release";
-/// The request's id, the same in all calls for it.
+/// Header with the request's id, the same in all calls for it.
 pub const REQUEST_ID: &str = "x-request-id";
-/// The attempt's number within its request, so that an engine's record of tokens can be joined with a bill.
+/// Header with the number of the attempt within its request, by which an engine's token records are joined with a bill.
 pub const ATTEMPT: &str = "x-attempt";
-/// The load report's header.
+/// Header with the load report.
 pub const LOAD: &str = "endpoint-load-metrics";
 
-/// How an engine is asked to handle a prompt.
+/// Parameters by which an engine keeps its KV state for another one.
+const REMOTE_DECODE: &str = r#"{"do_remote_decode":true,"do_remote_prefill":false}"#;
+
+/// What a completion call asks of an engine.
 #[derive(Debug, Clone, Copy)]
 pub enum Stage<'a> {
-    /// Read it and keep the state.
+    /// Prefill, and keep the KV state.
     Read,
-    /// Pull the state that these parameters name, and write.
+    /// Pull the KV state that these parameters name, and decode.
     Pull(&'a RawValue),
-    /// Read and write.
+    /// Prefill and decode.
     Whole,
 }
 
@@ -53,16 +55,14 @@
 
 /// The body of the completion call.
 pub fn completion(request: &MessagesRequest, stage: Stage<'_>) -> Vec<u8> {
-    let remote_decode =
-        RawValue::from_string(r#"{"do_remote_decode":true,"do_remote_prefill":false}"#.into());
-    let remote_decode = remote_decode.ok();
-    let read = matches!(stage, Stage::Read);
+    let remote_decode = RawValue::from_string(REMOTE_DECODE.into()).ok();
+    let is_prefill = matches!(stage, Stage::Read);
     let call = Completion {
         model: &request.model,
         prompt: &request.prompt,
-        max_tokens: if read { 1 } else { request.max_tokens },
-        stream: !read,
-        stream_options: (!read).then_some(StreamOptions { include_usage: true }),
+        max_tokens: if is_prefill { 1 } else { request.max_tokens },
+        stream: !is_prefill,
+        stream_options: (!is_prefill).then_some(StreamOptions { include_usage: true }),
         kv_transfer_params: match stage {
             Stage::Read => remote_decode.as_deref(),
             Stage::Pull(params) => Some(params),
@@ -96,12 +96,16 @@
 
 impl From<RawUsage> for Usage {
     fn from(raw: RawUsage) -> Self {
-        let kept = raw.prompt_tokens_details.and_then(|d| d.cached_tokens).unwrap_or(0);
-        Self { prompt_tokens: raw.prompt_tokens, kept_tokens: kept, output_tokens: raw.completion_tokens }
+        let cached_tokens = raw.prompt_tokens_details.and_then(|details| details.cached_tokens);
+        Self {
+            prompt_tokens: raw.prompt_tokens,
+            kept_tokens: cached_tokens.unwrap_or(0),
+            output_tokens: raw.completion_tokens,
+        }
     }
 }
 
-/// What a reader answers.
+/// The answer to a prefill call.
 #[derive(Debug, Deserialize)]
 struct RawRead {
     #[serde(default)]
@@ -109,15 +113,35 @@
     kv_transfer_params: Option<Box<RawValue>>,
 }
 
-/// Bytes of a reader's parameters, which are kept for the pull.
+/// Longest transfer parameters of a prefill answer; they are kept until the KV state is pulled.
 pub const PARAMS_BYTES: usize = 16 * 1024;
 
-/// Reads a reader's answer: what it used, and the parameters for the writer.
-pub fn read_answer(body: &[u8]) -> Result<(Usage, Box<RawValue>), String> {
-    let raw: RawRead = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let params = raw.kv_transfer_params.ok_or("no kv_transfer_params")?;
+/// An answer of an engine that can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum EngineAnswerError {
+    /// It is not the JSON that the call defines.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A prefill answer without the parameters by which its KV state is pulled.
+    #[error("no kv_transfer_params")]
+    NoTransferParameters,
+    /// Its transfer parameters are longer than [`PARAMS_BYTES`].
+    #[error("kv_transfer_params too long")]
+    TransferParametersTooLong,
+    /// The engine reports an error of its own.
+    #[error("engine error: {0}")]
+    Engine(String),
+}
+
+/// Reads the answer to a prefill call: the tokens used, and the transfer parameters for the decode worker.
+///
+/// # Errors
+/// The answer is malformed, or its transfer parameters are missing or too long.
+pub fn read_answer(body: &[u8]) -> Result<(Usage, Box<RawValue>), EngineAnswerError> {
+    let raw: RawRead = serde_json::from_slice(body)?;
+    let params = raw.kv_transfer_params.ok_or(EngineAnswerError::NoTransferParameters)?;
     if params.get().len() > PARAMS_BYTES {
-        return Err("kv_transfer_params too long".into());
+        return Err(EngineAnswerError::TransferParametersTooLong);
     }
     Ok((raw.usage.unwrap_or_default().into(), params))
 }
@@ -148,14 +172,17 @@
     error: Option<RawError>,
 }
 
+/// Data of the last event of a stream.
+const END_MARKER: &str = "[DONE]";
+
 /// One chunk of a streamed answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Chunk {
     /// Text that it adds.
     pub text: String,
-    /// Why the engine stopped, in the last one with text.
+    /// Why the engine stopped, in the last chunk with text.
     pub stop_reason: Option<String>,
-    /// What was used, near the end.
+    /// Tokens used, in one of the last chunks.
     pub usage: Option<Usage>,
 }
 
@@ -169,26 +196,29 @@
 }
 
 /// Reads the data of one event.
-pub fn stream_item(data: &str) -> Result<StreamItem, String> {
-    if data == "[DONE]" {
+///
+/// # Errors
+/// The data is malformed, or the engine reports an error.
+pub fn stream_item(data: &str) -> Result<StreamItem, EngineAnswerError> {
+    if data == END_MARKER {
         return Ok(StreamItem::Done);
     }
-    let raw: RawChunk = serde_json::from_str(data).map_err(|e| e.to_string())?;
-    if let Some(e) = raw.error {
-        return Err(format!("engine error: {}", e.message));
+    let raw: RawChunk = serde_json::from_str(data)?;
+    if let Some(error) = raw.error {
+        return Err(EngineAnswerError::Engine(error.message));
     }
     let choice = raw.choices.into_iter().next();
     let (text, stop_reason) = choice.map_or((String::new(), None), |c| (c.text, c.finish_reason));
     Ok(StreamItem::Chunk(Chunk { text, stop_reason, usage: raw.usage.map(Into::into) }))
 }
 
-/// Whether the body of a 409 says that there is no state to pull.
+/// Whether the body of a 409 says that there is no KV state to pull.
 pub fn says_no_state(body: &[u8]) -> bool {
     let raw: Option<RawChunk> = serde_json::from_slice(body).ok();
     raw.and_then(|r| r.error).and_then(|e| e.kind).is_some_and(|k| k == "no_state")
 }
 
-/// A load report, as ORCA names the figures.
+/// A load report, with ORCA's names.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Load {
@@ -200,57 +230,73 @@
     pub rps_fractional: Option<f64>,
     /// Errors a second.
     pub eps: Option<f64>,
-    /// Figures without a standard name.
+    /// Metrics without a standard name.
     pub named_metrics: NamedLoad,
 }
 
-/// The named figures that are read; others are passed over.
+/// The named metrics that are used; others are ignored.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct NamedLoad {
-    /// Requests being handled.
+    /// Requests in flight.
     pub in_flight: Option<f64>,
     /// Requests that wait.
     pub queue_depth: Option<f64>,
-    /// Recent time to the end of a read or to the first token, ms.
+    /// Recent time to the end of a prefill or to the first token, ms.
     pub latency_ms: Option<f64>,
-    /// Prompt tokens that wait to be read or pulled.
+    /// Prompt tokens that wait for prefill or for their KV state.
     pub waiting_tokens: Option<f64>,
 }
 
-/// Reads the header, in its JSON or TEXT form. None where it can't be read: a report is no duty.
+/// Parses the header in its JSON or TEXT form. None where it is malformed: reports are optional.
 pub fn load(header: &str) -> Option<Load> {
-    let finite = |x: Option<f64>| x.filter(|x| x.is_finite() && *x >= 0.0);
     let mut load = match header.trim().split_once(' ')? {
         ("JSON", json) => serde_json::from_str(json).ok()?,
-        ("TEXT", pairs) => {
-            let mut load = Load::default();
-            for (name, value) in pairs.split(',').filter_map(|p| p.split_once('=')) {
-                let value = value.trim().parse::<f64>().ok();
-                match name.trim() {
-                    "cpu_utilization" => load.cpu_utilization = value,
-                    "mem_utilization" => load.mem_utilization = value,
-                    "rps_fractional" => load.rps_fractional = value,
-                    "eps" => load.eps = value,
-                    "named_metrics.in_flight" => load.named_metrics.in_flight = value,
-                    "named_metrics.queue_depth" => load.named_metrics.queue_depth = value,
-                    "named_metrics.latency_ms" => load.named_metrics.latency_ms = value,
-                    "named_metrics.waiting_tokens" => load.named_metrics.waiting_tokens = value,
-                    _ => {}
-                }
-            }
-            load
-        }
+        ("TEXT", pairs) => text_load(pairs),
         _ => return None,
     };
-    let n = &mut load.named_metrics;
-    for x in [&mut load.cpu_utilization, &mut load.mem_utilization, &mut load.rps_fractional, &mut load.eps] {
-        *x = finite(*x);
+    load.drop_invalid();
+    Some(load)
+}
+
+/// Parses `name=value` pairs with commas between them; unknown names are ignored.
+fn text_load(pairs: &str) -> Load {
+    let mut load = Load::default();
+    for (name, value) in pairs.split(',').filter_map(|pair| pair.split_once('=')) {
+        let value = value.trim().parse::<f64>().ok();
+        match name.trim() {
+            "cpu_utilization" => load.cpu_utilization = value,
+            "mem_utilization" => load.mem_utilization = value,
+            "rps_fractional" => load.rps_fractional = value,
+            "eps" => load.eps = value,
+            "named_metrics.in_flight" => load.named_metrics.in_flight = value,
+            "named_metrics.queue_depth" => load.named_metrics.queue_depth = value,
+            "named_metrics.latency_ms" => load.named_metrics.latency_ms = value,
+            "named_metrics.waiting_tokens" => load.named_metrics.waiting_tokens = value,
+            _ => {}
+        }
     }
-    for x in [&mut n.in_flight, &mut n.queue_depth, &mut n.latency_ms, &mut n.waiting_tokens] {
-        *x = finite(*x);
+    load
+}
+
+impl Load {
+    /// Drops metrics that are negative, infinite or not a number.
+    fn drop_invalid(&mut self) {
+        let named = &mut self.named_metrics;
+        let metrics = [
+            &mut self.cpu_utilization,
+            &mut self.mem_utilization,
+            &mut self.rps_fractional,
+            &mut self.eps,
+            &mut named.in_flight,
+            &mut named.queue_depth,
+            &mut named.latency_ms,
+            &mut named.waiting_tokens,
+        ];
+        for metric in metrics {
+            *metric = metric.filter(|value| value.is_finite() && *value >= 0.0);
+        }
     }
-    Some(load)
 }
 
 #[cfg(test)]
--- a/crates/api/src/engine_test.rs
+++ b/crates/api/src/engine_test.rs
@@ -4,7 +4,7 @@
 use crate::client::Bounds;
 
 #[test]
-fn calls_hand_the_state_over() {
+fn completion_calls_carry_the_transfer_parameters_of_the_prefill_answer() {
     let body = br#"{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":5,"top_p":0.5}"#;
     let request = MessagesRequest::parse(body, &Bounds::default()).unwrap();
     let json = |stage| serde_json::from_slice::<serde_json::Value>(&completion(&request, stage)).unwrap();
@@ -24,20 +24,23 @@
 }
 
 #[test]
-fn stream_items_and_errors() {
+fn stream_events_are_chunks_the_end_marker_or_errors() {
     let item = stream_item(r#"{"choices":[{"text":"a","finish_reason":"stop"}],"usage":null}"#).unwrap();
     assert!(
         matches!(item, StreamItem::Chunk(c) if c.text == "a" && c.stop_reason.as_deref() == Some("stop"))
     );
     assert_eq!(stream_item("[DONE]").unwrap(), StreamItem::Done);
-    assert!(stream_item(r#"{"error":{"message":"out of memory"}}"#).unwrap_err().contains("out of memory"));
+    assert!(stream_item(r#"{"error":{"message":"out of memory"}}"#)
+        .unwrap_err()
+        .to_string()
+        .contains("out of memory"));
     assert!(stream_item("{").is_err());
     assert!(says_no_state(br#"{"error":{"type":"no_state","message":""}}"#));
     assert!(!says_no_state(b"busy"));
 }
 
 #[test]
-fn load_reports_in_both_forms() {
+fn load_reports_in_json_and_text_form_are_equal_and_invalid_ones_are_dropped() {
     let json = load(r#"JSON {"mem_utilization":0.5,"named_metrics":{"queue_depth":3,"x":1}}"#).unwrap();
     let text = load("TEXT mem_utilization=0.5,named_metrics.queue_depth=3,other=1").unwrap();
     assert_eq!(json, text);
--- a/crates/api/src/keys.rs
+++ b/crates/api/src/keys.rs
@@ -1,16 +1,27 @@
-//! API keys: known only by their keyed hashes.
+//! API keys, stored only as keyed hashes.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Whose key it is: the tenant's position in the settings.
+/// The tenant that a key belongs to, by its position in the settings.
 pub type Owner = usize;
 
-/// The keys of all tenants. Holds no key, only its BLAKE3 hash under the ring's own secret salt.
+/// A key hash that can't be added.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum KeyHashError {
+    /// It is no hash.
+    #[error("not 64 hexadecimal digits")]
+    Malformed,
+    /// Another key has the same hash.
+    #[error("the same key twice")]
+    Duplicate,
+}
+
+/// The API keys of all tenants. Holds BLAKE3 hashes under the ring's secret salt, never a key.
 #[derive(Clone)]
 pub struct KeyRing {
     salt: [u8; 32],
-    /// By the first bytes of the hash, which tell nothing without the salt.
+    /// By the first bytes of the hash, which reveal nothing without the salt.
     keys: BTreeMap<[u8; 4], Vec<(blake3::Hash, Owner)>>,
 }
 
@@ -31,23 +42,26 @@
         Self { salt, keys: BTreeMap::new() }
     }
 
-    /// The hash under which a key is kept, in hexadecimal.
+    /// The hash of a key as it is stored, in hexadecimal.
     pub fn hash(&self, key: &str) -> String {
         blake3::keyed_hash(&self.salt, key.as_bytes()).to_hex().to_string()
     }
 
-    /// Adds a key by its hash. An error says what is wrong with it.
-    pub fn add(&mut self, hex: &str, owner: Owner) -> Result<(), &'static str> {
-        let hash = blake3::Hash::from_hex(hex).map_err(|_| "not 64 hexadecimal digits")?;
+    /// Adds a key by its hash.
+    ///
+    /// # Errors
+    /// The hash is malformed, or the ring has it already.
+    pub fn add(&mut self, hex: &str, owner: Owner) -> Result<(), KeyHashError> {
+        let hash = blake3::Hash::from_hex(hex).map_err(|_| KeyHashError::Malformed)?;
         let keys = self.keys.entry(bucket(&hash)).or_default();
         if keys.iter().any(|(h, _)| *h == hash) {
-            return Err("the same key twice");
+            return Err(KeyHashError::Duplicate);
         }
         keys.push((hash, owner));
         Ok(())
     }
 
-    /// The same keys under other owners; those of owners that there are no more are dropped.
+    /// The same keys under other owners. Keys for which `owner` gives none are dropped.
     #[must_use]
     pub fn owned_by(&self, owner: impl Fn(Owner) -> Option<Owner>) -> Self {
         let mut keys: BTreeMap<[u8; 4], Vec<(blake3::Hash, Owner)>> = BTreeMap::new();
@@ -59,7 +73,7 @@
         Self { salt: self.salt, keys }
     }
 
-    /// The owner of a key. Hashes are compared in constant time (that is how BLAKE3's compare).
+    /// The owner of a key. BLAKE3 compares hashes in constant time.
     pub fn owner(&self, key: &str) -> Option<Owner> {
         let hash = blake3::keyed_hash(&self.salt, key.as_bytes());
         let keys = self.keys.get(&bucket(&hash))?;
--- a/crates/api/src/keys_test.rs
+++ b/crates/api/src/keys_test.rs
@@ -3,7 +3,7 @@
 use super::KeyRing;
 
 #[test]
-fn finds_owners_by_hash_only() {
+fn owners_are_found_by_the_salted_hash_of_their_key() {
     let mut ring = KeyRing::new([7; 32]);
     let hash = ring.hash("secret");
     ring.add(&hash, 3).unwrap();
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,9 +1,9 @@
-//! What clients and engines say, typed and checked. No sockets, no routing.
+//! Messages of clients and engines as checked types. No sockets, no routing.
 //!
 //! - [`client`]: the messages call, its checks, its events and errors.
-//! - [`engine`]: the completion call of engines, their replies and load reports.
-//! - [`keys`]: API keys, kept only as keyed hashes.
-//! - [`tokens`]: the estimate of a prompt's tokens.
+//! - [`engine`]: the completion call of engines, their answers and load reports.
+//! - [`keys`]: API keys, stored only as keyed hashes.
+//! - [`tokens`]: estimates of a prompt's tokens.
 
 pub mod client;
 pub mod engine;
--- a/crates/api/src/tokens.rs
+++ b/crates/api/src/tokens.rs
@@ -1,19 +1,22 @@
-//! How many tokens a text has, before any engine has read it.
+//! Estimates how many tokens a text has before any engine has tokenized it.
 //!
-//! Measure: a token for each begun four bytes of a run of ASCII letters or digits, one for each other
-//! visible ASCII character, and one for each character beyond ASCII. Published tokenizers for English
-//! text come to about four bytes a token; the error against the engines' own `usage` is logged with
-//! every finished request (`prompt_tokens` beside `estimated_tokens`).
+//! A run of ASCII letters or digits counts one token for each four bytes or part of them; every other visible ASCII
+//! character and every character beyond ASCII counts one. Published tokenizers average about four bytes a token on English
+//! text. The error against the engines' own `usage` is logged with every finished request (`prompt_tokens` beside
+//! `estimated_tokens`).
 
-/// Bytes of ASCII letters and digits in a token.
-const BYTES_A_TOKEN: u64 = 4;
+/// ASCII letters and digits of one token.
+const BYTES_PER_TOKEN: u64 = 4;
 
-/// What a byte counts: nothing (white space, or it continues a character), one, or as part of a run.
+/// White space, or a byte that continues a character: counts nothing.
 const NOTHING: u8 = 0;
+/// Counts one token.
 const ONE: u8 = 1;
+/// Counts as part of a run.
 const RUN: u8 = 2;
 
-/// By a table, since every byte of every prompt passes here. Made by the compiler, which checks the places.
+/// The class of each byte: a table, since every byte of every prompt is looked up. Computed and index-checked at compile
+/// time.
 #[allow(clippy::indexing_slicing)]
 static CLASS: [u8; 256] = {
     let mut class = [ONE; 256];
@@ -32,14 +35,14 @@
     class
 };
 
-/// Tokens of a text by the module's measure.
+/// The estimated tokens of a text.
 pub fn estimate(text: &str) -> u64 {
     let (mut tokens, mut run) = (0_u64, 0_u64);
     for b in text.bytes() {
-        // Without branches: which class comes next can't be guessed by a processor either.
+        // Without branches, which a processor could not predict.
         let class = CLASS.get(usize::from(b)).copied().unwrap_or(ONE);
         let in_run = u64::from(class == RUN);
-        tokens += in_run & u64::from(run % BYTES_A_TOKEN == 0);
+        tokens += in_run & u64::from(run % BYTES_PER_TOKEN == 0);
         tokens += u64::from(class == ONE);
         run = (run + 1) * in_run;
     }
--- a/crates/api/src/tokens_test.rs
+++ b/crates/api/src/tokens_test.rs
@@ -2,7 +2,7 @@
 use super::estimate;
 
 #[test]
-fn counts_by_the_documented_measure() {
+fn estimates_follow_the_documented_rule() {
     assert_eq!(estimate(""), 0);
     assert_eq!(estimate("four"), 1);
     assert_eq!(estimate("fives"), 2);
