--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -46,19 +46,19 @@
     }
 }
 
-fn one(limits: Vec<(AccountKey, Limit)>) -> Keeper {
-    Keeper::new("r1", plan(limits, Mode::Shares(1)), State::default(), noon())
+fn one(limits: Vec<(AccountKey, Limit)>) -> BudgetEnforcer {
+    BudgetEnforcer::new("r1", plan(limits, Mode::Shares(1)), State::default(), noon())
 }
 
-fn ask(id: &str, prompt: u64, output: u64) -> Ask<'_> {
-    Ask { id, tenant: "nord", class: "help", identity: None, prompt, output }
+fn ask(id: &str, prompt: u64, output: u64) -> ReservationRequest<'_> {
+    ReservationRequest { id, tenant: "nord", class: "help", identity: None, prompt, output }
 }
 
-fn served(k: &mut Keeper, now: Time, id: &str, prompt: u64, kept: u64, output: u64) -> bool {
+fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, kept: u64, output: u64) -> bool {
     k.settle(now, id, Ending::Served, Usage { prompt, kept, output }, (None, Some(0)), true)
 }
 
-fn records(k: &mut Keeper) -> Vec<(u64, Record)> {
+fn records(k: &mut BudgetEnforcer) -> Vec<(u64, Record)> {
     k.take_records().collect()
 }
 
@@ -67,17 +67,21 @@
     let mut k = one(vec![(key(Kind::Day), limit(1_000))]);
     k.admit(noon(), ask("a", 200, 100)).unwrap();
     let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
-    assert_eq!(k.state().held.get(&place().0, place().1).reserved, Units::tokens(600));
-    let refusal = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
-    assert_eq!((refusal.why, refusal.account), (Why::Budget, Some(key(Kind::Day))));
-    assert_eq!(refusal.retry_after, 12 * 3_600 * S, "come back at midnight");
+    assert_eq!(k.state().usage.get(&place().0, place().1).reserved, Units::tokens(600));
+    let denial = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
+    assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(Kind::Day))));
+    assert_eq!(denial.retry_after, 12 * 3_600 * S, "come back at midnight");
     assert!(served(&mut k, noon(), "a", 210, 110, 10));
-    assert_eq!(k.state().held.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
+    assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
     assert!(!served(&mut k, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
     assert!(!served(&mut k, noon(), "never", 1, 0, 1));
     assert!(k.admit(noon(), ask("b", 300, 50)).is_ok());
     k.settle(noon(), "b", Ending::Failed, Usage { prompt: 300, kept: 0, output: 9 }, (None, None), false);
-    assert_eq!(k.state().held.get(&place().0, place().1).used(), Units(151_000), "what failed costs nothing");
+    assert_eq!(
+        k.state().usage.get(&place().0, place().1).used(),
+        Units(151_000),
+        "what failed costs nothing"
+    );
     assert_eq!(records(&mut k).len(), 1 + 4);
 }
 
@@ -96,19 +100,19 @@
     let mut k = one(vec![(key(Kind::Day), Limit { at_hard: AtHard::Clamp(16), ..limit(1_000) })]);
     assert_eq!(k.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
     assert_eq!(k.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "what is left");
-    assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().why, Why::Budget);
+    assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
 }
 
 #[test]
 fn a_class_has_its_own_budget_beside_the_tenants() {
     let of_class = AccountKey { class: Some("report".into()), ..key(Kind::Hour) };
     let mut k = one(vec![(key(Kind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
-    let report = |id| Ask { class: "report", ..ask(id, 50, 10) };
+    let report = |id| ReservationRequest { class: "report", ..ask(id, 50, 10) };
     assert!(k.admit(noon(), report("a")).is_ok());
-    let refusal = k.admit(noon(), report("b")).unwrap_err();
-    assert_eq!((refusal.account, refusal.retry_after), (Some(of_class), 3_600 * S));
+    let denial = k.admit(noon(), report("b")).unwrap_err();
+    assert_eq!((denial.account, denial.retry_after), (Some(of_class), 3_600 * S));
     assert!(k.admit(noon(), ask("b", 50, 10)).is_ok(), "another class");
-    let stranger = Ask { tenant: "ost", ..ask("c", 1_000_000, 1_000_000) };
+    let stranger = ReservationRequest { tenant: "ost", ..ask("c", 1_000_000, 1_000_000) };
     assert!(k.admit(noon(), stranger).is_ok(), "no budget agreed: taken, and recorded for the bill");
 }
 
@@ -117,11 +121,11 @@
     let mut p = plan(vec![], Mode::Shares(2));
     let rate = RateLimit { per_second: Units::tokens(200), burst: Units::tokens(2_000) };
     p.rates.insert("nord".into(), rate);
-    let mut k = Keeper::new("r1", p, State::default(), noon());
+    let mut k = BudgetEnforcer::new("r1", p, State::default(), noon());
     assert!(k.admit(noon(), ask("a", 200, 200)).is_ok());
-    let refusal = k.admit(noon(), ask("b", 0, 100)).unwrap_err();
-    assert_eq!((refusal.why, refusal.retry_after), (Why::Rate, 4 * S));
-    assert_eq!(k.state().open.len(), 1, "a refusal reserves nothing");
+    let denial = k.admit(noon(), ask("b", 0, 100)).unwrap_err();
+    assert_eq!((denial.reason, denial.retry_after), (DenialReason::RateLimited, 4 * S));
+    assert_eq!(k.state().open.len(), 1, "a denial reserves nothing");
     served(&mut k, noon(), "a", 200, 0, 50);
     assert!(k.admit(noon(), ask("b", 0, 100)).is_ok());
 }
@@ -134,7 +138,7 @@
     let after = before.after(5 * S);
     k.admit(after, ask("b", 100, 100)).unwrap();
     served(&mut k, after, "a", 100, 0, 100);
-    let used = |day: &str| k.state().held.get(&key(Kind::Day), at(day));
+    let used = |day: &str| k.state().usage.get(&key(Kind::Day), at(day));
     let (first, second) = (used("2026-12-01T00:00[Europe/Zurich]"), used("2026-12-02T00:00[Europe/Zurich]"));
     assert_eq!((first.spent, first.reserved), (Units::tokens(500), Units(0)));
     assert_eq!((second.spent, second.reserved), (Units(0), Units::tokens(500)));
@@ -151,9 +155,9 @@
         served(&mut k, now, &id, 10, 0, 1);
     }
     // Four of each kind, and the two in which one is open.
-    assert_eq!(k.state().held.iter().count(), 4 + 4 + 2);
+    assert_eq!(k.state().usage.iter().count(), 4 + 4 + 2);
     let first = k.reservation("stays open").unwrap().slots[0].start;
-    assert_eq!(k.state().held.get(&key(Kind::Hour), first).reserved, Units::tokens(14));
+    assert_eq!(k.state().usage.get(&key(Kind::Hour), first).reserved, Units::tokens(14));
 }
 
 #[test]
@@ -162,13 +166,13 @@
     let once = at("2026-10-25T02:30+02:00[Europe/Zurich]");
     // The ledger's last time holds back an older clock, so a router of that day is needed.
     let fresh = plan(vec![(key(Kind::Hour), limit(500)), (key(Kind::Day), limit(1_000))], Mode::Shares(1));
-    let mut of_then = Keeper::new("r1", fresh, State::default(), once);
+    let mut of_then = BudgetEnforcer::new("r1", fresh, State::default(), once);
     assert!(of_then.admit(once, ask("a", 100, 100)).is_ok());
     assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(Kind::Hour)));
     let twice = once.after(3_600 * S);
     assert!(of_then.admit(twice, ask("b", 100, 100)).is_ok());
-    let refusal = of_then.admit(twice.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
-    assert_eq!(refusal.account, Some(key(Kind::Day)));
+    let denial = of_then.admit(twice.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
+    assert_eq!(denial.account, Some(key(Kind::Day)));
     assert!(k.admit(once, ask("a", 100, 100)).is_ok());
     let now = at("2026-12-01T12:00[Europe/Zurich]");
     assert_eq!(
@@ -178,9 +182,9 @@
     );
 }
 
-fn leased(now: Time) -> Keeper {
+fn leased(now: Time) -> BudgetEnforcer {
     let mode = Mode::Leases { epoch: S, routers: 2 };
-    Keeper::new("r1", plan(vec![(key(Kind::Day), limit(1_000))], mode), State::default(), now)
+    BudgetEnforcer::new("r1", plan(vec![(key(Kind::Day), limit(1_000))], mode), State::default(), now)
 }
 
 fn grant(number: u64, until: Time, tokens: u64) -> Grant {
@@ -198,17 +202,21 @@
 #[test]
 fn leases_are_numbered_end_and_never_come_back() {
     let mut k = leased(noon());
-    assert_eq!(k.admit(noon(), ask("a", 1, 1)).unwrap_err().why, Why::Lease);
+    assert_eq!(k.admit(noon(), ask("a", 1, 1)).unwrap_err().reason, DenialReason::NoLease);
     let until = noon().after(10 * S);
     k.adopt(noon(), &grant(5, until, 300)).unwrap();
     assert!(k.admit(noon(), ask("a", 100, 10)).is_ok());
-    let refusal = k.admit(noon(), ask("b", 200, 10)).unwrap_err();
-    assert_eq!((refusal.why, refusal.retry_after), (Why::Part, S), "more may be granted next epoch");
-    assert_eq!(k.adopt(noon(), &grant(5, until, 900)), Err(NotAdopted::Old));
-    assert_eq!(k.adopt(noon(), &grant(4, until, 900)), Err(NotAdopted::Old));
-    assert_eq!(k.adopt(until, &grant(6, until, 900)), Err(NotAdopted::Expired));
+    let denial = k.admit(noon(), ask("b", 200, 10)).unwrap_err();
+    assert_eq!(
+        (denial.reason, denial.retry_after),
+        (DenialReason::RouterShareExhausted, S),
+        "more may be granted next epoch"
+    );
+    assert_eq!(k.adopt(noon(), &grant(5, until, 900)), Err(AdoptLeaseError::Old));
+    assert_eq!(k.adopt(noon(), &grant(4, until, 900)), Err(AdoptLeaseError::Old));
+    assert_eq!(k.adopt(until, &grant(6, until, 900)), Err(AdoptLeaseError::Expired));
     let other = Grant { router: "r2".into(), ..grant(7, until, 900) };
-    assert_eq!(k.adopt(noon(), &other), Err(NotAdopted::NotOurs));
+    assert_eq!(k.adopt(noon(), &other), Err(AdoptLeaseError::NotOurs));
     // A ceiling under what is used already: what is used is told.
     k.adopt(noon(), &grant(6, until, 10)).unwrap();
     let Some((_, Record::Adopted(adopted))) = records(&mut k).pop() else { panic!() };
@@ -216,23 +224,27 @@
     assert_eq!(adopted.wanted[0].1, Units::tokens(240));
     k.adopt(noon(), &grant(7, until, 1_000)).unwrap();
     assert!(k.admit(noon().after(9 * S), ask("c", 10, 1)).is_ok());
-    assert_eq!(k.admit(until, ask("d", 10, 1)).unwrap_err().why, Why::Lease);
+    assert_eq!(k.admit(until, ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
     // A clock that steps back does not lengthen it.
     assert!(served(&mut k, until.after(S), "a", 100, 0, 1));
-    assert_eq!(k.admit(noon(), ask("d", 10, 1)).unwrap_err().why, Why::Lease);
+    assert_eq!(k.admit(noon(), ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
     // Nor does a restart.
-    let mut again =
-        Keeper::new("r1", plan(vec![], Mode::Leases { epoch: S, routers: 2 }), k.state().clone(), noon());
-    assert_eq!(again.adopt(noon(), &grant(7, until.after(60 * S), 900)), Err(NotAdopted::Old));
+    let mut again = BudgetEnforcer::new(
+        "r1",
+        plan(vec![], Mode::Leases { epoch: S, routers: 2 }),
+        k.state().clone(),
+        noon(),
+    );
+    assert_eq!(again.adopt(noon(), &grant(7, until.after(60 * S), 900)), Err(AdoptLeaseError::Old));
 }
 
 #[test]
 fn grants_under_another_key_or_changed_are_not_taken() {
-    let k = Key::new(&"ab".repeat(32)).unwrap();
+    let k = SigningKey::new(&"ab".repeat(32)).unwrap();
     let g = grant(3, noon(), 10);
     let bytes = k.sign_grant(&g);
     assert_eq!(k.open_grant(&bytes), Ok(g));
-    assert_eq!(Key::new(&"ac".repeat(32)).unwrap().open_grant(&bytes), Err(NotGenuine::WrongMac));
+    assert_eq!(SigningKey::new(&"ac".repeat(32)).unwrap().open_grant(&bytes), Err(SignatureError::WrongMac));
     assert!(k.open_round(&bytes).is_err(), "a grant is no round");
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
@@ -240,7 +252,7 @@
         assert!(k.open_grant(&changed).is_err(), "byte {at}");
         assert!(k.open_grant(&bytes[..at]).is_err(), "cut at {at}");
     }
-    assert!(Key::new("short").is_err());
+    assert!(SigningKey::new("short").is_err());
 }
 
 #[test]
@@ -250,10 +262,10 @@
     k.replan(plan(vec![], Mode::Shares(1)));
     assert!(served(&mut k, noon(), "a", 100, 0, 40));
     let place = || (key(Kind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
-    assert_eq!(k.state().held.get(&place().0, place().1).spent, Units::tokens(260));
+    assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units::tokens(260));
     // Put back, it finds what it had spent.
     k.replan(plan(vec![(key(Kind::Day), limit(300))], Mode::Shares(1)));
-    assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().why, Why::Budget);
+    assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
     assert!(k.admit(noon(), ask("b", 40, 0)).is_ok());
 }
 
@@ -262,8 +274,8 @@
     let mut k = one(vec![]);
     k.admit(noon(), ask("a", 10, 10)).unwrap();
     k.set_writable(false);
-    assert_eq!(k.admit(noon(), ask("b", 10, 10)).unwrap_err().why, Why::Ledger);
-    assert_eq!(k.adopt(noon(), &grant(1, noon().after(S), 10)), Err(NotAdopted::NoLedger));
+    assert_eq!(k.admit(noon(), ask("b", 10, 10)).unwrap_err().reason, DenialReason::LedgerUnavailable);
+    assert_eq!(k.adopt(noon(), &grant(1, noon().after(S), 10)), Err(AdoptLeaseError::NoLedger));
     assert!(served(&mut k, noon(), "a", 10, 0, 10), "what is open still ends");
     k.set_writable(true);
     assert!(k.admit(noon(), ask("b", 10, 10)).is_ok());
@@ -289,12 +301,12 @@
             state.take(*n, r);
             assert!(!state.take(*n, r) || matches!(r, Record::Started(_)), "fed twice it changes nothing");
         }
-        let spent = |s: &State| s.held.values().map(|h| h.spent).sum::<Units>();
+        let spent = |s: &State| s.usage.values().map(|h| h.spent).sum::<Units>();
         let before = spent(&state);
-        let later = Keeper::new("r1", plan(vec![], Mode::Shares(1)), state, noon());
+        let later = BudgetEnforcer::new("r1", plan(vec![], Mode::Shares(1)), state, noon());
         assert_eq!(spent(later.state()), before, "orphans cost nothing");
         assert!(later.state().open.is_empty());
-        assert!(later.state().held.values().all(|h| h.reserved == Units(0)));
+        assert!(later.state().usage.values().all(|h| h.reserved == Units(0)));
     }
     let mut from_checkpoint = State::default();
     let start = all.iter().position(|(_, r)| matches!(r, Record::State(_))).unwrap();
@@ -315,9 +327,9 @@
     }
     let mode = Mode::Leases { epoch: S, routers: 2 };
     let plan = plan(vec![(key(Kind::Day), limit(1_000))], mode);
-    let mut new = Keeper::succeed("r1", plan, old.state().clone(), noon());
+    let mut new = BudgetEnforcer::succeed("r1", plan, old.state().clone(), noon());
     assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease goes on");
-    let said = |k: &mut Keeper, id: &str| {
+    let said = |k: &mut BudgetEnforcer, id: &str| {
         served(k, noon(), id, 10, 0, 5);
         let Some((_, Record::Settled(s))) = records(k).pop() else { panic!() };
         s
@@ -331,14 +343,14 @@
     assert!(!new.inherit(noon(), &said(&mut old, "b")), "after its end it says nothing");
     let ids: Vec<&str> = new.state().open.keys().map(|id| &**id).collect();
     assert_eq!(ids, ["d"]);
-    assert_eq!(new.state().held.values().map(|h| h.spent).sum::<Units>(), Units::tokens(10 + 4 * 5));
+    assert_eq!(new.state().usage.values().map(|h| h.spent).sum::<Units>(), Units::tokens(10 + 4 * 5));
 }
 
 // ---- Over routers.
 
 struct Yard {
-    keepers: Vec<Keeper>,
-    settler: Settler,
+    enforcers: Vec<BudgetEnforcer>,
+    allocator: LeaseAllocator,
     now: Time,
     n: u64,
 }
@@ -352,23 +364,23 @@
             Mode::Shares(routers as u32)
         };
         let plan = plan(vec![(key(Kind::Day), limit(tokens))], mode);
-        let keeper = |n: &String| Keeper::new(n, plan.clone(), State::default(), noon());
-        let terms = Terms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
+        let enforcer = |n: &String| BudgetEnforcer::new(n, plan.clone(), State::default(), noon());
+        let terms = LeaseTerms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
-        let keepers = names.iter().map(keeper).collect();
-        Self { keepers, settler: Settler::new(plan, terms, &refs), now: noon(), n: 0 }
+        let enforcers = names.iter().map(enforcer).collect();
+        Self { enforcers, allocator: LeaseAllocator::new(plan, terms, &refs), now: noon(), n: 0 }
     }
 
     fn round(&mut self) {
         self.now = self.now.after(S);
-        for (i, k) in self.keepers.iter().enumerate() {
-            self.settler.observe(&format!("r{i}"), self.now, k.state());
+        for (i, k) in self.enforcers.iter().enumerate() {
+            self.allocator.observe(&format!("r{i}"), self.now, k.state());
         }
-        let round = self.settler.next(self.now).unwrap();
-        self.settler.learn(&round);
+        let round = self.allocator.next_round(self.now).unwrap();
+        self.allocator.apply_round(&round);
         for grant in &round.grants {
             let i: usize = grant.router[1..].parse().unwrap();
-            self.keepers[i].adopt(self.now, grant).unwrap();
+            self.enforcers[i].adopt(self.now, grant).unwrap();
         }
     }
 
@@ -377,15 +389,20 @@
         self.n += 1;
         let id = format!("q{}", self.n);
         let prompt = 50 + self.n % 41;
-        let taken = self.keepers[router].admit(self.now, ask(&id, prompt, 50)).is_ok();
+        let taken = self.enforcers[router].admit(self.now, ask(&id, prompt, 50)).is_ok();
         if taken {
-            served(&mut self.keepers[router], self.now, &id, prompt, 0, 20 + self.n % 31);
+            served(&mut self.enforcers[router], self.now, &id, prompt, 0, 20 + self.n % 31);
         }
         taken
     }
 
     fn used(&self) -> u64 {
-        self.keepers.iter().flat_map(|k| k.state().held.values()).map(|h| h.used()).sum::<Units>().in_tokens()
+        self.enforcers
+            .iter()
+            .flat_map(|k| k.state().usage.values())
+            .map(|h| h.used())
+            .sum::<Units>()
+            .in_tokens()
     }
 }
 
@@ -397,7 +414,7 @@
     for n in 0..16 * 200 {
         yard.n += 1;
         let id = format!("q{n}");
-        let _ = yard.keepers[n % 16].admit(yard.now, ask(&id, 50, 50));
+        let _ = yard.enforcers[n % 16].admit(yard.now, ask(&id, 50, 50));
         assert!(yard.used() <= 20_000);
     }
     for _ in 0..10 {
@@ -467,17 +484,17 @@
             yard.ask(r);
         }
     }
-    let dead = yard.keepers[2].clone();
+    let dead = yard.enforcers[2].clone();
     for _ in 0..80 {
         yard.now = yard.now.after(S);
-        for (i, k) in yard.keepers.iter().enumerate() {
-            yard.settler.observe(&format!("r{i}"), yard.now, k.state());
+        for (i, k) in yard.enforcers.iter().enumerate() {
+            yard.allocator.observe(&format!("r{i}"), yard.now, k.state());
         }
-        let round = yard.settler.next(yard.now).unwrap();
-        yard.settler.learn(&round);
+        let round = yard.allocator.next_round(yard.now).unwrap();
+        yard.allocator.apply_round(&round);
         for grant in round.grants.iter().filter(|g| &*g.router != "r2") {
             let i: usize = grant.router[1..].parse().unwrap();
-            yard.keepers[i].adopt(yard.now, grant).unwrap();
+            yard.enforcers[i].adopt(yard.now, grant).unwrap();
         }
         for n in 0..30 {
             yard.ask([0, 1, 3][n % 3]);
@@ -485,7 +502,7 @@
     }
     assert!(yard.used() >= 47_500 && yard.used() <= 50_000, "{}", yard.used());
     // Back from the dead with its old lease, it takes nothing.
-    yard.keepers[2] = dead;
+    yard.enforcers[2] = dead;
     assert!(!yard.ask(2));
 }
 
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -88,7 +88,7 @@
 impl Core {
     /// Counts.
     pub fn counts(&self) -> Counts {
-        let lease = self.keeper.as_ref().map(|k| k.state().lease);
+        let lease = self.budget_enforcer.as_ref().map(|k| k.state().lease);
         Counts {
             open_requests: self.jobs.len(),
             clients: self.clients.len(),
@@ -127,7 +127,7 @@
             p::Role::Writer => "writer",
             p::Role::Mixed => "mixed",
         };
-        let view = |(id, e): (&p::WorkerId, &super::pool::Engine)| EngineView {
+        let view = |(id, e): (&p::WorkerId, &super::worker_connection::Engine)| EngineView {
             id: id.0.to_string(),
             address: e.address.to_string(),
             role: role(e.role),
