--- a/crates/daemon/src/fuzz_test.rs
+++ b/crates/daemon/src/fuzz_test.rs
@@ -28,11 +28,14 @@
 ];
 
 fn check(text: &str) -> Result<(), TestCaseError> {
-    if let Err(wrong) = chalkyard_settings::read(text) {
-        prop_assert!(!wrong.is_empty());
+    if let Err(errors) = chalkyard_settings::read(text) {
+        prop_assert!(!errors.is_empty());
         let lines = text.matches('\n').count() as u32 + 1;
-        for w in wrong {
-            prop_assert!((1..=lines).contains(&w.line) && w.column >= 1 && !w.what.is_empty(), "{w:?}");
+        for error in errors {
+            prop_assert!(
+                (1..=lines).contains(&error.line) && error.column >= 1 && !error.message.is_empty(),
+                "{error:?}"
+            );
         }
     }
     Ok(())
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -4,7 +4,7 @@
 use chalkyard_policy::Micros;
 use chalkyard_router::ClassEntry;
 
-use crate::values::{EffectKind, EffectWord, GroupWord, Name, Span, UniqueNames};
+use crate::values::{EffectKind, EffectValue, GroupValue, Name, TimeSpan, UniqueNames};
 use crate::xml::{Element, Errors};
 
 /// The classes by position, for the router and for the decision module.
@@ -33,36 +33,36 @@
         classes.policies.push(class);
     }
     if classes.entries.is_empty() {
-        list.wrong(None, "<classes> needs at least one <class>", errors);
+        list.report(None, "<classes> needs at least one <class>", errors);
     }
-    let name = list.must("default", Name("-".into()), errors).0;
+    let name = list.required("default", Name("-".into()), errors).0;
     classes.default = classes.position(&name);
     if classes.default.is_none() {
-        list.wrong(Some("default"), format!("no <class name=\"{name}\">"), errors);
+        list.report(Some("default"), format!("no <class name=\"{name}\">"), errors);
     }
-    list.done(errors);
+    list.finish(errors);
     classes
 }
 
 fn class(e: &mut Element<'_, '_>, errors: &mut Errors) -> (String, p::Class) {
-    let name = e.must("name", Name("-".into()), errors).0;
-    let deadline = e.must("deadline", Span(Micros(10_000_000)), errors).0;
-    let aim = e.must("aim", Span(Micros(1_000_000)), errors).0;
+    let name = e.required("name", Name("-".into()), errors).0;
+    let deadline = e.required("deadline", TimeSpan(Micros(10_000_000)), errors).0;
+    let aim = e.required("aim", TimeSpan(Micros(1_000_000)), errors).0;
     if aim >= deadline {
-        e.wrong(Some("aim"), "the aim must be under the deadline", errors);
+        e.report(Some("aim"), "the aim must be under the deadline", errors);
     }
-    let effect = e.must("effect", EffectWord(EffectKind::SingleShot), errors).0;
-    let group = e.maybe::<GroupWord>("group", errors).map(|g| g.0);
-    let window = e.maybe::<Span>("dedup-window", errors).map(|s| s.0);
+    let effect = e.required("effect", EffectValue(EffectKind::SingleShot), errors).0;
+    let group = e.optional::<GroupValue>("group", errors).map(|g| g.0);
+    let window = e.optional::<TimeSpan>("dedup-window", errors).map(|s| s.0);
     if effect == EffectKind::Guarded && (group.is_none() || window.is_none()) {
-        e.wrong(None, "a guarded class needs `group` and `dedup-window`", errors);
+        e.report(None, "a guarded class needs `group` and `dedup-window`", errors);
     }
     if effect != EffectKind::Guarded && (group.is_some() || window.is_some()) {
-        e.wrong(None, "`group` and `dedup-window` are for guarded classes", errors);
+        e.report(None, "`group` and `dedup-window` are for guarded classes", errors);
     }
     let class = p::Class {
         aim,
-        aim_per_1000_tokens: e.or("aim-per-1000-tokens", Span(Micros(0)), errors).0,
+        aim_per_1000_tokens: e.with_default("aim-per-1000-tokens", TimeSpan(Micros(0)), errors).0,
         deadline,
         effect: match effect {
             EffectKind::Free => p::Effect::Free,
@@ -71,6 +71,6 @@
         },
         dedup_window: window.unwrap_or_default(),
     };
-    e.done(errors);
+    e.finish(errors);
     (name, class)
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -15,8 +15,8 @@
 use crate::limits::{bounds, waits};
 use crate::rules::policy;
 use crate::tenants::{tenants, Tenants};
-use crate::values::{Name, Span, Text};
-use crate::xml::{parse, Element, Errors, Wrong};
+use crate::values::{Name, Text, TimeSpan};
+use crate::xml::{parse, Element, Errors, SettingsError};
 
 /// The namespace of settings of this version.
 pub const NAMESPACE: &str = "urn:chalkyard:settings:1";
@@ -52,16 +52,16 @@
 
 /// The parts of the document by their tags.
 fn parts<'a, 'i>(root: &Element<'a, 'i>, errors: &mut Errors) -> Parts<'a, 'i> {
-    root.done(errors);
+    root.finish(errors);
     let mut parts = Parts::new();
     for child in root.children(&PARTS, errors) {
         if let Some(second) = parts.insert(child.tag(), child) {
-            second.wrong(None, format!("<{}> is there twice", second.tag()), errors);
+            second.report(None, format!("<{}> is there twice", second.tag()), errors);
         }
     }
     for needed in NEEDED {
         if !parts.contains_key(needed) {
-            root.wrong(None, format!("<chalkyard> needs <{needed}>"), errors);
+            root.report(None, format!("<chalkyard> needs <{needed}>"), errors);
         }
     }
     parts
@@ -104,21 +104,21 @@
 }
 
 fn settings(router: &mut Element<'_, '_>, shared: Shared, errors: &mut Errors) -> Settings {
-    let register = router.maybe::<SocketAddr>("register", errors);
+    let register = router.optional::<SocketAddr>("register", errors);
     if register.is_none() && shared.engines.is_none() {
-        router.wrong(None, "engines must come from somewhere: `register` of <router>, or <engines>", errors);
+        router.report(None, "engines must come from somewhere: `register` of <router>, or <engines>", errors);
     }
-    let drain = router.or("drain", Span(Micros(20_000_000)), errors).0;
+    let drain = router.with_default("drain", TimeSpan(Micros(20_000_000)), errors).0;
     let settings = Settings {
-        listen: router.must("listen", SocketAddr::from(([127, 0, 0, 1], 0)), errors),
-        shared_port: router.or("shared-port", false, errors),
-        list_file: router.maybe::<Text>("list-file", errors).map(|t| t.0.into()),
-        control: router.maybe::<Text>("control", errors).map(|t| t.0.into()),
+        listen: router.required("listen", SocketAddr::from(([127, 0, 0, 1], 0)), errors),
+        shared_port: router.with_default("shared-port", false, errors),
+        list_file: router.optional::<Text>("list-file", errors).map(|t| t.0.into()),
+        control: router.optional::<Text>("control", errors).map(|t| t.0.into()),
         drain_for: Duration::from_micros(drain.0),
         engines: shared.engines,
         budgets: shared.budgets,
         config: Config {
-            name: router.must("name", Name("-".into()), errors).0,
+            name: router.required("name", Name("-".into()), errors).0,
             policy: shared.policy,
             classes: shared.classes.entries,
             default_class: shared.classes.default.unwrap_or(0),
@@ -132,7 +132,7 @@
             dialect: None,
         },
     };
-    router.done(errors);
+    router.finish(errors);
     settings
 }
 
@@ -140,13 +140,13 @@
 ///
 /// # Errors
 /// All that is wrong with it, in the order of the file.
-pub fn read(text: &str) -> Result<Settings, Vec<Wrong>> {
+pub fn read(text: &str) -> Result<Settings, Vec<SettingsError>> {
     let document = parse(text).map_err(|w| vec![w])?;
     let mut errors = Errors::default();
     let root = Element::new(document.root_element());
     let named = document.root_element().tag_name();
     if named.name() != "chalkyard" || named.namespace() != Some(NAMESPACE) {
-        root.wrong(None, format!("the root must be <chalkyard xmlns=\"{NAMESPACE}\">"), &mut errors);
+        root.report(None, format!("the root must be <chalkyard xmlns=\"{NAMESPACE}\">"), &mut errors);
         return Err(errors.0);
     }
     let mut parts = parts(&root, &mut errors);
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -6,7 +6,7 @@
 use chalkyard_policy as p;
 use chalkyard_router::KindEntry;
 
-use crate::values::{Name, Positive, RoleWord, UniqueNames};
+use crate::values::{Name, PositiveNumber, RoleValue, UniqueNames};
 use crate::xml::{Element, Errors};
 
 /// Zones by name.
@@ -18,12 +18,12 @@
 pub fn zones(list: &Element<'_, '_>, errors: &mut Errors) -> Zones {
     let (mut zones, mut names) = (Zones::new(), UniqueNames::default());
     for (position, mut zone) in list.children(&["zone"], errors).into_iter().enumerate() {
-        let name = zone.must("name", Name("-".into()), errors).0;
+        let name = zone.required("name", Name("-".into()), errors).0;
         names.add(&name, &zone, "name", errors);
-        zone.done(errors);
+        zone.finish(errors);
         zones.insert(name, p::ZoneId(position));
     }
-    list.done(errors);
+    list.finish(errors);
     zones
 }
 
@@ -31,14 +31,14 @@
 pub fn kinds(list: &Element<'_, '_>, errors: &mut Errors) -> Kinds {
     let (mut kinds, mut names) = (Kinds::new(), UniqueNames::default());
     for mut kind in list.children(&["kind"], errors) {
-        let name = kind.must("name", Name("-".into()), errors).0;
-        let role = kind.must("role", RoleWord(p::Role::Mixed), errors).0;
-        let kv_tokens = kind.maybe::<u64>("kv-tokens", errors);
-        kind.done(errors);
+        let name = kind.required("name", Name("-".into()), errors).0;
+        let role = kind.required("role", RoleValue(p::Role::Mixed), errors).0;
+        let kv_tokens = kind.optional::<u64>("kv-tokens", errors);
+        kind.finish(errors);
         names.add(&name, &kind, "name", errors);
         kinds.insert(name, KindEntry { role, kv_tokens });
     }
-    list.done(errors);
+    list.finish(errors);
     kinds
 }
 
@@ -46,12 +46,12 @@
 pub fn engines(list: &Element<'_, '_>, zones: &Zones, kinds: &Kinds, errors: &mut Errors) -> String {
     let (mut workers, mut ids) = (Vec::new(), UniqueNames::default());
     for mut engine in list.children(&["engine"], errors) {
-        let id = engine.must("id", Name("-".into()), errors).0;
+        let id = engine.required("id", Name("-".into()), errors).0;
         ids.add(&id, &engine, "id", errors);
         workers.push(worker(&mut engine, id, zones, kinds, errors));
-        engine.done(errors);
+        engine.finish(errors);
     }
-    list.done(errors);
+    list.finish(errors);
     serde_json::json!({ "version": 0, "workers": workers }).to_string()
 }
 
@@ -62,18 +62,18 @@
     kinds: &Kinds,
     errors: &mut Errors,
 ) -> serde_json::Value {
-    let kind = engine.must("kind", Name("-".into()), errors).0;
+    let kind = engine.required("kind", Name("-".into()), errors).0;
     if !kinds.contains_key(&kind) {
-        engine.wrong(Some("kind"), format!("no <kind name=\"{kind}\">"), errors);
+        engine.report(Some("kind"), format!("no <kind name=\"{kind}\">"), errors);
     }
-    let zone = engine.maybe::<Name>("zone", errors).map(|z| z.0);
+    let zone = engine.optional::<Name>("zone", errors).map(|z| z.0);
     if zone.as_ref().is_some_and(|z| !zones.contains_key(z)) {
-        engine.wrong(Some("zone"), "no such <zone>", errors);
+        engine.report(Some("zone"), "no such <zone>", errors);
     }
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     serde_json::json!({
         "worker": id, "kind": kind, "zone": zone, "state": "in",
-        "address": engine.must("address", nowhere, errors).to_string(),
-        "cell": engine.or("cell", 0_u64, errors), "weight": engine.or("weight", Positive(1.0), errors).0,
+        "address": engine.required("address", nowhere, errors).to_string(),
+        "cell": engine.with_default("cell", 0_u64, errors), "weight": engine.with_default("weight", PositiveNumber(1.0), errors).0,
     })
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use budgets::{Budgets, Settlement};
 pub use document::{read, Settings, NAMESPACE};
-pub use xml::Wrong;
+pub use xml::SettingsError;
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -3,16 +3,16 @@
 use chalkyard_policy::Micros;
 use chalkyard_router::{Bounds, Waits};
 
-use crate::values::Span;
+use crate::values::TimeSpan;
 use crate::xml::{Element, Errors};
 
 /// Reads `<bounds>`.
 pub fn bounds(e: &mut Element<'_, '_>, errors: &mut Errors) -> Bounds {
     let mut b = Bounds::default();
     let mut size = |name: &'static str, default: usize, least: u64| {
-        let n = e.or(name, default as u64, errors);
+        let n = e.with_default(name, default as u64, errors);
         if n < least {
-            e.wrong(Some(name), format!("{name} must be at least {least}"), errors);
+            e.report(Some(name), format!("{name} must be at least {least}"), errors);
         }
         usize::try_from(n).unwrap_or(usize::MAX)
     };
@@ -34,7 +34,7 @@
     b.call.messages = size("messages", b.call.messages, 1);
     b.call.prompt_tokens = size("prompt-tokens", b.call.prompt_tokens as usize, 1) as u64;
     b.call.max_tokens = size("max-tokens", b.call.max_tokens as usize, 1) as u64;
-    e.done(errors);
+    e.finish(errors);
     b
 }
 
@@ -42,9 +42,9 @@
 pub fn waits(e: &mut Element<'_, '_>, errors: &mut Errors) -> Waits {
     let mut w = Waits::default();
     let mut span = |name: &'static str, value: &mut Micros| {
-        *value = e.or(name, Span(*value), errors).0;
+        *value = e.with_default(name, TimeSpan(*value), errors).0;
         if *value < Micros(1_000) {
-            e.wrong(Some(name), format!("{name} must be at least 1ms"), errors);
+            e.report(Some(name), format!("{name} must be at least 1ms"), errors);
         }
     };
     span("head", &mut w.head);
@@ -58,6 +58,6 @@
     span("identity", &mut w.identity);
     // One span for a client that has not asked and one that has; small calls are answered as fast as connections stand.
     (w.first, w.release) = (w.idle, w.connect);
-    e.done(errors);
+    e.finish(errors);
     w
 }
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -3,7 +3,7 @@
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
 
-use crate::values::{DiscoveryWord, Positive, ReportsWord, Share, Span};
+use crate::values::{DiscoveryValue, Fraction, PositiveNumber, ReportsValue, TimeSpan};
 use crate::xml::{Element, Errors};
 
 /// Reads `<rules>`, and the number of routers of `<router>`.
@@ -12,9 +12,9 @@
     rules: &mut Option<Element<'_, '_>>,
     errors: &mut Errors,
 ) -> p::Settings {
-    let routers = router.or("routers", 1_u64, errors);
+    let routers = router.with_default("routers", 1_u64, errors);
     if !(1..=100_000).contains(&routers) {
-        router.wrong(Some("routers"), "must be 1 to 100000", errors);
+        router.report(Some("routers"), "must be 1 to 100000", errors);
     }
     let mut settings = p::Settings {
         routers: routers as u32,
@@ -39,32 +39,32 @@
     };
     let Some(r) = rules else { return settings };
     let s = &mut settings;
-    s.discovery = r.or("discovery", DiscoveryWord(s.discovery), errors).0;
-    s.must_ask_in = r.or("must-ask-in", Span(s.must_ask_in), errors).0;
-    s.self_prefill = r.or("self-prefill", s.self_prefill, errors);
-    s.release = r.or("release", Span(s.release), errors).0;
-    let attempts = r.or("max-attempts", u64::from(s.max_attempts), errors);
+    s.discovery = r.with_default("discovery", DiscoveryValue(s.discovery), errors).0;
+    s.must_ask_in = r.with_default("must-ask-in", TimeSpan(s.must_ask_in), errors).0;
+    s.self_prefill = r.with_default("self-prefill", s.self_prefill, errors);
+    s.release = r.with_default("release", TimeSpan(s.release), errors).0;
+    let attempts = r.with_default("max-attempts", u64::from(s.max_attempts), errors);
     if !(1..=100).contains(&attempts) {
-        r.wrong(Some("max-attempts"), "max-attempts must be 1 to 100", errors);
+        r.report(Some("max-attempts"), "max-attempts must be 1 to 100", errors);
     }
     s.max_attempts = attempts.clamp(1, 100) as u32;
-    s.may_cancel = r.or("may-cancel", s.may_cancel, errors);
-    s.max_retry_after = r.or("max-retry-after", Span(s.max_retry_after), errors).0;
-    s.fall_multiple = r.or("fall-multiple", Positive(s.fall_multiple), errors).0;
-    s.fall_after = r.or("fall-after", Span(s.fall_after), errors).0;
-    s.cold_from = r.or("cold-from", Share(s.cold_from), errors).0;
-    s.cold_for = r.or("cold-for", Span(s.cold_for), errors).0;
-    s.answer_slack = r.or("answer-slack", Span(s.answer_slack), errors).0;
-    s.weighted = r.or("weighted", s.weighted, errors);
-    s.reports = r.or("reports", ReportsWord(s.reports), errors).0;
+    s.may_cancel = r.with_default("may-cancel", s.may_cancel, errors);
+    s.max_retry_after = r.with_default("max-retry-after", TimeSpan(s.max_retry_after), errors).0;
+    s.fall_multiple = r.with_default("fall-multiple", PositiveNumber(s.fall_multiple), errors).0;
+    s.fall_after = r.with_default("fall-after", TimeSpan(s.fall_after), errors).0;
+    s.cold_from = r.with_default("cold-from", Fraction(s.cold_from), errors).0;
+    s.cold_for = r.with_default("cold-for", TimeSpan(s.cold_for), errors).0;
+    s.answer_slack = r.with_default("answer-slack", TimeSpan(s.answer_slack), errors).0;
+    s.weighted = r.with_default("weighted", s.weighted, errors);
+    s.reports = r.with_default("reports", ReportsValue(s.reports), errors).0;
     let ms = |n: u64| Micros(n * 1_000);
     // A register that is down is asked again after a tenth of must-ask-in.
     let least = [("release", s.release, 10), ("fall-after", s.fall_after, 10), ("cold-for", s.cold_for, 10)];
     for (name, span, least) in least.into_iter().chain([("must-ask-in", s.must_ask_in, 1_000)]) {
         if span < ms(least) {
-            r.wrong(Some(name), format!("{name} must be at least {least}ms"), errors);
+            r.report(Some(name), format!("{name} must be at least {least}ms"), errors);
         }
     }
-    r.done(errors);
+    r.finish(errors);
     settings
 }
--- a/crates/settings/src/xml.rs
+++ b/crates/settings/src/xml.rs
@@ -1,129 +1,150 @@
-//! Reading settings with the place of each error.
-
-use std::collections::BTreeSet;
-use std::fmt;
+//! Reads elements and attributes, and records every error with its position.
 
 use roxmltree::{Document, Node, TextPos};
+use std::collections::BTreeSet;
 
 /// An error in a settings file.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wrong {
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{line}:{column}: {message}")]
+pub struct SettingsError {
     /// Line, from 1.
     pub line: u32,
     /// Column, from 1.
     pub column: u32,
-    /// What is wrong, and what is wanted.
-    pub what: String,
+    /// What is wrong, and what is expected.
+    pub message: String,
 }
 
-impl fmt::Display for Wrong {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.line, self.column, self.what)
+/// The value of an attribute that is not of its type: what is expected instead.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct ValueError(String);
+
+impl From<&str> for ValueError {
+    fn from(expected: &str) -> Self {
+        Self(expected.into())
     }
 }
 
-/// Collects errors, so that one check tells of all.
+impl From<String> for ValueError {
+    fn from(expected: String) -> Self {
+        Self(expected)
+    }
+}
+
+/// Collects errors, so that one check reports all of them.
 #[derive(Debug, Default)]
-pub struct Errors(pub Vec<Wrong>);
+pub struct Errors(pub Vec<SettingsError>);
 
-/// An element and which of its attributes were read.
+/// An element, and which of its attributes were read.
 pub struct Element<'a, 'i> {
     node: Node<'a, 'i>,
     read: BTreeSet<&'static str>,
 }
 
-/// A value that an attribute can hold.
+/// A type of attribute values.
 pub trait Value: Sized {
-    /// Reads it, or says what is wanted.
-    fn read(text: &str) -> Result<Self, String>;
+    /// Parses a value.
+    ///
+    /// # Errors
+    /// What is expected instead.
+    fn parse(text: &str) -> Result<Self, ValueError>;
 }
 
 impl<'a, 'i> Element<'a, 'i> {
-    /// Around a node, with nothing read.
+    /// An element none of whose attributes was read yet.
     pub fn new(node: Node<'a, 'i>) -> Self {
         Self { node, read: BTreeSet::new() }
     }
 
-    fn at(&self, name: Option<&str>) -> TextPos {
-        let attribute = name.and_then(|n| self.node.attribute_node(n));
-        let offset = attribute.map_or(self.node.range().start, |a| a.range().start);
+    /// The position of an attribute, or of the element.
+    fn position(&self, attribute: Option<&str>) -> TextPos {
+        let attribute = attribute.and_then(|name| self.node.attribute_node(name));
+        let offset = attribute.map_or(self.node.range().start, |attribute| attribute.range().start);
         self.node.document().text_pos_at(offset)
     }
 
-    /// Notes an error at an attribute, or at the element.
-    pub fn wrong(&self, attribute: Option<&str>, what: impl Into<String>, errors: &mut Errors) {
-        let pos = self.at(attribute);
-        errors.0.push(Wrong { line: pos.row, column: pos.col, what: what.into() });
+    /// Records an error at an attribute, or at the element.
+    pub fn report(&self, attribute: Option<&str>, message: impl Into<String>, errors: &mut Errors) {
+        let position = self.position(attribute);
+        let error = SettingsError { line: position.row, column: position.col, message: message.into() };
+        errors.0.push(error);
     }
 
-    /// An attribute that may be left out.
-    pub fn maybe<T: Value>(&mut self, name: &'static str, errors: &mut Errors) -> Option<T> {
+    /// An attribute that may be missing.
+    pub fn optional<T: Value>(&mut self, name: &'static str, errors: &mut Errors) -> Option<T> {
         self.read.insert(name);
         let text = self.node.attribute(name)?;
-        match T::read(text) {
+        match T::parse(text) {
             Ok(value) => Some(value),
-            Err(wanted) => {
-                let tag = self.node.tag_name().name();
-                self.wrong(Some(name), format!("<{tag}> {name}=\"{text}\": {wanted}"), errors);
+            Err(expected) => {
+                let tag = self.tag();
+                self.report(Some(name), format!("<{tag}> {name}=\"{text}\": {expected}"), errors);
                 None
             }
         }
     }
 
     /// An attribute with a default.
-    pub fn or<T: Value>(&mut self, name: &'static str, default: T, errors: &mut Errors) -> T {
-        self.maybe(name, errors).unwrap_or(default)
+    pub fn with_default<T: Value>(&mut self, name: &'static str, default: T, errors: &mut Errors) -> T {
+        self.optional(name, errors).unwrap_or(default)
     }
 
-    /// An attribute that must be there; the stand-in is used only to find further errors.
-    pub fn must<T: Value>(&mut self, name: &'static str, stand_in: T, errors: &mut Errors) -> T {
+    /// An attribute that must be present; the placeholder only serves to find further errors.
+    pub fn required<T: Value>(&mut self, name: &'static str, placeholder: T, errors: &mut Errors) -> T {
         if self.node.attribute(name).is_none() {
-            let tag = self.node.tag_name().name();
-            self.wrong(None, format!("<{tag}> needs the attribute `{name}`"), errors);
+            let tag = self.tag();
+            self.report(None, format!("<{tag}> needs the attribute `{name}`"), errors);
         }
-        self.or(name, stand_in, errors)
+        self.with_default(name, placeholder, errors)
     }
 
-    /// The children, each of which must have one of these names.
-    pub fn children(&self, names: &[&str], errors: &mut Errors) -> Vec<Element<'a, 'i>> {
-        let mut out = Vec::new();
+    /// The child elements, each of which must have one of these tags.
+    pub fn children(&self, tags: &[&str], errors: &mut Errors) -> Vec<Element<'a, 'i>> {
+        let mut children = Vec::new();
         for child in self.node.children().filter(|c| c.is_element()) {
-            let (tag, element) = (child.tag_name().name(), Element::new(child));
-            if names.contains(&tag) {
-                out.push(element);
+            let element = Element::new(child);
+            let tag = element.tag();
+            if tags.contains(&tag) {
+                children.push(element);
             } else {
-                let known = if names.is_empty() { "no elements".into() } else { names.join(", ") };
-                let inside = self.node.tag_name().name();
-                element.wrong(
+                let known = if tags.is_empty() { "no elements".into() } else { tags.join(", ") };
+                let parent = self.tag();
+                element.report(
                     None,
-                    format!("<{tag}> is not known in <{inside}>, which takes {known}"),
+                    format!("<{tag}> is not known in <{parent}>, which takes {known}"),
                     errors,
                 );
             }
         }
-        out
+        children
     }
 
-    /// Its tag.
+    /// The tag.
     pub fn tag(&self) -> &'a str {
         self.node.tag_name().name()
     }
 
-    /// Tells of attributes that nobody read.
-    pub fn done(&self, errors: &mut Errors) {
-        for a in self.node.attributes().filter(|a| !self.read.contains(a.name())) {
+    /// Reports attributes that were not read: the element does not have them.
+    pub fn finish(&self, errors: &mut Errors) {
+        let unknown = self.node.attributes().filter(|attribute| !self.read.contains(attribute.name()));
+        for attribute in unknown {
+            let name = attribute.name();
             let known: Vec<&str> = self.read.iter().copied().collect();
-            let tag = self.tag();
-            let what = format!("<{tag}> has no attribute `{}`; it takes {}", a.name(), known.join(", "));
-            self.wrong(Some(a.name()), what, errors);
+            let message =
+                format!("<{}> has no attribute `{name}`; it takes {}", self.tag(), known.join(", "));
+            self.report(Some(name), message, errors);
         }
     }
 }
 
-/// Parses a document; the error has its place.
-pub fn parse(text: &str) -> Result<Document<'_>, Wrong> {
+/// Parses a document.
+///
+/// # Errors
+/// The document is not well-formed XML.
+pub fn parse(text: &str) -> Result<Document<'_>, SettingsError> {
     Document::parse(text).map_err(|e| {
-        let pos = e.pos();
-        Wrong { line: pos.row, column: pos.col, what: e.to_string() }
+        let position = e.pos();
+        SettingsError { line: position.row, column: position.col, message: e.to_string() }
     })
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names that are there twice are told where the second one stands.
+//! Duplicate names are reported at the second one.
 #![allow(clippy::unwrap_used, clippy::expect_used, missing_docs)]
 
 fn settings() -> String {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_name_that_is_there_twice_is_told_where_the_second_one_stands() {
+fn a_duplicate_name_is_reported_at_the_second_one() {
     assert!(chalkyard_settings::read(&settings()).is_ok());
     for (first, second) in
         [("east", "west"), ("mixed", "reads"), ("help", "report"), ("north", "south"), ("e1", "e2")]
@@ -31,10 +31,10 @@
         let place =
             settings().lines().position(|l| l.contains(&format!("\"{second}\""))).expect("the second") + 1;
         let doubled = settings().replace(&format!("\"{second}\""), &format!("\"{first}\""));
-        let wrong = chalkyard_settings::read(&doubled).expect_err("a name twice");
-        let told = wrong.iter().find(|w| w.what.contains("there twice")).expect("told so");
+        let errors = chalkyard_settings::read(&doubled).expect_err("a duplicate name");
+        let duplicate = errors.iter().find(|e| e.message.contains("there twice")).expect("reported");
         assert_eq!(
-            (told.line as usize, told.what.as_str()),
+            (duplicate.line as usize, duplicate.message.as_str()),
             (place, format!("`{first}` is there twice").as_str())
         );
     }
