--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -1,339 +1,188 @@
 //! `<budgets>`: token budgets, the ledger, the settlement job.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod limits;
+mod settlement;
+mod values;
+
+use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 
-use chalkyard_budget::{
-    AccountKey, AtHard, AtSoft, Calendar, Kind, LeaseTerms, Limit, Mode, Plan, Price, RateLimit, Units,
-    Weights,
-};
+use chalkyard_budget::{AccountKey, Calendar, Limit, Mode, Plan, Price, RateLimit, Weights};
 use chalkyard_policy as p;
 
-use crate::values::{Name, Text, TimeSpan, UniqueNames};
-use crate::xml::{Element, Errors, Value, ValueError};
-
-/// What `<budgets>` says.
+pub use self::limits::KnownNames;
+use self::limits::{limit, price, rate};
+use self::settlement::settlement;
+pub use self::settlement::Settlement;
+use self::values::{Sharing, Thousandths};
+use crate::values::{Text, TimeSpan};
+use crate::xml::{Element, Errors};
+
+/// Size of a ledger segment in bytes, unless the file says otherwise.
+const SEGMENT_BYTES: u64 = 64 * 1024 * 1024;
+/// The smallest and the largest segment.
+const SEGMENT_BYTES_RANGE: std::ops::RangeInclusive<u64> = 64 * 1024..=1024 * 1024 * 1024;
+/// How often a ledger is synced, unless the file says otherwise, and at most.
+const SYNC: p::Micros = p::Micros(50_000);
+const LEAST_SYNC: p::Micros = p::Micros(1_000);
+/// The epoch of a settlement job whose settings are not in this file, µs.
+const EPOCH_US: u64 = 1_000_000;
+
+/// Token budgets, the ledger behind them, and the settlement job.
 #[derive(Debug, Clone)]
 pub struct Budgets {
-    /// What is agreed with tenants.
+    /// Budgets, rates and prices.
     pub plan: Plan,
-    /// This router's ledger: a folder.
+    /// Folder of this router's ledger.
     pub ledger: PathBuf,
-    /// Written records are brought to the disk so often: the window of loss when the power goes.
+    /// How often written records are synced to disk: what a power failure can lose.
     pub sync: Duration,
-    /// Bytes of a ledger's segment.
+    /// Size of a ledger segment in bytes.
     pub segment: usize,
-    /// Where this router's leases come.
+    /// File in which this router's leases arrive.
     pub grants: Option<PathBuf>,
-    /// The key under which leases are signed: a file.
+    /// File with the key that signs leases.
     pub key_file: Option<PathBuf>,
-    /// What the settlement job is told.
+    /// Settings of the settlement job.
     pub settlement: Option<Settlement>,
 }
 
-/// What `<settlement>` says.
-#[derive(Debug, Clone)]
-pub struct Settlement {
-    /// A folder for rounds, grants and adjustments.
-    pub journal: PathBuf,
-    /// How long things last.
-    pub terms: LeaseTerms,
-    /// Routers and their ledgers.
-    pub routers: Vec<(String, PathBuf)>,
-}
-
-/// A decimal as whole thousandths: no floating point comes near budgets.
-struct Thousandths(u32);
-
-impl Value for Thousandths {
-    fn parse(text: &str) -> Result<Self, ValueError> {
-        let error = || ValueError::from("must be a number with at most three decimals, such as 0.25");
-        let (whole, part) = text.split_once('.').unwrap_or((text, ""));
-        let digits = |t: &str| t.bytes().all(|b| b.is_ascii_digit());
-        if whole.is_empty() || part.len() > 3 || !digits(whole) || !digits(part) {
-            return Err(error());
+/// The child elements of `<budgets>`.
+#[derive(Default)]
+struct Children {
+    weights: Weights,
+    limits: BTreeMap<AccountKey, Limit>,
+    rates: BTreeMap<Box<str>, RateLimit>,
+    prices: Vec<Price>,
+    settlement: Option<Settlement>,
+}
+
+impl Children {
+    fn read(element: &Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) -> Self {
+        let mut children = Self::default();
+        for mut child in element.children(&["weights", "settlement", "budget", "rate", "price"], errors) {
+            match child.tag() {
+                "weights" => children.weights = weights(&mut child, errors),
+                "settlement" => children.add_settlement(&mut child, errors),
+                "budget" => children.add_limit(&mut child, known, errors),
+                "rate" => children.add_rate(&mut child, known, errors),
+                _ => children.add_price(&mut child, errors),
+            }
+            child.finish(errors);
         }
-        let whole: u32 = whole.parse().map_err(|_| error())?;
-        let part: u32 = format!("{part:0<3}").parse().map_err(|_| error())?;
-        whole.checked_mul(1_000).and_then(|w| w.checked_add(part)).map(Self).ok_or_else(error)
+        children
     }
-}
-
-struct Marks(Vec<u32>);
 
-impl Value for Marks {
-    fn parse(text: &str) -> Result<Self, ValueError> {
-        let marks: Result<Vec<u32>, ValueError> =
-            text.split_whitespace().map(|m| Thousandths::parse(m).map(|t| t.0)).collect();
-        let marks = marks?;
-        if marks.iter().any(|m| *m == 0 || *m > 1_000) || !marks.is_sorted() {
-            return Err("must be shares over 0 up to 1, in order, such as \"0.8 0.95\"".into());
+    fn add_settlement(&mut self, child: &mut Element<'_, '_>, errors: &mut Errors) {
+        if self.settlement.replace(settlement(child, errors)).is_some() {
+            child.report(None, "<settlement> is there twice", errors);
         }
-        Ok(Self(marks))
     }
-}
 
-struct PeriodValue(Kind);
-
-impl Value for PeriodValue {
-    fn parse(text: &str) -> Result<Self, ValueError> {
-        let kind = Kind::ALL.into_iter().find(|k| k.word() == text);
-        kind.map(Self).ok_or_else(|| "must be one of hour, day, month".into())
+    fn add_limit(&mut self, child: &mut Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) {
+        let (key, limit) = limit(child, known, errors);
+        if self.limits.insert(key.clone(), limit).is_some() {
+            child.report(None, format!("the budget {key} is there twice"), errors);
+        }
     }
-}
 
-/// How budgets are shared without leases. `unreserved` holds nothing back: only to measure against.
-#[derive(Clone, Copy, PartialEq)]
-enum Sharing {
-    Equal,
-    Unreserved,
-}
-
-impl Value for Sharing {
-    fn parse(text: &str) -> Result<Self, ValueError> {
-        match text {
-            "equal" => Ok(Self::Equal),
-            "unreserved" => Ok(Self::Unreserved),
-            _ => {
-                Err("must be equal or unreserved (which holds nothing back: only to measure against)".into())
-            }
+    fn add_rate(&mut self, child: &mut Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) {
+        let (tenant, rate) = rate(child, known, errors);
+        if self.rates.insert(tenant, rate).is_some() {
+            child.report(Some("tenant"), "this tenant has a <rate> already", errors);
         }
     }
-}
 
-struct Day(String);
-
-impl Value for Day {
-    fn parse(text: &str) -> Result<Self, ValueError> {
-        let is_day =
-            Calendar::new("UTC").and_then(|c| c.named(text)).is_ok_and(|(kind, _)| kind == Kind::Day);
-        is_day.then(|| Self(text.into())).ok_or_else(|| "must be a day such as 2026-12-01".into())
+    fn add_price(&mut self, child: &mut Element<'_, '_>, errors: &mut Errors) {
+        let price = price(child, errors);
+        if self.prices.last().is_some_and(|last| last.from >= price.from) {
+            child.report(Some("from"), "prices must be in order of their first days", errors);
+        }
+        self.prices.push(price);
     }
 }
 
-struct Currency(String);
-
-impl Value for Currency {
-    fn parse(text: &str) -> Result<Self, ValueError> {
-        let ok = (1..=8).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphabetic());
-        ok.then(|| Self(text.into())).ok_or_else(|| "must be 1 to 8 letters".into())
-    }
+fn weights(element: &mut Element<'_, '_>, errors: &mut Errors) -> Weights {
+    let mut weight = |name| element.with_default(name, Thousandths(1_000), errors).0;
+    Weights { prompt: weight("prompt"), kept: weight("kept"), output: weight("output") }
 }
 
-/// What the rest of the file knows.
-pub struct Known<'a> {
-    pub tenants: BTreeSet<&'a str>,
-    pub classes: Vec<(&'a str, &'a p::Class)>,
-    pub routers: u32,
+fn path(element: &mut Element<'_, '_>, name: &'static str, errors: &mut Errors) -> Option<PathBuf> {
+    element.optional::<Text>(name, errors).map(|text| text.0.into())
 }
 
-fn path(e: &mut Element<'_, '_>, name: &'static str, errors: &mut Errors) -> Option<PathBuf> {
-    e.optional::<Text>(name, errors).map(|t| t.0.into())
+/// The calendar of the zone; UTC in place of one that does not exist.
+fn calendar(element: &mut Element<'_, '_>, errors: &mut Errors) -> Calendar {
+    let zone = element.with_default("zone", Text("UTC".into()), errors).0;
+    Calendar::new(&zone).unwrap_or_else(|reason| {
+        element.report(Some("zone"), reason.to_string(), errors);
+        Calendar::default()
+    })
 }
 
-fn at_soft(e: &mut Element<'_, '_>, class: Option<&str>, known: &Known<'_>, errors: &mut Errors) -> AtSoft {
-    let clamp = e.optional::<u64>("soft-answer", errors);
-    let lower = e.optional::<Name>("soft-class", errors).map(|n| n.0);
-    match (clamp, lower) {
-        (None, None) => AtSoft::Warn,
-        (Some(0), None) => {
-            e.report(Some("soft-answer"), "must be at least 1 token", errors);
-            AtSoft::Warn
-        }
-        (Some(tokens), None) => AtSoft::Clamp(tokens),
-        (None, Some(lower)) => {
-            let to = known.classes.iter().find(|(n, _)| *n == lower).map(|(_, c)| *c);
-            let Some(to) = to else {
-                e.report(Some("soft-class"), format!("no <class name=\"{lower}\">"), errors);
-                return AtSoft::Warn;
-            };
-            // The rules follow the effect: it must not change with the standing.
-            let from = known.classes.iter().filter(|(n, _)| class.is_none_or(|c| c == *n));
-            for (name, from) in from {
-                if from.effect != to.effect {
-                    let what = format!(
-                        "class `{lower}` has another effect than `{name}`, which would be lowered to it"
-                    );
-                    e.report(Some("soft-class"), what, errors);
-                }
-            }
-            AtSoft::Lower(lower.into())
-        }
-        (Some(_), Some(_)) => {
-            e.report(Some("soft-class"), "one of `soft-answer` and `soft-class`, not both", errors);
-            AtSoft::Warn
-        }
+/// How this router's part of each budget is found.
+fn mode(
+    element: &mut Element<'_, '_>,
+    has_leases: bool,
+    epoch: u64,
+    routers: u32,
+    errors: &mut Errors,
+) -> Mode {
+    let sharing = element.optional::<Sharing>("sharing", errors);
+    if sharing.is_some() && has_leases {
+        element.report(Some("sharing"), "with `grants`, budgets are shared by leases", errors);
     }
-}
-
-fn tenant(e: &mut Element<'_, '_>, known: &Known<'_>, errors: &mut Errors) -> Box<str> {
-    let name = e.required("tenant", Name("-".into()), errors).0;
-    if !known.tenants.contains(name.as_str()) {
-        e.report(Some("tenant"), format!("no <tenant name=\"{name}\">"), errors);
-    }
-    name.into()
-}
-
-fn limit(e: &mut Element<'_, '_>, known: &Known<'_>, errors: &mut Errors) -> (AccountKey, Limit) {
-    let tenant = tenant(e, known, errors);
-    let class = e.optional::<Name>("class", errors).map(|n| n.0);
-    if class.as_ref().is_some_and(|c| !known.classes.iter().any(|(n, _)| n == c)) {
-        e.report(Some("class"), "no such <class>", errors);
+    match sharing {
+        _ if has_leases => Mode::Leases { epoch, routers },
+        Some(Sharing::Unreserved) => Mode::Unreserved(routers),
+        Some(Sharing::Equal) | None => Mode::Shares(routers),
     }
-    let kind = e.required("period", PeriodValue(Kind::Day), errors).0;
-    let tokens = e.required("tokens", 1_u64, errors);
-    if tokens == 0 || tokens > u64::MAX / Units::A_TOKEN / 1_000 {
-        e.report(Some("tokens"), "must be 1 to 18446744073709", errors);
-    }
-    let soft = e.with_default("soft", Thousandths(1_000), errors).0;
-    if soft > 1_000 {
-        e.report(Some("soft"), "must be a share up to 1", errors);
-    }
-    let limit = Limit {
-        hard: Units::tokens(tokens),
-        soft,
-        at_soft: at_soft(e, class.as_deref(), known, errors),
-        at_hard: e.optional::<u64>("least-answer", errors).map_or(AtHard::Refuse, AtHard::Clamp),
-        marks: e.with_default("marks", Marks(Vec::new()), errors).0,
-    };
-    (AccountKey { tenant, class: class.map(Into::into), kind }, limit)
 }
 
-fn rate(e: &mut Element<'_, '_>, known: &Known<'_>, errors: &mut Errors) -> (Box<str>, RateLimit) {
-    let tenant = tenant(e, known, errors);
-    let per_second = Units::tokens(e.required("tokens-per-s", 1_u64, errors));
-    let burst = e.optional::<u64>("burst", errors).map_or(per_second, Units::tokens);
-    if per_second == Units(0) {
-        e.report(Some("tokens-per-s"), "must be at least 1", errors);
+fn segment_bytes(element: &mut Element<'_, '_>, errors: &mut Errors) -> usize {
+    let bytes = element.with_default("segment-bytes", SEGMENT_BYTES, errors);
+    if !SEGMENT_BYTES_RANGE.contains(&bytes) {
+        element.report(Some("segment-bytes"), "must be 65536 to 1073741824", errors);
     }
-    (tenant, RateLimit { per_second, burst })
+    usize::try_from(bytes).unwrap_or(SEGMENT_BYTES as usize)
 }
 
-fn price(e: &mut Element<'_, '_>, errors: &mut Errors) -> Price {
-    Price {
-        from: e.required("from", Day("2000-01-01".into()), errors).0,
-        currency: e.required("currency", Currency("x".into()), errors).0,
-        prompt: e.required("prompt", 0_u64, errors),
-        kept: e.required("kept", 0_u64, errors),
-        output: e.required("output", 0_u64, errors),
+fn sync_interval(element: &mut Element<'_, '_>, errors: &mut Errors) -> Duration {
+    let sync = element.with_default("sync", TimeSpan(SYNC), errors).0;
+    if sync < LEAST_SYNC {
+        element.report(Some("sync"), "must be at least 1ms", errors);
     }
-}
-
-fn settlement(e: &mut Element<'_, '_>, errors: &mut Errors) -> Settlement {
-    let micros = |span: TimeSpan| span.0 .0;
-    let terms = LeaseTerms {
-        epoch: micros(e.with_default("epoch", TimeSpan(p::Micros(1_000_000)), errors)),
-        lease: micros(e.with_default("lease", TimeSpan(p::Micros(10_000_000)), errors)),
-        clock_error: micros(e.with_default("clock-error", TimeSpan(p::Micros(250_000)), errors)),
-        even: e.with_default("even", 4_u64, errors),
-    };
-    if terms.epoch < 50_000 {
-        e.report(Some("epoch"), "must be at least 50ms", errors);
-    }
-    if terms.lease < terms.epoch.saturating_mul(3) {
-        e.report(Some("lease"), "must be at least three epochs, so that a late round does no harm", errors);
-    }
-    let (mut routers, mut names): (Vec<(String, PathBuf)>, _) = (Vec::new(), UniqueNames::default());
-    for mut r in e.children(&["ledger"], errors) {
-        let name = r.required("router", Name("-".into()), errors).0;
-        names.add(&name, &r, "router", errors);
-        routers.push((name, r.required("folder", Text(String::new()), errors).0.into()));
-        r.finish(errors);
-    }
-    let journal = e.required("journal", Text(String::new()), errors).0.into();
-    if routers.is_empty() {
-        e.report(None, "<settlement> needs a <ledger router=\"..\" folder=\"..\"/> for each router", errors);
-    }
-    e.finish(errors);
-    Settlement { journal, terms, routers }
+    Duration::from_micros(sync.0)
 }
 
 /// Reads `<budgets>`.
-pub fn read(e: &mut Element<'_, '_>, known: &Known<'_>, errors: &mut Errors) -> Budgets {
-    let zone = e.with_default("zone", Text("UTC".into()), errors).0;
-    let calendar = Calendar::new(&zone).or_else(|why| {
-        e.report(Some("zone"), why.to_string(), errors);
-        Calendar::new("UTC")
-    });
-    let mut weights = Weights::default();
-    let (mut limits, mut rates, mut prices, mut settle) =
-        (BTreeMap::new(), BTreeMap::new(), Vec::new(), None);
-    for mut child in e.children(&["weights", "settlement", "budget", "rate", "price"], errors) {
-        match child.tag() {
-            "weights" => {
-                let mut weight = |name| child.with_default(name, Thousandths(1_000), errors).0;
-                weights =
-                    Weights { prompt: weight("prompt"), kept: weight("kept"), output: weight("output") };
-            }
-            "settlement" => {
-                if settle.replace(settlement(&mut child, errors)).is_some() {
-                    child.report(None, "<settlement> is there twice", errors);
-                }
-                continue;
-            }
-            "budget" => {
-                let (key, limit) = limit(&mut child, known, errors);
-                if limits.insert(key.clone(), limit).is_some() {
-                    child.report(None, format!("the budget {key} is there twice"), errors);
-                }
-            }
-            "rate" => {
-                let (tenant, rate) = rate(&mut child, known, errors);
-                if rates.insert(tenant, rate).is_some() {
-                    child.report(Some("tenant"), "this tenant has a <rate> already", errors);
-                }
-            }
-            _ => {
-                let price = price(&mut child, errors);
-                if prices.last().is_some_and(|last: &Price| last.from >= price.from) {
-                    child.report(Some("from"), "prices must be in order of their first days", errors);
-                }
-                prices.push(price);
-            }
-        }
-        child.finish(errors);
-    }
-    let grants = path(e, "grants", errors);
-    let key_file = path(e, "key-file", errors);
+pub fn read(element: &mut Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) -> Budgets {
+    let calendar = calendar(element, errors);
+    let children = Children::read(element, known, errors);
+    let grants = path(element, "grants", errors);
+    let key_file = path(element, "key-file", errors);
     if grants.is_some() && key_file.is_none() {
-        e.report(Some("grants"), "leases are signed: `key-file` must name the key", errors);
-    }
-    let epoch = settle.as_ref().map_or(1_000_000, |s: &Settlement| s.terms.epoch);
-    let sharing = e.optional::<Sharing>("sharing", errors);
-    if sharing.is_some() && grants.is_some() {
-        e.report(Some("sharing"), "with `grants`, budgets are shared by leases", errors);
-    }
-    let mode = match (&grants, sharing) {
-        (Some(_), _) => Mode::Leases { epoch, routers: known.routers },
-        (None, Some(Sharing::Unreserved)) => Mode::Unreserved(known.routers),
-        (None, _) => Mode::Shares(known.routers),
-    };
-    let segment = e.with_default("segment-bytes", 64 * 1024 * 1024_u64, errors);
-    if !(64 * 1024..=1024 * 1024 * 1024).contains(&segment) {
-        e.report(Some("segment-bytes"), "must be 65536 to 1073741824", errors);
-    }
-    let sync = e.with_default("sync", TimeSpan(p::Micros(50_000)), errors).0 .0;
-    if sync < 1_000 {
-        e.report(Some("sync"), "must be at least 1ms", errors);
+        element.report(Some("grants"), "leases are signed: `key-file` must name the key", errors);
     }
+    let epoch = children.settlement.as_ref().map_or(EPOCH_US, |settlement| settlement.terms.epoch);
     let budgets = Budgets {
         plan: Plan {
-            calendar: calendar.unwrap_or_default(),
-            weights,
-            limits,
-            rates,
-            margin: e.with_default("margin", Thousandths(100), errors).0,
-            mode,
-            prices,
+            calendar,
+            weights: children.weights,
+            limits: children.limits,
+            rates: children.rates,
+            margin: element.with_default("margin", Thousandths(100), errors).0,
+            mode: mode(element, grants.is_some(), epoch, known.routers, errors),
+            prices: children.prices,
         },
-        ledger: e.required("ledger", Text(String::new()), errors).0.into(),
-        sync: Duration::from_micros(sync),
-        segment: usize::try_from(segment).unwrap_or(64 * 1024 * 1024),
+        ledger: element.required("ledger", Text(String::new()), errors).0.into(),
+        sync: sync_interval(element, errors),
+        segment: segment_bytes(element, errors),
         grants,
         key_file,
-        settlement: settle,
+        settlement: children.settlement,
     };
-    e.finish(errors);
+    element.finish(errors);
     budgets
 }
--- /dev/null
+++ b/crates/settings/src/budgets/values.rs
@@ -0,0 +1,90 @@
+//! Types of attribute values in `<budgets>`.
+
+use chalkyard_budget::{Calendar, Kind};
+
+use crate::xml::{Value, ValueError};
+
+/// What is expected of [`Thousandths`].
+const THOUSANDTHS: &str = "must be a number with at most three decimals, such as 0.25";
+
+/// A decimal number in thousandths: budgets are computed without floating point.
+pub struct Thousandths(pub u32);
+
+impl Value for Thousandths {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let (whole, decimals) = text.split_once('.').unwrap_or((text, ""));
+        let is_decimal = |digits: &str| digits.bytes().all(|b| b.is_ascii_digit());
+        if whole.is_empty() || decimals.len() > 3 || !is_decimal(whole) || !is_decimal(decimals) {
+            return Err(THOUSANDTHS.into());
+        }
+        let whole: u32 = whole.parse().map_err(|_| THOUSANDTHS)?;
+        let thousandths: u32 = format!("{decimals:0<3}").parse().map_err(|_| THOUSANDTHS)?;
+        let value = whole.checked_mul(1_000).and_then(|whole| whole.checked_add(thousandths));
+        value.map(Self).ok_or_else(|| THOUSANDTHS.into())
+    }
+}
+
+/// Thousandths in ascending order at which usage is reported.
+pub struct Marks(pub Vec<u32>);
+
+impl Value for Marks {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let marks: Result<Vec<u32>, ValueError> =
+            text.split_whitespace().map(|m| Thousandths::parse(m).map(|t| t.0)).collect();
+        let marks = marks?;
+        if marks.iter().any(|m| *m == 0 || *m > 1_000) || !marks.is_sorted() {
+            return Err("must be shares over 0 up to 1, in order, such as \"0.8 0.95\"".into());
+        }
+        Ok(Self(marks))
+    }
+}
+
+/// The kind of a budget's periods.
+pub struct PeriodValue(pub Kind);
+
+impl Value for PeriodValue {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let kind = Kind::ALL.into_iter().find(|k| k.word() == text);
+        kind.map(Self).ok_or_else(|| "must be one of hour, day, month".into())
+    }
+}
+
+/// How budgets are shared between routers without leases. `unreserved` reserves nothing: a baseline to measure against.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Sharing {
+    Equal,
+    Unreserved,
+}
+
+impl Value for Sharing {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        match text {
+            "equal" => Ok(Self::Equal),
+            "unreserved" => Ok(Self::Unreserved),
+            _ => {
+                Err("must be equal or unreserved (which holds nothing back: only to measure against)".into())
+            }
+        }
+    }
+}
+
+/// A day, such as `2026-12-01`.
+pub struct Day(pub String);
+
+impl Value for Day {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let is_day =
+            Calendar::new("UTC").and_then(|c| c.named(text)).is_ok_and(|(kind, _)| kind == Kind::Day);
+        is_day.then(|| Self(text.into())).ok_or_else(|| "must be a day such as 2026-12-01".into())
+    }
+}
+
+/// The name of a currency's smallest unit.
+pub struct Currency(pub String);
+
+impl Value for Currency {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let is_valid = (1..=8).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphabetic());
+        is_valid.then(|| Self(text.into())).ok_or_else(|| "must be 1 to 8 letters".into())
+    }
+}
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -1,4 +1,4 @@
-//! `<classes>`: what requests may be of, and how far each may be repeated.
+//! `<classes>`: classes of requests, with their objectives and how far each may be retried.
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
@@ -7,12 +7,12 @@
 use crate::values::{EffectKind, EffectValue, GroupValue, Name, TimeSpan, UniqueNames};
 use crate::xml::{Element, Errors};
 
-/// The classes by position, for the router and for the decision module.
+/// The classes in their order, for the router and for the decision module.
 #[derive(Debug, Default)]
 pub struct Classes {
     pub entries: Vec<ClassEntry>,
     pub policies: Vec<p::Class>,
-    /// The class of requests that name none.
+    /// Position of the class of requests that name none.
     pub default: Option<usize>,
 }
 
@@ -44,25 +44,25 @@
     classes
 }
 
-fn class(e: &mut Element<'_, '_>, errors: &mut Errors) -> (String, p::Class) {
-    let name = e.required("name", Name("-".into()), errors).0;
-    let deadline = e.required("deadline", TimeSpan(Micros(10_000_000)), errors).0;
-    let aim = e.required("aim", TimeSpan(Micros(1_000_000)), errors).0;
+fn class(element: &mut Element<'_, '_>, errors: &mut Errors) -> (String, p::Class) {
+    let name = element.required("name", Name("-".into()), errors).0;
+    let deadline = element.required("deadline", TimeSpan(Micros(10_000_000)), errors).0;
+    let aim = element.required("aim", TimeSpan(Micros(1_000_000)), errors).0;
     if aim >= deadline {
-        e.report(Some("aim"), "the aim must be under the deadline", errors);
+        element.report(Some("aim"), "the aim must be under the deadline", errors);
     }
-    let effect = e.required("effect", EffectValue(EffectKind::SingleShot), errors).0;
-    let group = e.optional::<GroupValue>("group", errors).map(|g| g.0);
-    let window = e.optional::<TimeSpan>("dedup-window", errors).map(|s| s.0);
+    let effect = element.required("effect", EffectValue(EffectKind::SingleShot), errors).0;
+    let group = element.optional::<GroupValue>("group", errors).map(|g| g.0);
+    let window = element.optional::<TimeSpan>("dedup-window", errors).map(|s| s.0);
     if effect == EffectKind::Guarded && (group.is_none() || window.is_none()) {
-        e.report(None, "a guarded class needs `group` and `dedup-window`", errors);
+        element.report(None, "a guarded class needs `group` and `dedup-window`", errors);
     }
     if effect != EffectKind::Guarded && (group.is_some() || window.is_some()) {
-        e.report(None, "`group` and `dedup-window` are for guarded classes", errors);
+        element.report(None, "`group` and `dedup-window` are for guarded classes", errors);
     }
     let class = p::Class {
         aim,
-        aim_per_1000_tokens: e.with_default("aim-per-1000-tokens", TimeSpan(Micros(0)), errors).0,
+        aim_per_1000_tokens: element.with_default("aim-per-1000-tokens", TimeSpan(Micros(0)), errors).0,
         deadline,
         effect: match effect {
             EffectKind::Free => p::Effect::Free,
@@ -71,6 +71,6 @@
         },
         dedup_window: window.unwrap_or_default(),
     };
-    e.finish(errors);
+    element.finish(errors);
     (name, class)
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The whole document: its parts in the order in which they refer to each other.
+//! The document as a whole: its elements are read in the order in which they refer to each other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,36 +21,36 @@
 /// The namespace of settings of this version.
 pub const NAMESPACE: &str = "urn:chalkyard:settings:1";
 
-/// The parts of a document, each there once at most.
+/// Top-level elements, each of which may be present once.
 const PARTS: [&str; 10] =
     ["router", "rules", "bounds", "waits", "zones", "kinds", "classes", "tenants", "budgets", "engines"];
-/// Those without which there is no router.
-const NEEDED: [&str; 3] = ["router", "kinds", "classes"];
+/// Top-level elements that must be present.
+const REQUIRED_PARTS: [&str; 3] = ["router", "kinds", "classes"];
 
 /// A checked settings file.
 #[derive(Debug)]
 pub struct Settings {
-    /// What the router is told.
+    /// Configuration of the router.
     pub config: Config,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Several routers may listen there.
+    /// Whether several routers may listen at this address.
     pub shared_port: bool,
-    /// Where the list of workers is kept for the next start.
+    /// File in which the endpoint list is cached for the next start.
     pub list_file: Option<PathBuf>,
-    /// Engines that the file itself names, as a list for the router's start.
+    /// Engines named in the file itself, as an endpoint list.
     pub engines: Option<String>,
-    /// How long a drain waits for open requests.
+    /// How long a graceful shutdown waits for open requests.
     pub drain_for: Duration,
-    /// The control socket.
+    /// Path of the control socket.
     pub control: Option<PathBuf>,
-    /// Token budgets, a ledger and bills.
+    /// Token budgets and their ledger.
     pub budgets: Option<Budgets>,
 }
 
 type Parts<'a, 'i> = BTreeMap<&'a str, Element<'a, 'i>>;
 
-/// The parts of the document by their tags.
+/// The top-level elements by their tags.
 fn parts<'a, 'i>(root: &Element<'a, 'i>, errors: &mut Errors) -> Parts<'a, 'i> {
     root.finish(errors);
     let mut parts = Parts::new();
@@ -59,7 +59,7 @@
             second.report(None, format!("<{}> is there twice", second.tag()), errors);
         }
     }
-    for needed in NEEDED {
+    for needed in REQUIRED_PARTS {
         if !parts.contains_key(needed) {
             root.report(None, format!("<chalkyard> needs <{needed}>"), errors);
         }
@@ -67,7 +67,7 @@
     parts
 }
 
-/// What the parts say besides `<router>`.
+/// The settings of all top-level elements but `<router>`.
 struct Shared {
     policy: p::Settings,
     zones: Zones,
@@ -90,7 +90,7 @@
     let mut tenants = tenants.unwrap_or_default();
     policy.tenants = std::mem::take(&mut tenants.policies);
     let budgets = parts.remove("budgets").map(|mut part| {
-        let known = budgets::Known {
+        let known = budgets::KnownNames {
             tenants: tenants.entries.iter().map(|t| t.name.as_str()).collect(),
             classes: classes.entries.iter().map(|c| c.name.as_str()).zip(&policy.classes).collect(),
             routers: policy.routers,
@@ -139,13 +139,13 @@
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// All that is wrong with it, in the order of the file.
+/// All errors of the file, in its order.
 pub fn read(text: &str) -> Result<Settings, Vec<SettingsError>> {
-    let document = parse(text).map_err(|w| vec![w])?;
+    let document = parse(text).map_err(|error| vec![error])?;
     let mut errors = Errors::default();
     let root = Element::new(document.root_element());
-    let named = document.root_element().tag_name();
-    if named.name() != "chalkyard" || named.namespace() != Some(NAMESPACE) {
+    let root_name = document.root_element().tag_name();
+    if root_name.name() != "chalkyard" || root_name.namespace() != Some(NAMESPACE) {
         root.report(None, format!("the root must be <chalkyard xmlns=\"{NAMESPACE}\">"), &mut errors);
         return Err(errors.0);
     }
@@ -156,7 +156,7 @@
     if errors.0.is_empty() {
         Ok(settings)
     } else {
-        errors.0.sort_by_key(|w| (w.line, w.column));
+        errors.0.sort_by_key(|error| (error.line, error.column));
         Err(errors.0)
     }
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `<zones>`, `<kinds>` and `<engines>`: what there is to route to.
+//! `<zones>`, `<kinds>` and `<engines>`: the engines that requests are routed to.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     kinds
 }
 
-/// Reads `<engines>`: a list of workers as the register would tell it.
+/// Reads `<engines>`: an endpoint list in the form that service discovery sends.
 pub fn engines(list: &Element<'_, '_>, zones: &Zones, kinds: &Kinds, errors: &mut Errors) -> String {
     let (mut workers, mut ids) = (Vec::new(), UniqueNames::default());
     for mut engine in list.children(&["engine"], errors) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings: an XML file to what a router is told, with every error's line and column. Schema: `deploy/chalkyard.xsd`.
+//! Reads a router's settings from an XML file; every error has its line and column. Schema: `deploy/chalkyard.xsd`.
 //!
-//! A file is read in time that grows with its length alone, however many tenants it names.
+//! The time and memory for reading a file are proportional to its length, however many tenants it names.
 
 mod budgets;
 mod classes;
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! `<bounds>` and `<waits>`: how much is held, and for how long.
+//! `<bounds>` and `<waits>`: limits on sizes and on time.
 
 use chalkyard_policy::Micros;
 use chalkyard_router::{Bounds, Waits};
@@ -7,57 +7,59 @@
 use crate::xml::{Element, Errors};
 
 /// Reads `<bounds>`.
-pub fn bounds(e: &mut Element<'_, '_>, errors: &mut Errors) -> Bounds {
-    let mut b = Bounds::default();
+pub fn bounds(element: &mut Element<'_, '_>, errors: &mut Errors) -> Bounds {
+    let mut bounds = Bounds::default();
     let mut size = |name: &'static str, default: usize, least: u64| {
-        let n = e.with_default(name, default as u64, errors);
-        if n < least {
-            e.report(Some(name), format!("{name} must be at least {least}"), errors);
+        let value = element.with_default(name, default as u64, errors);
+        if value < least {
+            element.report(Some(name), format!("{name} must be at least {least}"), errors);
         }
-        usize::try_from(n).unwrap_or(usize::MAX)
+        usize::try_from(value).unwrap_or(usize::MAX)
     };
-    b.client.start_line_bytes = size("start-line-bytes", b.client.start_line_bytes, 64);
-    b.client.head_bytes = size("head-bytes", b.client.head_bytes, 1_024);
-    b.client.body_bytes = size("body-bytes", b.client.body_bytes as usize, 1_024) as u64;
-    b.client.chunk_bytes = size("chunk-bytes", b.client.chunk_bytes as usize, 1_024) as u64;
-    b.client.pipelined_bytes = size("pipelined-bytes", b.client.pipelined_bytes, 1_024);
-    b.engine.head_bytes = b.client.head_bytes;
-    b.event_bytes = size("event-bytes", b.event_bytes, 1_024);
-    b.answer_bytes = size("answer-bytes", b.answer_bytes, 1_024);
-    b.clients = size("clients", b.clients, 1);
-    b.open = size("open", b.open, 1);
-    b.engine_connections = size("engine-connections", b.engine_connections, 1);
-    b.engine_idle = size("engine-idle", b.engine_idle, 0);
-    b.client_buffer = size("client-buffer", b.client_buffer, 4_096);
-    b.workers = size("workers", b.workers, 1);
-    b.identities = size("identities", b.identities, 1);
-    b.call.messages = size("messages", b.call.messages, 1);
-    b.call.prompt_tokens = size("prompt-tokens", b.call.prompt_tokens as usize, 1) as u64;
-    b.call.max_tokens = size("max-tokens", b.call.max_tokens as usize, 1) as u64;
-    e.finish(errors);
-    b
+    bounds.client.start_line_bytes = size("start-line-bytes", bounds.client.start_line_bytes, 64);
+    bounds.client.head_bytes = size("head-bytes", bounds.client.head_bytes, 1_024);
+    bounds.client.body_bytes = size("body-bytes", bounds.client.body_bytes as usize, 1_024) as u64;
+    bounds.client.chunk_bytes = size("chunk-bytes", bounds.client.chunk_bytes as usize, 1_024) as u64;
+    bounds.client.pipelined_bytes = size("pipelined-bytes", bounds.client.pipelined_bytes, 1_024);
+    bounds.engine.head_bytes = bounds.client.head_bytes;
+    bounds.event_bytes = size("event-bytes", bounds.event_bytes, 1_024);
+    bounds.answer_bytes = size("answer-bytes", bounds.answer_bytes, 1_024);
+    bounds.clients = size("clients", bounds.clients, 1);
+    bounds.open = size("open", bounds.open, 1);
+    bounds.engine_connections = size("engine-connections", bounds.engine_connections, 1);
+    bounds.engine_idle = size("engine-idle", bounds.engine_idle, 0);
+    bounds.client_buffer = size("client-buffer", bounds.client_buffer, 4_096);
+    bounds.workers = size("workers", bounds.workers, 1);
+    bounds.identities = size("identities", bounds.identities, 1);
+    bounds.call.messages = size("messages", bounds.call.messages, 1);
+    bounds.call.prompt_tokens = size("prompt-tokens", bounds.call.prompt_tokens as usize, 1) as u64;
+    bounds.call.max_tokens = size("max-tokens", bounds.call.max_tokens as usize, 1) as u64;
+    element.finish(errors);
+    bounds
 }
 
 /// Reads `<waits>`.
-pub fn waits(e: &mut Element<'_, '_>, errors: &mut Errors) -> Waits {
-    let mut w = Waits::default();
+pub fn waits(element: &mut Element<'_, '_>, errors: &mut Errors) -> Waits {
+    let mut waits = Waits::default();
     let mut span = |name: &'static str, value: &mut Micros| {
-        *value = e.with_default(name, TimeSpan(*value), errors).0;
+        *value = element.with_default(name, TimeSpan(*value), errors).0;
         if *value < Micros(1_000) {
-            e.report(Some(name), format!("{name} must be at least 1ms"), errors);
+            element.report(Some(name), format!("{name} must be at least 1ms"), errors);
         }
     };
-    span("head", &mut w.head);
-    span("idle", &mut w.idle);
-    span("engine-idle", &mut w.engine_idle);
-    span("connect", &mut w.connect);
-    span("stream", &mut w.stream);
-    span("slow-client", &mut w.slow_client);
-    span("register", &mut w.register);
-    span("reply-margin", &mut w.reply_margin);
-    span("identity", &mut w.identity);
-    // One span for a client that has not asked and one that has; small calls are answered as fast as connections stand.
-    (w.first, w.release) = (w.idle, w.connect);
-    e.finish(errors);
-    w
+    span("head", &mut waits.head);
+    span("idle", &mut waits.idle);
+    span("engine-idle", &mut waits.engine_idle);
+    span("connect", &mut waits.connect);
+    span("stream", &mut waits.stream);
+    span("slow-client", &mut waits.slow_client);
+    span("register", &mut waits.register);
+    span("reply-margin", &mut waits.reply_margin);
+    span("identity", &mut waits.identity);
+    // The same limit before a client's first request as between its requests.
+    waits.first = waits.idle;
+    // Release calls are small: engines answer them as fast as they accept a connection.
+    waits.release = waits.connect;
+    element.finish(errors);
+    waits
 }
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,4 +1,4 @@
-//! `<rules>`: what the decision module is told.
+//! `<rules>`: settings of the decision module.
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
@@ -6,18 +6,31 @@
 use crate::values::{DiscoveryValue, Fraction, PositiveNumber, ReportsValue, TimeSpan};
 use crate::xml::{Element, Errors};
 
+/// The most routers of a fleet.
+const MAX_ROUTERS: u64 = 100_000;
+/// The most attempts of a request.
+const MAX_ATTEMPTS: u64 = 100;
+
 /// Reads `<rules>`, and the number of routers of `<router>`.
 pub fn policy(
     router: &mut Element<'_, '_>,
     rules: &mut Option<Element<'_, '_>>,
     errors: &mut Errors,
 ) -> p::Settings {
-    let routers = router.with_default("routers", 1_u64, errors);
-    if !(1..=100_000).contains(&routers) {
-        router.report(Some("routers"), "must be 1 to 100000", errors);
+    let mut settings = defaults();
+    settings.routers = routers(router, errors);
+    if let Some(rules) = rules {
+        read_rules(rules, &mut settings, errors);
+        check_least(rules, &settings, errors);
+        rules.finish(errors);
     }
-    let mut settings = p::Settings {
-        routers: routers as u32,
+    settings
+}
+
+/// What holds where `<rules>` says nothing.
+fn defaults() -> p::Settings {
+    p::Settings {
+        routers: 1,
         classes: Vec::new(),
         tenants: Vec::new(),
         discovery: p::Discovery::Push,
@@ -36,35 +49,56 @@
         tick: Micros(2_000),
         weighted: false,
         reports: p::Reports::InAnswers,
-    };
-    let Some(r) = rules else { return settings };
-    let s = &mut settings;
-    s.discovery = r.with_default("discovery", DiscoveryValue(s.discovery), errors).0;
-    s.must_ask_in = r.with_default("must-ask-in", TimeSpan(s.must_ask_in), errors).0;
-    s.self_prefill = r.with_default("self-prefill", s.self_prefill, errors);
-    s.release = r.with_default("release", TimeSpan(s.release), errors).0;
-    let attempts = r.with_default("max-attempts", u64::from(s.max_attempts), errors);
-    if !(1..=100).contains(&attempts) {
-        r.report(Some("max-attempts"), "max-attempts must be 1 to 100", errors);
     }
-    s.max_attempts = attempts.clamp(1, 100) as u32;
-    s.may_cancel = r.with_default("may-cancel", s.may_cancel, errors);
-    s.max_retry_after = r.with_default("max-retry-after", TimeSpan(s.max_retry_after), errors).0;
-    s.fall_multiple = r.with_default("fall-multiple", PositiveNumber(s.fall_multiple), errors).0;
-    s.fall_after = r.with_default("fall-after", TimeSpan(s.fall_after), errors).0;
-    s.cold_from = r.with_default("cold-from", Fraction(s.cold_from), errors).0;
-    s.cold_for = r.with_default("cold-for", TimeSpan(s.cold_for), errors).0;
-    s.answer_slack = r.with_default("answer-slack", TimeSpan(s.answer_slack), errors).0;
-    s.weighted = r.with_default("weighted", s.weighted, errors);
-    s.reports = r.with_default("reports", ReportsValue(s.reports), errors).0;
-    let ms = |n: u64| Micros(n * 1_000);
-    // A register that is down is asked again after a tenth of must-ask-in.
-    let least = [("release", s.release, 10), ("fall-after", s.fall_after, 10), ("cold-for", s.cold_for, 10)];
-    for (name, span, least) in least.into_iter().chain([("must-ask-in", s.must_ask_in, 1_000)]) {
-        if span < ms(least) {
-            r.report(Some(name), format!("{name} must be at least {least}ms"), errors);
+}
+
+fn routers(router: &mut Element<'_, '_>, errors: &mut Errors) -> u32 {
+    let routers = router.with_default("routers", 1_u64, errors);
+    if !(1..=MAX_ROUTERS).contains(&routers) {
+        router.report(Some("routers"), "must be 1 to 100000", errors);
+    }
+    routers as u32
+}
+
+fn max_attempts(rules: &mut Element<'_, '_>, default: u32, errors: &mut Errors) -> u32 {
+    let attempts = rules.with_default("max-attempts", u64::from(default), errors);
+    if !(1..=MAX_ATTEMPTS).contains(&attempts) {
+        rules.report(Some("max-attempts"), "max-attempts must be 1 to 100", errors);
+    }
+    attempts.clamp(1, MAX_ATTEMPTS) as u32
+}
+
+fn read_rules(rules: &mut Element<'_, '_>, settings: &mut p::Settings, errors: &mut Errors) {
+    settings.discovery = rules.with_default("discovery", DiscoveryValue(settings.discovery), errors).0;
+    settings.must_ask_in = rules.with_default("must-ask-in", TimeSpan(settings.must_ask_in), errors).0;
+    settings.self_prefill = rules.with_default("self-prefill", settings.self_prefill, errors);
+    settings.release = rules.with_default("release", TimeSpan(settings.release), errors).0;
+    settings.max_attempts = max_attempts(rules, settings.max_attempts, errors);
+    settings.may_cancel = rules.with_default("may-cancel", settings.may_cancel, errors);
+    settings.max_retry_after =
+        rules.with_default("max-retry-after", TimeSpan(settings.max_retry_after), errors).0;
+    settings.fall_multiple =
+        rules.with_default("fall-multiple", PositiveNumber(settings.fall_multiple), errors).0;
+    settings.fall_after = rules.with_default("fall-after", TimeSpan(settings.fall_after), errors).0;
+    settings.cold_from = rules.with_default("cold-from", Fraction(settings.cold_from), errors).0;
+    settings.cold_for = rules.with_default("cold-for", TimeSpan(settings.cold_for), errors).0;
+    settings.answer_slack = rules.with_default("answer-slack", TimeSpan(settings.answer_slack), errors).0;
+    settings.weighted = rules.with_default("weighted", settings.weighted, errors);
+    settings.reports = rules.with_default("reports", ReportsValue(settings.reports), errors).0;
+}
+
+/// Reports time spans that are too short.
+fn check_least(rules: &Element<'_, '_>, settings: &p::Settings, errors: &mut Errors) {
+    // An endpoint source that can't be reached is polled again after a tenth of must-ask-in.
+    let spans = [
+        ("release", settings.release, 10),
+        ("fall-after", settings.fall_after, 10),
+        ("cold-for", settings.cold_for, 10),
+        ("must-ask-in", settings.must_ask_in, 1_000),
+    ];
+    for (name, span, least_ms) in spans {
+        if span < Micros(least_ms * 1_000) {
+            rules.report(Some(name), format!("{name} must be at least {least_ms}ms"), errors);
         }
     }
-    r.finish(errors);
-    settings
 }
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `<tenants>`: who may ask, under which keys, for which classes.
+//! `<tenants>`: tenants, their API keys, and the classes that each may use.
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_policy as p;
@@ -8,7 +8,7 @@
 use crate::values::{Name, PositiveNumber, Text, UniqueNames};
 use crate::xml::{Element, Errors};
 
-/// The tenants by position, and their keys.
+/// The tenants in their order, and their keys.
 #[derive(Debug)]
 pub struct Tenants {
     pub entries: Vec<TenantEntry>,
@@ -47,8 +47,8 @@
     for mut child in element.children(&["key", "may"], errors) {
         if child.tag() == "key" {
             let hash = child.required("hash", Text(String::new()), errors).0;
-            if let Err(why) = tenants.keys.add(&hash, tenants.entries.len()) {
-                child.report(Some("hash"), format!("key hash: {why}"), errors);
+            if let Err(error) = tenants.keys.add(&hash, tenants.entries.len()) {
+                child.report(Some("hash"), format!("key hash: {error}"), errors);
             }
         } else {
             let class = child.required("class", Name("-".into()), errors).0;
@@ -64,13 +64,17 @@
     tenants.policies.push(p::Tenant { allowance_per_s });
 }
 
-fn salt(e: &mut Element<'_, '_>, errors: &mut Errors) -> [u8; 32] {
-    let text = e.required("salt", Text("0".repeat(64)), errors).0;
-    let pair = |i: usize| text.get(i * 2..i * 2 + 2).and_then(|h| u8::from_str_radix(h, 16).ok());
-    let bytes: Option<Vec<u8>> = (0..32).map(pair).collect();
-    let bytes = bytes.filter(|_| text.len() == 64).and_then(|b| b.try_into().ok());
-    bytes.unwrap_or_else(|| {
-        e.report(Some("salt"), "salt must be 64 hexadecimal digits", errors);
+/// The salt under which keys are hashed.
+fn salt(element: &mut Element<'_, '_>, errors: &mut Errors) -> [u8; 32] {
+    let text = element.required("salt", Text("0".repeat(64)), errors).0;
+    parse_salt(&text).unwrap_or_else(|| {
+        element.report(Some("salt"), "salt must be 64 hexadecimal digits", errors);
         [0; 32]
     })
 }
+
+fn parse_salt(text: &str) -> Option<[u8; 32]> {
+    let pair = |i: usize| text.get(i * 2..i * 2 + 2).and_then(|hex| u8::from_str_radix(hex, 16).ok());
+    let bytes: Option<Vec<u8>> = (0..32).map(pair).collect();
+    bytes.filter(|_| text.len() == 64)?.try_into().ok()
+}
