--- a/crates/daemon/src/losses.rs
+++ b/crates/daemon/src/losses.rs
@@ -12,23 +12,24 @@
 
 use self::aggregate::Aggregate;
 use self::report::Report;
-use crate::{Format, Trouble};
+use crate::{CommandError, Format};
 
 /// Sums the logs up and prints the report.
-pub fn losses(logs: &[PathBuf], format: Format) -> Result<ExitCode, Trouble> {
+pub fn losses(logs: &[PathBuf], format: Format) -> Result<ExitCode, CommandError> {
     let mut aggregate = Aggregate::default();
     for file in logs {
         aggregate.read(file)?;
     }
     if aggregate.requests == 0 && aggregate.seconds.is_empty() {
         let reason = "no requests in these logs; routers tell of them with CHALKYARD_LOG=info";
-        return Err(Trouble::BadInput(reason.into()));
+        return Err(CommandError::BadInput(reason.into()));
     }
     let report = Report::from(aggregate);
     match format {
         Format::Text => print!("{}", report.text()),
         Format::Json => {
-            let json = serde_json::to_string(&report).map_err(|e| Trouble::CouldNotRun(e.to_string()))?;
+            let json =
+                serde_json::to_string(&report).map_err(|e| CommandError::CouldNotRun(e.to_string()))?;
             println!("{json}");
         }
     }
--- a/crates/daemon/src/losses/aggregate.rs
+++ b/crates/daemon/src/losses/aggregate.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use super::log_line::{Attempt, Line};
-use crate::Trouble;
+use crate::CommandError;
 
 /// The longest line that is read.
 const LINE_BYTES: u64 = 1024 * 1024;
@@ -155,9 +155,9 @@
 
 impl Aggregate {
     /// Reads one router's log. What stands in front of a line's first brace, such as a time, is skipped.
-    pub fn read(&mut self, file: &Path) -> Result<(), Trouble> {
+    pub fn read(&mut self, file: &Path) -> Result<(), CommandError> {
         let invalid = |number: usize, reason: String| {
-            Trouble::BadInput(format!("{}:{number}: {reason}", file.display()))
+            CommandError::BadInput(format!("{}:{number}: {reason}", file.display()))
         };
         let mut input = BufReader::new(File::open(file).map_err(|e| invalid(0, e.to_string()))?);
         let (mut text, mut router) = (Vec::new(), RouterTotals::default());
--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -6,7 +6,8 @@
 use chalkyard_fleet::{case, emulate, Report, CASES};
 use chalkyard_rehearsal::{play, Plan};
 
-use crate::{trouble, Format, Trouble};
+use crate::rehearse::RULE_BROKEN;
+use crate::{CommandError, Format};
 
 /// Routers, if not told otherwise: what four cores carry as processes beside the stand-ins.
 const ROUTERS: usize = 24;
@@ -50,9 +51,11 @@
 }
 
 /// Plays the cases; exit code 3 if a rule was broken or a bound passed.
-pub fn overload(plan: &Plan, arguments: &Arguments, format: Format) -> Result<ExitCode, Trouble> {
+pub fn overload(plan: &Plan, arguments: &Arguments, format: Format) -> Result<ExitCode, CommandError> {
     if arguments.fed && arguments.exe.is_some() {
-        return Err(Trouble::BadInput("--exe plays processes; in fed time there is this build alone".into()));
+        return Err(CommandError::BadInput(
+            "--exe plays processes; in fed time there is this build alone".into(),
+        ));
     }
     let routers = arguments.routers.map_or(ROUTERS, |n| n as usize);
     let seconds = plan.seconds.unwrap_or(SECONDS);
@@ -60,37 +63,37 @@
         Some(name) => vec![name.clone()],
         None => CASES.iter().map(|c| c.name.to_owned()).collect(),
     };
-    let (mut held, mut played) = (true, 0);
+    let (mut all_held, mut played) = (true, 0);
     for name in names {
         for seed in plan.seed..plan.seed + arguments.seeds.unwrap_or(1) {
-            let scenario = case(&name, seed, routers, seconds).map_err(Trouble::BadInput)?;
+            let scenario = case(&name, seed, routers, seconds).map_err(CommandError::BadInput)?;
             // Processes take the machine's clock.
             if !arguments.fed && scenario.clocks > 0 {
                 if arguments.case.is_some() {
-                    return Err(Trouble::BadInput(format!(
+                    return Err(CommandError::BadInput(format!(
                         "case `{name}`: clocks are apart in --fed time alone"
                     )));
                 }
                 continue;
             }
             let report = if arguments.fed {
-                Report::new(&scenario, "fed", &emulate(&scenario).map_err(trouble)?.lines, None)
+                Report::new(&scenario, "fed", &emulate(&scenario)?.lines, None)
             } else {
-                let lines = play(&scenario, plan).map_err(trouble)?;
+                let lines = play(&scenario, plan)?;
                 let other = arguments.exe.as_ref().map(|exe| Plan { exe: exe.clone(), ..plan.clone() });
-                let other = other.map(|plan| play(&scenario, &plan)).transpose().map_err(trouble)?;
+                let other = other.map(|plan| play(&scenario, &plan)).transpose()?;
                 Report::new(&scenario, "processes", &lines, other.as_deref())
             };
             match format {
                 Format::Text => print!("{}", report.text()),
                 Format::Json => println!("{}", report.json()),
             }
-            held &= report.held();
+            all_held &= report.held();
             played += 1;
         }
     }
     if let Format::Text = format {
-        println!("{played} days played: {}", if held { "rules and bounds held" } else { "NOT all held" });
+        println!("{played} days played: {}", if all_held { "rules and bounds held" } else { "NOT all held" });
     }
-    Ok(if held { ExitCode::SUCCESS } else { ExitCode::from(3) })
+    Ok(if all_held { ExitCode::SUCCESS } else { ExitCode::from(RULE_BROKEN) })
 }
--- a/crates/daemon/src/replay.rs
+++ b/crates/daemon/src/replay.rs
@@ -1,4 +1,4 @@
-//! `chalkyard replay`: the module, given the events of a socket day again, must do the same.
+//! `chalkyard replay`: gives the events of a decisions file to the decision module again, which must take the same actions.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -8,19 +8,20 @@
 use chalkyard_policy::{Action, Event, Router};
 
 use crate::run::{Decided, Started};
-use crate::Trouble;
+use crate::CommandError;
 
 /// Replays a decisions file; exit 3 where an action differs.
-pub fn replay(file: &PathBuf) -> Result<ExitCode, Trouble> {
-    let bad = |line: usize, why: String| Trouble::BadInput(format!("{}:{line}: {why}", file.display()));
-    let input = File::open(file).map_err(|e| bad(0, e.to_string()))?;
+pub fn replay(file: &PathBuf) -> Result<ExitCode, CommandError> {
+    let invalid =
+        |line: usize, reason: String| CommandError::BadInput(format!("{}:{line}: {reason}", file.display()));
+    let input = File::open(file).map_err(|e| invalid(0, e.to_string()))?;
     let mut router: Option<Router> = None;
     let (mut events, mut actions) = (0_u64, 0_u64);
     let mut lines = BufReader::new(input).lines().enumerate().peekable();
     while let Some((n, line)) = lines.next() {
-        let line = line.map_err(|e| bad(n + 1, e.to_string()))?;
+        let line = line.map_err(|e| invalid(n + 1, e.to_string()))?;
         let Some(router) = &mut router else {
-            let started: Started = serde_json::from_str(&line).map_err(|e| bad(n + 1, e.to_string()))?;
+            let started: Started = serde_json::from_str(&line).map_err(|e| invalid(n + 1, e.to_string()))?;
             router = Some(Router::new(started.settings, started.seed));
             continue;
         };
@@ -28,19 +29,19 @@
             Ok(decided) => decided,
             // The last line of a router that was killed may be cut.
             Err(e) if e.is_eof() && lines.peek().is_none() => break,
-            Err(e) => return Err(bad(n + 1, e.to_string())),
+            Err(e) => return Err(invalid(n + 1, e.to_string())),
         };
-        let mut again = Vec::new();
-        router.handle(decided.now, decided.event, &mut again);
-        if again != decided.actions {
-            println!("{}:{}: did {:?}, now does {again:?}", file.display(), n + 1, decided.actions);
+        let mut actions_now = Vec::new();
+        router.handle(decided.now, decided.event, &mut actions_now);
+        if actions_now != decided.actions {
+            println!("{}:{}: did {:?}, now does {actions_now:?}", file.display(), n + 1, decided.actions);
             return Ok(ExitCode::from(3));
         }
         events += 1;
-        actions += again.len() as u64;
+        actions += actions_now.len() as u64;
     }
     if events == 0 {
-        return Err(bad(1, "no events".into()));
+        return Err(invalid(1, "no events".into()));
     }
     println!("{}: {events} events, {actions} actions, all the same", file.display());
     Ok(ExitCode::SUCCESS)
--- a/crates/daemon/src/soak.rs
+++ b/crates/daemon/src/soak.rs
@@ -5,7 +5,8 @@
 use chalkyard_rehearsal::soak::{play, shrink, SoakOptions, SoakReport};
 use chalkyard_rehearsal::Plan;
 
-use crate::{overload, Format, Trouble};
+use crate::rehearse::RULE_BROKEN;
+use crate::{overload, CommandError, Format};
 
 /// A day's length, if not told otherwise: half of it for faults.
 const SECONDS: u64 = 20;
@@ -15,23 +16,26 @@
 const SHRINKING_PLAYS: usize = 12;
 
 /// Plays the seeds; exit code 3 if anything was broken.
-pub fn soak(plan: &Plan, arguments: &overload::Arguments, format: Format) -> Result<ExitCode, Trouble> {
+pub fn soak(plan: &Plan, arguments: &overload::Arguments, format: Format) -> Result<ExitCode, CommandError> {
     if arguments.is_given_for_overload() {
-        return Err(Trouble::BadInput("--case and --fed go with `rehearse overload`".into()));
+        return Err(CommandError::BadInput("--case and --fed go with `rehearse overload`".into()));
     }
     let seconds = plan.seconds.unwrap_or(SECONDS);
     if seconds < SECONDS_LEAST {
-        return Err(Trouble::BadInput(format!("--seconds {seconds}: a soak takes at least {SECONDS_LEAST}")));
+        return Err(CommandError::BadInput(format!(
+            "--seconds {seconds}: a soak takes at least {SECONDS_LEAST}"
+        )));
     }
     if arguments.routers.is_some_and(|n| n > ROUTERS_MOST) {
-        return Err(Trouble::BadInput(format!("--routers: a soak has at most {ROUTERS_MOST}")));
+        return Err(CommandError::BadInput(format!("--routers: a soak has at most {ROUTERS_MOST}")));
     }
     let routers = arguments.routers.map(|n| n as usize);
     let exe = arguments.exe.clone().unwrap_or_else(|| plan.exe.clone());
     let options = SoakOptions { exe, routers, seconds, record: plan.record.clone() };
     let mut failed: Option<SoakReport> = None;
     for seed in plan.seed..plan.seed + arguments.seeds.unwrap_or(1) {
-        let report = play(seed, &options).map_err(|e| Trouble::CouldNotRun(format!("seed {seed}: {e}")))?;
+        let report =
+            play(seed, &options).map_err(|e| CommandError::CouldNotRun(format!("seed {seed}: {e}")))?;
         match format {
             Format::Text => print!("{}", report.text()),
             Format::Json => println!("{}", serde_json::to_string(&report).unwrap_or_default()),
@@ -44,11 +48,11 @@
     if arguments.seeds.unwrap_or(1) == 1 && matches!(format, Format::Text) {
         let options = SoakOptions { record: None, ..options };
         let least = shrink(&report, &options, SHRINKING_PLAYS);
-        let least = least.map_err(|e| Trouble::CouldNotRun(format!("shrinking: {e}")))?;
+        let least = least.map_err(|e| CommandError::CouldNotRun(format!("shrinking: {e}")))?;
         println!("what is left of its faults when those that do not matter are left out:");
         for fault in &least.faults {
             println!("  {fault:?}");
         }
     }
-    Ok(ExitCode::from(3))
+    Ok(ExitCode::from(RULE_BROKEN))
 }
