--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The whole document: its parts in the order in which they refer to each other.
+//! The document as a whole: its elements are read in the order in which they refer to each other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,59 +15,59 @@
 use crate::limits::{bounds, waits};
 use crate::rules::policy;
 use crate::tenants::{tenants, Tenants};
-use crate::values::{Name, Span, Text};
-use crate::xml::{parse, Element, Errors, Wrong};
+use crate::values::{Name, Text, TimeSpan};
+use crate::xml::{parse, Element, Errors, SettingsError};
 
 /// The namespace of settings of this version.
 pub const NAMESPACE: &str = "urn:chalkyard:settings:1";
 
-/// The parts of a document, each there once at most.
+/// Top-level elements, each of which may be present once.
 const PARTS: [&str; 10] =
     ["router", "rules", "bounds", "waits", "zones", "kinds", "classes", "tenants", "budgets", "engines"];
-/// Those without which there is no router.
-const NEEDED: [&str; 3] = ["router", "kinds", "classes"];
+/// Top-level elements that must be present.
+const REQUIRED_PARTS: [&str; 3] = ["router", "kinds", "classes"];
 
 /// A checked settings file.
 #[derive(Debug)]
 pub struct Settings {
-    /// What the router is told.
+    /// Configuration of the router.
     pub config: Config,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Several routers may listen there.
+    /// Whether several routers may listen at this address.
     pub shared_port: bool,
-    /// Where the list of workers is kept for the next start.
+    /// File in which the endpoint list is cached for the next start.
     pub list_file: Option<PathBuf>,
-    /// Engines that the file itself names, as a list for the router's start.
+    /// Engines named in the file itself, as an endpoint list.
     pub engines: Option<String>,
-    /// How long a drain waits for open requests.
+    /// How long a graceful shutdown waits for open requests.
     pub drain_for: Duration,
-    /// The control socket.
+    /// Path of the control socket.
     pub control: Option<PathBuf>,
-    /// Token budgets, a ledger and bills.
+    /// Token budgets and their ledger.
     pub budgets: Option<Budgets>,
 }
 
 type Parts<'a, 'i> = BTreeMap<&'a str, Element<'a, 'i>>;
 
-/// The parts of the document by their tags.
+/// The top-level elements by their tags.
 fn parts<'a, 'i>(root: &Element<'a, 'i>, errors: &mut Errors) -> Parts<'a, 'i> {
-    root.done(errors);
+    root.finish(errors);
     let mut parts = Parts::new();
     for child in root.children(&PARTS, errors) {
         if let Some(second) = parts.insert(child.tag(), child) {
-            second.wrong(None, format!("<{}> is there twice", second.tag()), errors);
+            second.report(None, format!("<{}> is there twice", second.tag()), errors);
         }
     }
-    for needed in NEEDED {
+    for needed in REQUIRED_PARTS {
         if !parts.contains_key(needed) {
-            root.wrong(None, format!("<chalkyard> needs <{needed}>"), errors);
+            root.report(None, format!("<chalkyard> needs <{needed}>"), errors);
         }
     }
     parts
 }
 
-/// What the parts say besides `<router>`.
+/// The settings of all top-level elements but `<router>`.
 struct Shared {
     policy: p::Settings,
     zones: Zones,
@@ -90,7 +90,7 @@
     let mut tenants = tenants.unwrap_or_default();
     policy.tenants = std::mem::take(&mut tenants.policies);
     let budgets = parts.remove("budgets").map(|mut part| {
-        let known = budgets::Known {
+        let known = budgets::KnownNames {
             tenants: tenants.entries.iter().map(|t| t.name.as_str()).collect(),
             classes: classes.entries.iter().map(|c| c.name.as_str()).zip(&policy.classes).collect(),
             routers: policy.routers,
@@ -104,21 +104,21 @@
 }
 
 fn settings(router: &mut Element<'_, '_>, shared: Shared, errors: &mut Errors) -> Settings {
-    let register = router.maybe::<SocketAddr>("register", errors);
+    let register = router.optional::<SocketAddr>("register", errors);
     if register.is_none() && shared.engines.is_none() {
-        router.wrong(None, "engines must come from somewhere: `register` of <router>, or <engines>", errors);
+        router.report(None, "engines must come from somewhere: `register` of <router>, or <engines>", errors);
     }
-    let drain = router.or("drain", Span(Micros(20_000_000)), errors).0;
+    let drain = router.with_default("drain", TimeSpan(Micros(20_000_000)), errors).0;
     let settings = Settings {
-        listen: router.must("listen", SocketAddr::from(([127, 0, 0, 1], 0)), errors),
-        shared_port: router.or("shared-port", false, errors),
-        list_file: router.maybe::<Text>("list-file", errors).map(|t| t.0.into()),
-        control: router.maybe::<Text>("control", errors).map(|t| t.0.into()),
+        listen: router.required("listen", SocketAddr::from(([127, 0, 0, 1], 0)), errors),
+        shared_port: router.with_default("shared-port", false, errors),
+        list_file: router.optional::<Text>("list-file", errors).map(|t| t.0.into()),
+        control: router.optional::<Text>("control", errors).map(|t| t.0.into()),
         drain_for: Duration::from_micros(drain.0),
         engines: shared.engines,
         budgets: shared.budgets,
         config: Config {
-            name: router.must("name", Name("-".into()), errors).0,
+            name: router.required("name", Name("-".into()), errors).0,
             policy: shared.policy,
             classes: shared.classes.entries,
             default_class: shared.classes.default.unwrap_or(0),
@@ -132,21 +132,21 @@
             dialect: None,
         },
     };
-    router.done(errors);
+    router.finish(errors);
     settings
 }
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// All that is wrong with it, in the order of the file.
-pub fn read(text: &str) -> Result<Settings, Vec<Wrong>> {
-    let document = parse(text).map_err(|w| vec![w])?;
+/// All errors of the file, in its order.
+pub fn read(text: &str) -> Result<Settings, Vec<SettingsError>> {
+    let document = parse(text).map_err(|error| vec![error])?;
     let mut errors = Errors::default();
     let root = Element::new(document.root_element());
-    let named = document.root_element().tag_name();
-    if named.name() != "chalkyard" || named.namespace() != Some(NAMESPACE) {
-        root.wrong(None, format!("the root must be <chalkyard xmlns=\"{NAMESPACE}\">"), &mut errors);
+    let root_name = document.root_element().tag_name();
+    if root_name.name() != "chalkyard" || root_name.namespace() != Some(NAMESPACE) {
+        root.report(None, format!("the root must be <chalkyard xmlns=\"{NAMESPACE}\">"), &mut errors);
         return Err(errors.0);
     }
     let mut parts = parts(&root, &mut errors);
@@ -156,7 +156,7 @@
     if errors.0.is_empty() {
         Ok(settings)
     } else {
-        errors.0.sort_by_key(|w| (w.line, w.column));
+        errors.0.sort_by_key(|error| (error.line, error.column));
         Err(errors.0)
     }
 }
