--- a/crates/fleet/src/cases.rs
+++ b/crates/fleet/src/cases.rs
@@ -1,6 +1,6 @@
 //! Days on which many routers can do harm together, each alone or several at once, and what their sums may be.
 
-use chalkyard_rehearsal::scenario::{base, EngineSpec, Fault, Kind, LinkOf, Links, Scenario};
+use chalkyard_rehearsal::scenario::{base, EngineSpec, Fault, Kind, LinkScope, LinkSelector, Scenario};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -121,7 +121,7 @@
             scenario.faults.push(fault(Kind::Burst, from, 8 * S, Vec::new(), 2.0));
         }
         "silent" => {
-            let links = Links { of: LinkOf::Engines, routers: some(rng, routers, routers / 2) };
+            let links = LinkSelector { of: LinkScope::Engines, routers: some(rng, routers, routers / 2) };
             let on = some(rng, engines, engines / 3);
             scenario.faults.push(Fault { links: Some(links), ..fault(Kind::LinkMute, from, 8 * S, on, 0.0) });
         }
@@ -130,7 +130,7 @@
             scenario.faults.push(fault(Kind::FastErrors, from, 12 * S, on, 0.9));
         }
         "reset" => {
-            let links = Links { of: LinkOf::All, routers: Vec::new() };
+            let links = LinkSelector { of: LinkScope::All, routers: Vec::new() };
             scenario
                 .faults
                 .push(Fault { links: Some(links), ..fault(Kind::LinkReset, from, 0, Vec::new(), 0.0) });
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -169,7 +169,7 @@
                 return Err(Error::CouldNotRun(format!("time stands still at {at} µs")));
             }
             at = at.max(next);
-            self.topology.at(at);
+            self.topology.advance_to(at);
             self.network();
             self.strike();
             if self.topology.tick() {
@@ -185,7 +185,7 @@
     fn network(&mut self) {
         while let Some(due) = self.topology.net.inner.pop() {
             match due {
-                Due::World(happened) => self.topology.spread(vec![happened]),
+                Due::World(happened) => self.topology.receive(vec![happened]),
                 Due::Core(i, conn, heard) => match heard {
                     Heard::Accepted => self.feed(i, Input::Accepted(conn)),
                     Heard::Connected => self.feed(i, Input::Connected(conn)),
--- a/crates/fleet/src/memory/mod.rs
+++ b/crates/fleet/src/memory/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use chalkyard_rehearsal::net::{Conn, Happened, Listener};
+use chalkyard_rehearsal::network::{ConnectionId, ListenerId, NetworkEvent};
 use chalkyard_router::{ConnId, Output};
 
 /// The least latency, µs, and how much more a connection may have by its number: not all in step.
@@ -41,19 +41,19 @@
 #[derive(Debug)]
 pub enum Due {
     /// A stand-in hears of it.
-    World(Happened),
+    World(NetworkEvent),
     /// The router's core hears of it.
     Core(usize, ConnId, Heard),
 }
 
 #[derive(Debug)]
 enum Coming {
-    World(Happened),
-    Core(Conn, Heard),
+    World(NetworkEvent),
+    Core(ConnectionId, Heard),
     /// A core's connection reaches this address.
-    Arrives(Conn, SocketAddr),
+    Arrives(ConnectionId, SocketAddr),
     /// A stand-in's connection reaches this router.
-    Reaches(Conn, usize),
+    Reaches(ConnectionId, usize),
 }
 
 #[derive(Debug)]
@@ -93,12 +93,12 @@
     now: u64,
     order: u64,
     due: BTreeMap<(u64, u64), Coming>,
-    listeners: BTreeMap<SocketAddr, Listener>,
-    addresses: BTreeMap<Listener, SocketAddr>,
+    listeners: BTreeMap<SocketAddr, ListenerId>,
+    addresses: BTreeMap<ListenerId, SocketAddr>,
     routers: BTreeMap<SocketAddr, usize>,
     places: Vec<Place>,
-    pipes: BTreeMap<Conn, Pipe>,
-    by_core: BTreeMap<(usize, ConnId), Conn>,
+    pipes: BTreeMap<ConnectionId, Pipe>,
+    by_core: BTreeMap<(usize, ConnId), ConnectionId>,
     next: usize,
     next_port: u16,
 }
@@ -134,7 +134,7 @@
         if let Some(place) = self.places.get_mut(router) {
             place.alive = false;
         }
-        let gone: BTreeSet<Conn> =
+        let gone: BTreeSet<ConnectionId> =
             self.pipes.iter().filter(|(_, p)| p.router == router && p.core).map(|(c, _)| *c).collect();
         for conn in gone {
             self.core_closes(conn);
@@ -179,11 +179,11 @@
         self.due.insert((at, self.order), what);
     }
 
-    fn latency(conn: Conn) -> u64 {
+    fn latency(conn: ConnectionId) -> u64 {
         LATENCY + (conn as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) % (LATENCY_MORE + 1)
     }
 
-    fn pipe(&mut self, router: usize, id: ConnId) -> Conn {
+    fn pipe(&mut self, router: usize, id: ConnId) -> ConnectionId {
         let conn = self.number();
         let life = self.places.get(router).map_or(0, |p| p.life);
         let pipe = Pipe {
@@ -207,7 +207,7 @@
         conn
     }
 
-    fn forget(&mut self, conn: Conn) {
+    fn forget(&mut self, conn: ConnectionId) {
         let Some(pipe) = self.pipes.remove(&conn) else { return };
         let key = (pipe.router, pipe.id);
         // A later life may use the number for another.
@@ -217,7 +217,7 @@
     }
 
     /// Sent to the core's side, after all that was sent before.
-    fn send_core(&mut self, conn: Conn, heard: Heard) {
+    fn send_core(&mut self, conn: ConnectionId, heard: Heard) {
         let now = self.now;
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.to_core = pipe.to_core.max(now + pipe.latency);
@@ -225,7 +225,7 @@
         self.later(at, Coming::Core(conn, heard));
     }
 
-    fn send_world(&mut self, conn: Conn, happened: Happened) {
+    fn send_world(&mut self, conn: ConnectionId, happened: NetworkEvent) {
         let now = self.now;
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.to_world = pipe.to_world.max(now + pipe.latency);
@@ -233,35 +233,35 @@
         self.later(at, Coming::World(happened));
     }
 
-    fn at_world(&mut self, happened: Happened) -> Option<Due> {
+    fn at_world(&mut self, happened: NetworkEvent) -> Option<Due> {
         let conn = match &happened {
-            Happened::Accepted(_, conn)
-            | Happened::Connected(conn)
-            | Happened::Bytes(conn, _)
-            | Happened::Gone(conn) => *conn,
+            NetworkEvent::Accepted(_, conn)
+            | NetworkEvent::Connected(conn)
+            | NetworkEvent::Received(conn, _)
+            | NetworkEvent::Closed(conn) => *conn,
         };
         let pipe = self.pipes.get_mut(&conn)?;
         if !pipe.world {
             // Nobody reads any more: the writer's side is reset.
-            if matches!(happened, Happened::Bytes(..)) && pipe.core {
+            if matches!(happened, NetworkEvent::Received(..)) && pipe.core {
                 self.send_core(conn, Heard::Lost);
             } else if !pipe.core {
                 self.forget(conn);
             }
             return None;
         }
-        if matches!(happened, Happened::Gone(_)) {
+        if matches!(happened, NetworkEvent::Closed(_)) {
             pipe.world = false;
             if !pipe.core {
                 self.forget(conn);
             }
-        } else if pipe.deaf && matches!(happened, Happened::Bytes(..)) {
+        } else if pipe.deaf && matches!(happened, NetworkEvent::Received(..)) {
             return None;
         }
         Some(Due::World(happened))
     }
 
-    fn at_core(&mut self, conn: Conn, heard: Heard) -> Option<Due> {
+    fn at_core(&mut self, conn: ConnectionId, heard: Heard) -> Option<Due> {
         let pipe = self.pipes.get_mut(&conn).filter(|p| p.core)?;
         if pipe.paused && matches!(heard, Heard::Bytes(_) | Heard::Eof) {
             pipe.held.push_back(heard);
@@ -280,7 +280,7 @@
                 pipe.core = false;
                 let world = pipe.world;
                 if world {
-                    self.send_world(conn, Happened::Gone(conn));
+                    self.send_world(conn, NetworkEvent::Closed(conn));
                 } else {
                     self.forget(conn);
                 }
@@ -290,7 +290,7 @@
         Some(Due::Core(router, id, heard))
     }
 
-    fn arrives(&mut self, conn: Conn, address: SocketAddr) -> Option<Due> {
+    fn arrives(&mut self, conn: ConnectionId, address: SocketAddr) -> Option<Due> {
         let listener = self.listeners.get(&address).copied();
         let core = self.pipes.get(&conn).is_some_and(|p| p.core);
         match listener {
@@ -299,41 +299,41 @@
             Some(listener) => {
                 self.send_core(conn, Heard::Connected);
                 if !core {
-                    self.send_world(conn, Happened::Gone(conn));
+                    self.send_world(conn, NetworkEvent::Closed(conn));
                 }
-                return Some(Due::World(Happened::Accepted(listener, conn)));
+                return Some(Due::World(NetworkEvent::Accepted(listener, conn)));
             }
         }
         None
     }
 
-    fn reaches(&mut self, conn: Conn, router: usize) -> Option<Due> {
+    fn reaches(&mut self, conn: ConnectionId, router: usize) -> Option<Due> {
         let place = self.places.get(router)?;
         let pipe = self.pipes.get(&conn)?;
         if !place.alive || place.life != pipe.life {
-            self.send_world(conn, Happened::Gone(conn));
+            self.send_world(conn, NetworkEvent::Closed(conn));
             let pipe = self.pipes.get_mut(&conn)?;
             pipe.core = false;
             return None;
         }
         let id = pipe.id;
-        self.send_world(conn, Happened::Connected(conn));
+        self.send_world(conn, NetworkEvent::Connected(conn));
         self.pipes.get_mut(&conn)?.up = true;
         Some(Due::Core(router, id, Heard::Accepted))
     }
 
-    fn core_closes(&mut self, conn: Conn) {
+    fn core_closes(&mut self, conn: ConnectionId) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.core = false;
         pipe.held.clear();
         if pipe.world {
-            self.send_world(conn, Happened::Gone(conn));
+            self.send_world(conn, NetworkEvent::Closed(conn));
         } else {
             self.forget(conn);
         }
     }
 
-    fn write(&mut self, conn: Conn, bytes: Vec<u8>) {
+    fn write(&mut self, conn: ConnectionId, bytes: Vec<u8>) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         if !pipe.up {
             return pipe.waiting.extend(bytes);
@@ -347,7 +347,7 @@
             let now = self.now;
             self.later(now, Coming::Core(conn, Heard::Wrote(taken)));
         }
-        self.send_world(conn, Happened::Bytes(conn, bytes));
+        self.send_world(conn, NetworkEvent::Received(conn, bytes));
     }
 
     /// Carries out what a core wants done on the network. What is no matter of the network comes back.
--- a/crates/fleet/src/memory/net.rs
+++ b/crates/fleet/src/memory/net.rs
@@ -3,17 +3,17 @@
 use std::io;
 use std::net::SocketAddr;
 
-use chalkyard_rehearsal::net::{Conn, Link, Listener, Net};
+use chalkyard_rehearsal::network::{ConnectionId, Link, ListenerId, Network};
 use chalkyard_router::ConnId;
 
 use super::{loopback, Coming, Heard, Memory};
 
-impl Net for Memory {
-    fn at(&mut self, now: u64) {
+impl Network for Memory {
+    fn set_time(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
 
-    fn listen(&mut self, port: u16, _link: Link) -> io::Result<(Listener, SocketAddr)> {
+    fn listen(&mut self, port: u16, _link: Link) -> io::Result<(ListenerId, SocketAddr)> {
         let address = loopback(if port == 0 { self.port() } else { port });
         if self.listeners.contains_key(&address) {
             return Err(io::ErrorKind::AddrInUse.into());
@@ -24,13 +24,13 @@
         Ok((number, address))
     }
 
-    fn stop_listening(&mut self, number: Listener) {
+    fn stop_listening(&mut self, number: ListenerId) {
         if let Some(address) = self.addresses.remove(&number) {
             self.listeners.remove(&address);
         }
     }
 
-    fn connect(&mut self, address: SocketAddr, _router: usize) -> io::Result<Conn> {
+    fn connect(&mut self, address: SocketAddr, _router: usize) -> io::Result<ConnectionId> {
         let router = self.routers.get(&address).copied().ok_or(io::ErrorKind::ConnectionRefused)?;
         let place = self.places.get_mut(router).ok_or(io::ErrorKind::ConnectionRefused)?;
         let id = ConnId(place.next_client);
@@ -44,19 +44,19 @@
         Ok(conn)
     }
 
-    fn send(&mut self, conn: Conn, bytes: &[u8]) {
+    fn send(&mut self, conn: ConnectionId, bytes: &[u8]) {
         if self.pipes.get(&conn).is_some_and(|p| p.world) {
             self.send_core(conn, Heard::Bytes(bytes.to_vec()));
         }
     }
 
-    fn make_deaf(&mut self, conn: Conn) {
+    fn stop_reading(&mut self, conn: ConnectionId) {
         if let Some(pipe) = self.pipes.get_mut(&conn) {
             pipe.deaf = true;
         }
     }
 
-    fn cut(&mut self, conn: Conn) {
+    fn close(&mut self, conn: ConnectionId) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.world = false;
         if pipe.core {
--- a/crates/fleet/src/sums.rs
+++ b/crates/fleet/src/sums.rs
@@ -4,7 +4,7 @@
 
 use chalkyard_rehearsal::by_second;
 use chalkyard_rehearsal::record::{Answer, Line, Seen, Stage};
-use chalkyard_rehearsal::scenario::{Kind, LinkOf, Scenario};
+use chalkyard_rehearsal::scenario::{Kind, LinkScope, Scenario};
 use serde::Serialize;
 
 /// Goodput counts as back at this share of what it was, over this many seconds.
@@ -100,7 +100,7 @@
     let mut out = Vec::new();
     for f in &scenario.faults {
         let routers = match (&f.links, f.kind) {
-            (Some(links), Kind::LinkCut | Kind::LinkMute) if links.of == LinkOf::Engines => {
+            (Some(links), Kind::LinkCut | Kind::LinkMute) if links.of == LinkScope::Engines => {
                 links.routers.iter().map(|r| format!("r{}", r + 1)).collect()
             }
             (None, Kind::FastErrors | Kind::Hang) => Vec::new(),
--- a/crates/rehearsal/src/audit/book.rs
+++ b/crates/rehearsal/src/audit/book.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::record::{Answer, Class, End, Figures, Freed, Line, Seen, Stage};
-use crate::scenario::LinkOf;
+use crate::scenario::LinkScope;
 
 /// A connection that a fault of links breaks is found to be so long after, µs.
 const RESET_NOISE: u64 = 20_000;
@@ -106,7 +106,7 @@
             Seen::Fault { name, on, links, begins } if name.starts_with("link_") => {
                 if *begins {
                     // Of one that does not say whose links they are, all may be meant.
-                    let to_clients = !matches!(links, Some(LinkOf::Engines | LinkOf::Register));
+                    let to_clients = !matches!(links, Some(LinkScope::Engines | LinkScope::Register));
                     let engines = on.split_whitespace().collect();
                     self.links.push(LinkFault { name, engines, to_clients, from: t, until: u64::MAX });
                 } else if let Some(open) =
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fleet::Tape;
-use crate::net::{Conn, Net};
+use crate::network::{ConnectionId, Network};
 use crate::record::{Answer, Class, Effect, Seen};
 use crate::scenario::{BudgetSpec, Scenario};
 
@@ -71,8 +71,8 @@
     routers: Vec<(String, SocketAddr)>,
     /// Until when the front layer avoids a router: `u64::MAX` while it is down.
     avoid: Vec<Option<u64>>,
-    tries: BTreeMap<Conn, Try>,
-    idle: Vec<Vec<Conn>>,
+    tries: BTreeMap<ConnectionId, Try>,
+    idle: Vec<Vec<ConnectionId>>,
     later: BTreeMap<(u64, u64), Later>,
     next: u64,
     classes: Vec<Class>,
@@ -139,7 +139,7 @@
     }
 
     /// So many requests of the first tenant at once, over all routers.
-    pub fn volley(&mut self, n: usize, net: &mut dyn Net, tape: &mut Tape) {
+    pub fn volley(&mut self, n: usize, net: &mut dyn Network, tape: &mut Tape) {
         for i in 0..n {
             let wish = self.wish(0);
             let router = i % self.routers.len().max(1);
@@ -173,7 +173,7 @@
         self.tries.values().map(limit).min().unwrap_or(u64::MAX).min(later)
     }
 
-    pub fn tick(&mut self, net: &mut dyn Net, tape: &mut Tape) {
+    pub fn tick(&mut self, net: &mut dyn Network, tape: &mut Tape) {
         while let Some(((at, n), _)) = self.later.first_key_value().map(|(k, v)| (*k, v)) {
             if at > tape.now {
                 break;
@@ -189,10 +189,11 @@
             let last = if t.first { t.heard + SILENCE } else { t.deadline + PATIENCE };
             t.leaves.is_some_and(|at| at <= now) || last <= now
         };
-        let leaving: Vec<Conn> = self.tries.iter().filter(|(_, t)| over(t)).map(|(c, _)| *c).collect();
+        let leaving: Vec<ConnectionId> =
+            self.tries.iter().filter(|(_, t)| over(t)).map(|(c, _)| *c).collect();
         for conn in leaving {
             if let Some(t) = self.tries.remove(&conn) {
-                net.cut(conn);
+                net.close(conn);
                 if t.sent && !t.answered {
                     tape.add(Seen::Leave { no: t.no });
                 }
@@ -200,7 +201,7 @@
         }
     }
 
-    fn arrive(&mut self, at: u64, net: &mut dyn Net, tape: &mut Tape) {
+    fn arrive(&mut self, at: u64, net: &mut dyn Network, tape: &mut Tape) {
         if at >= self.until {
             return;
         }
@@ -273,12 +274,12 @@
         }
     }
 
-    fn ask(&mut self, wish: Wish, net: &mut dyn Net, tape: &mut Tape) {
+    fn ask(&mut self, wish: Wish, net: &mut dyn Network, tape: &mut Tape) {
         let router = self.pick(tape.now, wish.tenant);
         self.ask_at(wish, router, net, tape);
     }
 
-    fn ask_at(&mut self, mut wish: Wish, router: usize, net: &mut dyn Net, tape: &mut Tape) {
+    fn ask_at(&mut self, mut wish: Wish, router: usize, net: &mut dyn Network, tape: &mut Tape) {
         let Some(class) = self.classes.get(wish.class) else { return };
         let share = self.rng.random_range(0.6..1.0);
         let wait = (class.deadline_us as f64 * share) as u64;
@@ -350,7 +351,7 @@
         }
     }
 
-    fn send(&mut self, t: &mut Try, conn: Conn, net: &mut dyn Net, tape: &mut Tape) {
+    fn send(&mut self, t: &mut Try, conn: ConnectionId, net: &mut dyn Network, tape: &mut Tape) {
         t.sent = true;
         tape.add(Seen::Ask {
             no: t.no,
@@ -368,23 +369,23 @@
         net.send(conn, &std::mem::take(&mut t.bytes));
         if self.slow > 0.0 && t.wish.stream && self.rng.random_bool(self.slow.clamp(0.0, 1.0)) {
             // Takes nothing for the rest of its life, and leaves some time later.
-            net.make_deaf(conn);
+            net.stop_reading(conn);
             t.leaves = Some(t.deadline.saturating_sub(200_000));
         }
     }
 
-    pub fn owns(&self, conn: Conn) -> bool {
+    pub fn owns(&self, conn: ConnectionId) -> bool {
         self.tries.contains_key(&conn)
     }
 
-    pub fn connected(&mut self, conn: Conn, net: &mut dyn Net, tape: &mut Tape) {
+    pub fn connected(&mut self, conn: ConnectionId, net: &mut dyn Network, tape: &mut Tape) {
         if let Some(mut t) = self.tries.remove(&conn) {
             self.send(&mut t, conn, net, tape);
             self.tries.insert(conn, t);
         }
     }
 
-    pub fn gone(&mut self, conn: Conn, tape: &mut Tape) {
+    pub fn gone(&mut self, conn: ConnectionId, tape: &mut Tape) {
         for idle in &mut self.idle {
             idle.retain(|c| *c != conn);
         }
@@ -401,13 +402,13 @@
         }
     }
 
-    pub fn bytes(&mut self, conn: Conn, bytes: &[u8], net: &mut dyn Net, tape: &mut Tape) {
+    pub fn bytes(&mut self, conn: ConnectionId, bytes: &[u8], net: &mut dyn Network, tape: &mut Tape) {
         let Some(mut t) = self.tries.remove(&conn) else {
             // Nobody asked: a further answer on a connection that has had its own.
             for idle in &mut self.idle {
                 idle.retain(|c| *c != conn);
             }
-            return net.cut(conn);
+            return net.close(conn);
         };
         t.decoder.push(bytes);
         t.heard = tape.now;
@@ -428,13 +429,13 @@
                     let idle = self.idle.get_mut(t.router).filter(|i| clean && i.len() < IDLE);
                     match idle {
                         Some(idle) => idle.push(conn),
-                        None => net.cut(conn),
+                        None => net.close(conn),
                     }
                     return;
                 }
                 Ok(None) => break,
                 Err(_) => {
-                    net.cut(conn);
+                    net.close(conn);
                     tape.add(Seen::Lost { no: t.no });
                     return self.after(&t, Answer::Failed, tape.now);
                 }
--- a/crates/rehearsal/src/fault_schedule.rs
+++ b/crates/rehearsal/src/fault_schedule.rs
@@ -1,6 +1,6 @@
 //! When the faults of a scenario begin and end, and what each does to the fake workers and clients.
 
-use crate::net::Net;
+use crate::network::Network;
 use crate::record::Seen;
 use crate::scenario::{Fault, Kind};
 use crate::topology::Topology;
@@ -50,7 +50,7 @@
     }
 }
 
-impl<N: Net> Topology<'_, N> {
+impl<N: Network> Topology<'_, N> {
     /// Applies the beginning or the end of a fault to the fakes. What it does to routers is left to the caller.
     pub fn apply_fault(&mut self, fault: &Fault, begins: bool) {
         self.record_fault(fault, begins);
--- a/crates/rehearsal/src/fleet/calls.rs
+++ b/crates/rehearsal/src/fleet/calls.rs
@@ -5,12 +5,12 @@
 
 use super::{header, router_of, Attempt, Call, Fleet, Peer, Tape, FAR, NEAR};
 use crate::engine::{blocks, Role, Work, TOKEN_BYTES};
-use crate::net::{Conn, Listener, Net};
+use crate::network::{ConnectionId, ListenerId, Network};
 use crate::record::{End, Freed, Seen, Stage};
 
 impl Fleet {
     /// Whether the listener was one of the fleet's; then the connection is too.
-    pub fn accepted(&mut self, listener: Listener, conn: Conn, tape: &mut Tape) -> bool {
+    pub fn accepted(&mut self, listener: ListenerId, conn: ConnectionId, tape: &mut Tape) -> bool {
         let decoder =
             Decoder::new(Side::Request, Limits { body_bytes: 8 * 1024 * 1024, ..Limits::default() });
         if self.register_listeners.contains(&listener) {
@@ -26,7 +26,7 @@
         true
     }
 
-    pub fn gone(&mut self, conn: Conn, tape: &mut Tape) {
+    pub fn gone(&mut self, conn: ConnectionId, tape: &mut Tape) {
         self.watchers.remove(&conn);
         let Some(host) = self.conns.remove(&conn).and_then(|i| self.hosts.get_mut(i)) else { return };
         let no = host.conns.remove(&conn).and_then(|p| p.attempt);
@@ -39,7 +39,7 @@
         }
     }
 
-    pub fn bytes(&mut self, conn: Conn, bytes: &[u8], net: &mut dyn Net, tape: &mut Tape) {
+    pub fn bytes(&mut self, conn: ConnectionId, bytes: &[u8], net: &mut dyn Network, tape: &mut Tape) {
         if let Some((decoder, _)) = self.watchers.get_mut(&conn) {
             decoder.push(bytes);
             if let Ok(Some(Part::Head(head))) = decoder.next_part() {
@@ -68,7 +68,15 @@
         }
     }
 
-    fn call(&mut self, i: usize, conn: Conn, head: &Head, body: &[u8], net: &mut dyn Net, tape: &mut Tape) {
+    fn call(
+        &mut self,
+        i: usize,
+        conn: ConnectionId,
+        head: &Head,
+        body: &[u8],
+        net: &mut dyn Network,
+        tape: &mut Tape,
+    ) {
         let Start::Request { target, .. } = &head.start else { return };
         match target.as_str() {
             "/v1/completions" => self.complete(i, conn, head, body, net, tape),
@@ -87,10 +95,10 @@
     fn complete(
         &mut self,
         i: usize,
-        conn: Conn,
+        conn: ConnectionId,
         head: &Head,
         body: &[u8],
-        net: &mut dyn Net,
+        net: &mut dyn Network,
         tape: &mut Tape,
     ) {
         let call: Call = match serde_json::from_slice(body) {
--- a/crates/rehearsal/src/fleet/mod.rs
+++ b/crates/rehearsal/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 
 use crate::engine::Engine;
-use crate::net::{Conn, Link, Listener, Net, To};
+use crate::network::{ConnectionId, Link, LinkPeer, ListenerId, Network};
 use crate::record::{End, Freed, Line, Seen, Stage};
 use crate::scenario::Scenario;
 
@@ -58,7 +58,7 @@
 
 #[derive(Debug)]
 struct Attempt {
-    conn: Conn,
+    conn: ConnectionId,
     request: String,
     identity: String,
     class: usize,
@@ -109,12 +109,12 @@
     cell: u64,
     engine: Engine,
     /// One for all routers, or one for each.
-    listeners: Vec<Listener>,
+    listeners: Vec<ListenerId>,
     addresses: Vec<SocketAddr>,
     up: bool,
     troubles: Troubles,
     attempts: BTreeMap<u64, Attempt>,
-    conns: BTreeMap<Conn, Peer>,
+    conns: BTreeMap<ConnectionId, Peer>,
     report: String,
     reported: u64,
     /// Arrivals while cold, for the fall.
@@ -137,12 +137,12 @@
 
 pub struct Fleet {
     hosts: Vec<Host>,
-    listeners: BTreeMap<Listener, usize>,
-    conns: BTreeMap<Conn, usize>,
+    listeners: BTreeMap<ListenerId, usize>,
+    conns: BTreeMap<ConnectionId, usize>,
     /// One for all routers, or one for each.
     pub register: Vec<SocketAddr>,
-    register_listeners: Vec<Listener>,
-    watchers: BTreeMap<Conn, (Decoder, Option<String>)>,
+    register_listeners: Vec<ListenerId>,
+    watchers: BTreeMap<ConnectionId, (Decoder, Option<String>)>,
     entries: BTreeMap<usize, (&'static str, u64)>,
     changes: Vec<Change>,
     version: u64,
@@ -175,21 +175,22 @@
     /// `unix`: µs since 1970 at the day's beginning.
     pub fn new(
         scenario: &Scenario,
-        net: &mut dyn Net,
+        net: &mut dyn Network,
         tape: &mut Tape,
         unix: u64,
         rng: ChaCha8Rng,
     ) -> std::io::Result<Self> {
         let sides: Vec<Option<usize>> =
             if scenario.apart { (0..scenario.routers).map(Some).collect() } else { vec![None] };
-        let at = |net: &mut dyn Net, to: To| -> std::io::Result<(Vec<Listener>, Vec<SocketAddr>)> {
-            let sides = sides.iter().map(|router| net.listen(0, Link { router: *router, to }));
-            Ok(sides.collect::<std::io::Result<Vec<_>>>()?.into_iter().unzip())
-        };
-        let (register_listeners, register) = at(net, To::Register)?;
+        let at =
+            |net: &mut dyn Network, to: LinkPeer| -> std::io::Result<(Vec<ListenerId>, Vec<SocketAddr>)> {
+                let sides = sides.iter().map(|router| net.listen(0, Link { router: *router, to }));
+                Ok(sides.collect::<std::io::Result<Vec<_>>>()?.into_iter().unzip())
+            };
+        let (register_listeners, register) = at(net, LinkPeer::Register)?;
         let (mut hosts, mut listeners, mut entries) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
         for (i, spec) in scenario.engines.iter().enumerate() {
-            let (own, addresses) = at(net, To::Engine(i))?;
+            let (own, addresses) = at(net, LinkPeer::Engine(i))?;
             listeners.extend(own.iter().map(|l| (*l, i)));
             entries.insert(i, ("in", 0));
             tape.add(Seen::Engine {
@@ -254,7 +255,7 @@
 
     // ---- Processes.
 
-    pub fn crash(&mut self, i: usize, fell: bool, net: &mut dyn Net, tape: &mut Tape) {
+    pub fn crash(&mut self, i: usize, fell: bool, net: &mut dyn Network, tape: &mut Tape) {
         let Some(host) = self.hosts.get_mut(i).filter(|h| h.up) else { return };
         host.up = false;
         for listener in std::mem::take(&mut host.listeners) {
@@ -269,7 +270,7 @@
             tape.add(Seen::Free { engine: host.id.clone(), request, how: Freed::Down });
         }
         for conn in std::mem::take(&mut host.conns).into_keys() {
-            net.cut(conn);
+            net.close(conn);
             self.conns.remove(&conn);
         }
         host.engine = Engine::new(host.engine.make, tape.now, true);
@@ -278,12 +279,12 @@
         self.changes.push(Change { due, engine: i, state: "out", started });
     }
 
-    pub fn restart(&mut self, i: usize, net: &mut dyn Net, tape: &mut Tape) {
+    pub fn restart(&mut self, i: usize, net: &mut dyn Network, tape: &mut Tape) {
         let Some(host) = self.hosts.get_mut(i).filter(|h| !h.up) else { return };
         // Somebody may have taken the port meanwhile: then the register tells of another.
         let many = host.addresses.len() > 1;
         for (router, address) in host.addresses.iter_mut().enumerate() {
-            let link = Link { router: many.then_some(router), to: To::Engine(i) };
+            let link = Link { router: many.then_some(router), to: LinkPeer::Engine(i) };
             let listening = net.listen(address.port(), link).or_else(|_| net.listen(0, link));
             let Ok((listener, at)) = listening else { return };
             *address = at;
@@ -319,7 +320,7 @@
         steps.chain(changes).chain([self.next_ping, self.next_look]).min().unwrap_or(u64::MAX)
     }
 
-    pub fn tick(&mut self, net: &mut dyn Net, tape: &mut Tape) {
+    pub fn tick(&mut self, net: &mut dyn Network, tape: &mut Tape) {
         let now = tape.now;
         for i in 0..self.hosts.len() {
             self.step(i, net, tape);
--- a/crates/rehearsal/src/fleet/register.rs
+++ b/crates/rehearsal/src/fleet/register.rs
@@ -5,7 +5,7 @@
 use chalkyard_proto::{encode, sse, Head, Start};
 
 use super::{router_of, Change, Fleet, Tape};
-use crate::net::{Conn, Net};
+use crate::network::{ConnectionId, Network};
 use crate::record::Seen;
 
 impl Fleet {
@@ -26,7 +26,7 @@
         Seen::Told { router: router.into(), engine: self.id(i), state: state.into(), started }
     }
 
-    pub(super) fn watch(&mut self, conn: Conn, head: &Head, net: &mut dyn Net, tape: &mut Tape) {
+    pub(super) fn watch(&mut self, conn: ConnectionId, head: &Head, net: &mut dyn Network, tape: &mut Tape) {
         let router = router_of(head);
         tape.add(Seen::Listed { router: router.clone() });
         let workers: Vec<serde_json::Value> = self
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn publish(&mut self, change: Change, net: &mut dyn Net, tape: &mut Tape) {
+    pub(super) fn publish(&mut self, change: Change, net: &mut dyn Network, tape: &mut Tape) {
         let Change { engine: i, state, started, .. } = change;
         if state == "out" {
             self.entries.remove(&i);
--- a/crates/rehearsal/src/fleet/steps.rs
+++ b/crates/rehearsal/src/fleet/steps.rs
@@ -5,11 +5,11 @@
 
 use super::{Fleet, Tape, REPORT_EVERY};
 use crate::engine::Progress;
-use crate::net::{Conn, Net};
+use crate::network::{ConnectionId, Network};
 use crate::record::{Effect, End, Freed, Seen};
 
 impl Fleet {
-    pub(super) fn step(&mut self, i: usize, net: &mut dyn Net, tape: &mut Tape) {
+    pub(super) fn step(&mut self, i: usize, net: &mut dyn Network, tape: &mut Tape) {
         let now = tape.now;
         let (from, cold_us) = (self.figures.cold_from, self.figures.cold_us);
         let progress = {
@@ -41,7 +41,7 @@
         }
     }
 
-    fn read_done(&mut self, i: usize, no: u64, kept: u64, net: &mut dyn Net, tape: &mut Tape) {
+    fn read_done(&mut self, i: usize, no: u64, kept: u64, net: &mut dyn Network, tape: &mut Tape) {
         let lost = self.is_lost(i);
         let Some(host) = self.hosts.get_mut(i) else { return };
         let Some(mut attempt) = host.attempts.remove(&no) else { return };
@@ -70,7 +70,7 @@
         share > 0.0 && self.rng.random_bool(share.clamp(0.0, 1.0))
     }
 
-    fn began(&mut self, i: usize, no: u64, kept: u64, net: &mut dyn Net, tape: &mut Tape) {
+    fn began(&mut self, i: usize, no: u64, kept: u64, net: &mut dyn Network, tape: &mut Tape) {
         let lost = self.is_lost(i);
         let Some(host) = self.hosts.get_mut(i) else { return };
         let cell = host.cell;
@@ -105,7 +105,7 @@
         tape.add(Seen::Run { attempt: no });
     }
 
-    fn token(&mut self, i: usize, no: u64, last: bool, net: &mut dyn Net, tape: &mut Tape) {
+    fn token(&mut self, i: usize, no: u64, last: bool, net: &mut dyn Network, tape: &mut Tape) {
         let Some(host) = self.hosts.get_mut(i) else { return };
         let report = host.report.clone();
         let Some(attempt) = host.attempts.get_mut(&no) else { return };
@@ -155,15 +155,22 @@
         net.send(conn, &bytes);
     }
 
-    pub(super) fn break_off(&mut self, i: usize, conn: Conn, net: &mut dyn Net) {
-        net.cut(conn);
+    pub(super) fn break_off(&mut self, i: usize, conn: ConnectionId, net: &mut dyn Network) {
+        net.close(conn);
         self.conns.remove(&conn);
         if let Some(host) = self.hosts.get_mut(i) {
             host.conns.remove(&conn);
         }
     }
 
-    pub(super) fn reply(&mut self, i: usize, conn: Conn, status: u16, body: &[u8], net: &mut dyn Net) {
+    pub(super) fn reply(
+        &mut self,
+        i: usize,
+        conn: ConnectionId,
+        status: u16,
+        body: &[u8],
+        net: &mut dyn Network,
+    ) {
         let Some(host) = self.hosts.get_mut(i) else { return };
         let fields = [("content-type", "application/json"), ("endpoint-load-metrics", host.report.as_str())];
         net.send(conn, &encode::response(status, &fields, body, true));
@@ -175,10 +182,10 @@
     pub(super) fn turn_away(
         &mut self,
         i: usize,
-        conn: Conn,
+        conn: ConnectionId,
         no: u64,
         how: End,
-        net: &mut dyn Net,
+        net: &mut dyn Network,
         tape: &mut Tape,
     ) {
         tape.add(Seen::End { attempt: no, how });
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -14,9 +14,9 @@
 #[doc(hidden)]
 pub mod fleet;
 #[doc(hidden)]
-pub mod links;
+pub mod link_faults;
 #[doc(hidden)]
-pub mod net;
+pub mod network;
 #[doc(hidden)]
 pub mod record;
 mod report;
--- a/crates/rehearsal/src/record.rs
+++ b/crates/rehearsal/src/record.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::scenario::LinkOf;
+use crate::scenario::LinkScope;
 use crate::Error;
 
 /// A line of the record.
@@ -341,7 +341,7 @@
         on: String,
         /// Of a fault of links: whose.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        links: Option<LinkOf>,
+        links: Option<LinkScope>,
         /// Begins.
         begins: bool,
     },
--- a/crates/rehearsal/src/runner.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::net::Sockets;
+use crate::network::Sockets;
 use crate::record::{Line, Seen};
 use crate::routers::Routers;
 use crate::scenario::{Fault, Kind, Scenario, Sharing};
@@ -58,7 +58,7 @@
         let start = Instant::now();
         loop {
             let now = start.elapsed().as_micros() as u64;
-            self.topology.at(now);
+            self.topology.advance_to(now);
             self.faults()?;
             if self.topology.tick() {
                 return Ok(());
@@ -66,8 +66,8 @@
             let returns = self.returns.iter().map(|(at, _)| *at).min().unwrap_or(u64::MAX);
             let wait = self.topology.next_due().min(returns).saturating_sub(now).clamp(0, 50_000);
             let happened = self.topology.net.inner.wait(Duration::from_micros(wait))?;
-            self.topology.at(start.elapsed().as_micros() as u64);
-            self.topology.spread(happened);
+            self.topology.advance_to(start.elapsed().as_micros() as u64);
+            self.topology.receive(happened);
         }
     }
 
@@ -84,13 +84,13 @@
                     return Err(Error::CouldNotRun(format!("no router came up at {address}")));
                 }
                 let happened = self.topology.net.inner.wait(Duration::from_millis(10))?;
-                self.topology.spread(happened);
+                self.topology.receive(happened);
             }
         }
         // Their first lists, and leases.
         for _ in 0..if self.topology.scenario.budgets.is_some() { 200 } else { 20 } {
             let happened = self.topology.net.inner.wait(Duration::from_millis(5))?;
-            self.topology.spread(happened);
+            self.topology.receive(happened);
         }
         for (name, _) in names {
             self.topology.tape.add(Seen::Router { router: name, up: true });
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -63,8 +63,8 @@
 
 /// Which links a fault strikes; of engines' those of the engines in [`Fault::on`], all of them if none is named.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Links {
-    pub of: LinkOf,
+pub struct LinkSelector {
+    pub of: LinkScope,
     /// Routers by place; none named: all.
     pub routers: Vec<usize>,
 }
@@ -72,7 +72,7 @@
 /// What links lead to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LinkOf {
+pub enum LinkScope {
     /// Clients.
     Clients,
     /// Engines.
@@ -182,7 +182,7 @@
     /// How hard: a factor, or a share, by kind.
     pub size: f64,
     /// Of faults of links: which.
-    pub links: Option<Links>,
+    pub links: Option<LinkSelector>,
 }
 
 /// A day.
--- a/crates/rehearsal/src/topology.rs
+++ b/crates/rehearsal/src/topology.rs
@@ -8,26 +8,26 @@
 use crate::clients::Clients;
 use crate::fault_schedule::FaultSchedule;
 use crate::fleet::{Fleet, Tape};
-use crate::links::Shaped;
-use crate::net::{Happened, Net};
+use crate::link_faults::FaultyNetwork;
+use crate::network::{Network, NetworkEvent};
 use crate::record::Seen;
 use crate::scenario::{Fault, Scenario};
 use crate::Error;
 
-/// After the last arrival, answers are waited for this long, µs.
+/// How long answers are awaited after the last arrival, µs.
 const TAIL: u64 = 30_000_000;
-/// And held state that long, so that what is not let go shows, µs.
+/// How long the topology goes on after that, so that reservations that are never released show, µs.
 const SETTLE: u64 = 1_500_000;
 
-/// The stand-ins of a day.
+/// The fakes of a scenario and the network between them and the routers.
 pub struct Topology<'a, N> {
-    /// The day.
+    /// The scenario.
     pub scenario: &'a Scenario,
-    /// What lies between them and the routers.
-    pub net: Shaped<N>,
-    /// What was seen.
+    /// The network between the fakes and the routers.
+    pub net: FaultyNetwork<N>,
+    /// The recorded traffic.
     pub tape: Tape,
-    /// Engines and register.
+    /// Fake workers and discovery.
     pub fleet: Fleet,
     /// Clients.
     pub clients: Clients,
@@ -36,8 +36,9 @@
     settled: Option<u64>,
 }
 
-impl<'a, N: Net> Topology<'a, N> {
-    /// The day's beginning, at `unix` µs since 1970. `routers` makes these, given where the register is.
+impl<'a, N: Network> Topology<'a, N> {
+    /// A topology whose scenario begins at `unix` µs since 1970. `routers` makes the routers, given the addresses of
+    /// discovery.
     pub fn new<R>(
         scenario: &'a Scenario,
         net: N,
@@ -54,7 +55,7 @@
             figures: scenario.figures.clone(),
         });
         let rng = |n: u64| ChaCha8Rng::seed_from_u64(scenario.seed.wrapping_mul(0x9e37_79b9).wrapping_add(n));
-        let mut net = Shaped::new(net, scenario);
+        let mut net = FaultyNetwork::new(net, scenario);
         let fleet = Fleet::new(scenario, &mut net, &mut tape, unix, rng(1))?;
         let (names, routers) = routers(&mut net.inner, &fleet.register)?;
         let clients = Clients::new(scenario, names, rng(2));
@@ -62,16 +63,16 @@
         Ok((Self { scenario, net, tape, fleet, clients, faults, settled: None }, routers))
     }
 
-    /// Time goes on, µs since the day began.
-    pub fn at(&mut self, now: u64) {
+    /// Sets the time, µs since the scenario began.
+    pub fn advance_to(&mut self, now: u64) {
         self.tape.now = now;
-        self.net.at(now);
+        self.net.set_time(now);
     }
 
-    /// What the stand-ins do by themselves at this time. True: the day is over.
+    /// Runs what is due. Returns true once the scenario is over.
     pub fn tick(&mut self) -> bool {
-        let happened = self.net.tick();
-        self.hear(happened);
+        let events = self.net.tick();
+        self.dispatch(events);
         self.fleet.tick(&mut self.net, &mut self.tape);
         self.clients.tick(&mut self.net, &mut self.tape);
         let now = self.tape.now;
@@ -82,7 +83,7 @@
         now > self.scenario.length + TAIL
     }
 
-    /// When that is next needed, µs.
+    /// When [`Topology::tick`] is next needed, µs.
     pub fn next_due(&self) -> u64 {
         let end = self.settled.unwrap_or(u64::MAX);
         let stand_ins = self.fleet.next_due().min(self.clients.next_due()).min(self.net.next_due());
@@ -94,26 +95,28 @@
         self.faults.pop_due(self.tape.now)
     }
 
-    /// Tells the stand-ins what happened on the network.
-    pub fn spread(&mut self, happened: Vec<Happened>) {
-        let heard = self.net.pass(happened);
-        self.hear(heard);
+    /// Takes events of the network and passes them to the fakes.
+    pub fn receive(&mut self, events: Vec<NetworkEvent>) {
+        let events = self.net.receive(events);
+        self.dispatch(events);
     }
 
-    fn hear(&mut self, happened: Vec<Happened>) {
-        for h in happened {
-            match h {
-                Happened::Accepted(listener, conn) => {
+    fn dispatch(&mut self, events: Vec<NetworkEvent>) {
+        for event in events {
+            match event {
+                NetworkEvent::Accepted(listener, conn) => {
                     if !self.fleet.accepted(listener, conn, &mut self.tape) {
-                        self.net.cut(conn);
+                        self.net.close(conn);
                     }
                 }
-                Happened::Connected(conn) => self.clients.connected(conn, &mut self.net, &mut self.tape),
-                Happened::Bytes(conn, bytes) if self.clients.owns(conn) => {
+                NetworkEvent::Connected(conn) => self.clients.connected(conn, &mut self.net, &mut self.tape),
+                NetworkEvent::Received(conn, bytes) if self.clients.owns(conn) => {
                     self.clients.bytes(conn, &bytes, &mut self.net, &mut self.tape);
                 }
-                Happened::Bytes(conn, bytes) => self.fleet.bytes(conn, &bytes, &mut self.net, &mut self.tape),
-                Happened::Gone(conn) => {
+                NetworkEvent::Received(conn, bytes) => {
+                    self.fleet.bytes(conn, &bytes, &mut self.net, &mut self.tape)
+                }
+                NetworkEvent::Closed(conn) => {
                     self.clients.gone(conn, &mut self.tape);
                     self.fleet.gone(conn, &mut self.tape);
                 }
@@ -121,7 +124,7 @@
         }
     }
 
-    /// A router is gone, or there again: the front layer learns of it by and by.
+    /// Records that a router has stopped or started; the clients' load balancer learns of it with a delay.
     pub fn router_is(&mut self, i: usize, up: bool) {
         self.clients.router_is(i, up, self.tape.now);
         self.tape.add(Seen::Router { router: format!("r{}", i + 1), up });
--- a/crates/rehearsal/tests/forms.rs
+++ b/crates/rehearsal/tests/forms.rs
@@ -6,7 +6,7 @@
 use chalkyard_rehearsal::record::{
     parse, text, Answer, Class, Effect, End, Figures, Freed, Line, Seen, Stage,
 };
-use chalkyard_rehearsal::scenario::{self, LinkOf, Restarts, Scenario, Sharing};
+use chalkyard_rehearsal::scenario::{self, LinkScope, Restarts, Scenario, Sharing};
 use chalkyard_rehearsal::{audit, by_second};
 
 const SOUND: &str = include_str!("sound.jsonl");
@@ -78,7 +78,7 @@
     }
 }
 
-fn fault(name: &str, links: Option<LinkOf>, begins: bool) -> Seen {
+fn fault(name: &str, links: Option<LinkScope>, begins: bool) -> Seen {
     Seen::Fault { name: name.into(), on: "read-a1 read-a2".into(), links, begins }
 }
 
@@ -141,7 +141,7 @@
         Seen::Router { router: "r1".into(), up: false },
         fault("crash", None, true),
     ]);
-    let links = [LinkOf::Clients, LinkOf::Engines, LinkOf::Register, LinkOf::All];
+    let links = [LinkScope::Clients, LinkScope::Engines, LinkScope::Register, LinkScope::All];
     seen.extend(links.map(|of| fault("link_cut", Some(of), false)));
     seen.into_iter().enumerate().map(|(i, seen)| Line { t: i as u64 * 1_000, seen }).collect()
 }
