--- a/crates/daemon/tests/common/traffic.rs
+++ b/crates/daemon/tests/common/traffic.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use chalkyard_rehearsal::record::{Answer, Class, Effect, End, Figures, Line, Seen, Stage};
+use chalkyard_rehearsal::record::{Answer, AttemptEnd, Class, Event, Line, RetrySafety, RuleLimits, Stage};
 use chalkyard_rehearsal::{audit, Report};
 
 use crate::peers::{Answering, Call};
@@ -21,9 +21,9 @@
         Self { begun: Instant::now(), lines: Mutex::default() }
     }
 
-    fn add(&self, at: Instant, seen: Seen) {
+    fn add(&self, at: Instant, event: Event) {
         let t = at.saturating_duration_since(self.begun).as_micros() as u64;
-        self.lines.lock().unwrap().push(Line { t, seen });
+        self.lines.lock().unwrap().push(Line { t, event });
     }
 
     /// A client begins to send a request, for which it will wait so long.
@@ -32,8 +32,8 @@
         let deadline = (now + timeout).saturating_duration_since(self.begun).as_micros() as u64;
         self.add(
             now,
-            Seen::Ask {
-                no: number,
+            Event::Request {
+                number,
                 identity: id.into(),
                 router: ROUTER.into(),
                 class: class.into(),
@@ -46,12 +46,12 @@
 
     /// A client has gone.
     pub fn leaves(&self, number: u64, at: Instant) {
-        self.add(at, Seen::Leave { no: number });
+        self.add(at, Event::ClientLeft { number });
     }
 
     /// A client's connection has ended with no answer.
     pub fn loses(&self, number: u64) {
-        self.add(Instant::now(), Seen::Lost { no: number });
+        self.add(Instant::now(), Event::ConnectionLost { number });
     }
 
     /// A client has its answer, whose head begins so.
@@ -59,11 +59,11 @@
         let how = match answer.split(' ').nth(1) {
             Some("200") if answer.ends_with("0\r\n\r\n") => Answer::Served,
             Some("200") => Answer::Broken,
-            Some("429" | "503") => Answer::Refused,
+            Some("429" | "503") => Answer::Rejected,
             Some(_) => Answer::Failed,
             None => return self.loses(number),
         };
-        self.add(Instant::now(), Seen::Answer { no: number, how, may_have_run: false, tokens: 2 });
+        self.add(Instant::now(), Event::Answer { number, how, may_have_run: false, tokens: 2 });
     }
 
     /// Judges all of it, with what these workers were called for.
@@ -79,15 +79,15 @@
     fn judge_each(&self, workers: Vec<Vec<Call>>) -> Report {
         let class = |name: &str, effect| Class {
             name: name.into(),
-            effect,
-            window_us: 0,
-            aim_us: 1_000_000,
-            aim_per_1000_us: 0,
-            token_aim_us: 1_000_000,
-            worth: 1.0,
+            retry_safety: effect,
+            deduplication_window_us: 0,
+            latency_objective_us: 1_000_000,
+            latency_objective_per_1000_us: 0,
+            token_objective_us: 1_000_000,
+            priority_weight: 1.0,
             deadline_us: 5_000_000,
         };
-        let figures = Figures {
+        let limits = RuleLimits {
             slack_us: 50_000,
             release_us: 1_000_000,
             grace_us: 250_000,
@@ -97,36 +97,39 @@
             cold_us: 8_000_000,
             noise_us: 300_000,
         };
-        let day = Seen::Scenario {
+        let day = Event::Scenario {
             name: "strict terms".into(),
             seed: 0,
             routers: vec![ROUTER.into()],
-            classes: vec![class("chat", Effect::Free), class("once", Effect::SingleShot)],
-            figures,
+            classes: vec![class("chat", RetrySafety::Idempotent), class("once", RetrySafety::NonIdempotent)],
+            limits,
         };
-        let mut lines = vec![Line { t: 0, seen: day }];
+        let mut lines = vec![Line { t: 0, event: day }];
         let mut attempt = 0;
         for (n, calls) in workers.into_iter().enumerate() {
             let engine = format!("m{n}");
             let (router, state) = (ROUTER.to_owned(), "in".to_owned());
             let there =
-                Seen::Engine { engine: engine.clone(), role: "mixed".into(), cell: 1, capacity_per_s: 1e3 };
-            lines.push(Line { t: 0, seen: there });
-            lines.push(Line { t: 0, seen: Seen::Told { router, engine: engine.clone(), state, started: 0 } });
+                Event::Engine { engine: engine.clone(), role: "mixed".into(), cell: 1, capacity_per_s: 1e3 };
+            lines.push(Line { t: 0, event: there });
+            lines.push(Line {
+                t: 0,
+                event: Event::Notified { router, engine: engine.clone(), state, started: 0 },
+            });
             for call in calls.into_iter().filter(|c| c.method == "POST") {
                 let t = call.at.saturating_duration_since(self.begun).as_micros() as u64;
-                let seen = Seen::Arrive {
+                let event = Event::AttemptArrived {
                     attempt,
                     engine: engine.clone(),
                     router: ROUTER.into(),
                     request: call.id.clone(),
                     identity: call.id,
                     class: "chat".into(),
-                    stage: Stage::Whole,
-                    told_us: call.timeout.map(|told| told.as_micros() as u64),
+                    stage: Stage::Combined,
+                    timeout_us: call.timeout.map(|told| told.as_micros() as u64),
                 };
-                lines.push(Line { t, seen });
-                lines.push(Line { t, seen: Seen::End { attempt, how: End::Refused } });
+                lines.push(Line { t, event });
+                lines.push(Line { t, event: Event::AttemptEnded { attempt, how: AttemptEnd::Rejected } });
                 attempt += 1;
             }
         }
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -7,7 +7,7 @@
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
 use chalkyard_rehearsal::engine::Role;
-use chalkyard_rehearsal::record::{Effect, Line};
+use chalkyard_rehearsal::record::{Line, RetrySafety};
 use chalkyard_rehearsal::scenario::{Fault, Kind, Scenario};
 use chalkyard_rehearsal::topology::Topology;
 use chalkyard_rehearsal::Error;
@@ -58,17 +58,17 @@
 
 /// As the kit's settings for processes say it.
 fn config(scenario: &Scenario, name: &str, register: SocketAddr) -> Config {
-    let f = &scenario.figures;
+    let f = &scenario.limits;
     let classes = scenario.classes.iter().map(|c| p::Class {
-        aim: Micros(c.aim_us),
-        aim_per_1000_tokens: Micros(c.aim_per_1000_us),
+        aim: Micros(c.latency_objective_us),
+        aim_per_1000_tokens: Micros(c.latency_objective_per_1000_us),
         deadline: Micros(c.deadline_us),
-        effect: match c.effect {
-            Effect::Free => p::Effect::Free,
-            Effect::SingleShot => p::Effect::SingleShot,
-            Effect::Guarded => p::Effect::Guarded(p::Group::Cell),
+        effect: match c.retry_safety {
+            RetrySafety::Idempotent => p::Effect::Free,
+            RetrySafety::NonIdempotent => p::Effect::SingleShot,
+            RetrySafety::Deduplicated => p::Effect::Guarded(p::Group::Cell),
         },
-        dedup_window: Micros(c.window_us),
+        dedup_window: Micros(c.deduplication_window_us),
     });
     let kind = |role, tokens| KindEntry { role, kv_tokens: Some(tokens) };
     let second = Micros(1_000_000);
@@ -143,7 +143,7 @@
     };
     play.run()?;
     Ok(Emulated {
-        lines: play.topology.tape.lines,
+        lines: play.topology.recorder.lines,
         tallies: play.tallies.into_values().collect(),
         finished: play.finished,
     })
@@ -200,7 +200,7 @@
 
     fn clock(&self, i: usize) -> Micros {
         let ahead = self.routers.get(i).map_or(0, |r| r.ahead);
-        Micros(UNIX + self.topology.tape.now + ahead)
+        Micros(UNIX + self.topology.recorder.now + ahead)
     }
 
     fn start(&mut self, i: usize) {
@@ -274,11 +274,11 @@
             if let Fault { kind: Kind::BalancerRoll, on, len, .. } = fault {
                 for (n, i) in on.iter().copied().enumerate().filter(|_| begins) {
                     self.kill(i);
-                    self.returns.push((self.topology.tape.now + len + n as u64 * BACK, i));
+                    self.returns.push((self.topology.recorder.now + len + n as u64 * BACK, i));
                 }
             }
         }
-        let now = self.topology.tape.now;
+        let now = self.topology.recorder.now;
         let due: Vec<usize> = self.returns.iter().filter(|(at, _)| *at <= now).map(|(_, i)| *i).collect();
         self.returns.retain(|(at, _)| *at > now);
         for i in due {
--- a/crates/fleet/src/sums.rs
+++ b/crates/fleet/src/sums.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chalkyard_rehearsal::by_second;
-use chalkyard_rehearsal::record::{Answer, Line, Seen, Stage};
+use chalkyard_rehearsal::record::{Answer, Event, Line, Stage};
 use chalkyard_rehearsal::scenario::{Kind, LinkScope, Scenario};
 use serde::Serialize;
 
@@ -140,28 +140,28 @@
     let mut begun: BTreeSet<(&str, bool)> = BTreeSet::new();
     let (mut trials, mut connects, mut lists) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     let sick = sick(scenario);
-    for Line { t, seen } in lines {
+    for Line { t, event } in lines {
         let s = second(*t);
-        match seen {
+        match event {
             // Of the second that has just ended.
-            Seen::Use { used: part, .. } => {
+            Event::Utilisation { used: part, .. } => {
                 let most = used.entry(s.saturating_sub(1)).or_default();
                 *most = part.max(*most);
             }
-            Seen::Ask { no, router, .. } => {
+            Event::Request { number, router, .. } => {
                 add(&mut asked, s);
-                router_of.insert(*no, router);
+                router_of.insert(*number, router);
                 by_router.entry(router).or_default().0.push(*t);
             }
-            Seen::Answer { no, how: Answer::Refused, .. } => {
+            Event::Answer { number, how: Answer::Rejected, .. } => {
                 add(&mut refused, s);
-                if let Some(router) = router_of.get(no) {
+                if let Some(router) = router_of.get(number) {
                     by_router.entry(router).or_default().1.push(*t);
                 }
             }
-            Seen::Arrive { engine, router, request, stage, .. } => {
+            Event::AttemptArrived { engine, router, request, stage, .. } => {
                 // A request's first read, or its first way to an answer, is no repeat.
-                let pull = *stage == Stage::Pull;
+                let pull = *stage == Stage::Decode;
                 let fresh = begun.insert((request, pull));
                 add(if fresh && !pull { &mut firsts } else { &mut repeats }, s);
                 if fresh && pull {
@@ -176,8 +176,8 @@
                     add(&mut trials, (engine, s));
                 }
             }
-            Seen::Connect { engine } if s >= WARM_UP_S => add(&mut connects, (engine, t / CONNECT_SPAN)),
-            Seen::Listed { .. } if s >= WARM_UP_S => add(&mut lists, t / CONNECT_SPAN),
+            Event::Connect { engine } if s >= WARM_UP_S => add(&mut connects, (engine, t / CONNECT_SPAN)),
+            Event::EndpointsRequested { .. } if s >= WARM_UP_S => add(&mut lists, t / CONNECT_SPAN),
             _ => {}
         }
     }
--- a/crates/rehearsal/src/audit/book.rs
+++ b/crates/rehearsal/src/audit/book.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::record::{Answer, Class, End, Figures, Freed, Line, Seen, Stage};
+use crate::record::{Answer, AttemptEnd, Class, Event, Line, ReleaseCause, RuleLimits, Stage};
 use crate::scenario::LinkScope;
 
 /// A connection that a fault of links breaks is found to be so long after, µs.
@@ -17,7 +17,7 @@
     pub(super) stage: Stage,
     pub(super) told: Option<u64>,
     pub(super) arrived: u64,
-    pub(super) ended: Option<(u64, End)>,
+    pub(super) ended: Option<(u64, AttemptEnd)>,
     pub(super) ran: Option<u64>,
 }
 
@@ -38,7 +38,7 @@
     pub(super) engine: &'a str,
     pub(super) request: &'a str,
     pub(super) from: u64,
-    pub(super) freed: Option<(u64, Freed)>,
+    pub(super) freed: Option<(u64, ReleaseCause)>,
 }
 
 /// A fault of links.
@@ -57,7 +57,7 @@
 
 /// All that is in a record, sorted out.
 pub(super) struct Book<'a> {
-    pub(super) figures: &'a Figures,
+    pub(super) limits: &'a RuleLimits,
     pub(super) classes: &'a [Class],
     pub(super) attempts: BTreeMap<u64, Attempt<'a>>,
     pub(super) tries: BTreeMap<u64, Try<'a>>,
@@ -78,9 +78,9 @@
 
 impl<'a> Book<'a> {
     pub(super) fn read(lines: &'a [Line]) -> Option<(Self, &'a str, u64)> {
-        let Seen::Scenario { name, seed, classes, figures, .. } = &lines.first()?.seen else { return None };
+        let Event::Scenario { name, seed, classes, limits, .. } = &lines.first()?.event else { return None };
         let mut book = Self {
-            figures,
+            limits,
             classes,
             attempts: BTreeMap::new(),
             tries: BTreeMap::new(),
@@ -102,8 +102,8 @@
 
     fn line(&mut self, line: &'a Line) {
         let t = line.t;
-        match &line.seen {
-            Seen::Fault { name, on, links, begins } if name.starts_with("link_") => {
+        match &line.event {
+            Event::Fault { name, on, links, begins } if name.starts_with("link_") => {
                 if *begins {
                     // Of one that does not say whose links they are, all may be meant.
                     let to_clients = !matches!(links, Some(LinkScope::Engines | LinkScope::Register));
@@ -115,20 +115,20 @@
                     open.until = t;
                 }
             }
-            Seen::Scenario { .. }
-            | Seen::Fault { .. }
-            | Seen::Work { .. }
-            | Seen::Connect { .. }
-            | Seen::Listed { .. }
-            | Seen::Use { .. }
-            | Seen::Unreached { .. } => {}
-            Seen::Engine { engine, role, cell, capacity_per_s } => {
+            Event::Scenario { .. }
+            | Event::Fault { .. }
+            | Event::AttemptWork { .. }
+            | Event::Connect { .. }
+            | Event::EndpointsRequested { .. }
+            | Event::Utilisation { .. }
+            | Event::Unreachable { .. } => {}
+            Event::Engine { engine, role, cell, capacity_per_s } => {
                 if role == "reader" {
                     self.readers.insert(engine);
                 }
                 self.engines.insert(engine, (*cell, *capacity_per_s));
             }
-            Seen::Start { engine, cold } => {
+            Event::Start { engine, cold } => {
                 if *cold {
                     self.starts.push((engine, t, u64::MAX, false));
                 }
@@ -136,18 +136,27 @@
                     down.2 = t;
                 }
             }
-            Seen::Down { engine, fell } => {
+            Event::Down { engine, overloaded } => {
                 if !self.readers.contains(engine.as_str()) {
                     self.downs.push((engine, t, u64::MAX));
                 }
                 if let Some(start) = self.starts.iter_mut().rfind(|s| s.0 == engine && s.2 == u64::MAX) {
-                    (start.2, start.3) = (t, *fell);
+                    (start.2, start.3) = (t, *overloaded);
                 }
             }
-            Seen::Told { router, engine, state, started } => {
+            Event::Notified { router, engine, state, started } => {
                 self.told.entry((router, engine)).or_default().push((t, state, *started));
             }
-            Seen::Arrive { attempt, engine, router, request, identity, class, stage, told_us } => {
+            Event::AttemptArrived {
+                attempt,
+                engine,
+                router,
+                request,
+                identity,
+                class,
+                stage,
+                timeout_us,
+            } => {
                 let a = Attempt {
                     engine,
                     router,
@@ -155,32 +164,34 @@
                     identity,
                     class,
                     stage: *stage,
-                    told: *told_us,
+                    told: *timeout_us,
                     arrived: t,
                     ended: None,
                     ran: None,
                 };
                 self.attempts.insert(*attempt, a);
             }
-            Seen::Run { attempt } => {
+            Event::AttemptRan { attempt } => {
                 if let Some(a) = self.attempts.get_mut(attempt) {
                     a.ran = Some(t);
                 }
             }
-            Seen::End { attempt, how } => {
+            Event::AttemptEnded { attempt, how } => {
                 if let Some(a) = self.attempts.get_mut(attempt) {
                     a.ended = Some((t, *how));
                 }
             }
-            Seen::Hold { engine, request } => self.holds.push(Hold { engine, request, from: t, freed: None }),
-            Seen::Free { engine, request, how } => {
+            Event::Reserved { engine, request } => {
+                self.holds.push(Hold { engine, request, from: t, freed: None })
+            }
+            Event::Released { engine, request, how } => {
                 let open =
                     |h: &&mut Hold<'_>| h.engine == engine && h.request == request && h.freed.is_none();
                 if let Some(h) = self.holds.iter_mut().rev().find(open) {
                     h.freed = Some((t, *how));
                 }
             }
-            Seen::Ask { no, identity, router, class, prompt, deadline, .. } => {
+            Event::Request { number, identity, router, class, prompt, deadline, .. } => {
                 let one = Try {
                     identity,
                     router,
@@ -193,29 +204,29 @@
                     left: None,
                     lost: None,
                 };
-                self.tries.insert(*no, one);
+                self.tries.insert(*number, one);
             }
-            Seen::First { no } => {
-                if let Some(one) = self.tries.get_mut(no) {
+            Event::FirstToken { number } => {
+                if let Some(one) = self.tries.get_mut(number) {
                     one.first.get_or_insert(t);
                 }
             }
-            Seen::Answer { no, how, tokens, .. } => {
-                if let Some(one) = self.tries.get_mut(no) {
+            Event::Answer { number, how, tokens, .. } => {
+                if let Some(one) = self.tries.get_mut(number) {
                     one.answers.push((t, *how, *tokens));
                 }
             }
-            Seen::Leave { no } => {
-                if let Some(one) = self.tries.get_mut(no) {
+            Event::ClientLeft { number } => {
+                if let Some(one) = self.tries.get_mut(number) {
                     one.left = Some(t);
                 }
             }
-            Seen::Lost { no, .. } => {
-                if let Some(one) = self.tries.get_mut(no) {
+            Event::ConnectionLost { number, .. } => {
+                if let Some(one) = self.tries.get_mut(number) {
                     one.lost = Some(t);
                 }
             }
-            Seen::Router { router, up } => {
+            Event::Router { router, up } => {
                 if !up {
                     self.kills.push((router, t));
                 }
--- a/crates/rehearsal/src/audit/mod.rs
+++ b/crates/rehearsal/src/audit/mod.rs
@@ -10,7 +10,7 @@
 
 use self::book::Book;
 pub use self::worth::by_second;
-use crate::record::{parse, Answer, Line, Seen};
+use crate::record::{parse, Answer, Event, Line};
 use crate::report::{Report, Rule, Times};
 
 /// So many broken cases of a rule are told in words.
@@ -28,11 +28,11 @@
     let (mut attempts, mut tries, mut engines) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     for (i, line) in lines.iter().enumerate() {
         let wrong = |what: String| Err(format!("{}: {what}", i + 1));
-        match &line.seen {
-            Seen::Engine { engine, .. } => {
+        match &line.event {
+            Event::Engine { engine, .. } => {
                 engines.insert(engine.clone());
             }
-            Seen::Arrive { attempt, engine, .. } => {
+            Event::AttemptArrived { attempt, engine, .. } => {
                 if !engines.contains(engine) {
                     return wrong(format!("unknown engine `{engine}`"));
                 }
@@ -40,16 +40,23 @@
                     return wrong(format!("attempt {attempt} arrives twice"));
                 }
             }
-            Seen::Run { attempt } | Seen::End { attempt, .. } | Seen::Work { attempt, .. }
+            Event::AttemptRan { attempt }
+            | Event::AttemptEnded { attempt, .. }
+            | Event::AttemptWork { attempt, .. }
                 if !attempts.contains(attempt) =>
             {
                 return wrong(format!("unknown attempt {attempt}"));
             }
-            Seen::Ask { no, .. } if !tries.insert(*no) => return wrong(format!("try {no} is asked twice")),
-            Seen::First { no } | Seen::Answer { no, .. } | Seen::Leave { no } | Seen::Lost { no, .. }
-                if !tries.contains(no) =>
+            Event::Request { number, .. } if !tries.insert(*number) => {
+                return wrong(format!("try {number} is asked twice"))
+            }
+            Event::FirstToken { number }
+            | Event::Answer { number, .. }
+            | Event::ClientLeft { number }
+            | Event::ConnectionLost { number, .. }
+                if !tries.contains(number) =>
             {
-                return wrong(format!("unknown try {no}"));
+                return wrong(format!("unknown try {number}"));
             }
             _ => {}
         }
@@ -122,7 +129,7 @@
         let a = &mut report.answers;
         match t.answers.first().map(|(_, how, _)| *how) {
             Some(Answer::Served) => a.served += 1,
-            Some(Answer::Refused) => a.refused += 1,
+            Some(Answer::Rejected) => a.refused += 1,
             Some(Answer::Failed | Answer::Invalid) => a.failed += 1,
             Some(Answer::Broken) => a.broken += 1,
             Some(Answer::Duplicate) => a.duplicate += 1,
@@ -138,7 +145,7 @@
     }));
     let mut faults: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
-        if let Seen::Fault { name, begins: true, .. } = &line.seen {
+        if let Event::Fault { name, begins: true, .. } = &line.event {
             *faults.entry(name).or_default() += 1;
         }
     }
--- a/crates/rehearsal/src/audit/rules.rs
+++ b/crates/rehearsal/src/audit/rules.rs
@@ -4,7 +4,7 @@
 
 use super::book::{Attempt, Book, Try};
 use super::Tally;
-use crate::record::{Answer, Effect, End, Stage};
+use crate::record::{Answer, AttemptEnd, RetrySafety, Stage};
 
 /// An attempt that arrives so long after its client has gone is a lost request, µs.
 const GONE_SLACK: u64 = 100_000;
@@ -30,8 +30,8 @@
 impl<'a> Book<'a> {
     /// Rule 1.
     pub(super) fn answered(&self, tally: &mut Tally) {
-        for (no, t) in &self.tries {
-            let late = t.deadline + self.figures.slack_us + self.figures.noise_us;
+        for (number, t) in &self.tries {
+            let late = t.deadline + self.limits.slack_us + self.limits.noise_us;
             let begun = t.first.is_some_and(|f| f <= late);
             let broken = match (t.answers.as_slice(), t.lost, t.left) {
                 ([_, _, ..], ..) => Some("two final answers".to_owned()),
@@ -52,26 +52,27 @@
                 ([], None, Some(_)) => Some("no final answer in time".to_owned()),
                 ([], None, None) => Some("no final answer by the end of the record".to_owned()),
             };
-            tally.case(broken.map(|what| format!("try {no} at {}: {what}", t.router)));
+            tally.case(broken.map(|what| format!("try {number} at {}: {what}", t.router)));
         }
     }
 
     /// Rule 2, over all attempts under one identity; reading is no effect.
     pub(super) fn effect(&self, tally: &mut Tally) {
         let mut by_identity: BTreeMap<&str, Vec<(&u64, &Attempt<'_>)>> = BTreeMap::new();
-        for (no, a) in self.attempts.iter().filter(|(_, a)| a.stage != Stage::Read) {
-            let effect = self.class(a.class).map_or(Effect::SingleShot, |c| c.effect);
-            if effect != Effect::Free {
-                by_identity.entry(client_key(a.identity)).or_default().push((no, a));
+        for (number, a) in self.attempts.iter().filter(|(_, a)| a.stage != Stage::Prefill) {
+            let effect = self.class(a.class).map_or(RetrySafety::NonIdempotent, |c| c.retry_safety);
+            if effect != RetrySafety::Idempotent {
+                by_identity.entry(client_key(a.identity)).or_default().push((number, a));
             }
         }
-        let not_run = |a: &Attempt<'_>| matches!(a.ended, Some((_, End::Refused | End::NoState)));
+        let not_run =
+            |a: &Attempt<'_>| matches!(a.ended, Some((_, AttemptEnd::Rejected | AttemptEnd::NoState)));
         for (identity, attempts) in &by_identity {
             let class = attempts.first().and_then(|(_, a)| self.class(a.class));
-            let single = class.is_none_or(|c| c.effect == Effect::SingleShot);
+            let single = class.is_none_or(|c| c.retry_safety == RetrySafety::NonIdempotent);
             let runs = attempts.iter().filter(|(_, a)| a.ran.is_some()).count();
             let mut broken = (single && runs > 1).then(|| format!("ran {runs} times"));
-            for (n, (no, a)) in attempts.iter().enumerate() {
+            for (n, (number, a)) in attempts.iter().enumerate() {
                 for (_, before) in attempts.iter().take(n) {
                     // What was turned away by then proves that it never ran.
                     if not_run(before) && before.ended.is_some_and(|(t, _)| t <= a.arrived) {
@@ -81,19 +82,19 @@
                         // Another router can't know; its engine's group discards the repeat.
                         continue;
                     }
-                    let window = class.map_or(0, |c| c.window_us) + self.figures.noise_us;
+                    let window = class.map_or(0, |c| c.deduplication_window_us) + self.limits.noise_us;
                     let cell = |e: &str| self.engines.get(e).map(|(cell, _)| *cell);
                     let within =
                         a.arrived <= before.arrived + window && cell(a.engine) == cell(before.engine);
                     if single || !within {
-                        broken.get_or_insert(format!("attempt {no} after one that may have run"));
+                        broken.get_or_insert(format!("attempt {number} after one that may have run"));
                     }
                 }
             }
             let refused = self.tries.values().filter(|t| t.identity == *identity).flat_map(|t| {
                 t.answers
                     .iter()
-                    .filter(|(_, how, _)| *how == Answer::Refused)
+                    .filter(|(_, how, _)| *how == Answer::Rejected)
                     .map(move |(at, ..)| (t.asked, *at))
             });
             for (asked, at) in refused {
@@ -109,11 +110,11 @@
 
     /// Rule 3.
     pub(super) fn drain(&self, tally: &mut Tally) {
-        for (no, a) in &self.attempts {
+        for (number, a) in &self.attempts {
             let told = self.told.get(&(a.router, a.engine));
             let last = told.and_then(|told| told.iter().rfind(|(t, ..)| *t <= a.arrived));
             let Some((_, state, _)) = last else {
-                tally.case(Some(format!("attempt {no}: {} was never told of {}", a.router, a.engine)));
+                tally.case(Some(format!("attempt {number}: {} was never told of {}", a.router, a.engine)));
                 continue;
             };
             // Since when it has been told so without a break.
@@ -121,17 +122,17 @@
                 let before: Vec<_> = told.iter().filter(|(t, ..)| *t <= a.arrived).collect();
                 before.iter().rev().take_while(|(_, s, _)| *s != "in").last().map(|(t, ..)| *t)
             });
-            let late = since.is_some_and(|t| a.arrived > t + self.figures.grace_us + self.figures.noise_us);
+            let late = since.is_some_and(|t| a.arrived > t + self.limits.grace_us + self.limits.noise_us);
             let broken =
-                (*state != "in" && late).then(|| format!("attempt {no} at {}, told {state}", a.engine));
+                (*state != "in" && late).then(|| format!("attempt {number} at {}, told {state}", a.engine));
             tally.case(broken);
         }
     }
 
     /// Rule 4: a budget for every window after a cold start.
     pub(super) fn cold(&self, tally: &mut Tally) {
-        let f = self.figures;
-        for (engine, start, down, fell) in &self.starts {
+        let f = self.limits;
+        for (engine, start, down, overloaded) in &self.starts {
             let warm = (start + f.cold_us).min(*down);
             let capacity = self.engines.get(engine).map_or(0.0, |(_, c)| *c);
             let arrivals: Vec<(u64, bool)> = self
@@ -165,7 +166,7 @@
                     break;
                 }
             }
-            if *fell && broken.is_none() {
+            if *overloaded && broken.is_none() {
                 let knew = arrivals.iter().filter(|(_, knew)| *knew).count();
                 broken = (knew * 3 >= arrivals.len() * 2).then(|| format!("{engine} was pushed over"));
             }
@@ -175,7 +176,7 @@
 
     /// Rule 5: while no attempt is out, held state is taken or let go in time.
     pub(super) fn pinned(&self, tally: &mut Tally) {
-        let most = self.figures.release_us + self.figures.noise_us;
+        let most = self.limits.release_us + self.limits.noise_us;
         for h in &self.holds {
             let until = h.freed.map_or(self.end, |(t, _)| t);
             let router = self.attempts.values().find(|a| a.request == h.request).map(|a| a.router);
@@ -225,25 +226,25 @@
     /// No attempt, first or further, read or write, begins once its client has gone or has its final answer. No noise is
     /// allowed for.
     pub(super) fn gone(&self, tries: &TriesByIdentity<'_>, tally: &mut Tally) {
-        for (no, attempt) in &self.attempts {
+        for (number, attempt) in &self.attempts {
             let over = |t: &&Try<'_>| t.left.or(t.answers.first().map(|(at, ..)| *at)).unwrap_or(u64::MAX);
             let Some(over) = asked_for(tries, attempt).iter().map(over).max() else { continue };
             let late = attempt.arrived.saturating_sub(over);
             let broken =
-                (late > GONE_SLACK).then(|| format!("attempt {no}: {late} µs after its client's end"));
+                (late > GONE_SLACK).then(|| format!("attempt {number}: {late} µs after its client's end"));
             tally.case(broken);
         }
     }
 
     /// No attempt tells its engine more time than its client has left.
     pub(super) fn told(&self, tries: &TriesByIdentity<'_>, tally: &mut Tally) {
-        for (no, attempt) in &self.attempts {
+        for (number, attempt) in &self.attempts {
             let Some(told) = attempt.told else { continue };
             let left =
                 asked_for(tries, attempt).iter().map(|t| t.deadline.saturating_sub(attempt.arrived)).max();
             let Some(left) = left else { continue };
             let broken =
-                (told > left + TOLD_SLACK).then(|| format!("attempt {no}: told {told} µs, left {left}"));
+                (told > left + TOLD_SLACK).then(|| format!("attempt {number}: told {told} µs, left {left}"));
             tally.case(broken);
         }
     }
--- a/crates/rehearsal/src/audit/worth.rs
+++ b/crates/rehearsal/src/audit/worth.rs
@@ -11,17 +11,17 @@
         let mut asked: BTreeMap<&str, (u64, f64, f64)> = BTreeMap::new();
         for t in self.tries.values() {
             let Some(c) = self.class(t.class) else { continue };
-            let entry = asked.entry(t.identity).or_insert((t.asked, c.worth, 0.0));
-            let aim = c.aim_us + c.aim_per_1000_us * t.prompt / 1_000;
+            let entry = asked.entry(t.identity).or_insert((t.asked, c.priority_weight, 0.0));
+            let aim = c.latency_objective_us + c.latency_objective_per_1000_us * t.prompt / 1_000;
             let served = t.answers.iter().find(|(_, how, _)| *how == Answer::Served);
             if let Some((end, _, tokens)) = served {
                 let first = t.first.unwrap_or(*end);
                 let pace = (end - first.min(*end)) / tokens.saturating_sub(1).max(1);
                 // A whole answer shows no first token: it is in time if it came at the wanted pace.
                 let whole = t.first.is_none();
-                let aim = if whole { aim + c.token_aim_us * tokens } else { aim };
-                if first - entry.0.min(first) <= aim && (whole || pace <= c.token_aim_us) {
-                    entry.2 = c.worth;
+                let aim = if whole { aim + c.token_objective_us * tokens } else { aim };
+                if first - entry.0.min(first) <= aim && (whole || pace <= c.token_objective_us) {
+                    entry.2 = c.priority_weight;
                 }
             }
         }
--- a/crates/rehearsal/src/budgets.rs
+++ b/crates/rehearsal/src/budgets.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::audit;
-use crate::record::{Answer, End, Line, Seen, Stage};
+use crate::record::{Answer, AttemptEnd, Event, Line, Stage};
 use crate::report::Rules;
 use crate::runner::play_and;
 use crate::scenario::{self, Scenario, Sharing};
@@ -175,14 +175,14 @@
         }
         *causes.entry(cause).or_default() += tokens;
     }
-    let count = |wanted: fn(&Seen) -> bool| lines.iter().filter(|l| wanted(&l.seen)).count() as u64;
+    let count = |wanted: fn(&Event) -> bool| lines.iter().filter(|l| wanted(&l.event)).count() as u64;
     let settled =
-        |s: &Seen| matches!(s, Seen::Fault { name, begins: true, .. } if name == "settlement_killed");
+        |s: &Event| matches!(s, Event::Fault { name, begins: true, .. } if name == "settlement_killed");
     Ok(BudgetReport {
         scenario: scenario.name.clone(),
         seed: scenario.seed,
         routers: scenario.routers,
-        router_kills: count(|s| matches!(s, Seen::Router { up: false, .. })),
+        router_kills: count(|s| matches!(s, Event::Router { up: false, .. })),
         settlement_kills: count(settled),
         overrun_tokens: leases.overrun_tokens,
         bound_tokens: leases.bound_tokens,
@@ -205,14 +205,15 @@
 fn bill(folder: &Path, lines: &[Line], plan: &Plan) -> Result<serde_json::Value, Error> {
     let mut text = String::new();
     for line in lines {
-        if let Seen::Work { engine, request, number, stage, prompt, kept, output, .. } = &line.seen {
+        if let Event::AttemptWork { engine, request, number, stage, prompt, cached, output, .. } = &line.event
+        {
             let work = match stage {
-                Stage::Read => "read",
-                Stage::Pull => "pull",
-                Stage::Whole => "whole",
+                Stage::Prefill => "read",
+                Stage::Decode => "pull",
+                Stage::Combined => "whole",
             };
             let line = serde_json::json!({"engine": engine, "request": request, "attempt": number, "work": work,
-                "prompt": prompt, "kept": kept, "output": output, "at": line.t});
+                "prompt": prompt, "kept": cached, "output": output, "at": line.t});
             text.push_str(&format!("{line}\n"));
         }
     }
@@ -255,18 +256,21 @@
 fn tries(lines: &[Line]) -> BTreeMap<u64, Try<'_>> {
     let mut tries: BTreeMap<u64, Try<'_>> = BTreeMap::new();
     for line in lines {
-        match &line.seen {
-            Seen::Ask { no, identity, router, tenant, .. } => {
+        match &line.event {
+            Event::Request { number, identity, router, tenant, .. } => {
                 let (asked, ended) = (line.t, u64::MAX);
                 let t = Try { tenant, router, identity, asked, first: false, ended, how: None, left: false };
-                tries.insert(*no, t);
+                tries.insert(*number, t);
             }
-            Seen::First { no } | Seen::Answer { no, .. } | Seen::Leave { no } | Seen::Lost { no, .. } => {
-                let Some(t) = tries.get_mut(no) else { continue };
-                match &line.seen {
-                    Seen::First { .. } => t.first = true,
-                    Seen::Answer { how, .. } => (t.how, t.ended) = (Some(*how), line.t),
-                    Seen::Leave { .. } => (t.left, t.ended) = (true, line.t),
+            Event::FirstToken { number }
+            | Event::Answer { number, .. }
+            | Event::ClientLeft { number }
+            | Event::ConnectionLost { number, .. } => {
+                let Some(t) = tries.get_mut(number) else { continue };
+                match &line.event {
+                    Event::FirstToken { .. } => t.first = true,
+                    Event::Answer { how, .. } => (t.how, t.ended) = (Some(*how), line.t),
+                    Event::ClientLeft { .. } => (t.left, t.ended) = (true, line.t),
                     _ => t.ended = line.t,
                 }
             }
@@ -282,22 +286,22 @@
     let mut written: BTreeMap<u64, Written> = BTreeMap::new();
     let mut longest = 0;
     for line in lines {
-        match &line.seen {
-            Seen::Arrive { attempt, router, identity, stage, .. } if *stage != Stage::Read => {
+        match &line.event {
+            Event::AttemptArrived { attempt, router, identity, stage, .. } if *stage != Stage::Prefill => {
                 // Routers put the tenant before a client's own identity.
                 let own = identity.split_once('/').map_or(identity.as_str(), |(_, own)| own);
                 writes.entry((router, own)).or_default().push(*attempt);
                 written.insert(*attempt, Written { arrived: line.t, tokens: None, answered: false });
             }
-            Seen::Work { attempt, prompt, output, .. } => {
+            Event::AttemptWork { attempt, prompt, output, .. } => {
                 longest = longest.max(*prompt);
                 if let Some(w) = written.get_mut(attempt) {
                     w.tokens = Some((*prompt, *output));
                 }
             }
-            Seen::End { attempt, how } => {
+            Event::AttemptEnded { attempt, how } => {
                 if let Some(w) = written.get_mut(attempt) {
-                    w.answered = *how == End::Answered;
+                    w.answered = *how == AttemptEnd::Answered;
                 }
             }
             _ => {}
@@ -319,7 +323,7 @@
                 done.filter_map(|w| w.tokens).next_back().map_or(0, |(prompt, output)| prompt + output)
             });
             let used: u64 = used.sum();
-            let in_flight = peaks(own().filter(|t| t.how != Some(Answer::Refused)));
+            let in_flight = peaks(own().filter(|t| t.how != Some(Answer::Rejected)));
             let budget = spec.tokens;
             TenantFigures {
                 tenant: spec.name.into(),
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -7,9 +7,8 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::fleet::Tape;
 use crate::network::{ConnectionId, Network};
-use crate::record::{Answer, Class, Effect, Seen};
+use crate::record::{Answer, Class, Event, Recorder, RetrySafety};
 use crate::scenario::{BudgetSpec, Scenario};
 
 /// How long a client waits past its deadline for what is then a broken rule, µs.
@@ -41,7 +40,7 @@
 }
 
 struct Try {
-    no: u64,
+    number: u64,
     wish: Wish,
     router: usize,
     bytes: Vec<u8>,
@@ -139,11 +138,11 @@
     }
 
     /// So many requests of the first tenant at once, over all routers.
-    pub fn volley(&mut self, n: usize, net: &mut dyn Network, tape: &mut Tape) {
+    pub fn volley(&mut self, n: usize, net: &mut dyn Network, recorder: &mut Recorder) {
         for i in 0..n {
             let wish = self.wish(0);
             let router = i % self.routers.len().max(1);
-            self.ask_at(wish, router, net, tape);
+            self.ask_at(wish, router, net, recorder);
         }
     }
 
@@ -173,18 +172,18 @@
         self.tries.values().map(limit).min().unwrap_or(u64::MAX).min(later)
     }
 
-    pub fn tick(&mut self, net: &mut dyn Network, tape: &mut Tape) {
+    pub fn tick(&mut self, net: &mut dyn Network, recorder: &mut Recorder) {
         while let Some(((at, n), _)) = self.later.first_key_value().map(|(k, v)| (*k, v)) {
-            if at > tape.now {
+            if at > recorder.now {
                 break;
             }
             match self.later.remove(&(at, n)) {
-                Some(Later::New) => self.arrive(at, net, tape),
-                Some(Later::Again(wish)) => self.ask(*wish, net, tape),
+                Some(Later::New) => self.arrive(at, net, recorder),
+                Some(Later::Again(wish)) => self.ask(*wish, net, recorder),
                 None => break,
             }
         }
-        let now = tape.now;
+        let now = recorder.now;
         let over = |t: &Try| {
             let last = if t.first { t.heard + SILENCE } else { t.deadline + PATIENCE };
             t.leaves.is_some_and(|at| at <= now) || last <= now
@@ -195,13 +194,13 @@
             if let Some(t) = self.tries.remove(&conn) {
                 net.close(conn);
                 if t.sent && !t.answered {
-                    tape.add(Seen::Leave { no: t.no });
+                    recorder.add(Event::ClientLeft { number: t.number });
                 }
             }
         }
     }
 
-    fn arrive(&mut self, at: u64, net: &mut dyn Network, tape: &mut Tape) {
+    fn arrive(&mut self, at: u64, net: &mut dyn Network, recorder: &mut Recorder) {
         if at >= self.until {
             return;
         }
@@ -214,7 +213,7 @@
             draw < 0.0
         });
         let wish = self.wish(tenant.unwrap_or(0));
-        self.ask(wish, net, tape);
+        self.ask(wish, net, recorder);
     }
 
     fn wish(&mut self, tenant: usize) -> Wish {
@@ -274,12 +273,12 @@
         }
     }
 
-    fn ask(&mut self, wish: Wish, net: &mut dyn Network, tape: &mut Tape) {
-        let router = self.pick(tape.now, wish.tenant);
-        self.ask_at(wish, router, net, tape);
+    fn ask(&mut self, wish: Wish, net: &mut dyn Network, recorder: &mut Recorder) {
+        let router = self.pick(recorder.now, wish.tenant);
+        self.ask_at(wish, router, net, recorder);
     }
 
-    fn ask_at(&mut self, mut wish: Wish, router: usize, net: &mut dyn Network, tape: &mut Tape) {
+    fn ask_at(&mut self, mut wish: Wish, router: usize, net: &mut dyn Network, recorder: &mut Recorder) {
         let Some(class) = self.classes.get(wish.class) else { return };
         let share = self.rng.random_range(0.6..1.0);
         let wait = (class.deadline_us as f64 * share) as u64;
@@ -312,12 +311,12 @@
             (None, Some(address)) => net.connect(address, router),
             _ => return,
         };
-        let no = self.next;
+        let number = self.next;
         self.next += 1;
         let leaves = self.rng.random_bool(self.leaving.clamp(0.0, 1.0));
-        let leaves = leaves.then(|| tape.now + self.rng.random_range(30_000..wait.max(30_001)));
+        let leaves = leaves.then(|| recorder.now + self.rng.random_range(30_000..wait.max(30_001)));
         let mut t = Try {
-            no,
+            number,
             wish,
             router,
             bytes,
@@ -335,26 +334,26 @@
             text: String::new(),
             answered: false,
             said: None,
-            deadline: tape.now + wait,
+            deadline: recorder.now + wait,
             leaves,
-            heard: tape.now,
+            heard: recorder.now,
         };
         match conn {
             Ok(conn) if reused.is_some() => {
-                self.send(&mut t, conn, net, tape);
+                self.send(&mut t, conn, net, recorder);
                 self.tries.insert(conn, t);
             }
             Ok(conn) => {
                 self.tries.insert(conn, t);
             }
-            Err(_) => self.again(t.wish, 100_000, tape.now),
+            Err(_) => self.again(t.wish, 100_000, recorder.now),
         }
     }
 
-    fn send(&mut self, t: &mut Try, conn: ConnectionId, net: &mut dyn Network, tape: &mut Tape) {
+    fn send(&mut self, t: &mut Try, conn: ConnectionId, net: &mut dyn Network, recorder: &mut Recorder) {
         t.sent = true;
-        tape.add(Seen::Ask {
-            no: t.no,
+        recorder.add(Event::Request {
+            number: t.number,
             identity: t.wish.identity.clone(),
             router: self.routers.get(t.router).map(|r| r.0.clone()).unwrap_or_default(),
             class: self.classes.get(t.wish.class).map(|c| c.name.clone()).unwrap_or_default(),
@@ -378,14 +377,14 @@
         self.tries.contains_key(&conn)
     }
 
-    pub fn connected(&mut self, conn: ConnectionId, net: &mut dyn Network, tape: &mut Tape) {
+    pub fn connected(&mut self, conn: ConnectionId, net: &mut dyn Network, recorder: &mut Recorder) {
         if let Some(mut t) = self.tries.remove(&conn) {
-            self.send(&mut t, conn, net, tape);
+            self.send(&mut t, conn, net, recorder);
             self.tries.insert(conn, t);
         }
     }
 
-    pub fn gone(&mut self, conn: ConnectionId, tape: &mut Tape) {
+    pub fn gone(&mut self, conn: ConnectionId, recorder: &mut Recorder) {
         for idle in &mut self.idle {
             idle.retain(|c| *c != conn);
         }
@@ -393,16 +392,22 @@
         if !t.sent {
             // Not reached: nothing was asked of any router yet.
             let router = self.routers.get(t.router).map(|r| r.0.clone()).unwrap_or_default();
-            tape.add(Seen::Unreached { router });
-            return self.again(t.wish, 50_000, tape.now);
+            recorder.add(Event::Unreachable { router });
+            return self.again(t.wish, 50_000, recorder.now);
         }
         if !t.answered {
-            tape.add(Seen::Lost { no: t.no });
-            self.after(&t, Answer::Failed, tape.now);
+            recorder.add(Event::ConnectionLost { number: t.number });
+            self.after(&t, Answer::Failed, recorder.now);
         }
     }
 
-    pub fn bytes(&mut self, conn: ConnectionId, bytes: &[u8], net: &mut dyn Network, tape: &mut Tape) {
+    pub fn bytes(
+        &mut self,
+        conn: ConnectionId,
+        bytes: &[u8],
+        net: &mut dyn Network,
+        recorder: &mut Recorder,
+    ) {
         let Some(mut t) = self.tries.remove(&conn) else {
             // Nobody asked: a further answer on a connection that has had its own.
             for idle in &mut self.idle {
@@ -411,7 +416,7 @@
             return net.close(conn);
         };
         t.decoder.push(bytes);
-        t.heard = tape.now;
+        t.heard = recorder.now;
         loop {
             match t.decoder.next_part() {
                 Ok(Some(Part::Head(head))) => {
@@ -421,10 +426,10 @@
                     t.streams =
                         head.header("content-type").is_some_and(|c| c.starts_with("text/event-stream"));
                 }
-                Ok(Some(Part::Data(data))) if t.streams => self.stream(&mut t, &data, tape),
+                Ok(Some(Part::Data(data))) if t.streams => self.stream(&mut t, &data, recorder),
                 Ok(Some(Part::Data(data))) => t.body.extend(data),
                 Ok(Some(Part::End)) => {
-                    self.answer(&mut t, tape);
+                    self.answer(&mut t, recorder);
                     let clean = t.decoder.is_idle();
                     let idle = self.idle.get_mut(t.router).filter(|i| clean && i.len() < IDLE);
                     match idle {
@@ -436,15 +441,15 @@
                 Ok(None) => break,
                 Err(_) => {
                     net.close(conn);
-                    tape.add(Seen::Lost { no: t.no });
-                    return self.after(&t, Answer::Failed, tape.now);
+                    recorder.add(Event::ConnectionLost { number: t.number });
+                    return self.after(&t, Answer::Failed, recorder.now);
                 }
             }
         }
         self.tries.insert(conn, t);
     }
 
-    fn stream(&mut self, t: &mut Try, data: &[u8], tape: &mut Tape) {
+    fn stream(&mut self, t: &mut Try, data: &[u8], recorder: &mut Recorder) {
         let mut events = Vec::new();
         let _ = t.reader.push(data, &mut events);
         for e in events {
@@ -453,7 +458,7 @@
                 "message.opened" => {}
                 "message.delta" => {
                     if !std::mem::replace(&mut t.first, true) {
-                        tape.add(Seen::First { no: t.no });
+                        recorder.add(Event::FirstToken { number: t.number });
                     }
                     t.tokens += 1;
                     t.text.push_str(json.get("text").and_then(|v| v.as_str()).unwrap_or(""));
@@ -464,12 +469,17 @@
                     t.said = Some((Answer::Broken, ran));
                 }
                 // An event that nothing describes is a fault, seen as a second answer.
-                _ => tape.add(Seen::Answer { no: t.no, how: Answer::Invalid, may_have_run: true, tokens: 0 }),
+                _ => recorder.add(Event::Answer {
+                    number: t.number,
+                    how: Answer::Invalid,
+                    may_have_run: true,
+                    tokens: 0,
+                }),
             }
         }
     }
 
-    fn answer(&mut self, t: &mut Try, tape: &mut Tape) {
+    fn answer(&mut self, t: &mut Try, recorder: &mut Recorder) {
         t.answered = true;
         let json: serde_json::Value = serde_json::from_slice(&t.body).unwrap_or_default();
         let ran = json.pointer("/error/may_have_run").and_then(|v| v.as_bool()).unwrap_or(true);
@@ -477,7 +487,7 @@
             (200, true) => match t.said {
                 Some(said) => said,
                 // The message ended and no event said how.
-                None => return tape.add(Seen::Lost { no: t.no }),
+                None => return recorder.add(Event::ConnectionLost { number: t.number }),
             },
             (200, false) => {
                 t.text = json.get("content").and_then(|v| v.as_str()).unwrap_or("").to_owned();
@@ -486,32 +496,32 @@
             }
             (409, _) => (Answer::Duplicate, true),
             _ => match json.pointer("/error/type").and_then(|v| v.as_str()) {
-                Some("refused") => (Answer::Refused, ran),
+                Some("refused") => (Answer::Rejected, ran),
                 Some("failed") => (Answer::Failed, ran),
                 _ => (Answer::Invalid, ran),
             },
         };
-        tape.add(Seen::Answer { no: t.no, how, may_have_run: ran, tokens: t.tokens });
+        recorder.add(Event::Answer { number: t.number, how, may_have_run: ran, tokens: t.tokens });
         let wait = json.pointer("/error/retry_after").and_then(|v| v.as_f64()).unwrap_or(0.0);
         // A budget that is used up for the day is nothing to wait for.
-        if how == Answer::Refused && tape.now as f64 + wait * 1e6 > self.until as f64 + 5e6 {
+        if how == Answer::Rejected && recorder.now as f64 + wait * 1e6 > self.until as f64 + 5e6 {
             return;
         }
-        if how == Answer::Refused && self.rng.random_bool(self.naive.clamp(0.0, 1.0)) {
+        if how == Answer::Rejected && self.rng.random_bool(self.naive.clamp(0.0, 1.0)) {
             if t.wish.tries < self.most_tries {
-                self.schedule(tape.now + NAIVE, Later::Again(Box::new(t.wish.clone())));
+                self.schedule(recorder.now + NAIVE, Later::Again(Box::new(t.wish.clone())));
             }
             return;
         }
-        if how == Answer::Refused && wait > 0.0 && t.wish.tries < self.most_tries {
-            return self.again(t.wish.clone(), (wait * 1e6) as u64, tape.now);
+        if how == Answer::Rejected && wait > 0.0 && t.wish.tries < self.most_tries {
+            return self.again(t.wish.clone(), (wait * 1e6) as u64, recorder.now);
         }
-        self.after(t, how, tape.now);
+        self.after(t, how, recorder.now);
     }
 
     /// What a client does after an answer: its next turn, another try, or nothing.
     fn after(&mut self, t: &Try, how: Answer, now: u64) {
-        let effect = self.classes.get(t.wish.class).map_or(Effect::SingleShot, |c| c.effect);
+        let effect = self.classes.get(t.wish.class).map_or(RetrySafety::NonIdempotent, |c| c.retry_safety);
         match how {
             Answer::Served if t.wish.turns_left > 0 => {
                 let mut wish = t.wish.clone();
@@ -528,8 +538,10 @@
                     self.schedule(now + think, Later::Again(Box::new(wish)));
                 }
             }
-            Answer::Refused => self.again(t.wish.clone(), 0, now),
-            Answer::Failed | Answer::Broken if effect == Effect::Free => self.again(t.wish.clone(), 0, now),
+            Answer::Rejected => self.again(t.wish.clone(), 0, now),
+            Answer::Failed | Answer::Broken if effect == RetrySafety::Idempotent => {
+                self.again(t.wish.clone(), 0, now)
+            }
             _ => {}
         }
     }
--- a/crates/rehearsal/src/fault_schedule.rs
+++ b/crates/rehearsal/src/fault_schedule.rs
@@ -1,7 +1,7 @@
 //! When the faults of a scenario begin and end, and what each does to the fake workers and clients.
 
 use crate::network::Network;
-use crate::record::Seen;
+use crate::record::Event;
 use crate::scenario::{Fault, Kind};
 use crate::topology::Topology;
 
@@ -64,7 +64,7 @@
             }
             Kind::Volley => {
                 if begins {
-                    self.clients.volley(fault.size as usize, &mut self.net, &mut self.tape);
+                    self.clients.volley(fault.size as usize, &mut self.net, &mut self.recorder);
                 }
             }
             Kind::OriginSlow => self.fleet.links_slow = if begins { fault.size } else { 1.0 },
@@ -85,7 +85,7 @@
             _ => fault.on.iter().map(|i| self.fleet.id(*i)).collect(),
         };
         let links = fault.links.as_ref().map(|links| links.of);
-        self.tape.add(Seen::Fault { name: fault.kind.name().into(), on: on.join(" "), links, begins });
+        self.recorder.add(Event::Fault { name: fault.kind.name().into(), on: on.join(" "), links, begins });
     }
 
     fn apply_client_fault(&mut self, fault: &Fault, begins: bool) {
@@ -105,12 +105,12 @@
         match fault.kind {
             Kind::Crash | Kind::MassRestart => {
                 if begins {
-                    self.fleet.crash(engine, false, &mut self.net, &mut self.tape);
+                    self.fleet.crash(engine, false, &mut self.net, &mut self.recorder);
                 } else {
-                    self.fleet.restart(engine, &mut self.net, &mut self.tape);
+                    self.fleet.restart(engine, &mut self.net, &mut self.recorder);
                 }
             }
-            Kind::Drain => self.fleet.drain(engine, begins, &mut self.tape),
+            Kind::Drain => self.fleet.drain(engine, begins, &mut self.recorder),
             Kind::Flush => {
                 if let Some(engine) = self.fleet.engine(engine).filter(|_| begins) {
                     engine.forget_text();
--- a/crates/rehearsal/src/fleet/mod.rs
+++ b/crates/rehearsal/src/fleet/mod.rs
@@ -13,21 +13,9 @@
 
 use crate::engine::Engine;
 use crate::network::{ConnectionId, Link, LinkPeer, ListenerId, Network};
-use crate::record::{End, Freed, Line, Seen, Stage};
+use crate::record::{AttemptEnd, Event, Recorder, ReleaseCause, Stage};
 use crate::scenario::Scenario;
 
-/// What crossed the sockets so far, and the time.
-pub struct Tape {
-    pub lines: Vec<Line>,
-    pub now: u64,
-}
-
-impl Tape {
-    pub fn add(&mut self, seen: Seen) {
-        self.lines.push(Line { t: self.now, seen });
-    }
-}
-
 /// State that nobody fetches is dropped after this, µs: an engine's own last resort.
 const HOLD_MOST: u64 = 6_000_000;
 /// Load reports are made anew so often, µs.
@@ -65,7 +53,7 @@
     stage: Stage,
     prompt: u64,
     written: u64,
-    kept: u64,
+    cached: u64,
     /// Engine that holds its state.
     from: Option<usize>,
     head_sent: bool,
@@ -78,16 +66,16 @@
 
 impl Attempt {
     /// The engine's own count, for its record.
-    fn work(&self, no: u64, engine: &str, tape: &mut Tape) {
+    fn work(&self, no: u64, engine: &str, recorder: &mut Recorder) {
         if self.read {
-            tape.add(Seen::Work {
+            recorder.add(Event::AttemptWork {
                 attempt: no,
                 engine: engine.into(),
                 request: self.request.clone(),
                 number: self.number,
                 stage: self.stage,
                 prompt: self.prompt,
-                kept: self.kept,
+                cached: self.cached,
                 output: self.written,
             });
         }
@@ -157,7 +145,7 @@
     /// Identities that ran, by cell: repeats within the window are discarded there.
     ran: BTreeMap<(u64, String), u64>,
     classes: Vec<crate::record::Class>,
-    figures: crate::record::Figures,
+    limits: crate::record::RuleLimits,
     notice: u64,
     counts_more: u64,
     rng: ChaCha8Rng,
@@ -176,7 +164,7 @@
     pub fn new(
         scenario: &Scenario,
         net: &mut dyn Network,
-        tape: &mut Tape,
+        recorder: &mut Recorder,
         unix: u64,
         rng: ChaCha8Rng,
     ) -> std::io::Result<Self> {
@@ -193,13 +181,13 @@
             let (own, addresses) = at(net, LinkPeer::Engine(i))?;
             listeners.extend(own.iter().map(|l| (*l, i)));
             entries.insert(i, ("in", 0));
-            tape.add(Seen::Engine {
+            recorder.add(Event::Engine {
                 engine: spec.id.clone(),
                 role: spec.make.role.name().into(),
                 cell: spec.cell,
                 capacity_per_s: spec.make.capacity_per_s,
             });
-            tape.add(Seen::Start { engine: spec.id.clone(), cold: false });
+            recorder.add(Event::Start { engine: spec.id.clone(), cold: false });
             hosts.push(Host {
                 id: spec.id.clone(),
                 cell: spec.cell,
@@ -234,7 +222,7 @@
             next_attempt: 0,
             ran: BTreeMap::new(),
             classes: scenario.classes.clone(),
-            figures: scenario.figures.clone(),
+            limits: scenario.limits.clone(),
             notice: scenario.notice,
             counts_more: scenario.counts_more,
             rng,
@@ -255,7 +243,7 @@
 
     // ---- Processes.
 
-    pub fn crash(&mut self, i: usize, fell: bool, net: &mut dyn Network, tape: &mut Tape) {
+    pub fn crash(&mut self, i: usize, overloaded: bool, net: &mut dyn Network, recorder: &mut Recorder) {
         let Some(host) = self.hosts.get_mut(i).filter(|h| h.up) else { return };
         host.up = false;
         for listener in std::mem::take(&mut host.listeners) {
@@ -263,23 +251,23 @@
             self.listeners.remove(&listener);
         }
         for (no, attempt) in std::mem::take(&mut host.attempts) {
-            attempt.work(no, &host.id, tape);
-            tape.add(Seen::End { attempt: no, how: End::Down });
+            attempt.work(no, &host.id, recorder);
+            recorder.add(Event::AttemptEnded { attempt: no, how: AttemptEnd::Down });
         }
         for request in host.engine.held_since(u64::MAX) {
-            tape.add(Seen::Free { engine: host.id.clone(), request, how: Freed::Down });
+            recorder.add(Event::Released { engine: host.id.clone(), request, how: ReleaseCause::Down });
         }
         for conn in std::mem::take(&mut host.conns).into_keys() {
             net.close(conn);
             self.conns.remove(&conn);
         }
-        host.engine = Engine::new(host.engine.make, tape.now, true);
-        tape.add(Seen::Down { engine: host.id.clone(), fell });
-        let (due, started) = (tape.now + self.notice, self.entries.get(&i).map_or(0, |e| e.1));
+        host.engine = Engine::new(host.engine.make, recorder.now, true);
+        recorder.add(Event::Down { engine: host.id.clone(), overloaded });
+        let (due, started) = (recorder.now + self.notice, self.entries.get(&i).map_or(0, |e| e.1));
         self.changes.push(Change { due, engine: i, state: "out", started });
     }
 
-    pub fn restart(&mut self, i: usize, net: &mut dyn Network, tape: &mut Tape) {
+    pub fn restart(&mut self, i: usize, net: &mut dyn Network, recorder: &mut Recorder) {
         let Some(host) = self.hosts.get_mut(i).filter(|h| !h.up) else { return };
         // Somebody may have taken the port meanwhile: then the register tells of another.
         let many = host.addresses.len() > 1;
@@ -292,18 +280,18 @@
             self.listeners.insert(listener, i);
         }
         host.up = true;
-        host.engine = Engine::new(host.engine.make, tape.now, true);
+        host.engine = Engine::new(host.engine.make, recorder.now, true);
         host.arrivals.clear();
-        tape.add(Seen::Start { engine: host.id.clone(), cold: true });
+        recorder.add(Event::Start { engine: host.id.clone(), cold: true });
         // Known sooner than a loss, but never ahead of it.
-        let due = tape.now + self.notice / 2;
+        let due = recorder.now + self.notice / 2;
         let due =
             self.changes.iter().filter(|c| c.engine == i).map(|c| c.due + 1).max().unwrap_or(0).max(due);
-        self.changes.push(Change { due, engine: i, state: "in", started: tape.now });
+        self.changes.push(Change { due, engine: i, state: "in", started: recorder.now });
     }
 
-    pub fn drain(&mut self, i: usize, draining: bool, tape: &mut Tape) {
-        let (due, started) = (tape.now + self.notice / 3, self.entries.get(&i).map_or(0, |e| e.1));
+    pub fn drain(&mut self, i: usize, draining: bool, recorder: &mut Recorder) {
+        let (due, started) = (recorder.now + self.notice / 3, self.entries.get(&i).map_or(0, |e| e.1));
         self.changes.push(Change {
             due,
             engine: i,
@@ -320,13 +308,13 @@
         steps.chain(changes).chain([self.next_ping, self.next_look]).min().unwrap_or(u64::MAX)
     }
 
-    pub fn tick(&mut self, net: &mut dyn Network, tape: &mut Tape) {
-        let now = tape.now;
+    pub fn tick(&mut self, net: &mut dyn Network, recorder: &mut Recorder) {
+        let now = recorder.now;
         for i in 0..self.hosts.len() {
-            self.step(i, net, tape);
+            self.step(i, net, recorder);
         }
         if now >= self.next_look {
-            self.look(tape);
+            self.look(recorder);
         }
         if now >= self.next_ping {
             self.next_ping = now + 500_000;
@@ -337,7 +325,7 @@
                     net.send(*conn, &ping);
                 }
             }
-            self.expire(tape);
+            self.expire(recorder);
         }
         if self.stale {
             return;
@@ -345,32 +333,36 @@
         let (due, rest) = std::mem::take(&mut self.changes).into_iter().partition(|c: &Change| c.due <= now);
         self.changes = rest;
         for change in due {
-            self.publish(change, net, tape);
+            self.publish(change, net, recorder);
         }
     }
 
-    fn look(&mut self, tape: &mut Tape) {
-        let (from, cold_us) = (self.figures.cold_from, self.figures.cold_us);
+    fn look(&mut self, recorder: &mut Recorder) {
+        let (from, cold_us) = (self.limits.cold_from, self.limits.cold_us);
         for host in self.hosts.iter().filter(|h| h.up) {
-            let warmth = host.engine.warmth(tape.now, from, cold_us);
+            let warmth = host.engine.warmth(recorder.now, from, cold_us);
             let (used, all) = self.uses.entry(host.engine.make.role.name()).or_default();
             *used += host.engine.used() * warmth;
             *all += warmth;
         }
         let before = self.next_look / 1_000_000;
-        self.next_look = tape.now + LOOK_EVERY;
+        self.next_look = recorder.now + LOOK_EVERY;
         if self.next_look / 1_000_000 > before {
             for (role, (used, all)) in std::mem::take(&mut self.uses) {
-                tape.add(Seen::Use { role: role.into(), used: used / all.max(1e-9) });
+                recorder.add(Event::Utilisation { role: role.into(), used: used / all.max(1e-9) });
             }
         }
     }
 
-    fn expire(&mut self, tape: &mut Tape) {
+    fn expire(&mut self, recorder: &mut Recorder) {
         for host in &mut self.hosts {
-            for request in host.engine.held_since(tape.now.saturating_sub(HOLD_MOST)) {
-                host.engine.free(&request, tape.now);
-                tape.add(Seen::Free { engine: host.id.clone(), request, how: Freed::Expired });
+            for request in host.engine.held_since(recorder.now.saturating_sub(HOLD_MOST)) {
+                host.engine.free(&request, recorder.now);
+                recorder.add(Event::Released {
+                    engine: host.id.clone(),
+                    request,
+                    how: ReleaseCause::Expired,
+                });
             }
         }
     }
--- a/crates/rehearsal/src/fleet/register.rs
+++ b/crates/rehearsal/src/fleet/register.rs
@@ -4,9 +4,9 @@
 
 use chalkyard_proto::{encode, sse, Head, Start};
 
-use super::{router_of, Change, Fleet, Tape};
+use super::{router_of, Change, Fleet};
 use crate::network::{ConnectionId, Network};
-use crate::record::Seen;
+use crate::record::{Event, Recorder};
 
 impl Fleet {
     /// As this router is told it: its address of an engine may be its own.
@@ -22,13 +22,19 @@
         })
     }
 
-    fn told(&self, router: &str, i: usize, state: &str, started: u64) -> Seen {
-        Seen::Told { router: router.into(), engine: self.id(i), state: state.into(), started }
+    fn told(&self, router: &str, i: usize, state: &str, started: u64) -> Event {
+        Event::Notified { router: router.into(), engine: self.id(i), state: state.into(), started }
     }
 
-    pub(super) fn watch(&mut self, conn: ConnectionId, head: &Head, net: &mut dyn Network, tape: &mut Tape) {
+    pub(super) fn watch(
+        &mut self,
+        conn: ConnectionId,
+        head: &Head,
+        net: &mut dyn Network,
+        recorder: &mut Recorder,
+    ) {
         let router = router_of(head);
-        tape.add(Seen::Listed { router: router.clone() });
+        recorder.add(Event::EndpointsRequested { router: router.clone() });
         let workers: Vec<serde_json::Value> = self
             .entries
             .iter()
@@ -37,11 +43,11 @@
         let list = serde_json::json!({ "version": self.version, "workers": workers }).to_string();
         let streams = matches!(&head.start, Start::Request { target, .. } if target.contains("watch=1"));
         for (i, (state, started)) in &self.entries {
-            tape.add(self.told(&router, *i, state, *started));
+            recorder.add(self.told(&router, *i, state, *started));
         }
         // What is not in the list is gone.
         for i in (0..self.hosts.len()).filter(|i| !self.entries.contains_key(i)) {
-            tape.add(self.told(&router, i, "out", 0));
+            recorder.add(self.told(&router, i, "out", 0));
         }
         if !streams {
             return net.send(
@@ -59,7 +65,7 @@
         }
     }
 
-    pub(super) fn publish(&mut self, change: Change, net: &mut dyn Network, tape: &mut Tape) {
+    pub(super) fn publish(&mut self, change: Change, net: &mut dyn Network, recorder: &mut Recorder) {
         let Change { engine: i, state, started, .. } = change;
         if state == "out" {
             self.entries.remove(&i);
@@ -76,7 +82,7 @@
                 let mut bytes = Vec::new();
                 encode::chunk(&mut bytes, &event);
                 net.send(*conn, &bytes);
-                tape.add(self.told(router, i, state, started));
+                recorder.add(self.told(router, i, state, started));
             }
         }
     }
--- a/crates/rehearsal/src/fleet/steps.rs
+++ b/crates/rehearsal/src/fleet/steps.rs
@@ -3,15 +3,15 @@
 use chalkyard_proto::{encode, sse};
 use rand::Rng;
 
-use super::{Fleet, Tape, REPORT_EVERY};
+use super::{Fleet, REPORT_EVERY};
 use crate::engine::Progress;
 use crate::network::{ConnectionId, Network};
-use crate::record::{Effect, End, Freed, Seen};
+use crate::record::{AttemptEnd, Event, Recorder, ReleaseCause, RetrySafety};
 
 impl Fleet {
-    pub(super) fn step(&mut self, i: usize, net: &mut dyn Network, tape: &mut Tape) {
-        let now = tape.now;
-        let (from, cold_us) = (self.figures.cold_from, self.figures.cold_us);
+    pub(super) fn step(&mut self, i: usize, net: &mut dyn Network, recorder: &mut Recorder) {
+        let now = recorder.now;
+        let (from, cold_us) = (self.limits.cold_from, self.limits.cold_us);
         let progress = {
             let Some(host) = self.hosts.get_mut(i).filter(|h| h.up) else { return };
             if host.troubles.pauses > 0.0 && now >= host.engine.paused_until + 700_000 {
@@ -34,31 +34,31 @@
         };
         for p in progress {
             match p {
-                Progress::Read { no, kept } => self.read_done(i, no, kept, net, tape),
-                Progress::Began { no, kept } => self.began(i, no, kept, net, tape),
-                Progress::Token { no, last } => self.token(i, no, last, net, tape),
+                Progress::Read { no, kept: cached } => self.read_done(i, no, cached, net, recorder),
+                Progress::Began { no, kept: cached } => self.began(i, no, cached, net, recorder),
+                Progress::Token { no, last } => self.token(i, no, last, net, recorder),
             }
         }
     }
 
-    fn read_done(&mut self, i: usize, no: u64, kept: u64, net: &mut dyn Network, tape: &mut Tape) {
+    fn read_done(&mut self, i: usize, no: u64, cached: u64, net: &mut dyn Network, recorder: &mut Recorder) {
         let lost = self.is_lost(i);
         let Some(host) = self.hosts.get_mut(i) else { return };
         let Some(mut attempt) = host.attempts.remove(&no) else { return };
-        (attempt.read, attempt.kept, attempt.written) = (true, kept, 1);
-        attempt.work(no, &host.id, tape);
-        host.engine.hold(&attempt.request, attempt.prompt, tape.now);
-        tape.add(Seen::Hold { engine: host.id.clone(), request: attempt.request.clone() });
+        (attempt.read, attempt.cached, attempt.written) = (true, cached, 1);
+        attempt.work(no, &host.id, recorder);
+        host.engine.hold(&attempt.request, attempt.prompt, recorder.now);
+        recorder.add(Event::Reserved { engine: host.id.clone(), request: attempt.request.clone() });
         if lost {
-            tape.add(Seen::End { attempt: no, how: End::Down });
+            recorder.add(Event::AttemptEnded { attempt: no, how: AttemptEnd::Down });
             return self.break_off(i, attempt.conn, net);
         }
-        tape.add(Seen::End { attempt: no, how: End::Answered });
+        recorder.add(Event::AttemptEnded { attempt: no, how: AttemptEnd::Answered });
         let body = serde_json::json!({
             "id": attempt.request, "object": "text_completion",
             "choices": [{"index": 0, "text": "", "finish_reason": "length"}],
             "usage": {"prompt_tokens": attempt.prompt, "completion_tokens": 1,
-                      "prompt_tokens_details": {"cached_tokens": kept}},
+                      "prompt_tokens_details": {"cached_tokens": cached}},
             "kv_transfer_params": {"do_remote_prefill": true, "do_remote_decode": false,
                 "remote_engine_id": host.id, "remote_request_id": attempt.request},
         });
@@ -70,7 +70,7 @@
         share > 0.0 && self.rng.random_bool(share.clamp(0.0, 1.0))
     }
 
-    fn began(&mut self, i: usize, no: u64, kept: u64, net: &mut dyn Network, tape: &mut Tape) {
+    fn began(&mut self, i: usize, no: u64, cached: u64, net: &mut dyn Network, recorder: &mut Recorder) {
         let lost = self.is_lost(i);
         let Some(host) = self.hosts.get_mut(i) else { return };
         let cell = host.cell;
@@ -84,41 +84,41 @@
                     host.attempts.remove(&no);
                     host.engine.drop_work(no);
                 }
-                return self.turn_away(i, conn, no, End::NoState, net, tape);
+                return self.turn_away(i, conn, no, AttemptEnd::NoState, net, recorder);
             };
-            holder.engine.free(&request, tape.now);
-            tape.add(Seen::Free { engine: holder.id.clone(), request, how: Freed::Pulled });
+            holder.engine.free(&request, recorder.now);
+            recorder.add(Event::Released { engine: holder.id.clone(), request, how: ReleaseCause::Pulled });
         }
         let Some(attempt) = self.hosts.get_mut(i).and_then(|h| h.attempts.get_mut(&no)) else { return };
-        attempt.kept = kept;
+        attempt.cached = cached;
         attempt.lost = lost;
         let class = self.classes.get(attempt.class);
-        if class.is_some_and(|c| c.effect == Effect::Guarded) {
+        if class.is_some_and(|c| c.retry_safety == RetrySafety::Deduplicated) {
             // The group discards a repeat within the window: it is answered and has no effect.
-            let window = class.map_or(0, |c| c.window_us);
+            let window = class.map_or(0, |c| c.deduplication_window_us);
             let key = (cell, attempt.identity.clone());
-            if self.ran.get(&key).is_some_and(|at| at + window > tape.now) {
+            if self.ran.get(&key).is_some_and(|at| at + window > recorder.now) {
                 return;
             }
-            self.ran.insert(key, tape.now);
+            self.ran.insert(key, recorder.now);
         }
-        tape.add(Seen::Run { attempt: no });
+        recorder.add(Event::AttemptRan { attempt: no });
     }
 
-    fn token(&mut self, i: usize, no: u64, last: bool, net: &mut dyn Network, tape: &mut Tape) {
+    fn token(&mut self, i: usize, no: u64, last: bool, net: &mut dyn Network, recorder: &mut Recorder) {
         let Some(host) = self.hosts.get_mut(i) else { return };
         let report = host.report.clone();
         let Some(attempt) = host.attempts.get_mut(&no) else { return };
         attempt.written += 1;
         attempt.read = true;
         if last {
-            attempt.work(no, &host.id, tape);
+            attempt.work(no, &host.id, recorder);
         }
         let conn = attempt.conn;
         if attempt.lost {
             if last {
                 host.attempts.remove(&no);
-                tape.add(Seen::End { attempt: no, how: End::Down });
+                recorder.add(Event::AttemptEnded { attempt: no, how: AttemptEnd::Down });
                 self.break_off(i, conn, net);
             }
             return;
@@ -138,7 +138,7 @@
         if last {
             let usage = format!(
                 "{{\"choices\":[],\"usage\":{{\"prompt_tokens\":{},\"completion_tokens\":{},\"prompt_tokens_details\":{{\"cached_tokens\":{}}}}}}}",
-                attempt.prompt, attempt.written, attempt.kept
+                attempt.prompt, attempt.written, attempt.cached
             );
             sse::write(&mut event, "", None, &usage);
             sse::write(&mut event, "", None, "[DONE]");
@@ -150,7 +150,7 @@
             if let Some(peer) = host.conns.get_mut(&conn) {
                 peer.attempt = None;
             }
-            tape.add(Seen::End { attempt: no, how: End::Answered });
+            recorder.add(Event::AttemptEnded { attempt: no, how: AttemptEnd::Answered });
         }
         net.send(conn, &bytes);
     }
@@ -184,14 +184,14 @@
         i: usize,
         conn: ConnectionId,
         no: u64,
-        how: End,
+        how: AttemptEnd,
         net: &mut dyn Network,
-        tape: &mut Tape,
+        recorder: &mut Recorder,
     ) {
-        tape.add(Seen::End { attempt: no, how });
+        recorder.add(Event::AttemptEnded { attempt: no, how });
         let (status, kind) = match how {
-            End::Refused => (429, "full"),
-            End::NoState => (409, "no_state"),
+            AttemptEnd::Rejected => (429, "full"),
+            AttemptEnd::NoState => (409, "no_state"),
             _ => (500, "internal"),
         };
         let body = format!("{{\"error\":{{\"type\":\"{kind}\",\"message\":\"{kind}\"}}}}");
--- a/crates/rehearsal/src/record.rs
+++ b/crates/rehearsal/src/record.rs
@@ -1,5 +1,5 @@
-//! The recorded traffic: JSON lines, one thing seen a line, in the order of time. Documented in
-//! `docs/record.md`.
+//! The recorded traffic: JSON lines, one event a line, in the order of time. The format is documented in
+//! `docs/record.md`; its names are older than the ones used here and stay as they are.
 
 use std::path::Path;
 
@@ -11,148 +11,161 @@
 /// A line of the record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// µs since the day began.
+    /// µs since the scenario began.
     pub t: u64,
-    /// What was seen.
+    /// What happened.
     #[serde(flatten)]
-    pub seen: Seen,
+    pub event: Event,
 }
 
-/// How far a class may be repeated.
+/// Whether requests of a class may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Effect {
-    /// Freely.
-    Free,
-    /// Within its cell and window, where repeats are discarded.
-    Guarded,
-    /// Never.
-    SingleShot,
+pub enum RetrySafety {
+    /// They are idempotent.
+    #[serde(rename = "free")]
+    Idempotent,
+    /// Repeats within the cell and the deduplication window are discarded.
+    #[serde(rename = "guarded")]
+    Deduplicated,
+    /// They may be executed once at most.
+    #[serde(rename = "single_shot")]
+    NonIdempotent,
 }
 
-/// A class, as the day's routers are told it.
+/// A request class, as the routers of the scenario are configured with it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Name.
     pub name: String,
-    /// How far it may be repeated.
-    pub effect: Effect,
-    /// Of guarded ones: how long repeats are discarded, µs.
-    pub window_us: u64,
-    /// First token wanted within, µs, and so much more for each 1,000 prompt tokens.
-    pub aim_us: u64,
-    /// See `aim_us`.
-    pub aim_per_1000_us: u64,
-    /// Time between tokens wanted, µs.
-    pub token_aim_us: u64,
-    /// Worth of an answer in time.
-    pub worth: f64,
-    /// Given up after, µs.
+    /// Whether its requests may be executed more than once.
+    #[serde(rename = "effect")]
+    pub retry_safety: RetrySafety,
+    /// How long repeats of deduplicated requests are discarded, µs.
+    #[serde(rename = "window_us")]
+    pub deduplication_window_us: u64,
+    /// Latency objective of the first token, µs: this, and `latency_objective_per_1000_us` for each 1,000 prompt tokens.
+    #[serde(rename = "aim_us")]
+    pub latency_objective_us: u64,
+    /// See `latency_objective_us`.
+    #[serde(rename = "aim_per_1000_us")]
+    pub latency_objective_per_1000_us: u64,
+    /// Objective of the time between tokens, µs.
+    #[serde(rename = "token_aim_us")]
+    pub token_objective_us: u64,
+    /// Weight of an answer in time.
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
+    /// Clients give up after this, µs.
     pub deadline_us: u64,
 }
 
-/// The rules' figures, µs where no unit is named.
+/// The limits by which the rules are judged, µs where no unit is named.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
-    /// A final answer may come so much after the client's time.
+pub struct RuleLimits {
+    /// A final answer may come this long after the client's deadline.
     pub slack_us: u64,
-    /// Something held with no attempt out is taken or let go within.
+    /// A reservation without an attempt in flight is used or released within this.
     pub release_us: u64,
-    /// Nothing new to a draining or gone worker after.
+    /// Nothing new reaches a draining or removed worker after this.
     pub grace_us: u64,
     /// A cold engine bears this multiple of its present capacity ...
     pub fall_multiple: f64,
     /// ... in every window of this length.
     pub fall_us: u64,
-    /// Its capacity at its start, as a share.
+    /// The share of its capacity that an engine has at a cold start.
     pub cold_from: f64,
-    /// Until it is warm.
+    /// How long an engine warms up.
     pub cold_us: u64,
-    /// What sockets and a busy machine may add to any time above.
+    /// What sockets and a busy machine may add to any of these times.
     pub noise_us: u64,
 }
 
-/// What an attempt is for.
+/// What an attempt at a worker is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Read and keep the state.
-    Read,
-    /// Pull state and write.
-    Pull,
-    /// Read and write.
-    Whole,
+    /// Prefill, whose KV state is reserved for a decode.
+    #[serde(rename = "read")]
+    Prefill,
+    /// Decode, with the KV state of an earlier prefill.
+    #[serde(rename = "pull")]
+    Decode,
+    /// Prefill and decode.
+    #[serde(rename = "whole")]
+    Combined,
 }
 
 /// How an attempt ended at its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum AttemptEnd {
     /// Answered to the end.
     Answered,
-    /// Turned away; nothing ran.
-    Refused,
-    /// No state to pull; nothing ran.
+    /// Rejected; nothing was executed.
+    #[serde(rename = "refused")]
+    Rejected,
+    /// There was no KV state to fetch; nothing was executed.
     NoState,
     /// Answered with an error.
     Error,
     /// The router closed the connection.
     Closed,
-    /// The engine broke the connection, or its process died.
+    /// The engine closed the connection, or its process died.
     Down,
 }
 
-/// How held state went.
+/// How a reservation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Freed {
-    /// A writer has it.
+pub enum ReleaseCause {
+    /// A decode fetched the state.
     Pulled,
-    /// By a call to let go.
+    /// A router released it.
     Released,
-    /// By the engine's own time-out.
+    /// The engine's own timeout.
     Expired,
-    /// With the process.
+    /// The process ended.
     Down,
 }
 
-/// The final answer of a try.
+/// The final answer to a client's attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// Whole.
+    /// Complete.
     Served,
-    /// Refused: nothing ran.
-    Refused,
+    /// Rejected: nothing was executed.
+    #[serde(rename = "refused")]
+    Rejected,
     /// Failed.
     Failed,
-    /// A begun stream broke off.
+    /// A stream that had begun broke off.
     Broken,
-    /// Told of another request under its identity.
+    /// Another request with this idempotency key is in flight or was answered.
     Duplicate,
-    /// Not taken as a request.
+    /// Not a valid request.
     Invalid,
 }
 
-/// What can be seen.
+/// An event of the recorded traffic.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "k", rename_all = "snake_case")]
-pub enum Seen {
-    /// The first line: the day.
+pub enum Event {
+    /// The first line: the scenario.
     #[serde(rename = "day")]
     Scenario {
         /// Name.
         name: String,
         /// Seed.
         seed: u64,
-        /// Routers, by name.
+        /// Names of the routers.
         routers: Vec<String>,
-        /// Classes.
+        /// Request classes.
         classes: Vec<Class>,
-        /// The rules' figures.
-        figures: Figures,
+        /// Limits of the rules.
+        #[serde(rename = "figures")]
+        limits: RuleLimits,
     },
-    /// An engine there is.
+    /// An engine of the scenario.
     Engine {
         /// Its id.
         engine: String,
@@ -163,33 +176,36 @@
         /// Requests a second that it can do when warm.
         capacity_per_s: f64,
     },
-    /// An engine's process has started; cold, unless it is the day's beginning.
+    /// An engine's process has started; cold, unless it is the beginning of the scenario.
     Start {
         /// Which.
         engine: String,
-        /// Starts cold.
+        /// A cold start.
         cold: bool,
     },
-    /// An engine's process is gone.
+    /// An engine's process has ended.
     Down {
         /// Which.
         engine: String,
-        /// Pushed over while cold.
-        fell: bool,
+        /// It was overloaded while warming up.
+        #[serde(rename = "fell")]
+        overloaded: bool,
     },
-    /// The register told a router of an engine.
-    Told {
+    /// Discovery notified a router of an engine.
+    #[serde(rename = "told")]
+    Notified {
         /// Router.
         router: String,
         /// Engine.
         engine: String,
         /// `in`, `draining` or `out`.
         state: String,
-        /// When the engine's process had started, as told, in the time of this record.
+        /// When the engine's process had started, as notified, in the time of this record.
         started: u64,
     },
-    /// A call for a request has arrived at an engine.
-    Arrive {
+    /// An attempt has arrived at an engine.
+    #[serde(rename = "arrive")]
+    AttemptArrived {
         /// Number of the attempt.
         attempt: u64,
         /// Engine.
@@ -198,30 +214,33 @@
         router: String,
         /// The router's id of the request.
         request: String,
-        /// The client's identity for it.
+        /// The client's idempotency key.
         identity: String,
         /// Class.
         class: String,
         /// What for.
         stage: Stage,
-        /// How long the router says that it will wait, µs; none where it does not say.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        told_us: Option<u64>,
+        /// The timeout that the router passes on, µs; none where it passes on none.
+        #[serde(rename = "told_us", default, skip_serializing_if = "Option::is_none")]
+        timeout_us: Option<u64>,
     },
     /// The attempt has had its effect.
-    Run {
+    #[serde(rename = "run")]
+    AttemptRan {
         /// Number of the attempt.
         attempt: u64,
     },
     /// The attempt has ended at its engine.
-    End {
+    #[serde(rename = "end")]
+    AttemptEnded {
         /// Number of the attempt.
         attempt: u64,
         /// How.
-        how: End,
+        how: AttemptEnd,
     },
-    /// What an ended attempt did, by its engine's own count; none if it did nothing.
-    Work {
+    /// What an ended attempt did, by its engine's own count; no line if it did nothing.
+    #[serde(rename = "work")]
+    AttemptWork {
         /// Number of the attempt.
         attempt: u64,
         /// Engine.
@@ -234,119 +253,145 @@
         stage: Stage,
         /// Prompt tokens.
         prompt: u64,
-        /// Of these, not read: kept or pulled.
-        kept: u64,
-        /// Tokens written.
+        /// Of these, found in the cache or fetched.
+        #[serde(rename = "kept")]
+        cached: u64,
+        /// Tokens generated.
         output: u64,
     },
-    /// A reader holds state.
-    Hold {
+    /// A prefill engine reserves KV state.
+    #[serde(rename = "hold")]
+    Reserved {
         /// Engine.
         engine: String,
         /// Request.
         request: String,
     },
-    /// It does not any more.
-    Free {
+    /// A reservation has ended.
+    #[serde(rename = "free")]
+    Released {
         /// Engine.
         engine: String,
         /// Request.
         request: String,
-        /// How it went.
-        how: Freed,
+        /// Why.
+        how: ReleaseCause,
     },
-    /// A client has sent a request whole.
-    Ask {
-        /// Number of the try.
+    /// A client has sent a complete request.
+    #[serde(rename = "ask")]
+    Request {
+        /// Number of the client's attempt.
         #[serde(rename = "try")]
-        no: u64,
-        /// Identity, the same for all tries of one request.
+        number: u64,
+        /// Idempotency key, the same for all attempts of one request.
         identity: String,
         /// Router.
         router: String,
         /// Class.
         class: String,
-        /// Whose; empty where a day has one tenant.
+        /// Tenant; empty where a scenario has one tenant.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         tenant: String,
         /// Prompt tokens.
         prompt: u64,
-        /// When this try is given up.
+        /// When the client gives this attempt up.
         deadline: u64,
     },
     /// The first token of an answer reached the client.
-    First {
-        /// Number of the try.
+    #[serde(rename = "first")]
+    FirstToken {
+        /// Number of the client's attempt.
         #[serde(rename = "try")]
-        no: u64,
+        number: u64,
     },
-    /// A final answer reached the client. A second one for a try is a fault.
+    /// A final answer reached the client. A second one for an attempt breaks a rule.
     Answer {
-        /// Number of the try.
+        /// Number of the client's attempt.
         #[serde(rename = "try")]
-        no: u64,
+        number: u64,
         /// Which.
         how: Answer,
-        /// What the answer says of it.
+        /// Whether the answer says that the request may have been executed.
         may_have_run: bool,
         /// Tokens of the answer.
         tokens: u64,
     },
-    /// The client left.
-    Leave {
-        /// Number of the try.
+    /// The client closed its connection.
+    #[serde(rename = "leave")]
+    ClientLeft {
+        /// Number of the client's attempt.
         #[serde(rename = "try")]
-        no: u64,
+        number: u64,
     },
     /// The connection ended without a final answer.
-    Lost {
-        /// Number of the try.
+    #[serde(rename = "lost")]
+    ConnectionLost {
+        /// Number of the client's attempt.
         #[serde(rename = "try")]
-        no: u64,
+        number: u64,
     },
     /// A router could not be reached: the connection was refused, or ended before anything was sent on it.
-    Unreached {
+    #[serde(rename = "unreached")]
+    Unreachable {
         /// Which.
         router: String,
     },
-    /// A connection was taken at an engine.
+    /// An engine accepted a connection.
     Connect {
         /// Which.
         engine: String,
     },
-    /// The register was asked for the list.
-    Listed {
-        /// By which router.
+    /// A router requested the endpoint list from discovery.
+    #[serde(rename = "listed")]
+    EndpointsRequested {
+        /// Which router.
         router: String,
     },
-    /// How far the engines of a role were used in the second that ends.
-    Use {
+    /// Utilisation of the engines of a role in the second that ends.
+    #[serde(rename = "use")]
+    Utilisation {
         /// `reader`, `writer` or `mixed`.
         role: String,
-        /// Of what they can do now, cold ones less, the part in use: readers' time, writers' slots.
+        /// The part of their present capacity in use: time of prefill engines, slots of the others.
         used: f64,
     },
     /// A router's process was started or killed.
     Router {
         /// Which.
         router: String,
-        /// Runs from now on.
+        /// It runs from now on.
         up: bool,
     },
     /// A fault begins or ends.
     Fault {
         /// Name.
         name: String,
-        /// What it strikes.
+        /// The engines or routers that it strikes.
         on: String,
-        /// Of a fault of links: whose.
+        /// Of a link fault: whose links.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         links: Option<LinkScope>,
-        /// Begins.
+        /// It begins.
         begins: bool,
     },
 }
 
+/// Collects the events of a scenario, with the time.
+#[derive(Debug, Default)]
+pub struct Recorder {
+    /// What was recorded so far.
+    pub lines: Vec<Line>,
+    /// µs since the scenario began.
+    pub now: u64,
+}
+
+impl Recorder {
+    /// Records an event that happens now.
+    pub fn add(&mut self, event: Event) {
+        self.lines.push(Line { t: self.now, event });
+    }
+}
+
 /// The record as text.
 pub fn text(lines: &[Line]) -> String {
     let mut out = String::new();
@@ -372,8 +417,8 @@
         }
         lines.push(line);
     }
-    match lines.first().map(|l| &l.seen) {
-        Some(Seen::Scenario { .. }) => Ok(lines),
+    match lines.first().map(|l| &l.event) {
+        Some(Event::Scenario { .. }) => Ok(lines),
         _ => Err("1: the first line must be the day".into()),
     }
 }
--- a/crates/rehearsal/src/restart_scenario.rs
+++ b/crates/rehearsal/src/restart_scenario.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::audit;
-use crate::record::{Line, Seen};
+use crate::record::{Event, Line};
 use crate::report::Rules;
 use crate::scenario::{self, Restarts};
 use crate::{runner, Error, Plan};
@@ -118,8 +118,8 @@
 
 /// How many faults of a kind began.
 fn count_faults(lines: &[Line], kind: &str) -> u64 {
-    let begins = |seen: &Seen| matches!(seen, Seen::Fault { name, begins: true, .. } if name == kind);
-    lines.iter().filter(|line| begins(&line.seen)).count() as u64
+    let begins = |event: &Event| matches!(event, Event::Fault { name, begins: true, .. } if name == kind);
+    lines.iter().filter(|line| begins(&line.event)).count() as u64
 }
 
 /// Tries that found no router though the kit had not killed it.
@@ -127,10 +127,10 @@
     let mut down: Vec<&str> = Vec::new();
     let mut count = 0;
     for line in lines {
-        match &line.seen {
-            Seen::Router { router, up: false } => down.push(router),
-            Seen::Router { router, up: true } => down.retain(|d| d != router),
-            Seen::Unreached { router } => count += u64::from(!down.contains(&router.as_str())),
+        match &line.event {
+            Event::Router { router, up: false } => down.push(router),
+            Event::Router { router, up: true } => down.retain(|d| d != router),
+            Event::Unreachable { router } => count += u64::from(!down.contains(&router.as_str())),
             _ => {}
         }
     }
--- a/crates/rehearsal/src/routers.rs
+++ b/crates/rehearsal/src/routers.rs
@@ -10,7 +10,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-use crate::record::Effect;
+use crate::record::RetrySafety;
 use crate::scenario::{Scenario, Sharing};
 
 pub struct Routers {
@@ -49,7 +49,7 @@
     key_hashes: &[String],
     folder: &Path,
 ) -> String {
-    let f = &scenario.figures;
+    let f = &scenario.limits;
     let mut xml = format!(
         r#"<chalkyard xmlns="urn:chalkyard:settings:1">
   <router name="{name}" routers="{}" listen="{listen}" shared-port="true" register="{register}" list-file="{list}" drain="10s" control="{}/{name}.sock"/>
@@ -77,16 +77,16 @@
         scenario.classes.first().map_or("", |c| c.name.as_str())
     ));
     for c in &scenario.classes {
-        let effect = match c.effect {
-            Effect::Free => "effect=\"free\"".to_owned(),
-            Effect::SingleShot => "effect=\"single-shot\"".to_owned(),
-            Effect::Guarded => {
-                format!("effect=\"guarded\" group=\"cell\" dedup-window=\"{}us\"", c.window_us)
+        let effect = match c.retry_safety {
+            RetrySafety::Idempotent => "effect=\"free\"".to_owned(),
+            RetrySafety::NonIdempotent => "effect=\"single-shot\"".to_owned(),
+            RetrySafety::Deduplicated => {
+                format!("effect=\"guarded\" group=\"cell\" dedup-window=\"{}us\"", c.deduplication_window_us)
             }
         };
         xml.push_str(&format!(
             "    <class name=\"{}\" aim=\"{}us\" aim-per-1000-tokens=\"{}us\" deadline=\"{}us\" {effect}/>\n",
-            c.name, c.aim_us, c.aim_per_1000_us, c.deadline_us
+            c.name, c.latency_objective_us, c.latency_objective_per_1000_us, c.deadline_us
         ));
     }
     xml.push_str("  </classes>\n");
--- a/crates/rehearsal/src/runner.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use crate::network::Sockets;
-use crate::record::{Line, Seen};
+use crate::record::{Event, Line};
 use crate::routers::Routers;
 use crate::scenario::{Fault, Kind, Scenario, Sharing};
 use crate::topology::Topology;
@@ -40,9 +40,9 @@
     let mut runner = Runner { topology, routers, returns: Vec::new() };
     let result = runner.run();
     runner.routers.stop();
-    let looked = result.and_then(|()| look(runner.routers.folder(), &runner.topology.tape.lines));
+    let looked = result.and_then(|()| look(runner.routers.folder(), &runner.topology.recorder.lines));
     runner.routers.finish(looked.is_err());
-    Ok((runner.topology.tape.lines, looked?))
+    Ok((runner.topology.recorder.lines, looked?))
 }
 
 impl Runner<'_> {
@@ -93,7 +93,7 @@
             self.topology.receive(happened);
         }
         for (name, _) in names {
-            self.topology.tape.add(Seen::Router { router: name, up: true });
+            self.topology.recorder.add(Event::Router { router: name, up: true });
         }
         Ok(())
     }
@@ -103,7 +103,7 @@
             self.topology.apply_fault(fault, begins);
             self.strike(fault, begins)?;
         }
-        let now = self.topology.tape.now;
+        let now = self.topology.recorder.now;
         let (due, rest) = std::mem::take(&mut self.returns).into_iter().partition(|(at, _)| *at <= now);
         self.returns = rest;
         let due: Vec<(u64, usize)> = due;
@@ -119,7 +119,7 @@
 
     /// What a fault does to the processes.
     fn strike(&mut self, fault: &Fault, begins: bool) -> Result<(), Error> {
-        let (now, seed) = (self.topology.tape.now, self.topology.scenario.seed);
+        let (now, seed) = (self.topology.recorder.now, self.topology.scenario.seed);
         match fault.kind {
             Kind::BalancerRoll if begins => {
                 for (n, i) in fault.on.iter().copied().enumerate() {
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -9,7 +9,7 @@
 use self::named::{bad_day, S};
 pub use self::named::{base, budgets, make, restart_scenario, Restarts};
 use crate::engine::Make;
-use crate::record::{Class, Figures};
+use crate::record::{Class, RuleLimits};
 
 /// An engine of the fleet.
 #[derive(Debug, Clone)]
@@ -200,7 +200,7 @@
     pub rate: f64,
     /// The register tells of changes after this.
     pub notice: u64,
-    pub figures: Figures,
+    pub limits: RuleLimits,
     pub faults: Vec<Fault>,
     /// Thousandths by which engines count more prompt tokens than a token for four bytes, at most.
     pub counts_more: u64,
--- a/crates/rehearsal/src/scenario/named.rs
+++ b/crates/rehearsal/src/scenario/named.rs
@@ -5,7 +5,7 @@
 
 use super::{BudgetSpec, EngineSpec, Fault, Kind, Scenario, Sharing, TenantSpec};
 use crate::engine::{Make, Role};
-use crate::record::{Class, Effect, Figures};
+use crate::record::{Class, RetrySafety, RuleLimits};
 
 pub(super) const S: u64 = 1_000_000;
 
@@ -40,12 +40,12 @@
         roles.iter().map(|(id, role, cell)| EngineSpec { id: (*id).into(), cell: *cell, make: make(*role) });
     let class = |name: &str, effect, window, aim, deadline, worth| Class {
         name: name.into(),
-        effect,
-        window_us: window,
-        aim_us: aim,
-        aim_per_1000_us: 60_000,
-        token_aim_us: 60_000,
-        worth,
+        retry_safety: effect,
+        deduplication_window_us: window,
+        latency_objective_us: aim,
+        latency_objective_per_1000_us: 60_000,
+        token_objective_us: 60_000,
+        priority_weight: worth,
         deadline_us: deadline,
     };
     Scenario {
@@ -55,14 +55,14 @@
         routers: 3,
         engines: engines.collect(),
         classes: vec![
-            class("help", Effect::Free, 0, S, 5 * S, 1.0),
-            class("report", Effect::SingleShot, 0, 2 * S, 8 * S, 2.0),
-            class("lookup", Effect::Guarded, 4 * S, S, 5 * S, 1.0),
+            class("help", RetrySafety::Idempotent, 0, S, 5 * S, 1.0),
+            class("report", RetrySafety::NonIdempotent, 0, 2 * S, 8 * S, 2.0),
+            class("lookup", RetrySafety::Deduplicated, 4 * S, S, 5 * S, 1.0),
         ],
         shares: vec![0.6, 0.25, 0.15],
         rate: 18.0,
         notice: 1_500_000,
-        figures: Figures {
+        limits: RuleLimits {
             slack_us: 100_000,
             release_us: S,
             grace_us: S,
--- a/crates/rehearsal/src/topology.rs
+++ b/crates/rehearsal/src/topology.rs
@@ -7,10 +7,10 @@
 
 use crate::clients::Clients;
 use crate::fault_schedule::FaultSchedule;
-use crate::fleet::{Fleet, Tape};
+use crate::fleet::Fleet;
 use crate::link_faults::FaultyNetwork;
 use crate::network::{Network, NetworkEvent};
-use crate::record::Seen;
+use crate::record::{Event, Recorder};
 use crate::scenario::{Fault, Scenario};
 use crate::Error;
 
@@ -26,7 +26,7 @@
     /// The network between the fakes and the routers.
     pub net: FaultyNetwork<N>,
     /// The recorded traffic.
-    pub tape: Tape,
+    pub recorder: Recorder,
     /// Fake workers and discovery.
     pub fleet: Fleet,
     /// Clients.
@@ -45,27 +45,27 @@
         unix: u64,
         routers: impl FnOnce(&mut N, &[SocketAddr]) -> Result<(Vec<(String, SocketAddr)>, R), Error>,
     ) -> Result<(Self, R), Error> {
-        let mut tape = Tape { lines: Vec::new(), now: 0 };
+        let mut recorder = Recorder::default();
         let names = (1..=scenario.routers).map(|i| format!("r{i}")).collect();
-        tape.add(Seen::Scenario {
+        recorder.add(Event::Scenario {
             name: scenario.name.clone(),
             seed: scenario.seed,
             routers: names,
             classes: scenario.classes.clone(),
-            figures: scenario.figures.clone(),
+            limits: scenario.limits.clone(),
         });
         let rng = |n: u64| ChaCha8Rng::seed_from_u64(scenario.seed.wrapping_mul(0x9e37_79b9).wrapping_add(n));
         let mut net = FaultyNetwork::new(net, scenario);
-        let fleet = Fleet::new(scenario, &mut net, &mut tape, unix, rng(1))?;
+        let fleet = Fleet::new(scenario, &mut net, &mut recorder, unix, rng(1))?;
         let (names, routers) = routers(&mut net.inner, &fleet.register)?;
         let clients = Clients::new(scenario, names, rng(2));
         let faults = FaultSchedule::new(&scenario.faults);
-        Ok((Self { scenario, net, tape, fleet, clients, faults, settled: None }, routers))
+        Ok((Self { scenario, net, recorder, fleet, clients, faults, settled: None }, routers))
     }
 
     /// Sets the time, µs since the scenario began.
     pub fn advance_to(&mut self, now: u64) {
-        self.tape.now = now;
+        self.recorder.now = now;
         self.net.set_time(now);
     }
 
@@ -73,9 +73,9 @@
     pub fn tick(&mut self) -> bool {
         let events = self.net.tick();
         self.dispatch(events);
-        self.fleet.tick(&mut self.net, &mut self.tape);
-        self.clients.tick(&mut self.net, &mut self.tape);
-        let now = self.tape.now;
+        self.fleet.tick(&mut self.net, &mut self.recorder);
+        self.clients.tick(&mut self.net, &mut self.recorder);
+        let now = self.recorder.now;
         if now > self.scenario.length && self.clients.is_done() && self.faults.is_over() {
             let until = *self.settled.get_or_insert(now + SETTLE);
             return now >= until;
@@ -92,7 +92,7 @@
 
     /// The next fault that begins (`true`) or ends by now.
     pub fn next_fault(&mut self) -> Option<(&'a Fault, bool)> {
-        self.faults.pop_due(self.tape.now)
+        self.faults.pop_due(self.recorder.now)
     }
 
     /// Takes events of the network and passes them to the fakes.
@@ -105,20 +105,22 @@
         for event in events {
             match event {
                 NetworkEvent::Accepted(listener, conn) => {
-                    if !self.fleet.accepted(listener, conn, &mut self.tape) {
+                    if !self.fleet.accepted(listener, conn, &mut self.recorder) {
                         self.net.close(conn);
                     }
                 }
-                NetworkEvent::Connected(conn) => self.clients.connected(conn, &mut self.net, &mut self.tape),
+                NetworkEvent::Connected(conn) => {
+                    self.clients.connected(conn, &mut self.net, &mut self.recorder)
+                }
                 NetworkEvent::Received(conn, bytes) if self.clients.owns(conn) => {
-                    self.clients.bytes(conn, &bytes, &mut self.net, &mut self.tape);
+                    self.clients.bytes(conn, &bytes, &mut self.net, &mut self.recorder);
                 }
                 NetworkEvent::Received(conn, bytes) => {
-                    self.fleet.bytes(conn, &bytes, &mut self.net, &mut self.tape)
+                    self.fleet.bytes(conn, &bytes, &mut self.net, &mut self.recorder)
                 }
                 NetworkEvent::Closed(conn) => {
-                    self.clients.gone(conn, &mut self.tape);
-                    self.fleet.gone(conn, &mut self.tape);
+                    self.clients.gone(conn, &mut self.recorder);
+                    self.fleet.gone(conn, &mut self.recorder);
                 }
             }
         }
@@ -126,7 +128,7 @@
 
     /// Records that a router has stopped or started; the clients' load balancer learns of it with a delay.
     pub fn router_is(&mut self, i: usize, up: bool) {
-        self.clients.router_is(i, up, self.tape.now);
-        self.tape.add(Seen::Router { router: format!("r{}", i + 1), up });
+        self.clients.router_is(i, up, self.recorder.now);
+        self.recorder.add(Event::Router { router: format!("r{}", i + 1), up });
     }
 }
--- a/crates/rehearsal/tests/forms.rs
+++ b/crates/rehearsal/tests/forms.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use chalkyard_rehearsal::record::{
-    parse, text, Answer, Class, Effect, End, Figures, Freed, Line, Seen, Stage,
+    parse, text, Answer, AttemptEnd, Class, Event, Line, ReleaseCause, RetrySafety, RuleLimits, Stage,
 };
 use chalkyard_rehearsal::scenario::{self, LinkScope, Restarts, Scenario, Sharing};
 use chalkyard_rehearsal::{audit, by_second};
@@ -16,30 +16,30 @@
     std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{}: {e}", file.display()))
 }
 
-fn class(name: &str, effect: Effect) -> Class {
+fn class(name: &str, effect: RetrySafety) -> Class {
     Class {
         name: name.into(),
-        effect,
-        window_us: 4_000_000,
-        aim_us: 1_000_000,
-        aim_per_1000_us: 60_000,
-        token_aim_us: 50_000,
-        worth: 2.5,
+        retry_safety: effect,
+        deduplication_window_us: 4_000_000,
+        latency_objective_us: 1_000_000,
+        latency_objective_per_1000_us: 60_000,
+        token_objective_us: 50_000,
+        priority_weight: 2.5,
         deadline_us: 5_000_000,
     }
 }
 
-fn first_line() -> Seen {
-    Seen::Scenario {
+fn first_line() -> Event {
+    Event::Scenario {
         name: "bad-day".into(),
         seed: 7,
         routers: vec!["r1".into(), "r2".into()],
         classes: vec![
-            class("help", Effect::Free),
-            class("lookup", Effect::Guarded),
-            class("report", Effect::SingleShot),
+            class("help", RetrySafety::Idempotent),
+            class("lookup", RetrySafety::Deduplicated),
+            class("report", RetrySafety::NonIdempotent),
         ],
-        figures: Figures {
+        limits: RuleLimits {
             slack_us: 100_000,
             release_us: 1_000_000,
             grace_us: 1_100_000,
@@ -52,8 +52,8 @@
     }
 }
 
-fn arrive(attempt: u64, stage: Stage, told_us: Option<u64>) -> Seen {
-    Seen::Arrive {
+fn arrive(attempt: u64, stage: Stage, timeout_us: Option<u64>) -> Event {
+    Event::AttemptArrived {
         attempt,
         engine: "read-a1".into(),
         router: "r1".into(),
@@ -61,38 +61,38 @@
         identity: "0/k1".into(),
         class: "help".into(),
         stage,
-        told_us,
+        timeout_us,
     }
 }
 
-fn work(attempt: u64, stage: Stage) -> Seen {
-    Seen::Work {
+fn work(attempt: u64, stage: Stage) -> Event {
+    Event::AttemptWork {
         attempt,
         engine: "read-a1".into(),
         request: "q1".into(),
         number: 2,
         stage,
         prompt: 900,
-        kept: 64,
+        cached: 64,
         output: 1,
     }
 }
 
-fn fault(name: &str, links: Option<LinkScope>, begins: bool) -> Seen {
-    Seen::Fault { name: name.into(), on: "read-a1 read-a2".into(), links, begins }
+fn fault(name: &str, links: Option<LinkScope>, begins: bool) -> Event {
+    Event::Fault { name: name.into(), on: "read-a1 read-a2".into(), links, begins }
 }
 
-fn answer(no: u64, how: Answer, may_have_run: bool) -> Seen {
-    Seen::Answer { no, how, may_have_run, tokens: 12 }
+fn answer(number: u64, how: Answer, may_have_run: bool) -> Event {
+    Event::Answer { number, how, may_have_run, tokens: 12 }
 }
 
-fn free(how: Freed) -> Seen {
-    Seen::Free { engine: "read-a1".into(), request: "q1".into(), how }
+fn free(how: ReleaseCause) -> Event {
+    Event::Released { engine: "read-a1".into(), request: "q1".into(), how }
 }
 
-fn ask(tenant: &str) -> Seen {
-    Seen::Ask {
-        no: 1,
+fn ask(tenant: &str) -> Event {
+    Event::Request {
+        number: 1,
         identity: "k1".into(),
         router: "r1".into(),
         class: "help".into(),
@@ -104,12 +104,12 @@
 
 /// Each kind of line, with each value that one of its fields can take.
 fn every_line() -> Vec<Line> {
-    let mut seen = vec![
+    let mut event = vec![
         first_line(),
-        Seen::Engine { engine: "read-a1".into(), role: "reader".into(), cell: 1, capacity_per_s: 14.5 },
-        Seen::Start { engine: "read-a1".into(), cold: true },
-        Seen::Down { engine: "read-a1".into(), fell: false },
-        Seen::Told {
+        Event::Engine { engine: "read-a1".into(), role: "reader".into(), cell: 1, capacity_per_s: 14.5 },
+        Event::Start { engine: "read-a1".into(), cold: true },
+        Event::Down { engine: "read-a1".into(), overloaded: false },
+        Event::Notified {
             router: "r1".into(),
             engine: "read-a1".into(),
             state: "draining".into(),
@@ -117,33 +117,48 @@
         },
         ask(""),
         ask("nord"),
-        arrive(1, Stage::Read, None),
-        arrive(2, Stage::Pull, Some(4_000_000)),
-        arrive(3, Stage::Whole, Some(0)),
-        Seen::Run { attempt: 1 },
+        arrive(1, Stage::Prefill, None),
+        arrive(2, Stage::Decode, Some(4_000_000)),
+        arrive(3, Stage::Combined, Some(0)),
+        Event::AttemptRan { attempt: 1 },
     ];
-    let ends = [End::Answered, End::Refused, End::NoState, End::Error, End::Closed, End::Down];
-    seen.extend(ends.map(|how| Seen::End { attempt: 1, how }));
-    seen.extend([Stage::Read, Stage::Pull, Stage::Whole].map(|stage| work(1, stage)));
-    seen.push(Seen::Hold { engine: "read-a1".into(), request: "q1".into() });
-    seen.extend([Freed::Pulled, Freed::Released, Freed::Expired, Freed::Down].map(free));
-    seen.push(Seen::First { no: 1 });
-    let answers =
-        [Answer::Served, Answer::Refused, Answer::Failed, Answer::Broken, Answer::Duplicate, Answer::Invalid];
-    seen.extend(answers.map(|how| answer(1, how, how != Answer::Refused)));
-    seen.extend([
-        Seen::Leave { no: 1 },
-        Seen::Lost { no: 1 },
-        Seen::Unreached { router: "r1".into() },
-        Seen::Connect { engine: "read-a1".into() },
-        Seen::Listed { router: "r1".into() },
-        Seen::Use { role: "writer".into(), used: 0.625 },
-        Seen::Router { router: "r1".into(), up: false },
+    let ends = [
+        AttemptEnd::Answered,
+        AttemptEnd::Rejected,
+        AttemptEnd::NoState,
+        AttemptEnd::Error,
+        AttemptEnd::Closed,
+        AttemptEnd::Down,
+    ];
+    event.extend(ends.map(|how| Event::AttemptEnded { attempt: 1, how }));
+    event.extend([Stage::Prefill, Stage::Decode, Stage::Combined].map(|stage| work(1, stage)));
+    event.push(Event::Reserved { engine: "read-a1".into(), request: "q1".into() });
+    event.extend(
+        [ReleaseCause::Pulled, ReleaseCause::Released, ReleaseCause::Expired, ReleaseCause::Down].map(free),
+    );
+    event.push(Event::FirstToken { number: 1 });
+    let answers = [
+        Answer::Served,
+        Answer::Rejected,
+        Answer::Failed,
+        Answer::Broken,
+        Answer::Duplicate,
+        Answer::Invalid,
+    ];
+    event.extend(answers.map(|how| answer(1, how, how != Answer::Rejected)));
+    event.extend([
+        Event::ClientLeft { number: 1 },
+        Event::ConnectionLost { number: 1 },
+        Event::Unreachable { router: "r1".into() },
+        Event::Connect { engine: "read-a1".into() },
+        Event::EndpointsRequested { router: "r1".into() },
+        Event::Utilisation { role: "writer".into(), used: 0.625 },
+        Event::Router { router: "r1".into(), up: false },
         fault("crash", None, true),
     ]);
     let links = [LinkScope::Clients, LinkScope::Engines, LinkScope::Register, LinkScope::All];
-    seen.extend(links.map(|of| fault("link_cut", Some(of), false)));
-    seen.into_iter().enumerate().map(|(i, seen)| Line { t: i as u64 * 1_000, seen }).collect()
+    event.extend(links.map(|of| fault("link_cut", Some(of), false)));
+    event.into_iter().enumerate().map(|(i, event)| Line { t: i as u64 * 1_000, event }).collect()
 }
 
 #[test]
