--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -256,7 +256,7 @@
         Format::Text => print!("{}", report.text()),
         Format::Json => println!("{}", report.json()),
     }
-    if report.rules.held() {
+    if report.rules.passed() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(3)
@@ -323,11 +323,11 @@
                 "overload" => return overload::overload(&plan, &overload, format),
                 "budgets" => {
                     let report = chalkyard_rehearsal::rehearse_budgets(&plan).map_err(trouble)?;
-                    Some((report.text(), report.json(), report.held()))
+                    Some((report.text(), report.json(), report.passed()))
                 }
                 "restart-afternoon" => {
                     let report = chalkyard_rehearsal::rehearse_restarts(&plan).map_err(trouble)?;
-                    Some((report.text(), report.json(), report.held()))
+                    Some((report.text(), report.json(), report.passed()))
                 }
                 _ => None,
             };
--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -85,7 +85,7 @@
                 Format::Text => print!("{}", report.text()),
                 Format::Json => println!("{}", report.json()),
             }
-            held &= report.held();
+            held &= report.passed();
             played += 1;
         }
     }
--- a/crates/daemon/tests/strict_terms.rs
+++ b/crates/daemon/tests/strict_terms.rs
@@ -49,8 +49,8 @@
     traffic.gets(1, &answer);
     assert!(ends_well(&answer), "{answer}");
     let report = traffic.judge(&[&worker]);
-    assert!(report.rules.told.checked > 0);
-    assert!(report.rules.held(), "{:?}", report.broken);
+    assert!(report.rules.propagated_timeout.checked > 0);
+    assert!(report.rules.passed(), "{:?}", report.broken);
 }
 
 /// A request that waited behind another on its connection has no more time than its client gave it as it sent it.
@@ -77,7 +77,7 @@
     }
     let report = traffic.judge(&[&worker]);
     assert_eq!(worker.attempts("second").len(), 1);
-    assert!(report.rules.held(), "{:?}", report.broken);
+    assert!(report.rules.passed(), "{:?}", report.broken);
 }
 
 // ---- Clients that have gone.
@@ -123,7 +123,7 @@
         }
         let report = traffic.judge_calls([first].into_iter().chain(late).collect());
         assert!(report.rules.gone.checked > 0);
-        assert!(report.rules.gone.held, "resets: {resets}: {:?}", report.broken);
+        assert!(report.rules.gone.passed, "resets: {resets}: {:?}", report.broken);
     }
 }
 
@@ -262,7 +262,7 @@
     }
     writer.join().unwrap().unwrap();
     let report = traffic.judge(&[&worker]);
-    assert!(report.rules.held(), "{:?}", report.broken);
+    assert!(report.rules.passed(), "{:?}", report.broken);
 }
 
 /// Told to end twice, the router answers what is open and what waits behind it, and then ends.
@@ -336,6 +336,6 @@
     }
     let report = traffic.judge(&[&hangs, &noise, &full, &serves]);
     assert_eq!(report.rules.answered.checked, 50);
-    assert!(report.rules.answered.held && report.rules.told.held, "{:?}", report.broken);
+    assert!(report.rules.answered.passed && report.rules.propagated_timeout.passed, "{:?}", report.broken);
     assert!(report.answers.served > 10, "{:?}", report.answers);
 }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -78,8 +78,8 @@
     }
 
     /// Whether the rules and all bounds held.
-    pub fn held(&self) -> bool {
-        self.played.rules.held() && self.past().next().is_none()
+    pub fn passed(&self) -> bool {
+        self.played.rules.passed() && self.past().next().is_none()
     }
 
     /// As one JSON object.
@@ -107,10 +107,10 @@
                 "  baseline: goodput {:.3}, during {:.3}; rules {}",
                 p.sums.goodput,
                 p.sums.goodput_during,
-                if p.rules.held() { "held" } else { "BROKEN" }
+                if p.rules.passed() { "held" } else { "BROKEN" }
             );
         }
-        if !self.played.rules.held() {
+        if !self.played.rules.passed() {
             out.push_str(&self.played.rules.text());
         }
         for line in &self.played.broken {
--- a/crates/fleet/tests/forms.rs
+++ b/crates/fleet/tests/forms.rs
@@ -13,8 +13,8 @@
     std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{}: {e}", file.display()))
 }
 
-const HELD: Rule = Rule { held: true, checked: 3, broken: 0 };
-const BROKEN: Rule = Rule { held: false, checked: 9, broken: 1 };
+const HELD: Rule = Rule { passed: true, checked: 3, broken: 0 };
+const BROKEN: Rule = Rule { passed: false, checked: 9, broken: 1 };
 
 fn played(rules: Rules, goodput: f64, recovery_s: Option<f64>) -> Played {
     Played {
@@ -53,12 +53,19 @@
 
 #[test]
 fn a_report_prints_as_ever() {
-    let sound =
-        Rules { answered: HELD, effect: HELD, drain: HELD, cold: HELD, pinned: HELD, gone: HELD, told: HELD };
+    let sound = Rules {
+        answered: HELD,
+        effect: HELD,
+        drain: HELD,
+        cold: HELD,
+        pinned: HELD,
+        gone: HELD,
+        propagated_timeout: HELD,
+    };
     let broken = Rules { drain: BROKEN, ..sound };
     let held = report(sound, Some(2.5), None);
     let not_held = report(broken, None, Some(played(sound, 0.75, Some(1.0))));
-    assert!(held.held() && !not_held.held());
+    assert!(held.passed() && !not_held.passed());
     assert_eq!(held.past().count(), 0);
     assert_eq!(not_held.past().map(|b| b.name).collect::<Vec<_>>(), ["recovery_s"]);
     assert_eq!(held.text() + &not_held.text(), stored("report.txt"));
--- a/crates/rehearsal/src/audit/mod.rs
+++ b/crates/rehearsal/src/audit/mod.rs
@@ -1,43 +1,47 @@
-//! Judges the five rules from recorded traffic alone: what clients, engines and the register saw.
+//! Judges the rules from recorded traffic alone: what clients, engines and discovery saw.
 
-mod book;
+mod goodput;
 mod rules;
-mod worth;
+mod trace;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hdrhistogram::Histogram;
 
-use self::book::Book;
-pub use self::worth::by_second;
+pub use self::goodput::by_second;
+use self::trace::Trace;
 use crate::record::{parse, Answer, Event, Line};
-use crate::report::{Report, Rule, Times};
+use crate::report::{Answers, Report, Rule, Times};
 
-/// So many broken cases of a rule are told in words.
-const TOLD: u64 = 5;
+/// How many broken cases of a rule are listed.
+const FINDINGS_LISTED: u64 = 5;
+/// Times beyond this are counted as this, µs.
+const LONGEST_TIME: u64 = 600_000_000;
 
 /// Reads a record and judges it. An error names the line.
 pub fn audit(text: &str) -> Result<Report, String> {
     let lines = parse(text)?;
-    check(&lines)?;
+    check_references(&lines)?;
     Ok(judge(&lines))
 }
 
-/// That lines refer to what there is: a record with holes would be judged too well.
-fn check(lines: &[Line]) -> Result<(), String> {
-    let (mut attempts, mut tries, mut engines) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+/// Checks that lines refer to what there is: a record with gaps would be judged too well.
+fn check_references(lines: &[Line]) -> Result<(), String> {
+    let mut attempts = BTreeSet::new();
+    let mut client_attempts = BTreeSet::new();
+    let mut engines = BTreeSet::new();
     for (i, line) in lines.iter().enumerate() {
-        let wrong = |what: String| Err(format!("{}: {what}", i + 1));
+        let error = |what: String| Err(format!("{}: {what}", i + 1));
         match &line.event {
             Event::Engine { engine, .. } => {
                 engines.insert(engine.clone());
             }
             Event::AttemptArrived { attempt, engine, .. } => {
                 if !engines.contains(engine) {
-                    return wrong(format!("unknown engine `{engine}`"));
+                    return error(format!("unknown engine `{engine}`"));
                 }
                 if !attempts.insert(*attempt) {
-                    return wrong(format!("attempt {attempt} arrives twice"));
+                    return error(format!("attempt {attempt} arrives twice"));
                 }
             }
             Event::AttemptRan { attempt }
@@ -45,18 +49,18 @@
             | Event::AttemptWork { attempt, .. }
                 if !attempts.contains(attempt) =>
             {
-                return wrong(format!("unknown attempt {attempt}"));
+                return error(format!("unknown attempt {attempt}"));
             }
-            Event::Request { number, .. } if !tries.insert(*number) => {
-                return wrong(format!("try {number} is asked twice"))
+            Event::Request { number, .. } if !client_attempts.insert(*number) => {
+                return error(format!("try {number} is asked twice"));
             }
             Event::FirstToken { number }
             | Event::Answer { number, .. }
             | Event::ClientLeft { number }
-            | Event::ConnectionLost { number, .. }
-                if !tries.contains(number) =>
+            | Event::ConnectionLost { number }
+                if !client_attempts.contains(number) =>
             {
-                return wrong(format!("unknown try {number}"));
+                return error(format!("unknown try {number}"));
             }
             _ => {}
         }
@@ -64,92 +68,113 @@
     Ok(())
 }
 
+/// The cases of one rule so far.
 #[derive(Default)]
 struct Tally {
     rule: Rule,
-    told: Vec<String>,
+    findings: Vec<String>,
 }
 
 impl Tally {
+    /// Counts a case, with what broke the rule in it.
     fn case(&mut self, broken: Option<String>) {
         self.rule.checked += 1;
-        if let Some(what) = broken {
+        if let Some(finding) = broken {
             self.rule.broken += 1;
-            if self.rule.broken <= TOLD {
-                self.told.push(what);
+            if self.rule.broken <= FINDINGS_LISTED {
+                self.findings.push(finding);
             }
         }
     }
 
-    fn done(&mut self, name: &str, broken: &mut Vec<String>) -> Rule {
-        self.rule.held = self.rule.broken == 0;
-        broken.extend(self.told.drain(..).map(|what| format!("{name}: {what}")));
+    /// The judgement; its findings are added to the report's.
+    fn finish(mut self, name: &str, broken: &mut Vec<String>) -> Rule {
+        self.rule.passed = self.rule.broken == 0;
+        broken.extend(self.findings.into_iter().map(|finding| format!("{name}: {finding}")));
         self.rule
     }
 }
 
 fn times(values: impl Iterator<Item = u64>) -> Times {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) else {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_TIME, 3) else {
         return Times::default();
     };
-    for v in values {
-        histogram.saturating_record(v.max(1));
+    for value in values {
+        histogram.saturating_record(value.max(1));
     }
-    let at = |q: f64| histogram.value_at_quantile(q) as f64 / 1e3;
+    let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
     Times { p50: at(0.5), p90: at(0.9), p99: at(0.99), count: histogram.len() }
 }
 
-/// Judges a record whose first line is the day.
+/// Judges a record whose first line is the scenario.
 pub fn judge(lines: &[Line]) -> Report {
-    let Some((book, name, seed)) = Book::read(lines) else { return Report::default() };
-    let mut tallies: [Tally; 7] = Default::default();
-    let [answered, effect, drain, cold, pinned, gone, told] = &mut tallies;
-    book.answered(answered);
-    book.effect(effect);
-    book.drain(drain);
-    book.cold(cold);
-    book.pinned(pinned);
-    let tries = book.tries_by_identity();
-    book.gone(&tries, gone);
-    book.told(&tries, told);
+    let Some((trace, name, seed)) = Trace::read(lines) else { return Report::default() };
     let mut report =
-        Report { scenario: name.into(), seed, seconds: book.end as f64 / 1e6, ..Report::default() };
+        Report { scenario: name.into(), seed, seconds: trace.end as f64 / 1e6, ..Report::default() };
+    judge_rules(&trace, &mut report);
+    (report.requests, report.goodput) = trace.goodput();
+    report.client_attempts = trace.client_attempts.len() as u64;
+    report.attempts = trace.attempts.len() as u64;
+    report.answers = count_answers(&trace);
+    let attempts = || trace.client_attempts.values();
+    report.ttft_ms = times(attempts().filter_map(|a| a.first.map(|first| first - a.sent)));
+    report.tpot_ms = times(attempts().filter_map(|a| {
+        let complete = a.answers.iter().find(|(_, how, tokens)| *how == Answer::Served && *tokens > 1);
+        let (end, _, tokens) = complete?;
+        Some((end - a.first?) / (tokens - 1))
+    }));
+    report.faults = list_faults(lines);
+    report
+}
+
+fn judge_rules(trace: &Trace<'_>, report: &mut Report) {
+    let by_key = trace.client_attempts_by_key();
     let broken = &mut report.broken;
-    report.rules.answered = answered.done("answered", broken);
-    report.rules.effect = effect.done("effect", broken);
-    report.rules.drain = drain.done("drain", broken);
-    report.rules.cold = cold.done("cold", broken);
-    report.rules.pinned = pinned.done("pinned", broken);
-    report.rules.gone = gone.done("gone", broken);
-    report.rules.told = told.done("told", broken);
-    (report.requests, report.goodput) = book.goodput();
-    report.tries = book.tries.len() as u64;
-    report.attempts = book.attempts.len() as u64;
-    for t in book.tries.values() {
-        let a = &mut report.answers;
-        match t.answers.first().map(|(_, how, _)| *how) {
-            Some(Answer::Served) => a.served += 1,
-            Some(Answer::Rejected) => a.refused += 1,
-            Some(Answer::Failed | Answer::Invalid) => a.failed += 1,
-            Some(Answer::Broken) => a.broken += 1,
-            Some(Answer::Duplicate) => a.duplicate += 1,
-            None if t.lost.is_some() => a.lost += 1,
-            None => a.left += 1,
+    let mut rule = |name: &str, judge: &dyn Fn(&mut Tally)| {
+        let mut tally = Tally::default();
+        judge(&mut tally);
+        tally.finish(name, broken)
+    };
+    let rules = &mut report.rules;
+    rules.answered = rule("answered", &|tally| trace.answered(tally));
+    rules.effect = rule("effect", &|tally| trace.effect(tally));
+    rules.drain = rule("drain", &|tally| trace.drain(tally));
+    rules.cold = rule("cold", &|tally| trace.cold(tally));
+    rules.pinned = rule("pinned", &|tally| trace.pinned(tally));
+    rules.gone = rule("gone", &|tally| trace.gone(&by_key, tally));
+    rules.propagated_timeout = rule("told", &|tally| trace.propagated_timeout(&by_key, tally));
+}
+
+fn count_answers(trace: &Trace<'_>) -> Answers {
+    let mut answers = Answers::default();
+    for attempt in trace.client_attempts.values() {
+        match attempt.answers.first().map(|(_, how, _)| *how) {
+            Some(Answer::Served) => answers.served += 1,
+            Some(Answer::Rejected) => answers.rejected += 1,
+            Some(Answer::Failed | Answer::Invalid) => answers.failed += 1,
+            Some(Answer::Broken) => answers.broken += 1,
+            Some(Answer::Duplicate) => answers.duplicate += 1,
+            None if attempt.lost.is_some() => answers.lost += 1,
+            None => answers.left += 1,
         }
     }
-    report.ttft_ms = times(book.tries.values().filter_map(|t| t.first.map(|f| f - t.asked)));
-    report.tpot_ms = times(book.tries.values().filter_map(|t| {
-        let (end, _, tokens) =
-            t.answers.iter().find(|(_, how, tokens)| *how == Answer::Served && *tokens > 1)?;
-        Some((end - t.first?) / (tokens - 1))
-    }));
+    answers
+}
+
+/// The faults that began, by name, with how often.
+fn list_faults(lines: &[Line]) -> Vec<String> {
     let mut faults: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
         if let Event::Fault { name, begins: true, .. } = &line.event {
             *faults.entry(name).or_default() += 1;
         }
     }
-    report.faults =
-        faults.into_iter().map(|(n, c)| if c > 1 { format!("{n} x{c}") } else { n.to_owned() }).collect();
-    report
+    let text = |(name, count): (&str, u64)| {
+        if count > 1 {
+            format!("{name} x{count}")
+        } else {
+            name.to_owned()
+        }
+    };
+    faults.into_iter().map(text).collect()
 }
--- a/crates/rehearsal/src/audit/rules.rs
+++ b/crates/rehearsal/src/audit/rules.rs
@@ -1,234 +1,313 @@
-//! The five rules and the users' terms, each judged over a whole record.
+//! The rules, each judged over a whole record. Texts of findings are part of the report's form and keep their words.
 
 use std::collections::BTreeMap;
 
-use super::book::{Attempt, Book, Try};
+use super::trace::{Attempt, ClientAttempt, ColdStart, Reservation, Trace};
 use super::Tally;
-use crate::record::{Answer, AttemptEnd, RetrySafety, Stage};
+use crate::record::{Answer, AttemptEnd, Class, RetrySafety, Stage};
 
-/// An attempt that arrives so long after its client has gone is a lost request, µs.
+/// An attempt that arrives this long after its client has gone is a lost request, µs.
 const GONE_SLACK: u64 = 100_000;
-/// The time that an attempt tells its engine may be so much more than what its client has left, µs.
-const TOLD_SLACK: u64 = 150_000;
-/// A lost connection counts as a killed router's for this long after the kill, µs.
+/// The timeout passed to an engine may be this much longer than the time that its client has left, µs.
+const TIMEOUT_SLACK: u64 = 150_000;
+/// A lost connection is excused by a kill of its router up to this long before, µs.
 const KILL_SHADOW: u64 = 1_000_000;
+/// A reservation is excused by a kill of its router up to this long before it, µs.
+const RESERVATION_KILL_SHADOW: u64 = 10_000_000;
+/// A notified start of a process is that of the record if they differ by less, µs.
+const START_TOLERANCE: u64 = 2_000;
+/// Attempts that every cold engine bears in a window beyond its budget.
+const COLD_BUDGET_EXTRA: f64 = 2.0;
 
-/// The client's own part of an identity: routers put the tenant before it.
+/// The client's own part of an idempotency key: routers put the tenant before it.
 fn client_key(identity: &str) -> &str {
     identity.split_once('/').map_or(identity, |(_, key)| key)
 }
 
-pub(super) type TriesByIdentity<'b> = BTreeMap<(&'b str, &'b str), Vec<&'b Try<'b>>>;
+/// Clients' attempts by idempotency key and router.
+pub(super) type ClientAttemptsByKey<'b> = BTreeMap<(&'b str, &'b str), Vec<&'b ClientAttempt<'b>>>;
 
-/// The tries that an attempt may have been made for: those of its identity at its router that had been asked by then.
-fn asked_for<'b>(tries: &'b TriesByIdentity<'b>, attempt: &Attempt<'b>) -> &'b [&'b Try<'b>] {
-    let of_one = tries.get(&(client_key(attempt.identity), attempt.router)).map_or(&[][..], Vec::as_slice);
-    let asked = of_one.partition_point(|t| t.asked <= attempt.arrived);
-    of_one.get(..asked).unwrap_or_default()
+/// The clients' attempts that an attempt may have been made for: those of its key at its router sent by then.
+fn sent_before<'b>(
+    by_key: &'b ClientAttemptsByKey<'b>,
+    attempt: &Attempt<'b>,
+) -> &'b [&'b ClientAttempt<'b>] {
+    let key = (client_key(attempt.identity), attempt.router);
+    let of_key = by_key.get(&key).map_or(&[][..], Vec::as_slice);
+    let sent = of_key.partition_point(|t| t.sent <= attempt.arrived);
+    of_key.get(..sent).unwrap_or_default()
 }
 
-impl<'a> Book<'a> {
-    /// Rule 1.
+/// Whether an attempt's end proves that it was not executed.
+fn was_rejected(attempt: &Attempt<'_>) -> bool {
+    matches!(attempt.ended, Some((_, AttemptEnd::Rejected | AttemptEnd::NoState)))
+}
+
+/// Whether two thirds or more of some arrivals come from routers that knew of the cold start.
+fn most_knew(arrivals: &[ColdArrival]) -> bool {
+    arrivals.iter().filter(|arrival| arrival.knew).count() * 3 >= arrivals.len() * 2
+}
+
+/// An attempt that arrived at a cold engine.
+#[derive(Debug, Clone, Copy)]
+struct ColdArrival {
+    at: u64,
+    /// Its router had been notified of this start.
+    knew: bool,
+}
+
+impl Trace<'_> {
+    /// Rule 1: each attempt of a client has exactly one final answer in time.
     pub(super) fn answered(&self, tally: &mut Tally) {
-        for (number, t) in &self.tries {
-            let late = t.deadline + self.limits.slack_us + self.limits.noise_us;
-            let begun = t.first.is_some_and(|f| f <= late);
-            let broken = match (t.answers.as_slice(), t.lost, t.left) {
-                ([_, _, ..], ..) => Some("two final answers".to_owned()),
-                ([(at, ..)], ..) if *at > late && !begun => {
-                    Some(format!("answered {} µs late", at - t.deadline))
-                }
-                ([_], ..) => None,
-                ([], Some(at), _) if self.broke(at) => None,
-                ([], Some(at), _)
-                    if self.killed(t.router, t.asked, at)
-                        || self.killed(t.router, at.saturating_sub(KILL_SHADOW), at) =>
-                {
-                    None
-                }
-                ([], Some(_), _) => Some("the connection ended without a final answer".to_owned()),
-                ([], None, Some(at)) if at <= late => None,
-                ([], None, Some(_)) if begun => Some("a begun stream fell silent".to_owned()),
-                ([], None, Some(_)) => Some("no final answer in time".to_owned()),
-                ([], None, None) => Some("no final answer by the end of the record".to_owned()),
-            };
-            tally.case(broken.map(|what| format!("try {number} at {}: {what}", t.router)));
+        for (number, attempt) in &self.client_attempts {
+            let broken = self.answer_fault(attempt);
+            tally.case(broken.map(|what| format!("try {number} at {}: {what}", attempt.router)));
         }
     }
 
-    /// Rule 2, over all attempts under one identity; reading is no effect.
+    fn answer_fault(&self, attempt: &ClientAttempt<'_>) -> Option<String> {
+        let late = attempt.deadline + self.limits.slack_us + self.limits.noise_us;
+        let begun = attempt.first.is_some_and(|first| first <= late);
+        let what = match (attempt.answers.as_slice(), attempt.lost, attempt.left) {
+            ([_, _, ..], ..) => "two final answers",
+            ([(at, ..)], ..) if *at > late && !begun => {
+                return Some(format!("answered {} µs late", at - attempt.deadline));
+            }
+            ([_], ..) => return None,
+            ([], Some(at), _) if self.clients_disconnected(at) => return None,
+            ([], Some(at), _) if self.killed_around(attempt, at) => return None,
+            ([], Some(_), _) => "the connection ended without a final answer",
+            ([], None, Some(at)) if at <= late => return None,
+            ([], None, Some(_)) if begun => "a begun stream fell silent",
+            ([], None, Some(_)) => "no final answer in time",
+            ([], None, None) => "no final answer by the end of the record",
+        };
+        Some(what.to_owned())
+    }
+
+    /// Whether a kill of its router excuses that an attempt's connection was lost.
+    fn killed_around(&self, attempt: &ClientAttempt<'_>, lost: u64) -> bool {
+        self.killed(attempt.router, attempt.sent, lost)
+            || self.killed(attempt.router, lost.saturating_sub(KILL_SHADOW), lost)
+    }
+
+    /// Rule 2, over all attempts with one idempotency key; a prefill has no effect.
     pub(super) fn effect(&self, tally: &mut Tally) {
-        let mut by_identity: BTreeMap<&str, Vec<(&u64, &Attempt<'_>)>> = BTreeMap::new();
-        for (number, a) in self.attempts.iter().filter(|(_, a)| a.stage != Stage::Prefill) {
-            let effect = self.class(a.class).map_or(RetrySafety::NonIdempotent, |c| c.retry_safety);
-            if effect != RetrySafety::Idempotent {
-                by_identity.entry(client_key(a.identity)).or_default().push((number, a));
+        let mut by_key: BTreeMap<&str, Vec<(u64, &Attempt<'_>)>> = BTreeMap::new();
+        for (number, attempt) in self.attempts.iter().filter(|(_, a)| a.stage != Stage::Prefill) {
+            let safety = self.class(attempt.class).map_or(RetrySafety::NonIdempotent, |c| c.retry_safety);
+            if safety != RetrySafety::Idempotent {
+                by_key.entry(client_key(attempt.identity)).or_default().push((*number, attempt));
             }
         }
-        let not_run =
-            |a: &Attempt<'_>| matches!(a.ended, Some((_, AttemptEnd::Rejected | AttemptEnd::NoState)));
-        for (identity, attempts) in &by_identity {
-            let class = attempts.first().and_then(|(_, a)| self.class(a.class));
-            let single = class.is_none_or(|c| c.retry_safety == RetrySafety::NonIdempotent);
-            let runs = attempts.iter().filter(|(_, a)| a.ran.is_some()).count();
-            let mut broken = (single && runs > 1).then(|| format!("ran {runs} times"));
-            for (n, (number, a)) in attempts.iter().enumerate() {
-                for (_, before) in attempts.iter().take(n) {
-                    // What was turned away by then proves that it never ran.
-                    if not_run(before) && before.ended.is_some_and(|(t, _)| t <= a.arrived) {
-                        continue;
-                    }
-                    if before.router != a.router && !single {
-                        // Another router can't know; its engine's group discards the repeat.
-                        continue;
-                    }
-                    let window = class.map_or(0, |c| c.deduplication_window_us) + self.limits.noise_us;
-                    let cell = |e: &str| self.engines.get(e).map(|(cell, _)| *cell);
-                    let within =
-                        a.arrived <= before.arrived + window && cell(a.engine) == cell(before.engine);
-                    if single || !within {
-                        broken.get_or_insert(format!("attempt {number} after one that may have run"));
-                    }
-                }
-            }
-            let refused = self.tries.values().filter(|t| t.identity == *identity).flat_map(|t| {
-                t.answers
-                    .iter()
-                    .filter(|(_, how, _)| *how == Answer::Rejected)
-                    .map(move |(at, ..)| (t.asked, *at))
+        for (key, attempts) in &by_key {
+            let broken = self.repeated(attempts).or_else(|| {
+                let rejected = self.rejected_after_run(key, attempts);
+                rejected.then(|| "refused although it may have run".to_owned())
             });
-            for (asked, at) in refused {
-                // Nothing of this try may have been under way when its refusal came.
-                let ran = attempts.iter().any(|(_, a)| (asked..=at).contains(&a.arrived) && !not_run(a));
-                if ran {
-                    broken.get_or_insert("refused although it may have run".to_owned());
-                }
+            tally.case(broken.map(|what| format!("identity {key}: {what}")));
+        }
+    }
+
+    /// Whether attempts with one key were executed, or may have been, more often than their class allows.
+    fn repeated(&self, attempts: &[(u64, &Attempt<'_>)]) -> Option<String> {
+        let class = attempts.first().and_then(|(_, a)| self.class(a.class));
+        let once = class.is_none_or(|c| c.retry_safety == RetrySafety::NonIdempotent);
+        let runs = attempts.iter().filter(|(_, a)| a.ran.is_some()).count();
+        if once && runs > 1 {
+            return Some(format!("ran {runs} times"));
+        }
+        for (n, (number, attempt)) in attempts.iter().enumerate() {
+            let mut earlier = attempts.iter().take(n).map(|(_, before)| *before);
+            if earlier.any(|before| self.is_unsafe_repeat(before, attempt, class, once)) {
+                return Some(format!("attempt {number} after one that may have run"));
             }
-            tally.case(broken.map(|what| format!("identity {identity}: {what}")));
         }
+        None
+    }
+
+    /// Whether an attempt may have been executed a second time, after an earlier one.
+    fn is_unsafe_repeat(
+        &self,
+        before: &Attempt<'_>,
+        attempt: &Attempt<'_>,
+        class: Option<&Class>,
+        once: bool,
+    ) -> bool {
+        // A rejection that came by then proves that the earlier one was not executed.
+        if was_rejected(before) && before.ended.is_some_and(|(t, _)| t <= attempt.arrived) {
+            return false;
+        }
+        // Another router cannot know of the earlier one; its engine's group discards the repeat.
+        if before.router != attempt.router && !once {
+            return false;
+        }
+        let window = class.map_or(0, |c| c.deduplication_window_us) + self.limits.noise_us;
+        let cell = |engine: &str| self.engines.get(engine).map(|(cell, _)| *cell);
+        let in_window = attempt.arrived <= before.arrived + window;
+        let discarded = in_window && cell(attempt.engine) == cell(before.engine);
+        once || !discarded
+    }
+
+    /// Whether a client's attempt was rejected although one of these attempts for it may have been executed.
+    fn rejected_after_run(&self, key: &str, attempts: &[(u64, &Attempt<'_>)]) -> bool {
+        let mut client_attempts = self.client_attempts.values().filter(|c| c.identity == key);
+        client_attempts.any(|client| {
+            let mut rejections = client.answers.iter().filter(|(_, how, _)| *how == Answer::Rejected);
+            rejections.any(|(at, ..)| {
+                let in_span = |a: &Attempt<'_>| (client.sent..=*at).contains(&a.arrived);
+                attempts.iter().any(|(_, a)| in_span(a) && !was_rejected(a))
+            })
+        })
     }
 
-    /// Rule 3.
+    /// Rule 3: nothing new reaches an engine that drains or is removed, once the grace is over.
     pub(super) fn drain(&self, tally: &mut Tally) {
-        for (number, a) in &self.attempts {
-            let told = self.told.get(&(a.router, a.engine));
-            let last = told.and_then(|told| told.iter().rfind(|(t, ..)| *t <= a.arrived));
-            let Some((_, state, _)) = last else {
-                tally.case(Some(format!("attempt {number}: {} was never told of {}", a.router, a.engine)));
-                continue;
-            };
-            // Since when it has been told so without a break.
-            let since = told.and_then(|told| {
-                let before: Vec<_> = told.iter().filter(|(t, ..)| *t <= a.arrived).collect();
-                before.iter().rev().take_while(|(_, s, _)| *s != "in").last().map(|(t, ..)| *t)
-            });
-            let late = since.is_some_and(|t| a.arrived > t + self.limits.grace_us + self.limits.noise_us);
-            let broken =
-                (*state != "in" && late).then(|| format!("attempt {number} at {}, told {state}", a.engine));
-            tally.case(broken);
+        for (number, attempt) in &self.attempts {
+            tally.case(self.drain_fault(*number, attempt));
         }
     }
 
+    fn drain_fault(&self, number: u64, attempt: &Attempt<'_>) -> Option<String> {
+        let all = self.notifications.get(&(attempt.router, attempt.engine));
+        let before: Vec<_> = all.into_iter().flatten().filter(|n| n.at <= attempt.arrived).collect();
+        let Some(last) = before.last() else {
+            return Some(format!(
+                "attempt {number}: {} was never told of {}",
+                attempt.router, attempt.engine
+            ));
+        };
+        // Since when the router has been notified, without a break, that the engine takes nothing new.
+        let inactive = before.iter().rev().take_while(|n| !n.is_active()).last()?;
+        let late = attempt.arrived > inactive.at + self.limits.grace_us + self.limits.noise_us;
+        late.then(|| format!("attempt {number} at {}, told {}", attempt.engine, last.state))
+    }
+
     /// Rule 4: a budget for every window after a cold start.
     pub(super) fn cold(&self, tally: &mut Tally) {
-        let f = self.limits;
-        for (engine, start, down, overloaded) in &self.starts {
-            let warm = (start + f.cold_us).min(*down);
-            let capacity = self.engines.get(engine).map_or(0.0, |(_, c)| *c);
-            let arrivals: Vec<(u64, bool)> = self
-                .attempts
-                .values()
-                .filter(|a| a.engine == *engine && (*start..=warm).contains(&a.arrived))
-                .map(|a| {
-                    let told = self.told.get(&(a.router, a.engine));
-                    let knew = told.is_some_and(|told| {
-                        told.iter().any(|(t, state, started)| {
-                            *t <= a.arrived && *state == "in" && started.abs_diff(*start) < 2_000
-                        })
-                    });
-                    (a.arrived, knew)
-                })
-                .collect();
-            let mut broken = None;
-            for (i, (end, _)) in arrivals.iter().enumerate() {
-                let window: Vec<&(u64, bool)> =
-                    arrivals.iter().take(i + 1).filter(|(t, _)| t + f.fall_us > *end).collect();
-                let age = (end - start) as f64 / f.cold_us.max(1) as f64;
-                let present = (f.cold_from + (1.0 - f.cold_from) * age).min(1.0);
-                let budget = f.fall_multiple * capacity * present * f.fall_us as f64 / 1e6 + 2.0;
-                let knew = window.iter().filter(|(_, knew)| *knew).count();
-                if window.len() as f64 > budget && knew * 3 >= window.len() * 2 {
-                    broken = Some(format!(
-                        "{engine}: {} within {} µs, budget {budget:.1}",
-                        window.len(),
-                        f.fall_us
-                    ));
-                    break;
-                }
-            }
-            if *overloaded && broken.is_none() {
-                let knew = arrivals.iter().filter(|(_, knew)| *knew).count();
-                broken = (knew * 3 >= arrivals.len() * 2).then(|| format!("{engine} was pushed over"));
-            }
+        for start in &self.cold_starts {
+            let arrivals = self.cold_arrivals(start);
+            let broken = self.exceeded_cold_budget(start, &arrivals);
+            let pushed_over = start.overloaded && most_knew(&arrivals);
+            let broken = broken.or_else(|| pushed_over.then(|| format!("{} was pushed over", start.engine)));
             tally.case(broken);
         }
     }
 
-    /// Rule 5: while no attempt is out, held state is taken or let go in time.
-    pub(super) fn pinned(&self, tally: &mut Tally) {
-        let most = self.limits.release_us + self.limits.noise_us;
-        for h in &self.holds {
-            let until = h.freed.map_or(self.end, |(t, _)| t);
-            let router = self.attempts.values().find(|a| a.request == h.request).map(|a| a.router);
-            if router.is_some_and(|r| {
-                self.killed(r, 0, until) && self.killed(r, h.from.saturating_sub(10_000_000), until)
-            }) {
-                // What a killed router left is the engine's to drop.
-                tally.case(None);
-                continue;
+    fn cold_arrivals(&self, start: &ColdStart<'_>) -> Vec<ColdArrival> {
+        let warm = (start.at + self.limits.cold_us).min(start.ended);
+        let here = self.attempts.values().filter(|a| a.engine == start.engine);
+        let while_cold = here.filter(|a| (start.at..=warm).contains(&a.arrived));
+        while_cold.map(|a| ColdArrival { at: a.arrived, knew: self.knew_of_start(a, start) }).collect()
+    }
+
+    /// Whether the attempt's router had been notified of this start of the engine.
+    fn knew_of_start(&self, attempt: &Attempt<'_>, start: &ColdStart<'_>) -> bool {
+        let notifications = self.notifications.get(&(attempt.router, attempt.engine));
+        let mut notifications = notifications.into_iter().flatten();
+        notifications.any(|n| {
+            n.at <= attempt.arrived && n.is_active() && n.started.abs_diff(start.at) < START_TOLERANCE
+        })
+    }
+
+    fn exceeded_cold_budget(&self, start: &ColdStart<'_>, arrivals: &[ColdArrival]) -> Option<String> {
+        let limits = self.limits;
+        let capacity = self.engines.get(start.engine).map_or(0.0, |(_, capacity)| *capacity);
+        for (i, ColdArrival { at: end, .. }) in arrivals.iter().enumerate() {
+            let until_now = arrivals.iter().take(i + 1);
+            let window: Vec<ColdArrival> =
+                until_now.filter(|arrival| arrival.at + limits.fall_us > *end).copied().collect();
+            let age = (end - start.at) as f64 / limits.cold_us.max(1) as f64;
+            let present = (limits.cold_from + (1.0 - limits.cold_from) * age).min(1.0);
+            let budget =
+                limits.fall_multiple * capacity * present * limits.fall_us as f64 / 1e6 + COLD_BUDGET_EXTRA;
+            if window.len() as f64 > budget && most_knew(&window) {
+                return Some(format!(
+                    "{}: {} within {} µs, budget {budget:.1}",
+                    start.engine,
+                    window.len(),
+                    limits.fall_us
+                ));
             }
-            let mut spans: Vec<(u64, u64)> = self
-                .attempts
-                .values()
-                .filter(|a| a.request == h.request)
-                .map(|a| {
-                    let ended = a.ended.map_or(self.end, |(t, _)| t);
-                    (a.arrived, self.unheard(a.engine, ended).unwrap_or(ended))
-                })
-                .collect();
-            spans.sort_unstable();
-            let (mut at, mut longest) = (h.from, 0);
-            spans.push((until, until));
-            for (from, to) in spans {
-                if from > at && from <= until {
-                    let unseen = self.last_unseen(router.unwrap_or(""), at, from);
-                    longest = longest.max(from - unseen.unwrap_or(at));
-                }
-                at = at.max(to.min(until));
+        }
+        None
+    }
+
+    /// Rule 5: while no attempt is in flight, a reservation is used or released in time.
+    pub(super) fn pinned(&self, tally: &mut Tally) {
+        let limit = self.limits.release_us + self.limits.noise_us;
+        for reservation in &self.reservations {
+            let longest = self.longest_idle(reservation);
+            let broken = longest.filter(|longest| *longest > limit);
+            let text = |longest| format!("{} at {}: {longest} µs", reservation.request, reservation.engine);
+            tally.case(broken.map(text));
+        }
+    }
+
+    /// The longest span of a reservation without an attempt in flight, µs; none if its router was killed, since what it
+    /// left behind is the engine's to drop.
+    fn longest_idle(&self, reservation: &Reservation<'_>) -> Option<u64> {
+        let until = reservation.released.map_or(self.end, |(t, _)| t);
+        let attempts = || self.attempts.values().filter(|a| a.request == reservation.request);
+        let router = attempts().next().map(|a| a.router);
+        let since = reservation.from.saturating_sub(RESERVATION_KILL_SHADOW);
+        if router.is_some_and(|r| self.killed(r, 0, until) && self.killed(r, since, until)) {
+            return None;
+        }
+        let mut in_flight: Vec<(u64, u64)> =
+            attempts().map(|a| (a.arrived, self.in_flight_until(a))).collect();
+        in_flight.sort_unstable();
+        in_flight.push((until, until));
+        let mut idle_since = reservation.from;
+        let mut longest = 0;
+        for (from, to) in in_flight {
+            if from > idle_since && from <= until {
+                let unseen = self.last_unseen(router.unwrap_or(""), idle_since, from);
+                longest = longest.max(from - unseen.unwrap_or(idle_since));
             }
-            let broken = (longest > most).then(|| format!("{} at {}: {longest} µs", h.request, h.engine));
-            tally.case(broken);
+            idle_since = idle_since.max(to.min(until));
         }
+        Some(longest)
+    }
+
+    /// When its router learned that an attempt had ended.
+    fn in_flight_until(&self, attempt: &Attempt<'_>) -> u64 {
+        let ended = attempt.ended.map_or(self.end, |(t, _)| t);
+        self.unreachable_until(attempt.engine, ended).unwrap_or(ended)
+    }
+
+    /// The last moment of a span at which a router can have attempted an engine whose process was gone: nobody sees
+    /// such an attempt, and its outcome starts the release time again. Only while the router was not notified.
+    fn last_unseen(&self, router: &str, from: u64, to: u64) -> Option<u64> {
+        let moments = self.downtimes.iter().filter_map(|downtime| {
+            let notifications = self.notifications.get(&(router, downtime.engine))?;
+            let removed = notifications.iter().find(|n| n.at >= downtime.from && !n.is_active());
+            let before = notifications.iter().rfind(|n| n.at < downtime.from);
+            let first = from.max(downtime.from);
+            let last = to.min(downtime.until).min(removed.map_or(u64::MAX, |n| n.at));
+            (before.is_some_and(|n| n.is_active()) && first < last).then_some(last)
+        });
+        moments.max()
     }
 
-    /// Tries by identity and router, in the order in which they were asked.
-    pub(super) fn tries_by_identity(&self) -> TriesByIdentity<'_> {
-        let mut tries: TriesByIdentity<'_> = BTreeMap::new();
-        for t in self.tries.values() {
-            tries.entry((t.identity, t.router)).or_default().push(t);
+    /// Clients' attempts by key and router, in the order in which they were sent.
+    pub(super) fn client_attempts_by_key(&self) -> ClientAttemptsByKey<'_> {
+        let mut by_key: ClientAttemptsByKey<'_> = BTreeMap::new();
+        for attempt in self.client_attempts.values() {
+            by_key.entry((attempt.identity, attempt.router)).or_default().push(attempt);
         }
-        for of_one in tries.values_mut() {
-            of_one.sort_by_key(|t| t.asked);
+        for of_key in by_key.values_mut() {
+            of_key.sort_by_key(|attempt| attempt.sent);
         }
-        tries
+        by_key
     }
 
-    /// No attempt, first or further, read or write, begins once its client has gone or has its final answer. No noise is
-    /// allowed for.
-    pub(super) fn gone(&self, tries: &TriesByIdentity<'_>, tally: &mut Tally) {
+    /// No attempt, prefill or decode, begins once its client has gone or has its final answer. No noise is allowed for.
+    pub(super) fn gone(&self, by_key: &ClientAttemptsByKey<'_>, tally: &mut Tally) {
         for (number, attempt) in &self.attempts {
-            let over = |t: &&Try<'_>| t.left.or(t.answers.first().map(|(at, ..)| *at)).unwrap_or(u64::MAX);
-            let Some(over) = asked_for(tries, attempt).iter().map(over).max() else { continue };
+            let answered = |c: &ClientAttempt<'_>| c.answers.first().map(|(at, ..)| *at);
+            let over = |c: &&ClientAttempt<'_>| c.left.or(answered(c)).unwrap_or(u64::MAX);
+            let Some(over) = sent_before(by_key, attempt).iter().map(over).max() else { continue };
             let late = attempt.arrived.saturating_sub(over);
             let broken =
                 (late > GONE_SLACK).then(|| format!("attempt {number}: {late} µs after its client's end"));
@@ -236,30 +315,15 @@
         }
     }
 
-    /// No attempt tells its engine more time than its client has left.
-    pub(super) fn told(&self, tries: &TriesByIdentity<'_>, tally: &mut Tally) {
+    /// No attempt passes on a longer timeout than its client has left.
+    pub(super) fn propagated_timeout(&self, by_key: &ClientAttemptsByKey<'_>, tally: &mut Tally) {
         for (number, attempt) in &self.attempts {
-            let Some(told) = attempt.told else { continue };
-            let left =
-                asked_for(tries, attempt).iter().map(|t| t.deadline.saturating_sub(attempt.arrived)).max();
-            let Some(left) = left else { continue };
-            let broken =
-                (told > left + TOLD_SLACK).then(|| format!("attempt {number}: told {told} µs, left {left}"));
+            let Some(timeout) = attempt.timeout else { continue };
+            let left = |c: &&ClientAttempt<'_>| c.deadline.saturating_sub(attempt.arrived);
+            let Some(left) = sent_before(by_key, attempt).iter().map(left).max() else { continue };
+            let broken = (timeout > left + TIMEOUT_SLACK)
+                .then(|| format!("attempt {number}: told {timeout} µs, left {left}"));
             tally.case(broken);
         }
     }
-
-    /// The last moment of a span at which a router can have tried an engine whose process was gone: nobody sees
-    /// such an attempt, and its outcome starts the time for letting go again. Only while it was not told.
-    fn last_unseen(&self, router: &str, from: u64, to: u64) -> Option<u64> {
-        let moments = self.downs.iter().filter_map(|(engine, gone, back)| {
-            let told = self.told.get(&(router, *engine))?;
-            let out =
-                told.iter().find(|(t, state, _)| t >= gone && *state != "in").map_or(u64::MAX, |(t, ..)| *t);
-            let known = told.iter().rfind(|(t, ..)| t < gone).is_some_and(|(_, state, _)| *state == "in");
-            let (first, last) = (from.max(*gone), to.min(*back).min(out));
-            (known && first < last).then_some(last)
-        });
-        moments.max()
-    }
 }
--- a/crates/rehearsal/src/budgets.rs
+++ b/crates/rehearsal/src/budgets.rs
@@ -96,8 +96,8 @@
 
 impl BudgetReport {
     /// Whether all that must hold did.
-    pub fn held(&self) -> bool {
-        self.rules.held()
+    pub fn passed(&self) -> bool {
+        self.rules.passed()
             && self.overrun_tokens <= self.bound_tokens
             && self.utilisation >= UTILISATION
             && self.bill_difference_tokens == 0
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,47 +1,49 @@
-//! What a rehearsal or an audit says.
+//! The report of a rehearsal or an audit.
 
 use serde::Serialize;
 
 /// One rule's judgement.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Rule {
-    /// It held.
-    pub held: bool,
+    /// Nothing broke it.
+    #[serde(rename = "held")]
+    pub passed: bool,
     /// How many cases were checked.
     pub checked: u64,
     /// How many broke it.
     pub broken: u64,
 }
 
-/// The five rules, and what the users' terms add to the first.
+/// The five rules, and two that refine the first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Rules {
-    /// Each request taken gets exactly one final answer in time.
+    /// Each accepted request has exactly one final answer in time.
     pub answered: Rule,
-    /// No effect twice, no false promise that nothing ran.
+    /// Nothing is executed twice, and no rejection says falsely that nothing was executed.
     pub effect: Rule,
-    /// Nothing new to a draining or gone worker past the grace.
+    /// Nothing new reaches a draining or removed worker past the grace period.
     pub drain: Rule,
-    /// No cold worker pushed over.
+    /// No worker is overloaded while it warms up.
     pub cold: Rule,
-    /// Nothing left pinned.
+    /// No reservation is left behind.
     pub pinned: Rule,
     /// Of the first: no attempt begins for a client that has gone.
     pub gone: Rule,
-    /// Of the first: no engine is told of more time than its client has left.
-    pub told: Rule,
+    /// Of the first: no worker is given a longer timeout than its client has left.
+    #[serde(rename = "told")]
+    pub propagated_timeout: Rule,
 }
 
 impl Rules {
-    /// Whether all held.
-    pub fn held(&self) -> bool {
-        self.named().iter().all(|(_, r)| r.held)
+    /// Whether all passed.
+    pub fn passed(&self) -> bool {
+        self.named().iter().all(|(_, r)| r.passed)
     }
 
     /// For a person, a line each.
     pub fn text(&self) -> String {
         let line = |(name, r): &(&str, Rule)| {
-            let word = if r.held { "held" } else { "BROKEN" };
+            let word = if r.passed { "held" } else { "BROKEN" };
             format!("  rule {name:<9} {word:<7} {} checked, {} broken\n", r.checked, r.broken)
         };
         self.named().iter().map(line).collect()
@@ -55,7 +57,7 @@
             ("cold", self.cold),
             ("pinned", self.pinned),
             ("gone", self.gone),
-            ("told", self.told),
+            ("told", self.propagated_timeout),
         ]
     }
 }
@@ -73,18 +75,19 @@
     pub count: u64,
 }
 
-/// How tries ended.
+/// How clients' attempts ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Answers {
-    /// Answered whole.
+    /// Complete.
     pub served: u64,
-    /// Refused.
-    pub refused: u64,
+    /// Rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// Broke off midway.
     pub broken: u64,
-    /// Told of another request under their identity.
+    /// Another request with their idempotency key was in flight or answered.
     pub duplicate: u64,
     /// The client left.
     pub left: u64,
@@ -92,10 +95,10 @@
     pub lost: u64,
 }
 
-/// A day's report, from the recorded traffic alone.
+/// The report of a scenario, from the recorded traffic alone.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// The day's name.
+    /// The scenario's name.
     #[serde(rename = "day")]
     pub scenario: String,
     /// Its seed.
@@ -104,15 +107,16 @@
     pub seconds: f64,
     /// The rules.
     pub rules: Rules,
-    /// Requests, each with all its tries.
+    /// Requests, each with all its attempts.
     pub requests: u64,
-    /// Tries.
-    pub tries: u64,
-    /// How tries ended.
+    /// Clients' attempts.
+    #[serde(rename = "tries")]
+    pub client_attempts: u64,
+    /// How clients' attempts ended.
     pub answers: Answers,
-    /// Worth answered in time over worth asked.
+    /// Priority weight answered in time over all that was requested.
     pub goodput: f64,
-    /// From the try's sending to its first token.
+    /// From an attempt's sending to its first token.
     pub ttft_ms: Times,
     /// Between tokens, a mean for each answer.
     pub tpot_ms: Times,
@@ -137,11 +141,11 @@
         let a = self.answers;
         out.push_str(&format!(
             "  requests {} in {} tries, {} attempts at engines\n",
-            self.requests, self.tries, self.attempts
+            self.requests, self.client_attempts, self.attempts
         ));
         out.push_str(&format!(
             "  tries: served {}, refused {}, failed {}, broken off {}, duplicate {}, left {}, lost with a router {}\n",
-            a.served, a.refused, a.failed, a.broken, a.duplicate, a.left, a.lost
+            a.served, a.rejected, a.failed, a.broken, a.duplicate, a.left, a.lost
         ));
         out.push_str(&format!("  goodput {:.3}\n", self.goodput));
         for (name, t) in [("TTFT", self.ttft_ms), ("TPOT", self.tpot_ms)] {
--- a/crates/rehearsal/src/reports_test.rs
+++ b/crates/rehearsal/src/reports_test.rs
@@ -6,13 +6,13 @@
 use crate::restart_scenario::{RestartReport, RestartRun};
 
 const RULES: Rules = Rules {
-    answered: Rule { held: true, checked: 10, broken: 0 },
-    effect: Rule { held: true, checked: 4, broken: 0 },
-    drain: Rule { held: false, checked: 30, broken: 2 },
-    cold: Rule { held: true, checked: 1, broken: 0 },
-    pinned: Rule { held: true, checked: 5, broken: 0 },
-    gone: Rule { held: true, checked: 6, broken: 0 },
-    told: Rule { held: true, checked: 7, broken: 0 },
+    answered: Rule { passed: true, checked: 10, broken: 0 },
+    effect: Rule { passed: true, checked: 4, broken: 0 },
+    drain: Rule { passed: false, checked: 30, broken: 2 },
+    cold: Rule { passed: true, checked: 1, broken: 0 },
+    pinned: Rule { passed: true, checked: 5, broken: 0 },
+    gone: Rule { passed: true, checked: 6, broken: 0 },
+    propagated_timeout: Rule { passed: true, checked: 7, broken: 0 },
 };
 
 fn run(restarts: u64, goodput: f64, rules: Rules) -> RestartRun {
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_report_of_the_restart_afternoon_prints_as_ever() {
-    let all_held = Rules { drain: Rule { held: true, ..RULES.drain }, ..RULES };
+    let all_held = Rules { drain: Rule { passed: true, ..RULES.drain }, ..RULES };
     let mut report = RestartReport {
         scenario: "restart-afternoon".into(),
         seed: 3,
@@ -34,11 +34,11 @@
     };
     assert_eq!(report.text(), include_str!("../tests/data/restart_afternoon.txt"));
     assert_eq!(report.json() + "\n", include_str!("../tests/data/restart_afternoon.json"));
-    assert!(!report.held());
+    assert!(!report.passed());
     report.hand_overs.rules = all_held;
-    assert!(report.held());
+    assert!(report.passed());
     report.hand_overs.unreached = 1;
-    assert!(!report.held());
+    assert!(!report.passed());
 }
 
 fn played(overrun: u64, utilisation: f64) -> Played {
@@ -88,13 +88,13 @@
     };
     assert_eq!(report.text(), include_str!("../tests/data/budgets.txt"));
     assert_eq!(report.json() + "\n", include_str!("../tests/data/budgets.json"));
-    assert!(!report.held());
-    report.rules.drain.held = true;
-    assert!(report.held());
+    assert!(!report.passed());
+    report.rules.drain.passed = true;
+    assert!(report.passed());
     report.utilisation = 0.89;
-    assert!(!report.held());
+    assert!(!report.passed());
     (report.utilisation, report.overrun_tokens) = (0.9, 41);
-    assert!(!report.held());
+    assert!(!report.passed());
     (report.overrun_tokens, report.bill_difference_tokens) = (40, 1);
-    assert!(!report.held());
+    assert!(!report.passed());
 }
--- a/crates/rehearsal/src/restart_scenario.rs
+++ b/crates/rehearsal/src/restart_scenario.rs
@@ -48,9 +48,9 @@
 
 impl RestartReport {
     /// Whether all rules held in all three runs, and no hand-over cost a connection.
-    pub fn held(&self) -> bool {
+    pub fn passed(&self) -> bool {
         let scenarios = [&self.without, &self.hand_overs, &self.kills];
-        scenarios.iter().all(|d| d.rules.held()) && self.hand_overs.unreached == 0
+        scenarios.iter().all(|d| d.rules.passed()) && self.hand_overs.unreached == 0
     }
 
     /// As one JSON object.
--- a/crates/rehearsal/tests/doctored.rs
+++ b/crates/rehearsal/tests/doctored.rs
@@ -26,9 +26,9 @@
         ("cold", rules.cold),
         ("pinned", rules.pinned),
         ("gone", rules.gone),
-        ("told", rules.told),
+        ("told", rules.propagated_timeout),
     ];
-    all.iter().filter(|(_, r)| !r.held).map(|(name, _)| *name).collect()
+    all.iter().filter(|(_, r)| !r.passed).map(|(name, _)| *name).collect()
 }
 
 /// The record without lines that hold a text (none if empty) and with others put in, in order of time.
@@ -54,10 +54,10 @@
     let report = judged(SOUND);
     assert_eq!(report.broken, Vec::<String>::new());
     let r = report.rules;
-    assert!(r.held());
+    assert!(r.passed());
     assert_eq!([r.answered, r.effect, r.drain, r.cold, r.pinned].map(|r| r.checked), [4, 2, 8, 1, 1]);
     let a = report.answers;
-    assert_eq!((report.requests, a.served, a.refused, a.left), (4, 2, 1, 1));
+    assert_eq!((report.requests, a.served, a.rejected, a.left), (4, 2, 1, 1));
     assert!((report.goodput - 3.0 / 6.0).abs() < 1e-9);
 }
 
