--- a/crates/rehearsal/src/topology.rs
+++ b/crates/rehearsal/src/topology.rs
@@ -119,7 +119,7 @@
                     self.fleet.bytes(conn, &bytes, &mut self.net, &mut self.recorder)
                 }
                 NetworkEvent::Closed(conn) => {
-                    self.clients.gone(conn, &mut self.recorder);
+                    self.clients.closed(conn, &mut self.recorder);
                     self.fleet.gone(conn, &mut self.recorder);
                 }
             }
