--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -88,7 +88,7 @@
                 Format::Text => print!("{}", report.text()),
                 Format::Json => println!("{}", report.json()),
             }
-            all_held &= report.held();
+            all_held &= report.passed();
             played += 1;
         }
     }
--- a/crates/daemon/src/rehearse.rs
+++ b/crates/daemon/src/rehearse.rs
@@ -30,11 +30,11 @@
     match day {
         "budgets" => {
             let report = chalkyard_rehearsal::rehearse_budgets(plan)?;
-            Ok(print(format, || report.text(), || report.json(), report.held()))
+            Ok(print(format, || report.text(), || report.json(), report.passed()))
         }
         "restart-afternoon" => {
             let report = chalkyard_rehearsal::rehearse_restarts(plan)?;
-            Ok(print(format, || report.text(), || report.json(), report.held()))
+            Ok(print(format, || report.text(), || report.json(), report.passed()))
         }
         _ => Ok(print_report(&chalkyard_rehearsal::rehearse(day, plan)?, format)),
     }
@@ -49,7 +49,7 @@
 }
 
 fn print_report(report: &Report, format: Format) -> ExitCode {
-    print(format, || report.text(), || report.json(), report.rules.held())
+    print(format, || report.text(), || report.json(), report.rules.passed())
 }
 
 /// Prints a report; the exit code says whether all rules held.
