--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -161,8 +161,12 @@
             care: Care::Trial,
         },
         Action::Cancel { id: "q1".into(), attempt: AttemptNo(3) },
-        Action::Refuse { id: "q1".into(), retry_after: Some(Micros(4)), why: Why::Pressure },
-        Action::Fail { id: "q1".into(), why: Why::MayHaveRun },
+        Action::Refuse {
+            id: "q1".into(),
+            retry_after: Some(Micros(4)),
+            reason: RejectionReason::ObservedLatency,
+        },
+        Action::Fail { id: "q1".into(), reason: RejectionReason::MayHaveRun },
         Action::Move("q1".into()),
         Action::LetGo("q1".into()),
         Action::SetTimer { timer: TimerId(5), after: Micros(6) },
@@ -183,19 +187,19 @@
     Outcome::NotSent,
 ];
 
-const REASONS: [Why; 12] = [
-    Why::NoClass,
-    Why::Pressure,
-    Why::Forecast,
-    Why::Doomed,
-    Why::Jam,
-    Why::Attempts,
-    Why::MayHaveRun,
-    Why::Late,
-    Why::NoWorker,
-    Why::Unfit,
-    Why::Full,
-    Why::Cold,
+const REASONS: [RejectionReason; 12] = [
+    RejectionReason::UnknownClass,
+    RejectionReason::ObservedLatency,
+    RejectionReason::ForecastLatency,
+    RejectionReason::CannotMeetDeadline,
+    RejectionReason::Congested,
+    RejectionReason::AttemptsExhausted,
+    RejectionReason::MayHaveRun,
+    RejectionReason::DeadlineExceeded,
+    RejectionReason::NoWorker,
+    RejectionReason::NoneHealthy,
+    RejectionReason::AtCapacity,
+    RejectionReason::WarmingUp,
 ];
 
 /// All of them, as they were stored.
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -400,49 +400,59 @@
 /// Why a request is given up. The first that holds, in the order in which they are looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(rename_all = "snake_case"))]
-pub enum Why {
+pub enum RejectionReason {
     /// Its class is not in the settings.
-    NoClass,
+    #[cfg_attr(feature = "serde", serde(rename = "no_class"))]
+    UnknownClass,
     /// On arrival: first tokens take too long, judged by what they took (one of many routers).
-    Pressure,
+    #[cfg_attr(feature = "serde", serde(rename = "pressure"))]
+    ObservedLatency,
     /// On arrival: first tokens would take too long, judged by what waits.
-    Forecast,
+    #[cfg_attr(feature = "serde", serde(rename = "forecast"))]
+    ForecastLatency,
     /// On arrival: its client will not wait for as long as first tokens take.
-    Doomed,
+    #[cfg_attr(feature = "serde", serde(rename = "doomed"))]
+    CannotMeetDeadline,
     /// An attempt may have run, and nothing is repeated in a jam (one of many routers).
-    Jam,
+    #[cfg_attr(feature = "serde", serde(rename = "jam"))]
+    Congested,
     /// Its attempts are used up.
-    Attempts,
+    #[cfg_attr(feature = "serde", serde(rename = "attempts"))]
+    AttemptsExhausted,
     /// An attempt may have run, which bars its class from another.
     MayHaveRun,
     /// Its time ended with its last attempt.
-    Late,
+    #[cfg_attr(feature = "serde", serde(rename = "late"))]
+    DeadlineExceeded,
     /// Its time ended while none of the workers that its next step needs was listed as in service.
     NoWorker,
     /// ... while those were all left out as sick or silent.
-    Unfit,
+    #[cfg_attr(feature = "serde", serde(rename = "unfit"))]
+    NoneHealthy,
     /// ... while those that are left had turned its class away.
-    Full,
+    #[cfg_attr(feature = "serde", serde(rename = "full"))]
+    AtCapacity,
     /// ... while those that are left were cold, with their budget spent.
-    Cold,
+    #[cfg_attr(feature = "serde", serde(rename = "cold"))]
+    WarmingUp,
 }
 
-impl Why {
+impl RejectionReason {
     /// As it is counted.
     pub fn name(self) -> &'static str {
         match self {
-            Self::NoClass => "no_class",
-            Self::Pressure => "pressure",
-            Self::Forecast => "forecast",
-            Self::Doomed => "doomed",
-            Self::Jam => "jam",
-            Self::Attempts => "attempts",
+            Self::UnknownClass => "no_class",
+            Self::ObservedLatency => "pressure",
+            Self::ForecastLatency => "forecast",
+            Self::CannotMeetDeadline => "doomed",
+            Self::Congested => "jam",
+            Self::AttemptsExhausted => "attempts",
             Self::MayHaveRun => "may_have_run",
-            Self::Late => "late",
+            Self::DeadlineExceeded => "late",
             Self::NoWorker => "no_worker",
-            Self::Unfit => "unfit",
-            Self::Full => "full",
-            Self::Cold => "cold",
+            Self::NoneHealthy => "unfit",
+            Self::AtCapacity => "full",
+            Self::WarmingUp => "cold",
         }
     }
 }
@@ -491,14 +501,16 @@
         /// Time that the client should stay away.
         retry_after: Option<Micros>,
         /// The condition, for those who read the log.
-        why: Why,
+        #[cfg_attr(feature = "serde", serde(rename = "why"))]
+        reason: RejectionReason,
     },
     /// Final answer: failed, nothing is promised.
     Fail {
         /// The request.
         id: RequestId,
         /// The condition, for those who read the log.
-        why: Why,
+        #[cfg_attr(feature = "serde", serde(rename = "why"))]
+        reason: RejectionReason,
     },
     /// End a running stream so that it goes on elsewhere.
     Move(RequestId),
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -465,7 +465,7 @@
 
     fn request(&mut self, req: Request, out: &mut Vec<Action>) {
         let Some(class) = self.set.classes.get(req.class.0) else {
-            return out.push(Action::Fail { id: req.id, why: Why::NoClass });
+            return out.push(Action::Fail { id: req.id, reason: RejectionReason::UnknownClass });
         };
         let aim = class.aim + class.aim_per_1000_tokens.mul_f64(req.prompt_tokens as f64 / 1e3);
         let over_share = self.over_share(req.tenant);
@@ -495,9 +495,12 @@
         let jam = seldom || (felt && self.forecast() > self.tightest().mul_f64(most));
         let jam = jam && self.coin(&*job.req.id.0, "") < late * self.queueing();
         // What has begun for its client and broke off is not given up for load: its worth is nearly earned.
-        let why = if seldom { Why::Pressure } else { Why::Forecast };
-        match Some(why).filter(|_| jam).or((doomed && self.local(&job).is_none()).then_some(Why::Doomed)) {
-            Some(why) if !job.req.came_back => self.finish(job, why, out),
+        let reason = if seldom { RejectionReason::ObservedLatency } else { RejectionReason::ForecastLatency };
+        match Some(reason)
+            .filter(|_| jam)
+            .or((doomed && self.local(&job).is_none()).then_some(RejectionReason::CannotMeetDeadline))
+        {
+            Some(reason) if !job.req.came_back => self.finish(job, reason, out),
             _ => self.settle(job, out),
         }
     }
@@ -586,14 +589,18 @@
             let spent =
                 self.seldom() && job.tries.iter().any(|t| t.facts.may_have_run) && self.pressure() > FELT;
             if spent || self.now + self.set.tick + self.set.tick >= job.req.deadline {
-                let why = if spent { Why::Jam } else { self.barred(&job) };
-                return self.finish(job, why, out);
+                let reason = if spent { RejectionReason::Congested } else { self.barred(&job) };
+                return self.finish(job, reason, out);
             }
             if let Some(step) = self.choose(&job) {
                 self.send(&mut job, step, out);
             } else if let Some(denied) = self.obligations(&job).hopeless(self.now) {
-                let why = if denied == Denied::MayHaveRun { Why::MayHaveRun } else { Why::Attempts };
-                return self.finish(job, why, out);
+                let reason = if denied == Denied::MayHaveRun {
+                    RejectionReason::MayHaveRun
+                } else {
+                    RejectionReason::AttemptsExhausted
+                };
+                return self.finish(job, reason, out);
             }
         }
         if job.done && !job.open() {
@@ -1025,7 +1032,7 @@
     }
 
     /// Gives the final answer: a refusal where that is allowed, else a failure.
-    fn finish(&mut self, mut job: Job, why: Why, out: &mut Vec<Action>) {
+    fn finish(&mut self, mut job: Job, reason: RejectionReason, out: &mut Vec<Action>) {
         let id = job.req.id.clone();
         self.missed(&job);
         if job.held.take().is_some() {
@@ -1038,9 +1045,9 @@
             let drained = self.forecast() - self.tightest().mul_f64(ADMIT / 2.0);
             let drained = drained.max(self.tightest().mul_f64(late));
             let retry_after = Some(drained.min(self.set.max_retry_after)).filter(|t| t.0 > 0);
-            out.push(Action::Refuse { id, retry_after, why });
+            out.push(Action::Refuse { id, retry_after, reason });
         } else {
-            out.push(Action::Fail { id, why });
+            out.push(Action::Fail { id, reason });
         }
         if job.open() {
             self.keep(job);
@@ -1130,18 +1137,18 @@
     }
 
     /// What kept a request whose time is up from its next attempt.
-    fn barred(&self, job: &Job) -> Why {
+    fn barred(&self, job: &Job) -> RejectionReason {
         let other = if job.held.is_some() { Role::Reader } else { Role::Writer };
         let serves = |s: &&Server| s.info.lifecycle == Lifecycle::In && s.info.role != other;
         let full = |s: &Server| s.full.get(&job.req.class).is_some_and(|(_, until)| self.now < *until);
         let at = |s: &Server| match (self.fit(s), full(s)) {
-            (false, _) => Why::Unfit,
-            (true, true) => Why::Full,
-            (true, false) => Why::Cold,
+            (false, _) => RejectionReason::NoneHealthy,
+            (true, true) => RejectionReason::AtCapacity,
+            (true, false) => RejectionReason::WarmingUp,
         };
         let late = !job.tries.is_empty() && job.held_since == self.now;
-        let best = self.servers.values().filter(serves).map(at).max().unwrap_or(Why::NoWorker);
-        Some(Why::Late).filter(|_| late).unwrap_or(best)
+        let best = self.servers.values().filter(serves).map(at).max().unwrap_or(RejectionReason::NoWorker);
+        Some(RejectionReason::DeadlineExceeded).filter(|_| late).unwrap_or(best)
     }
 
     fn peers(&self, role: Role) -> f64 {
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -444,9 +444,9 @@
             }
             let actions = rig.ask("z", "z", FREE, LONG);
             for a in &actions {
-                if let Action::Refuse { retry_after, why, .. } = a {
+                if let Action::Refuse { retry_after, reason, .. } = a {
                     assert!(retry_after.is_some_and(|t| t.0 > 0), "a time to come back is named");
-                    assert_eq!(*why, Why::Pressure);
+                    assert_eq!(*reason, RejectionReason::ObservedLatency);
                 }
             }
             refused(&actions)
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -12,7 +12,7 @@
 use super::{Core, FinishedLine, Output};
 
 impl Core {
-    pub(super) fn refuse(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::Why) {
+    pub(super) fn refuse(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::RejectionReason) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
@@ -31,7 +31,7 @@
         self.give_error(id, Ended::Refused, 503, error);
     }
 
-    pub(super) fn fail(&mut self, id: &RequestId, why: p::Why) {
+    pub(super) fn fail(&mut self, id: &RequestId, why: p::RejectionReason) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -137,7 +137,7 @@
     pub(super) backstop: Option<Key>,
     pub(super) answer: Answer,
     /// The module's condition, where it gave the request up.
-    pub(super) why: Option<p::Why>,
+    pub(super) why: Option<p::RejectionReason>,
     pub(super) first_token: Option<Micros>,
     /// The attempt whose answer goes to the client.
     pub(super) winner: Option<usize>,
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -318,8 +318,8 @@
                 self.send(&id, worker, (give_up, connect), care);
             }
             Action::Cancel { id, attempt } => self.cancel(&id, attempt),
-            Action::Refuse { id, retry_after, why } => self.refuse(&id, retry_after, why),
-            Action::Fail { id, why } => self.fail(&id, why),
+            Action::Refuse { id, retry_after, reason } => self.refuse(&id, retry_after, reason),
+            Action::Fail { id, reason } => self.fail(&id, reason),
             Action::Move(id) => self.move_on(&id),
             Action::LetGo(id) => self.let_go(&id),
             Action::SetTimer { timer, after } => {
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -89,7 +89,7 @@
     /// Who ended it.
     pub ended: Ended,
     /// The module's condition, where it ended it.
-    pub why: Option<p::Why>,
+    pub why: Option<p::RejectionReason>,
     /// In which phase: `waiting`, `reading`, `held`, `pulling`, `writing`, `streaming`.
     pub phase: &'static str,
     /// Since the list of workers last changed, µs; none: it has not in this life.
