--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -158,7 +158,7 @@
             worker: "w1".into(),
             give_up: Some(Micros(1)),
             connect: Some(Micros(2)),
-            care: Care::Trial,
+            kind: AttemptKind::Probe,
         },
         Action::Cancel { id: "q1".into(), attempt: AttemptNo(3) },
         Action::Refuse {
@@ -226,7 +226,7 @@
     all.variants("kind of list", &[ListKind::Full, ListKind::Stale, ListKind::Changes, ListKind::Failed]);
     all.variants("outcome", &OUTCOMES);
     all.variants("reason", &REASONS);
-    all.variants("care", &[Care::Usual, Care::Cold, Care::Trial]);
+    all.variants("care", &[AttemptKind::Normal, AttemptKind::SlowStart, AttemptKind::Probe]);
     all.value("settings", &settings());
     all.value("worker", &worker());
     all.value("default worker", &Worker::default());
@@ -244,7 +244,13 @@
 }
 
 fn bare_send() -> Action {
-    Action::Send { id: "q1".into(), worker: "w1".into(), give_up: None, connect: None, care: Care::Usual }
+    Action::Send {
+        id: "q1".into(),
+        worker: "w1".into(),
+        give_up: None,
+        connect: None,
+        kind: AttemptKind::Normal,
+    }
 }
 
 #[test]
@@ -260,7 +266,7 @@
 #[test]
 fn reasons_and_care_sort_and_are_counted_as_they_are_written() {
     assert!(REASONS.is_sorted(), "the first condition that holds is the first in this order");
-    assert!([Care::Usual, Care::Cold, Care::Trial].is_sorted());
+    assert!([AttemptKind::Normal, AttemptKind::SlowStart, AttemptKind::Probe].is_sorted());
     assert!([Role::Reader, Role::Writer, Role::Mixed].is_sorted());
     for reason in REASONS {
         assert_eq!(serde_json::to_value(reason).unwrap(), reason.name());
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -460,14 +460,17 @@
 /// What is known of a worker that a request is sent to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(rename_all = "snake_case"))]
-pub enum Care {
+pub enum AttemptKind {
     /// Nothing bad.
     #[default]
-    Usual,
+    #[cfg_attr(feature = "serde", serde(rename = "usual"))]
+    Normal,
     /// It began within the told time and may still be cold.
-    Cold,
+    #[cfg_attr(feature = "serde", serde(rename = "cold"))]
+    SlowStart,
     /// It has failed, or been silent, lately: this shows whether it is well.
-    Trial,
+    #[cfg_attr(feature = "serde", serde(rename = "trial"))]
+    Probe,
 }
 
 /// What a router does.
@@ -485,7 +488,8 @@
         /// Its connection has to stand within this span, or it is none; none: as the settings say.
         connect: Option<Micros>,
         /// What is known of that worker, for those who read the log.
-        care: Care,
+        #[cfg_attr(feature = "serde", serde(rename = "care"))]
+        kind: AttemptKind,
     },
     /// Stop waiting for an attempt.
     Cancel {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -862,11 +862,11 @@
         let doubted = release_due(now + usual_read, self.set.release);
         let doubted = Some(doubted).filter(|_| stage == Stage::Read);
         job.tries.push(Try { worker: at, facts, pulls, due, doubted, overdue, unreached, predicted });
-        let care = if cold { Care::Cold } else { Care::Usual };
-        let care = if trial { Care::Trial } else { care };
+        let kind = if cold { AttemptKind::SlowStart } else { AttemptKind::Normal };
+        let kind = if trial { AttemptKind::Probe } else { kind };
         // While no connection comes up a state waits for nobody: half of its time is left for another writer.
         let left = job.held.as_ref().map(|_| (self.release_at(job) - now).mul_f64(0.5).max(self.set.tick));
-        out.push(Action::Send { id: job.req.id.clone(), worker, give_up, connect: left, care });
+        out.push(Action::Send { id: job.req.id.clone(), worker, give_up, connect: left, kind });
     }
 
     // ---- What comes back.
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -237,11 +237,11 @@
 }
 
 /// How a request's read is sent to the only reader, of as many requests as it takes.
-fn care_of_the_only_reader(rig: &mut Rig, prefix: &str) -> Option<Care> {
+fn care_of_the_only_reader(rig: &mut Rig, prefix: &str) -> Option<AttemptKind> {
     (0..200).find_map(|n| {
         let actions = rig.ask(&format!("{prefix}{n}"), &format!("{prefix}{n}"), FREE, 40_000);
         actions.iter().find_map(|a| match a {
-            Action::Send { worker, care, .. } if &*worker.0 == "r0" => Some(*care),
+            Action::Send { worker, kind, .. } if &*worker.0 == "r0" => Some(*kind),
             _ => None,
         })
     })
@@ -262,14 +262,14 @@
         rig.now = secs(200_000.0);
         let old = rig.now - secs(hours * 3_600.0);
         rig.feed(Event::Workers { kind: ListKind::Changes, workers: only(old) });
-        assert_eq!(care_of_the_only_reader(&mut rig, "a"), Some(Care::Cold), "{hours} h");
+        assert_eq!(care_of_the_only_reader(&mut rig, "a"), Some(AttemptKind::SlowStart), "{hours} h");
         // It is back after a restart, and its clock has not moved.
         rig.wait(20.0);
-        assert_eq!(care_of_the_only_reader(&mut rig, "b"), Some(Care::Usual));
+        assert_eq!(care_of_the_only_reader(&mut rig, "b"), Some(AttemptKind::Normal));
         rig.feed(Event::Workers { kind: ListKind::Changes, workers: only(old + secs(1.0)) });
-        assert_eq!(care_of_the_only_reader(&mut rig, "c"), Some(Care::Cold), "{hours} h");
+        assert_eq!(care_of_the_only_reader(&mut rig, "c"), Some(AttemptKind::SlowStart), "{hours} h");
     }
     // What the first list of a life holds may be as old as it says.
     let mut rig = Rig::new(settings(), only(secs(1.0)));
-    assert_eq!(care_of_the_only_reader(&mut rig, "d"), Some(Care::Usual));
+    assert_eq!(care_of_the_only_reader(&mut rig, "d"), Some(AttemptKind::Normal));
 }
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -21,7 +21,7 @@
         id: &RequestId,
         worker: WorkerId,
         (give_up, connect): (Option<Micros>, Option<Micros>),
-        care: p::Care,
+        care: p::AttemptKind,
     ) {
         let now = self.now;
         let target = self.engines.get(&worker).map(super::pool::Engine::target);
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -87,7 +87,7 @@
     /// It is given up then; how long a connection may take, if not as long as usual.
     pub(super) due: Micros,
     pub(super) connect: Option<Micros>,
-    pub(super) care: p::Care,
+    pub(super) care: p::AttemptKind,
     pub(super) conn: Option<ConnId>,
     pub(super) timer: Option<Key>,
     pub(super) report: Option<p::Report>,
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -314,8 +314,8 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker, give_up, connect, care } => {
-                self.send(&id, worker, (give_up, connect), care);
+            Action::Send { id, worker, give_up, connect, kind } => {
+                self.send(&id, worker, (give_up, connect), kind);
             }
             Action::Cancel { id, attempt } => self.cancel(&id, attempt),
             Action::Refuse { id, retry_after, reason } => self.refuse(&id, retry_after, reason),
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -58,7 +58,7 @@
     /// How it ended.
     pub outcome: &'static str,
     /// What the module knew of the worker.
-    pub care: p::Care,
+    pub care: p::AttemptKind,
     /// From the request's arrival to its sending, µs.
     pub sent_us: u64,
     /// From its sending to its end, µs.
--- a/crates/router/src/core/tally.rs
+++ b/crates/router/src/core/tally.rs
@@ -1,6 +1,6 @@
 //! What a router does in each second that adds up over a fleet. Nothing is decided by it.
 
-use chalkyard_policy::{Care, Micros};
+use chalkyard_policy::{AttemptKind, Micros};
 use serde::{Deserialize, Serialize};
 
 use super::{Core, Output};
@@ -47,15 +47,15 @@
 }
 
 impl Tally {
-    pub(super) fn sent(&mut self, call: Call, care: Care) {
+    pub(super) fn sent(&mut self, call: Call, kind: AttemptKind) {
         match call {
             Call::First => self.first += 1,
             Call::Pull => self.pulls += 1,
             Call::Again { ran: false } => self.again_safe += 1,
             Call::Again { ran: true } => self.again_ran += 1,
         }
-        self.trials += u64::from(care == Care::Trial);
-        self.cold += u64::from(care == Care::Cold);
+        self.trials += u64::from(kind == AttemptKind::Probe);
+        self.cold += u64::from(kind == AttemptKind::SlowStart);
     }
 
     /// Adds another router's counts of a second.
