--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -122,11 +122,11 @@
 
 /// Reads a list of workers.
 pub fn registry(names: &Names, w: &wire::Registry) -> Result<p::Event, String> {
-    let kind = match w.mode.as_str() {
-        "snapshot" => p::ListKind::Full,
-        "disk" => p::ListKind::Stale,
-        "diff" => p::ListKind::Changes,
-        "error" => p::ListKind::Failed,
+    let update = match w.mode.as_str() {
+        "snapshot" => p::EndpointUpdate::Snapshot,
+        "disk" => p::EndpointUpdate::LastKnown,
+        "diff" => p::EndpointUpdate::Delta,
+        "error" => p::EndpointUpdate::Failed,
         other => return Err(format!("field `mode`: unknown value `{other}`")),
     };
     let mut workers = Vec::with_capacity(w.nodes_list.len());
@@ -148,7 +148,7 @@
             started: Some(secs(n.last_start_s)).filter(|s| s.0 > 0),
         });
     }
-    Ok(p::Event::Workers { kind, workers })
+    Ok(p::Event::Endpoints { update, workers })
 }
 
 /// Reads a request.
--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -125,7 +125,7 @@
 
 fn events() -> Vec<Event> {
     vec![
-        Event::Workers { kind: ListKind::Changes, workers: vec![worker(), Worker::default()] },
+        Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![worker(), Worker::default()] },
         Event::Request(request()),
         Event::Streaming { id: "q1".into(), attempt: AttemptNo(1), elapsed: Micros(20) },
         Event::Verdict {
@@ -223,7 +223,10 @@
     all.variants("discovery", &[Discovery::Push, Discovery::Ask]);
     all.variants("reports", &[Reports::Off, Reports::InAnswers]);
     all.variants("lifecycle", &[Lifecycle::In, Lifecycle::Draining, Lifecycle::Out]);
-    all.variants("kind of list", &[ListKind::Full, ListKind::Stale, ListKind::Changes, ListKind::Failed]);
+    all.variants(
+        "kind of list",
+        &[EndpointUpdate::Snapshot, EndpointUpdate::LastKnown, EndpointUpdate::Delta, EndpointUpdate::Failed],
+    );
     all.variants("outcome", &OUTCOMES);
     all.variants("reason", &REASONS);
     all.variants("care", &[AttemptKind::Normal, AttemptKind::SlowStart, AttemptKind::Probe]);
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use chalkyard_policy::{Event, ListKind};
+use chalkyard_policy::{EndpointUpdate, Event};
 use chalkyard_router::*;
 use common::*;
 use serde_json::json;
@@ -30,14 +30,17 @@
     assert_eq!((third.conn, third.target.as_str()), (first.conn, "/discovery/hosts?after=6&wait_ms=2000"));
     {
         let heard = y.heard.lock().unwrap();
-        let kinds: Vec<(ListKind, usize)> = heard
+        let kinds: Vec<(EndpointUpdate, usize)> = heard
             .iter()
             .filter_map(|(_, e, _)| match e {
-                Event::Workers { kind, workers } => Some((*kind, workers.len())),
+                Event::Endpoints { update, workers } => Some((*update, workers.len())),
                 _ => None,
             })
             .collect();
-        assert_eq!(kinds, [(ListKind::Stale, 3), (ListKind::Changes, 1), (ListKind::Full, 2)]);
+        assert_eq!(
+            kinds,
+            [(EndpointUpdate::LastKnown, 3), (EndpointUpdate::Delta, 1), (EndpointUpdate::Snapshot, 2)]
+        );
     }
     // The agent stays silent: another connection asks anew, in time. What can't be read is asked for again.
     y.advance(ms(3_200));
@@ -83,7 +86,7 @@
     assert_eq!(y.core.counts().engines, 2_000);
     let heard = y.heard.lock().unwrap();
     let drained = heard.iter().any(|(_, e, _)| match e {
-        Event::Workers { workers, .. } => {
+        Event::Endpoints { workers, .. } => {
             workers.iter().any(|w| w.lifecycle == chalkyard_policy::Lifecycle::Draining)
         }
         _ => false,
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -269,13 +269,16 @@
 /// How a list of workers is to be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Complete, and current as far as discovery knows.
-    Full,
+    #[cfg_attr(feature = "serde", serde(rename = "Full"))]
+    Snapshot,
     /// Complete, as last held before a restart; perhaps stale.
-    Stale,
+    #[cfg_attr(feature = "serde", serde(rename = "Stale"))]
+    LastKnown,
     /// Changed entries only.
-    Changes,
+    #[cfg_attr(feature = "serde", serde(rename = "Changes"))]
+    Delta,
     /// Asking failed or the subscription broke; no entries, the list held stays.
     Failed,
 }
@@ -357,9 +360,11 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Event {
     /// News of the list of workers.
-    Workers {
+    #[cfg_attr(feature = "serde", serde(rename = "Workers"))]
+    Endpoints {
         /// How to read it.
-        kind: ListKind,
+        #[cfg_attr(feature = "serde", serde(rename = "kind"))]
+        update: EndpointUpdate,
         /// The entries.
         workers: Vec<Worker>,
     },
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -365,7 +365,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers { kind, workers } => self.list(kind, workers, out),
+            Event::Endpoints { update, workers } => self.apply_endpoints(update, workers, out),
             Event::Request(req) => self.request(req, out),
             Event::Streaming { id, attempt, elapsed } => self.streaming(&id, attempt, elapsed),
             Event::Verdict { id, attempt, outcome, elapsed, over, kept, report } => {
@@ -407,8 +407,8 @@
     }
 
     /// The list of workers. A worker that is not `In` gets nothing more from this moment on.
-    fn list(&mut self, kind: ListKind, workers: Vec<Worker>, out: &mut Vec<Action>) {
-        if matches!(kind, ListKind::Full | ListKind::Stale) {
+    fn apply_endpoints(&mut self, update: EndpointUpdate, workers: Vec<Worker>, out: &mut Vec<Action>) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::LastKnown) {
             let named: BTreeSet<WorkerId> = workers.iter().map(|w| w.id.clone()).collect();
             for s in self.servers.values_mut().filter(|s| !named.contains(&s.info.id)) {
                 s.info.lifecycle = Lifecycle::Out;
@@ -439,16 +439,18 @@
                 }
             }
         }
-        self.has_fresh_list |= matches!(kind, ListKind::Full | ListKind::Changes);
+        self.has_fresh_list |= matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Delta);
         // One off the list is forgotten once warm: until then what it was sent still presses on it.
         let (now, cold_for) = (self.now, self.set.cold_for);
         self.servers.retain(|_, s| s.info.lifecycle != Lifecycle::Out || s.cold(now, cold_for).is_some());
         // Where the list has to be asked for: at the start, and again some time after a call has failed. All
         // routers may have lost it at one moment, so each has a time of its own.
         let again = ASK_AGAIN * (0.5 + self.coin(self.next_timer.to_le_bytes(), "list"));
-        match kind {
-            ListKind::Stale if self.set.discovery == Discovery::Ask => out.push(Action::Subscribe),
-            ListKind::Failed => self.set_timer(self.now + self.set.must_ask_in.mul_f64(again), None, out),
+        match update {
+            EndpointUpdate::LastKnown if self.set.discovery == Discovery::Ask => out.push(Action::Subscribe),
+            EndpointUpdate::Failed => {
+                self.set_timer(self.now + self.set.must_ask_in.mul_f64(again), None, out)
+            }
             _ => {}
         }
     }
--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -47,7 +47,7 @@
         rig.end(&id, 0, Outcome::Served, 0);
     }
     let gone = Worker { lifecycle: Lifecycle::Draining, ..worker(&first, Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![gone] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
     let (_, second) = rig.whole("b", "moving", LONG);
     assert_ne!(first, second);
     assert_eq!(next_turn(&mut rig, "moving"), second);
@@ -160,7 +160,7 @@
     let old = ask(&mut rig, "old", 20);
     rig.wait(0.1);
     let restarted = Worker { started: Some(rig.now), ..worker("w0", Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![restarted] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.wait(0.1);
     let new = ask(&mut rig, "new", 12);
     // The old life's streams break only now: its new life has all of its own still.
@@ -194,7 +194,7 @@
     let early = (0..20).filter(|i| one(&mut rig, &format!("e{i}")) == "w0").count();
     // The list tells of the start only now, and all of these are out at the new life.
     let restarted = Worker { started: Some(started), ..worker("w0", Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![restarted] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     // It is cold from the news on, for 10 ms here.
     rig.wait(0.02);
     let late = (0..20).filter(|i| one(&mut rig, &format!("l{i}")) == "w0").count();
@@ -209,7 +209,7 @@
     rig.stream("a", 1);
     rig.wait(0.5);
     let restarted = Worker { started: Some(rig.now), ..worker(&home, Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![restarted] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.wait(0.5);
     rig.end("a", 1, Outcome::Served, 0);
     assert!(next_turn(&mut rig, "s").starts_with('r'), "its text went with the old life");
@@ -222,7 +222,7 @@
     let asked = rig.ask("a", "s", FREE, LONG);
     let reader = sent(&asked).unwrap().0;
     let gone = Worker { lifecycle: Lifecycle::Out, ..worker(&reader, Role::Reader, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![gone] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
     let late = rig.fire(&asked);
     assert!(late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
 }
@@ -236,10 +236,11 @@
     let mut rig = Rig::new(settings(), all.clone());
     let mut cost = |kind| {
         let (workers, start) = (all.clone(), std::time::Instant::now());
-        rig.feed(Event::Workers { kind, workers });
+        rig.feed(Event::Endpoints { update: kind, workers });
         start.elapsed()
     };
-    let rounds: Vec<_> = (0..10).map(|_| (cost(ListKind::Changes), cost(ListKind::Full))).collect();
+    let rounds: Vec<_> =
+        (0..10).map(|_| (cost(EndpointUpdate::Delta), cost(EndpointUpdate::Snapshot))).collect();
     let changes = rounds.iter().map(|r| r.0).min().unwrap();
     let whole = rounds.iter().map(|r| r.1).min().unwrap();
     assert!(whole < changes * 20, "{changes:?} for 10,000 changes, {whole:?} for a list of as many");
@@ -287,7 +288,7 @@
 fn a_start_that_the_list_puts_into_the_future_keeps_nobody_cold_for_longer() {
     let mut rig = Rig::new(settings(), fleet());
     let ahead = Worker { started: Some(rig.now + secs(3_600.0)), ..worker("w9", Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![ahead] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![ahead] });
     rig.wait(11.0);
     let to = |rig: &mut Rig, i: usize| {
         let id = format!("{i}");
@@ -313,7 +314,7 @@
             let fresh = Worker { started: Some(rig.now), ..fresh };
             let gone = worker(&format!("w{}", n + 5), Role::Writer, 0);
             let gone = Worker { lifecycle: Lifecycle::Out, ..gone };
-            rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![fresh, gone] });
+            rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![fresh, gone] });
             let id = format!("{n}");
             let mut actions = rig.ask(&id, &format!("s{}", n % 7), FREE, LONG);
             let reads = sent(&actions).unwrap().0.starts_with('r');
--- a/crates/policy/tests/common/audit.rs
+++ b/crates/policy/tests/common/audit.rs
@@ -253,7 +253,7 @@
             self.stopped.insert(id.clone());
         }
         let workers = vec![w.clone()];
-        self.feed(Event::Workers { kind: ListKind::Changes, workers });
+        self.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers });
     }
 
     pub fn verdict(&mut self, id: &RequestId, n: usize, outcome: Outcome, over: bool) {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -86,7 +86,7 @@
 impl Rig {
     pub fn new(settings: Settings, workers: Vec<Worker>) -> Self {
         let mut rig = Self { router: Router::new(settings, 7), now: secs(100.0) };
-        rig.feed(Event::Workers { kind: ListKind::Full, workers });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
         rig
     }
 
--- a/crates/policy/tests/joiner.rs
+++ b/crates/policy/tests/joiner.rs
@@ -124,7 +124,7 @@
     }
     let rig = |seed| {
         let mut rig = Rig { router: Router::new(set.clone(), u64::from(seed)), now: begin };
-        rig.feed(Event::Workers { kind: ListKind::Full, workers: workers.clone() });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: workers.clone() });
         rig
     };
     let mut yard = Yard {
@@ -150,7 +150,7 @@
             let fresh = Worker { started: start, ..worker(case.joins, role, 0) };
             for rig in &mut yard.rigs {
                 rig.now = now;
-                rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![fresh.clone()] });
+                rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![fresh.clone()] });
             }
         }
         let (r, k) = ((n % case.routers) as usize, n / case.routers);
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -16,7 +16,7 @@
 fn one(seed: u64, set: Settings, workers: Vec<Worker>) -> Rig {
     let mut rig = Rig::new(set.clone(), vec![]);
     rig.router = Router::new(set, seed);
-    rig.feed(Event::Workers { kind: ListKind::Full, workers });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
     rig
 }
 
@@ -49,10 +49,10 @@
         let mut rig = one(seed, many(), workers.to_vec());
         quiet_run(&mut rig, "a", 20);
         let news = gone.iter().map(|id| Worker { lifecycle: Lifecycle::Out, ..worker(id, Role::Reader, 0) });
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: news.collect() });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: news.collect() });
         let mut cold = worker("r0", Role::Reader, 0);
         cold.started = Some(rig.now);
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![cold] });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold] });
         for i in 0..4 {
             let id = format!("c{i}");
             total += u32::from(sent(&rig.ask(&id, &id, FREE, LONG)).is_some_and(|s| s.0 == "r0"));
@@ -102,14 +102,14 @@
                 known = true;
                 let gone = |id| Worker { lifecycle: Lifecycle::Out, ..worker(id, Role::Reader, 0) };
                 let workers = vec![cold.clone(), gone("r1"), gone("r2")];
-                rig.feed(Event::Workers { kind: ListKind::Changes, workers });
+                rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers });
             }
             if anew && rig.now >= back + secs(1.0) {
                 anew = false;
                 let at = rig.now;
                 rig.router = Router::new(set.clone(), start * 1_000 + 500 + n);
                 let workers = vec![cold.clone(), worker("w0", Role::Writer, 0)];
-                rig.feed(Event::Workers { kind: ListKind::Full, workers });
+                rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
                 rig.now = at;
             }
             let (id, asked) = (format!("{n}-{i}"), rig.now);
@@ -175,7 +175,7 @@
         }
         let cold =
             (0..5).map(|i| Worker { started: Some(rig.now), ..worker(&format!("r{i}"), Role::Reader, 0) });
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: cold.collect() });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: cold.collect() });
         for i in 0..2 {
             let id = format!("{seed}c{i}");
             if let Some((to, _)) = sent(&rig.ask(&id, &id, FREE, LONG)) {
@@ -216,7 +216,7 @@
         let readers =
             (0..4).map(|i| Worker { started: cold(i), ..worker(&format!("r{i}"), Role::Reader, 0) });
         let workers = readers.chain([worker("w0", Role::Writer, 0)]).collect();
-        rig.feed(Event::Workers { kind: ListKind::Full, workers });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
         let id = format!("first{seed}");
         sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0
     };
@@ -236,7 +236,7 @@
         quiet_run(&mut rig, "a", 20);
         let at = rig.now;
         let cold = (0..4).map(|i| Worker { started: Some(at), ..worker(&format!("r{i}"), Role::Reader, 0) });
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: cold.collect() });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: cold.collect() });
         let mut n = 0;
         while rig.now < at + secs(cold_for) {
             let id = format!("c{n}");
@@ -258,7 +258,7 @@
 fn routers_that_lose_the_list_at_one_moment_ask_again_at_times_of_their_own() {
     let pause = |seed| {
         let mut rig = one(seed, Settings { discovery: Discovery::Ask, ..many() }, fleet());
-        let failed = rig.feed(Event::Workers { kind: ListKind::Failed, workers: vec![] });
+        let failed = rig.feed(Event::Endpoints { update: EndpointUpdate::Failed, workers: vec![] });
         let before = rig.now;
         assert_eq!(rig.fire(&failed), [Action::Subscribe]);
         (rig.now - before).0
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -50,7 +50,7 @@
     let mut rig = Rig::new(settings(), fleet());
     let (_, writer) = rig.whole("a", "s", LONG);
     let left = fleet().into_iter().filter(|w| *w.id.0 != *writer).collect();
-    rig.feed(Event::Workers { kind: ListKind::Full, workers: left });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: left });
     assert!(sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0.starts_with('r'));
 }
 
@@ -60,7 +60,7 @@
     let (_, writer) = rig.whole("a", "s", LONG);
     let mut w = worker(&writer, Role::Writer, 0);
     w.started = Some(rig.now);
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![w] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w] });
     assert!(sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0.starts_with('r'));
 }
 
@@ -84,7 +84,7 @@
     for seed in 0..4 {
         let mut rig = Rig::new(settings(), workers.clone());
         rig.router = Router::new(settings(), seed);
-        rig.feed(Event::Workers { kind: ListKind::Full, workers: workers.clone() });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: workers.clone() });
         for i in 0..6 {
             let id = format!("{i}");
             for k in 0..10 {
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -320,7 +320,7 @@
 #[test]
 #[should_panic(expected = "rule 3")]
 fn a_send_to_a_draining_worker_is_seen() {
-    let deaf = |event| Some(event).filter(|e| !matches!(e, Event::Workers { .. }));
+    let deaf = |event| Some(event).filter(|e| !matches!(e, Event::Endpoints { .. }));
     lied(|_| {}, deaf, Scope { depth: 4, ..with_news() });
 }
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -140,7 +140,7 @@
         rig.ask("a", "s", FREE, LONG);
         let mut w0 = worker("w0", Role::Writer, 0);
         w0.lifecycle = lifecycle;
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![w0] });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w0] });
         let next = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
         assert_eq!(next, "w1");
         let actions = rig.end("a", 1, Outcome::Refused { no_state: false }, 0);
@@ -154,7 +154,7 @@
     let (_, home) = rig.whole("a", "s", LONG);
     let mut w = worker(&home, Role::Writer, 0);
     w.lifecycle = Lifecycle::Draining;
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![w] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w] });
     assert!(sent(&rig.ask("b", "s", FREE, LONG + 50)).unwrap().0.starts_with('r'));
 }
 
@@ -165,7 +165,7 @@
     let mut rig = Rig::new(settings(), readers(2));
     let mut cold = worker("r1", Role::Reader, 0);
     cold.started = Some(rig.now);
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![cold] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold] });
     rig
 }
 
@@ -195,11 +195,11 @@
             // Off and on again, with the same start: the same process, and all within one window.
             let gone = Worker { lifecycle: Lifecycle::Out, ..cold.clone() };
             if full {
-                rig.feed(Event::Workers { kind: ListKind::Full, workers: all.clone() });
+                rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: all.clone() });
             } else {
-                rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![gone] });
+                rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
             }
-            rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![cold.clone()] });
+            rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold.clone()] });
             got += sends_to(&mut rig, "r9", 20);
         }
         assert!(got <= 1, "sent {got} times within its window");
@@ -232,7 +232,7 @@
     rig.ask("a", "s", FREE, LONG);
     let mut gone = pair();
     gone.retain(|w| w.role == Role::Reader);
-    rig.feed(Event::Workers { kind: ListKind::Full, workers: gone });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: gone });
     let since = rig.now;
     let actions = rig.end("a", 0, Outcome::Parsed, 0);
     rig.fire_until(actions, 100, let_go);
@@ -549,9 +549,9 @@
 #[test]
 fn a_list_that_must_be_asked_for_is_subscribed_to_and_asked_for_again_after_a_failure() {
     let mut rig = Rig::new(Settings { discovery: Discovery::Ask, ..settings() }, vec![]);
-    let start = rig.feed(Event::Workers { kind: ListKind::Stale, workers: fleet() });
+    let start = rig.feed(Event::Endpoints { update: EndpointUpdate::LastKnown, workers: fleet() });
     assert_eq!(start, [Action::Subscribe]);
-    let failed = rig.feed(Event::Workers { kind: ListKind::Failed, workers: vec![] });
+    let failed = rig.feed(Event::Endpoints { update: EndpointUpdate::Failed, workers: vec![] });
     assert!(!failed.contains(&Action::Subscribe), "not at once: the service is loaded");
     let before = rig.now;
     assert_eq!(rig.fire(&failed), [Action::Subscribe]);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -108,7 +108,7 @@
     let set = Settings { routers: fleet.told, self_prefill: false, ..settings() };
     let mut rig = Rig::new(set.clone(), vec![]);
     rig.router = Router::new(set.clone(), seed * 10_000 + router);
-    rig.feed(Event::Workers { kind: ListKind::Full, workers: fleet_of_one_cell() });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: fleet_of_one_cell() });
     let begun = rig.now;
     let back = begun + secs(BEFORE_S);
     let (mut known, mut anew) = (false, router % 2 == 1);
@@ -119,12 +119,12 @@
     while rig.now < back + secs(AFTER_S) {
         if !known && rig.now >= back {
             known = true;
-            rig.feed(Event::Workers { kind: ListKind::Changes, workers: fleet.news(back) });
+            rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: fleet.news(back) });
         }
         if anew && rig.now >= back + secs(RESTART_S) {
             anew = false;
             rig.router = Router::new(set.clone(), seed * 10_000 + 5_000 + router);
-            rig.feed(Event::Workers { kind: ListKind::Full, workers: fleet.list(back) });
+            rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: fleet.list(back) });
         }
         let asked = rig.now;
         one_request(fleet, &mut rig, back, (router, number), &mut sends);
@@ -261,12 +261,12 @@
         let mut rig = Rig::new(set.clone(), vec![worker("w0", Role::Writer, 0)]);
         rig.now = secs(200_000.0);
         let old = rig.now - secs(hours * 3_600.0);
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: only(old) });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: only(old) });
         assert_eq!(care_of_the_only_reader(&mut rig, "a"), Some(AttemptKind::SlowStart), "{hours} h");
         // It is back after a restart, and its clock has not moved.
         rig.wait(20.0);
         assert_eq!(care_of_the_only_reader(&mut rig, "b"), Some(AttemptKind::Normal));
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: only(old + secs(1.0)) });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: only(old + secs(1.0)) });
         assert_eq!(care_of_the_only_reader(&mut rig, "c"), Some(AttemptKind::SlowStart), "{hours} h");
     }
     // What the first list of a life holds may be as old as it says.
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -194,8 +194,12 @@
             None => Vec::new(),
         };
         // Without a register the list given is all there is, and current.
-        let kind = if self.config.register.is_some() { p::ListKind::Stale } else { p::ListKind::Full };
-        self.events.push_back(Event::Workers { kind, workers });
+        let update = if self.config.register.is_some() {
+            p::EndpointUpdate::LastKnown
+        } else {
+            p::EndpointUpdate::Snapshot
+        };
+        self.events.push_back(Event::Endpoints { update, workers });
         if self.config.policy.discovery == p::Discovery::Push {
             self.watch_register();
         }
--- a/crates/router/src/core/sources.rs
+++ b/crates/router/src/core/sources.rs
@@ -74,8 +74,8 @@
 
     /// What the module is told of workers; then attempts that still wait for a connection to one that leaves are over:
     /// nothing of them was sent, and by the time it stands it may be too late.
-    fn tell_workers(&mut self, kind: p::ListKind, workers: Vec<p::Worker>) {
-        self.events.push_back(Event::Workers { kind, workers });
+    fn tell_workers(&mut self, update: p::EndpointUpdate, workers: Vec<p::Worker>) {
+        self.events.push_back(Event::Endpoints { update, workers });
         let leaves = |w: &p::WorkerId| self.engines.get(w).is_some_and(|e| e.leaving);
         let waits = |l: &&Link| l.waiting.is_some() && l.worker.as_ref().is_some_and(leaves);
         let attempt = |l: &Link| match &l.task {
@@ -122,7 +122,7 @@
     }
 
     /// Notes what a dialect has read; gives what the module is told.
-    pub(super) fn read_list(&mut self, list: List) -> (Vec<p::Worker>, p::ListKind) {
+    pub(super) fn read_list(&mut self, list: List) -> (Vec<p::Worker>, p::EndpointUpdate) {
         for wrong in &list.wrong {
             self.note("list", format!("an entry is left out: {wrong}"));
         }
@@ -130,7 +130,7 @@
         // What could not be read is asked for once more, with the whole list; what is wrong again is left out.
         let again = !list.wrong.is_empty() && self.version.is_some();
         self.version = (!again).then_some(list.version);
-        let kind = if list.whole { p::ListKind::Full } else { p::ListKind::Changes };
+        let kind = if list.whole { p::EndpointUpdate::Snapshot } else { p::EndpointUpdate::Delta };
         // Past the bound new workers are left out; what is told of those that are held, above all drains, is taken.
         let held = if list.whole { 0 } else { self.engines.len() };
         let mut room = self.config.bounds.workers.saturating_sub(held);
@@ -176,7 +176,7 @@
         match dialect.list(&body) {
             Ok(list) => {
                 let (workers, kind) = self.read_list(list);
-                if kind == p::ListKind::Full || !workers.is_empty() {
+                if kind == p::EndpointUpdate::Snapshot || !workers.is_empty() {
                     self.tell_workers(kind, workers);
                 }
             }
@@ -218,7 +218,7 @@
             self.timers.set(self.now + ASK_PAUSE, Due::Watch);
             return;
         }
-        self.events.push_back(Event::Workers { kind: p::ListKind::Failed, workers: Vec::new() });
+        self.events.push_back(Event::Endpoints { update: p::EndpointUpdate::Failed, workers: Vec::new() });
         self.note("register", "lost or not reached; the list held stays".into());
     }
 
@@ -259,13 +259,15 @@
         let read = reader.push(&data, &mut events).map_err(|e| Wrong::Malformed(e.to_string()));
         for event in events {
             let news = match event.name.as_str() {
-                "snapshot" => self.held.snapshot(&event.data, &self.config).map(|n| (n, p::ListKind::Full)),
+                "snapshot" => {
+                    self.held.snapshot(&event.data, &self.config).map(|n| (n, p::EndpointUpdate::Snapshot))
+                }
                 "change" => self.held.change(&event.data, &self.config).map(|(named, left_out)| {
                     if left_out > 0 {
                         let most = self.config.bounds.workers;
                         self.note("register", format!("more than {most} workers: {left_out} left out"));
                     }
-                    (named, p::ListKind::Changes)
+                    (named, p::EndpointUpdate::Delta)
                 }),
                 _ => continue,
             };
@@ -296,9 +298,9 @@
         true
     }
 
-    fn news(&mut self, named: Vec<Named>, kind: p::ListKind) {
+    fn news(&mut self, named: Vec<Named>, kind: p::EndpointUpdate) {
         self.has_list = true;
-        let workers = self.learn(named, kind == p::ListKind::Full);
+        let workers = self.learn(named, kind == p::EndpointUpdate::Snapshot);
         self.out.push(Output::KeepList(self.held.text()));
         self.tell_workers(kind, workers);
     }
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use chalkyard_policy::{Event, ListKind, Outcome};
+use chalkyard_policy::{EndpointUpdate, Event, Outcome};
 use chalkyard_router::*;
 use common::*;
 
@@ -450,14 +450,14 @@
         .unwrap()
         .iter()
         .filter_map(|(_, e, _)| match e {
-            Event::Workers { kind: ListKind::Changes, workers } => Some(workers.len()),
+            Event::Endpoints { update: EndpointUpdate::Delta, workers } => Some(workers.len()),
             _ => None,
         })
         .sum();
     assert_eq!(told, 1, "the fourth worker is told of, no further one");
     news(&mut y, conn, "change", &list(10, &[entry("write-1", "writer", 2, "draining")]));
     let (_, event, _) = y.heard.lock().unwrap().last().cloned().unwrap();
-    let Event::Workers { kind: ListKind::Changes, workers } = event else { panic!("{event:?}") };
+    let Event::Endpoints { update: EndpointUpdate::Delta, workers } = event else { panic!("{event:?}") };
     assert_eq!(&*workers[0].id.0, "write-1", "a drain is still heard");
     assert_eq!(y.kept_list.as_ref().unwrap().matches("\"worker\"").count(), 4, "and none is held in secret");
     assert!(y.notes.iter().any(|n| n.contains("more than 4 workers")), "{:?}", y.notes);
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use chalkyard_policy::{Action, Event, ListKind, Outcome, Router};
+use chalkyard_policy::{Action, EndpointUpdate, Event, Outcome, Router};
 use chalkyard_router::*;
 use common::*;
 
@@ -287,7 +287,7 @@
     assert_eq!(y.answer(client).0, 200);
     y.advance(ms(1_600));
     assert!(y.calls.iter().any(|c| c.target.contains("watch")), "the module asks again");
-    let failed = |e: &Event| matches!(e, Event::Workers { kind: ListKind::Failed, .. });
+    let failed = |e: &Event| matches!(e, Event::Endpoints { update: EndpointUpdate::Failed, .. });
     assert!(y.heard.lock().unwrap().iter().any(|(_, e, _)| failed(e)));
 }
 
