--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -139,9 +139,9 @@
             role,
             kv_tokens,
             lifecycle: match n.lifecycle.as_str() {
-                "IN" => p::Lifecycle::In,
+                "IN" => p::Lifecycle::Active,
                 "LAME" => p::Lifecycle::Draining,
-                "OUT" => p::Lifecycle::Out,
+                "OUT" => p::Lifecycle::Removed,
                 other => return Err(format!("field `lifecycle`: unknown value `{other}`")),
             },
             weight: n.heft.unwrap_or(1.0),
--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -222,7 +222,7 @@
     all.variants("effect", &[&[Effect::Free], &groups[..], &[Effect::SingleShot]].concat());
     all.variants("discovery", &[Discovery::Push, Discovery::Ask]);
     all.variants("reports", &[Reports::Off, Reports::InAnswers]);
-    all.variants("lifecycle", &[Lifecycle::In, Lifecycle::Draining, Lifecycle::Out]);
+    all.variants("lifecycle", &[Lifecycle::Active, Lifecycle::Draining, Lifecycle::Removed]);
     all.variants(
         "kind of list",
         &[EndpointUpdate::Snapshot, EndpointUpdate::LastKnown, EndpointUpdate::Delta, EndpointUpdate::Failed],
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -43,14 +43,14 @@
 fn member(names: &Names, text: &str) -> Result<(p::Worker, SocketAddr), String> {
     let m: Member = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let lifecycle = match m.phase.as_str() {
-        "up" => p::Lifecycle::In,
+        "up" => p::Lifecycle::Active,
         "draining" => p::Lifecycle::Draining,
-        "removed" => p::Lifecycle::Out,
+        "removed" => p::Lifecycle::Removed,
         other => return Err(format!("`{}`: unknown phase `{other}`", m.id)),
     };
     let address = match m.host_port.as_deref().map(str::parse) {
         Some(Ok(address)) => address,
-        _ if lifecycle == p::Lifecycle::Out => NOWHERE,
+        _ if lifecycle == p::Lifecycle::Removed => NOWHERE,
         _ => return Err(format!("`{}`: host_port is no address", m.id)),
     };
     let (role, kv_tokens) = names.kind(m.flavor.as_deref());
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -236,12 +236,14 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Lifecycle {
     /// Takes work.
-    In,
+    #[cfg_attr(feature = "serde", serde(rename = "In"))]
+    Active,
     /// Finishes its work; nothing new may be sent.
     Draining,
     /// Removed.
     #[default]
-    Out,
+    #[cfg_attr(feature = "serde", serde(rename = "Out"))]
+    Removed,
 }
 
 /// An entry of the list of workers.
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -167,7 +167,7 @@
         if now >= self.deadline {
             return Err(Denied::PastDeadline);
         }
-        if target.lifecycle != Lifecycle::In {
+        if target.lifecycle != Lifecycle::Active {
             return Err(Denied::NotInService);
         }
         if self.attempts.len() >= self.max_attempts as usize {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -411,13 +411,13 @@
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::LastKnown) {
             let named: BTreeSet<WorkerId> = workers.iter().map(|w| w.id.clone()).collect();
             for s in self.servers.values_mut().filter(|s| !named.contains(&s.info.id)) {
-                s.info.lifecycle = Lifecycle::Out;
+                s.info.lifecycle = Lifecycle::Removed;
             }
         }
         for w in workers {
             match self.servers.get_mut(&w.id) {
-                Some(s) if w.lifecycle == Lifecycle::Out => s.info.lifecycle = Lifecycle::Out,
-                None if w.lifecycle == Lifecycle::Out => {}
+                Some(s) if w.lifecycle == Lifecycle::Removed => s.info.lifecycle = Lifecycle::Removed,
+                None if w.lifecycle == Lifecycle::Removed => {}
                 Some(s) if s.info.started == w.started => s.info = w,
                 _ => {
                     let begun = w.started.unwrap_or(self.now).min(self.now);
@@ -442,7 +442,7 @@
         self.has_fresh_list |= matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Delta);
         // One off the list is forgotten once warm: until then what it was sent still presses on it.
         let (now, cold_for) = (self.now, self.set.cold_for);
-        self.servers.retain(|_, s| s.info.lifecycle != Lifecycle::Out || s.cold(now, cold_for).is_some());
+        self.servers.retain(|_, s| s.info.lifecycle != Lifecycle::Removed || s.cold(now, cold_for).is_some());
         // Where the list has to be asked for: at the start, and again some time after a call has failed. All
         // routers may have lost it at one moment, so each has a time of its own.
         let again = ASK_AGAIN * (0.5 + self.coin(self.next_timer.to_le_bytes(), "list"));
@@ -528,7 +528,7 @@
     /// roles: by its last few first tokens alone a router refuses though only some are slow.
     fn queueing(&self) -> f64 {
         let mut told: BTreeMap<Role, (f64, f64)> = BTreeMap::new();
-        let lately = |s: &&Server| s.info.lifecycle == Lifecycle::In && self.now - s.heard < HOT_SPAN;
+        let lately = |s: &&Server| s.info.lifecycle == Lifecycle::Active && self.now - s.heard < HOT_SPAN;
         for s in self.servers.values().filter(lately) {
             let Some(queued) = s.report.and_then(|r| r.queued) else { continue };
             let (n, queues) = told.entry(s.info.role).or_default();
@@ -669,7 +669,8 @@
             return Some((s, Stage::Read, None));
         }
         // No reader is left, not merely full: a writer reads, if it can.
-        let left = |s: &Server| s.info.role == Role::Reader && s.info.lifecycle == Lifecycle::In && !s.down;
+        let left =
+            |s: &Server| s.info.role == Role::Reader && s.info.lifecycle == Lifecycle::Active && !s.down;
         let obligations = self.obligations(job);
         let left = |s: &Server| left(s) && self.may_run(&obligations, s) && self.cold_room(job, s);
         if !self.set.self_prefill || self.servers.values().any(left) {
@@ -711,7 +712,7 @@
     /// jam of writers; harms where mixed servers answer early and write slowly, so it is bounded. A coin
     /// decides on the fraction; one of many routers starts with fewer, fewest for slow ones.
     fn mixed_turn(&self, job: &Job, mixed: &[&Server]) -> bool {
-        let split = |s: &&Server| s.info.lifecycle == Lifecycle::In && s.info.role != Role::Mixed;
+        let split = |s: &&Server| s.info.lifecycle == Lifecycle::Active && s.info.role != Role::Mixed;
         let out: u32 = self.servers.values().filter(split).map(|s| s.reads + s.streams).sum();
         let n = self.servers.values().filter(split).count() as u32;
         let here: u32 = mixed.iter().map(|s| s.reads + s.streams).sum();
@@ -801,7 +802,7 @@
     /// Where it has more of the readers than of the writers, these can take only their part: a coin sends
     /// the rest to cells with writers to spare, those of the reader's zone first.
     fn cell_for(&self, job: &Job, at: &Worker, pool: &[&Server]) -> Option<CellId> {
-        let reads = |s: &&Server| s.info.role == Role::Reader && s.info.lifecycle != Lifecycle::Out;
+        let reads = |s: &&Server| s.info.role == Role::Reader && s.info.lifecycle != Lifecycle::Removed;
         let mut cells: BTreeMap<CellId, (f64, f64)> = BTreeMap::new();
         self.servers.values().filter(reads).for_each(|s| cells.entry(s.info.cell).or_default().0 += 1.0);
         pool.iter().for_each(|s| cells.entry(s.info.cell).or_default().1 += 1.0);
@@ -1070,7 +1071,7 @@
     fn hashable(&self, job: &Job, role: Role) -> Vec<&Server> {
         let fade = |r: &Rate| r.fade(self.now, self.set.cold_for);
         if self.seldom() {
-            let listed = |s: &&Server| s.info.role == role && s.info.lifecycle == Lifecycle::In;
+            let listed = |s: &&Server| s.info.role == role && s.info.lifecycle == Lifecycle::Active;
             let peers = self.servers.values().filter(listed).map(|s| self.present(s));
             let (n, all) = peers.fold((0.0, 0.0), |(n, all), s| (n + 1.0, all + s));
             let most = (self.set.fall_multiple * COLD_SHARE / 2.0 * all / f64::max(n, 1.0)).min(1.0);
@@ -1091,7 +1092,7 @@
     }
 
     fn some(&self, job: &Job, role: impl Fn(Role) -> bool, room: impl Fn(&Server) -> bool) -> Vec<&Server> {
-        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::In && role(s.info.role);
+        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::Active && role(s.info.role);
         let answers = |s: &&Server| !s.down || self.fit(s) || s.failing < FAILING;
         let all: Vec<&Server> = self.servers.values().filter(serves).filter(answers).collect();
         let fit: Vec<&Server> = all.iter().copied().filter(|s| self.fit(s)).collect();
@@ -1141,7 +1142,7 @@
     /// What kept a request whose time is up from its next attempt.
     fn barred(&self, job: &Job) -> RejectionReason {
         let other = if job.held.is_some() { Role::Reader } else { Role::Writer };
-        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::In && s.info.role != other;
+        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::Active && s.info.role != other;
         let full = |s: &Server| s.full.get(&job.req.class).is_some_and(|(_, until)| self.now < *until);
         let at = |s: &Server| match (self.fit(s), full(s)) {
             (false, _) => RejectionReason::NoneHealthy,
@@ -1154,7 +1155,7 @@
     }
 
     fn peers(&self, role: Role) -> f64 {
-        let listed = |p: &&Server| p.info.role == role && p.info.lifecycle != Lifecycle::Out;
+        let listed = |p: &&Server| p.info.role == role && p.info.lifecycle != Lifecycle::Removed;
         self.servers.values().filter(listed).count().max(1) as f64
     }
 
--- a/crates/policy/tests/audit.rs
+++ b/crates/policy/tests/audit.rs
@@ -79,8 +79,8 @@
                 let all: Vec<WorkerId> = self.workers.keys().cloned().collect();
                 let to = match to % 4 {
                     0 => Lifecycle::Draining,
-                    1 => Lifecycle::Out,
-                    _ => Lifecycle::In,
+                    1 => Lifecycle::Removed,
+                    _ => Lifecycle::Active,
                 };
                 self.change(&all[*worker as usize % all.len()], to);
             }
--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -221,7 +221,7 @@
     let mut rig = Rig::new(Settings { release: secs(60.0), ..settings() }, fleet());
     let asked = rig.ask("a", "s", FREE, LONG);
     let reader = sent(&asked).unwrap().0;
-    let gone = Worker { lifecycle: Lifecycle::Out, ..worker(&reader, Role::Reader, 0) };
+    let gone = Worker { lifecycle: Lifecycle::Removed, ..worker(&reader, Role::Reader, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
     let late = rig.fire(&asked);
     assert!(late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
@@ -313,7 +313,7 @@
             let fresh = worker(&format!("w{}", n + 10), Role::Writer, n % 2);
             let fresh = Worker { started: Some(rig.now), ..fresh };
             let gone = worker(&format!("w{}", n + 5), Role::Writer, 0);
-            let gone = Worker { lifecycle: Lifecycle::Out, ..gone };
+            let gone = Worker { lifecycle: Lifecycle::Removed, ..gone };
             rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![fresh, gone] });
             let id = format!("{n}");
             let mut actions = rig.ask(&id, &format!("s{}", n % 7), FREE, LONG);
--- a/crates/policy/tests/common/audit.rs
+++ b/crates/policy/tests/common/audit.rs
@@ -247,9 +247,9 @@
         let now = self.rig.now;
         let w = self.workers.get_mut(id).expect("known");
         w.lifecycle = to;
-        if w.lifecycle == Lifecycle::In && self.stopped.remove(id) {
+        if w.lifecycle == Lifecycle::Active && self.stopped.remove(id) {
             w.started = Some(now);
-        } else if w.lifecycle != Lifecycle::In {
+        } else if w.lifecycle != Lifecycle::Active {
             self.stopped.insert(id.clone());
         }
         let workers = vec![w.clone()];
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -51,7 +51,7 @@
         cell: CellId(cell),
         role,
         kv_tokens: Some(100_000),
-        lifecycle: Lifecycle::In,
+        lifecycle: Lifecycle::Active,
         weight: 1.0,
         started: None,
     }
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -48,7 +48,8 @@
     for seed in 0..u64::from(ROUTERS) {
         let mut rig = one(seed, many(), workers.to_vec());
         quiet_run(&mut rig, "a", 20);
-        let news = gone.iter().map(|id| Worker { lifecycle: Lifecycle::Out, ..worker(id, Role::Reader, 0) });
+        let news =
+            gone.iter().map(|id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Reader, 0) });
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: news.collect() });
         let mut cold = worker("r0", Role::Reader, 0);
         cold.started = Some(rig.now);
@@ -100,7 +101,7 @@
         while rig.now < back + secs(6.0) {
             if !known && rig.now >= back {
                 known = true;
-                let gone = |id| Worker { lifecycle: Lifecycle::Out, ..worker(id, Role::Reader, 0) };
+                let gone = |id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Reader, 0) };
                 let workers = vec![cold.clone(), gone("r1"), gone("r2")];
                 rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers });
             }
--- a/crates/policy/tests/obligations.rs
+++ b/crates/policy/tests/obligations.rs
@@ -10,7 +10,7 @@
 const NOW: Micros = Micros(10_000_000);
 
 fn target(role: Role) -> Target {
-    Target { role, zone: Some(ZoneId(0)), cell: CellId(1), lifecycle: Lifecycle::In }
+    Target { role, zone: Some(ZoneId(0)), cell: CellId(1), lifecycle: Lifecycle::Active }
 }
 
 fn owed(effect: Effect, attempts: Vec<AttemptFacts>) -> Obligations {
@@ -77,7 +77,7 @@
     let writer = target(Role::Writer);
     let fresh = owed(Effect::Free, Vec::new());
     assert_eq!(denied(&fresh, &writer), None);
-    for lifecycle in [Lifecycle::Draining, Lifecycle::Out] {
+    for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
         assert_eq!(denied(&fresh, &Target { lifecycle, ..writer }), Some(Denied::NotInService));
     }
     let open = AttemptFacts::new(Stage::Read, NOW, target(Role::Reader));
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -98,9 +98,9 @@
         for id in &scope.listed {
             let id: WorkerId = (*id).into();
             let to: &[Lifecycle] = match a.workers[&id].lifecycle {
-                Lifecycle::In => &[Lifecycle::Draining, Lifecycle::Out],
-                Lifecycle::Draining => &[Lifecycle::In, Lifecycle::Out],
-                Lifecycle::Out => &[Lifecycle::In],
+                Lifecycle::Active => &[Lifecycle::Draining, Lifecycle::Removed],
+                Lifecycle::Draining => &[Lifecycle::Active, Lifecycle::Removed],
+                Lifecycle::Removed => &[Lifecycle::Active],
             };
             out.extend(to.iter().map(|to| Step::List(id.clone(), *to)));
         }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_draining_or_removed_worker_gets_nothing_not_even_a_held_request() {
-    for lifecycle in [Lifecycle::Draining, Lifecycle::Out] {
+    for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
         let mut rig = Rig::new(settings(), pair());
         rig.ask("a", "s", FREE, LONG);
         let mut w0 = worker("w0", Role::Writer, 0);
@@ -193,7 +193,7 @@
         let mut got = 0;
         for _ in 0..10 {
             // Off and on again, with the same start: the same process, and all within one window.
-            let gone = Worker { lifecycle: Lifecycle::Out, ..cold.clone() };
+            let gone = Worker { lifecycle: Lifecycle::Removed, ..cold.clone() };
             if full {
                 rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: all.clone() });
             } else {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -72,7 +72,7 @@
         cold.started = Some(back);
         let others = ["1", "2"].map(|n| format!("{}{n}", &self.cold_id()[..1]));
         let gone = others.iter().filter(|_| self.alone);
-        let gone = gone.map(|id| Worker { lifecycle: Lifecycle::Out, ..worker(id, self.role(), 0) });
+        let gone = gone.map(|id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, self.role(), 0) });
         std::iter::once(cold).chain(gone).collect()
     }
 
@@ -81,7 +81,7 @@
         let news = self.news(back);
         let mut all: Vec<Worker> = fleet_of_one_cell();
         all.retain(|w| !news.iter().any(|n| n.id == w.id));
-        all.extend(news.into_iter().filter(|w| w.lifecycle == Lifecycle::In));
+        all.extend(news.into_iter().filter(|w| w.lifecycle == Lifecycle::Active));
         all
     }
 
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -26,9 +26,9 @@
         let now = self.now;
         let target = self.engines.get(&worker).map(super::pool::Engine::target);
         let gone =
-            Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Out };
+            Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Removed };
         let target = target.unwrap_or(gone);
-        let role = (target.lifecycle != p::Lifecycle::Out).then_some(target.role);
+        let role = (target.lifecycle != p::Lifecycle::Removed).then_some(target.role);
         let Some(job) = self.jobs.get_mut(id) else { return };
         let permit = job.obligations(&self.config.policy).may_send(now, &target);
         let at = match (role, &job.held) {
--- a/crates/router/src/core/pool.rs
+++ b/crates/router/src/core/pool.rs
@@ -67,9 +67,9 @@
     /// As the rules on calls see it.
     pub(super) fn target(&self) -> Target {
         let lifecycle = match (self.listed, self.leaving) {
-            (false, _) => p::Lifecycle::Out,
+            (false, _) => p::Lifecycle::Removed,
             (true, true) => p::Lifecycle::Draining,
-            (true, false) => p::Lifecycle::In,
+            (true, false) => p::Lifecycle::Active,
         };
         Target { role: self.role, zone: self.zone, cell: self.cell, lifecycle }
     }
--- a/crates/router/src/core/sources.rs
+++ b/crates/router/src/core/sources.rs
@@ -40,8 +40,8 @@
         }
         let mut moved = Vec::new();
         for (worker, address) in &named {
-            let listed = worker.lifecycle != p::Lifecycle::Out;
-            let leaving = worker.lifecycle != p::Lifecycle::In;
+            let listed = worker.lifecycle != p::Lifecycle::Removed;
+            let leaving = worker.lifecycle != p::Lifecycle::Active;
             let host = address.to_string().into();
             let fresh = Engine {
                 address: *address,
@@ -136,7 +136,7 @@
         let mut room = self.config.bounds.workers.saturating_sub(held);
         let (mut workers, named) = (Vec::new(), list.workers.len());
         for (worker, address) in list.workers {
-            let known = worker.lifecycle == p::Lifecycle::Out || self.engines.contains_key(&worker.id);
+            let known = worker.lifecycle == p::Lifecycle::Removed || self.engines.contains_key(&worker.id);
             if known || room > 0 {
                 room -= usize::from(!known);
                 workers.push((worker, address));
--- a/crates/router/src/register.rs
+++ b/crates/router/src/register.rs
@@ -128,9 +128,9 @@
             role: kind.role,
             kv_tokens: kind.kv_tokens,
             lifecycle: match e.state {
-                State::In => p::Lifecycle::In,
+                State::In => p::Lifecycle::Active,
                 State::Draining => p::Lifecycle::Draining,
-                State::Out => p::Lifecycle::Out,
+                State::Out => p::Lifecycle::Removed,
             },
             weight: e.weight.filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0),
             started: e.started_unix_ms.filter(|s| *s > 0).map(|ms| p::Micros(ms.saturating_mul(1_000))),
