--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -38,7 +38,7 @@
 
     /// What a machine of this kind does, and its memory; one of an unknown kind does both.
     pub fn kind(&self, name: Option<&str>) -> (p::Role, Option<u64>) {
-        name.and_then(|n| self.kinds.get(n)).copied().unwrap_or((p::Role::Mixed, None))
+        name.and_then(|n| self.kinds.get(n)).copied().unwrap_or((p::Role::Combined, None))
     }
 }
 
@@ -58,9 +58,9 @@
     }
     for (i, kind) in w.kinds.iter().enumerate() {
         let role = match w.family_info.role_by_kind.get(i).map(String::as_str) {
-            Some("read") => p::Role::Reader,
-            Some("write") => p::Role::Writer,
-            Some("both") | None => p::Role::Mixed,
+            Some("read") => p::Role::Prefill,
+            Some("write") => p::Role::Decode,
+            Some("both") | None => p::Role::Combined,
             Some(other) => return Err(format!("field `role_by_kind`: unknown role `{other}`")),
         };
         let kv = w.family_info.kv_tokens.get(i).map(|t| tokens(*t));
--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -111,7 +111,7 @@
         id: "w1".into(),
         zone: Some(ZoneId(1)),
         cell: CellId(4),
-        role: Role::Writer,
+        role: Role::Decode,
         kv_tokens: Some(90_000),
         lifecycle: Lifecycle::Draining,
         weight: 1.5,
@@ -216,7 +216,7 @@
     all.value("cell id", &CellId(4));
     all.value("timer id", &TimerId(5));
     all.value("attempt number", &AttemptNo(6));
-    all.variants("role", &[Role::Reader, Role::Writer, Role::Mixed]);
+    all.variants("role", &[Role::Prefill, Role::Decode, Role::Combined]);
     all.variants("group", &[Group::All, Group::Zone, Group::Cell]);
     let groups = [Group::All, Group::Zone, Group::Cell].map(Effect::Guarded);
     all.variants("effect", &[&[Effect::Free], &groups[..], &[Effect::SingleShot]].concat());
@@ -270,7 +270,7 @@
 fn reasons_and_care_sort_and_are_counted_as_they_are_written() {
     assert!(REASONS.is_sorted(), "the first condition that holds is the first in this order");
     assert!([AttemptKind::Normal, AttemptKind::SlowStart, AttemptKind::Probe].is_sorted());
-    assert!([Role::Reader, Role::Writer, Role::Mixed].is_sorted());
+    assert!([Role::Prefill, Role::Decode, Role::Combined].is_sorted());
     for reason in REASONS {
         assert_eq!(serde_json::to_value(reason).unwrap(), reason.name());
     }
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -101,9 +101,9 @@
         keys: KeyRing::new([0; 32]),
         zones: [("yard".to_owned(), p::ZoneId(0))].into(),
         kinds: [
-            (Role::Reader.name().to_owned(), kind(p::Role::Reader, 200_000)),
-            (Role::Writer.name().to_owned(), kind(p::Role::Writer, 120_000)),
-            (Role::Mixed.name().to_owned(), kind(p::Role::Mixed, 160_000)),
+            (Role::Reader.name().to_owned(), kind(p::Role::Prefill, 200_000)),
+            (Role::Writer.name().to_owned(), kind(p::Role::Decode, 120_000)),
+            (Role::Mixed.name().to_owned(), kind(p::Role::Combined, 160_000)),
         ]
         .into(),
         register: Some(register),
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -111,12 +111,15 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Role {
     /// Reads prompts; its read state is then pulled by a writer.
-    Reader,
+    #[cfg_attr(feature = "serde", serde(rename = "Reader"))]
+    Prefill,
     /// Pulls read state and writes answers; may read by itself where the settings say so.
-    Writer,
+    #[cfg_attr(feature = "serde", serde(rename = "Writer"))]
+    Decode,
     /// Does both.
     #[default]
-    Mixed,
+    #[cfg_attr(feature = "serde", serde(rename = "Mixed"))]
+    Combined,
 }
 
 /// Where a class of requests may be repeated.
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// At a reader: no effect, ends with state that waits there.
-    Read,
+    Prefill,
     /// At a writer or mixed server.
-    Write,
+    Decode,
 }
 
 /// A worker as the rules see it.
@@ -54,13 +54,13 @@
 impl AttemptFacts {
     /// An attempt that is sent now.
     pub fn new(stage: Stage, sent: Micros, target: Target) -> Self {
-        Self { stage, sent, target, open: true, may_have_run: stage == Stage::Write }
+        Self { stage, sent, target, open: true, may_have_run: stage == Stage::Decode }
     }
 
     /// It has ended so.
     pub fn end(&mut self, outcome: Outcome) {
         self.open = false;
-        self.may_have_run = self.stage == Stage::Write && !outcome.proves_not_run();
+        self.may_have_run = self.stage == Stage::Decode && !outcome.proves_not_run();
     }
 }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -217,7 +217,7 @@
 
     /// Counts an attempt that is out here.
     fn count(&mut self, stage: Stage, prompt: u64) {
-        let (read, write) = (u32::from(stage == Stage::Read), u32::from(stage == Stage::Write));
+        let (read, write) = (u32::from(stage == Stage::Prefill), u32::from(stage == Stage::Decode));
         (self.reads, self.streams, self.pending) =
             (self.reads + read, self.streams + write, self.pending + write);
         self.read_tokens = self.read_tokens.saturating_add(prompt * u64::from(read));
@@ -653,30 +653,30 @@
     fn choose(&self, job: &Job) -> Option<Step> {
         if let Some(reader) = &job.held {
             let w = self.roomiest(job, Some(reader))?;
-            return Some((w, Stage::Write, None));
+            return Some((w, Stage::Decode, None));
         }
         if let Some((w, kept)) = self.local(job) {
-            return Some((w, Stage::Write, Some(kept)));
+            return Some((w, Stage::Decode, Some(kept)));
         }
-        let (mixed, readers) = (self.hashable(job, Role::Mixed), self.hashable(job, Role::Reader));
-        let writers = self.pool(job, |r| r == Role::Writer);
+        let (mixed, readers) = (self.hashable(job, Role::Combined), self.hashable(job, Role::Prefill));
+        let writers = self.pool(job, |r| r == Role::Decode);
         if readers.is_empty() || (writers.is_empty() && mixed.is_empty()) || self.mixed_turn(job, &mixed) {
             if let Some(s) = self.hashed(job, &mixed) {
-                return Some((s, Stage::Write, None));
+                return Some((s, Stage::Decode, None));
             }
         }
         if let Some(s) = self.hashed(job, &readers) {
-            return Some((s, Stage::Read, None));
+            return Some((s, Stage::Prefill, None));
         }
         // No reader is left, not merely full: a writer reads, if it can.
         let left =
-            |s: &Server| s.info.role == Role::Reader && s.info.lifecycle == Lifecycle::Active && !s.down;
+            |s: &Server| s.info.role == Role::Prefill && s.info.lifecycle == Lifecycle::Active && !s.down;
         let obligations = self.obligations(job);
         let left = |s: &Server| left(s) && self.may_run(&obligations, s) && self.cold_room(job, s);
         if !self.set.self_prefill || self.servers.values().any(left) {
             return None;
         }
-        Some((self.roomiest(job, None)?, Stage::Write, None))
+        Some((self.roomiest(job, None)?, Stage::Decode, None))
     }
 
     /// A short remainder is read where it is written: at home, or, with a short prompt, at the roomiest.
@@ -702,8 +702,8 @@
             return short.then(|| self.roomiest(job, None)).flatten().map(|w| (w, 0));
         };
         let short = job.req.prompt_tokens.saturating_sub(h.kept) < threshold && !job.tried(&s.info.id);
-        let can = short && (s.info.role == Role::Mixed || self.set.self_prefill);
-        let can = can && self.pool(job, |r| r != Role::Reader).iter().any(|p| p.info.id == s.info.id);
+        let can = short && (s.info.role == Role::Combined || self.set.self_prefill);
+        let can = can && self.pool(job, |r| r != Role::Prefill).iter().any(|p| p.info.id == s.info.id);
         can.then(|| (s.info.id.clone(), h.kept.min(job.req.prompt_tokens)))
     }
 
@@ -712,7 +712,7 @@
     /// jam of writers; harms where mixed servers answer early and write slowly, so it is bounded. A coin
     /// decides on the fraction; one of many routers starts with fewer, fewest for slow ones.
     fn mixed_turn(&self, job: &Job, mixed: &[&Server]) -> bool {
-        let split = |s: &&Server| s.info.lifecycle == Lifecycle::Active && s.info.role != Role::Mixed;
+        let split = |s: &&Server| s.info.lifecycle == Lifecycle::Active && s.info.role != Role::Combined;
         let out: u32 = self.servers.values().filter(split).map(|s| s.reads + s.streams).sum();
         let n = self.servers.values().filter(split).count() as u32;
         let here: u32 = mixed.iter().map(|s| s.reads + s.streams).sum();
@@ -743,7 +743,7 @@
         let lately = |s: &Server| s.took.0 * fading(self.now - s.took.1, HOT_SPAN);
         let slow = |s: &Server| if seldom { (lately(s) / SLOW) as u32 } else { 0 };
         let load = |s: &Server| match s.info.role {
-            Role::Mixed => s.streams,
+            Role::Combined => s.streams,
             _ => s.reads.max((s.read_tokens as f64 / usual) as u32) + slow(s),
         };
         // One of many routers knows nothing of a cold one: it is no better than the warm ones in the mean,
@@ -766,7 +766,7 @@
     /// The worker with most room. A mixed server pulls a state where no writer may be used, or where it has
     /// more room than any writer by `SPARE`: writers' memory can be full while their slots are not.
     fn roomiest(&self, job: &Job, from: Option<&WorkerId>) -> Option<WorkerId> {
-        let [writers, mixed] = [Role::Writer, Role::Mixed].map(|role| self.pool(job, |r| r == role));
+        let [writers, mixed] = [Role::Decode, Role::Combined].map(|role| self.pool(job, |r| r == role));
         let (pool, others) = if writers.is_empty() { (mixed, writers) } else { (writers, mixed) };
         let (mean, others_mean) = (mean_room(&pool), mean_room(&others).filter(|_| from.is_some()));
         // Without reports the unit is our streams; a difference under the root of others' tells nothing.
@@ -802,12 +802,12 @@
     /// Where it has more of the readers than of the writers, these can take only their part: a coin sends
     /// the rest to cells with writers to spare, those of the reader's zone first.
     fn cell_for(&self, job: &Job, at: &Worker, pool: &[&Server]) -> Option<CellId> {
-        let reads = |s: &&Server| s.info.role == Role::Reader && s.info.lifecycle != Lifecycle::Removed;
+        let reads = |s: &&Server| s.info.role == Role::Prefill && s.info.lifecycle != Lifecycle::Removed;
         let mut cells: BTreeMap<CellId, (f64, f64)> = BTreeMap::new();
         self.servers.values().filter(reads).for_each(|s| cells.entry(s.info.cell).or_default().0 += 1.0);
         pool.iter().for_each(|s| cells.entry(s.info.cell).or_default().1 += 1.0);
         // Readers of a cell for each of its writers, over those of all.
-        let usual = self.peers(Role::Reader) / pool.len().max(1) as f64;
+        let usual = self.peers(Role::Prefill) / pool.len().max(1) as f64;
         let burden = |at: &CellId| cells.get(at).map_or(0.0, |(r, w)| r / w.max(1e-9) / usual);
         if self.coin(&*job.req.id.0, &at.id.0) * burden(&at.cell) < 1.0 {
             return Some(at.cell);
@@ -829,7 +829,7 @@
     fn send(&mut self, job: &mut Job, (worker, stage, predicted): Step, out: &mut Vec<Action>) {
         let now = self.now;
         let (effect, pace) = (self.effect(job).0, self.pace());
-        let must_end = self.obligations(job).must_end().filter(|_| stage == Stage::Write);
+        let must_end = self.obligations(job).must_end().filter(|_| stage == Stage::Decode);
         let Some(s) = self.servers.get(&worker) else { return };
         let (cold, trial, role) = (self.is_cold(s), s.failing >= FAILING || !self.fit(s), s.info.role);
         let part = if cold && f64::from(self.set.routers) <= SELDOM { 0.0 } else { 1.0 / self.peers(role) };
@@ -841,18 +841,18 @@
         }
         s.poured = s.poured.saturating_add(job.req.prompt_tokens);
         s.count(stage, job.req.prompt_tokens);
-        s.since += if stage == Stage::Write { job.req.prompt_tokens as f64 } else { 0.0 };
+        s.since += if stage == Stage::Decode { job.req.prompt_tokens as f64 } else { 0.0 };
         let usual = match stage {
-            Stage::Read => self.seen.read_s,
-            Stage::Write if job.held.is_some() => self.seen.pull_s,
-            Stage::Write => self.seen.mixed_s,
+            Stage::Prefill => self.seen.read_s,
+            Stage::Decode if job.held.is_some() => self.seen.pull_s,
+            Stage::Decode => self.seen.mixed_s,
         };
         // What lies before it, and itself, has to be read; what waited in vain is part of the silence.
         let reading = (s.read_tokens as f64 + job.req.prompt_tokens as f64) / pace;
         let usual = Micros::from_secs_f64(usual.0.unwrap_or(0.0) * OVERDUE_FACTOR);
         let patience = job.aim.mul_f64(OVERDUE_FLOOR).max(usual - s.silent) + Micros::from_secs_f64(reading);
         // Where nothing can be cancelled, a time-out has to be set beforehand.
-        let again = stage == Stage::Read || effect == Effect::Free;
+        let again = stage == Stage::Prefill || effect == Effect::Free;
         let give_up = Some(patience + patience).filter(|g| !self.set.may_cancel && again && g.0 > 0);
         let must_end = must_end.map(|at| (at - now).max(self.set.tick));
         let give_up = give_up.into_iter().chain(must_end).min();
@@ -863,7 +863,7 @@
         let usual_read = Micros::from_secs_f64(self.seen.read_s.0.unwrap_or(0.0));
         let usual_read = usual_read.min(job.aim.mul_f64(OVERDUE_FLOOR));
         let doubted = release_due(now + usual_read, self.set.release);
-        let doubted = Some(doubted).filter(|_| stage == Stage::Read);
+        let doubted = Some(doubted).filter(|_| stage == Stage::Prefill);
         job.tries.push(Try { worker: at, facts, pulls, due, doubted, overdue, unreached, predicted });
         let kind = if cold { AttemptKind::SlowStart } else { AttemptKind::Normal };
         let kind = if trial { AttemptKind::Probe } else { kind };
@@ -918,7 +918,7 @@
         job.held_since = if proves_arrival(outcome) || job.held.is_none() { now } else { job.held_since };
         if let Some(s) = life(&mut self.servers, t) {
             let (read, write) =
-                (u32::from(t.facts.stage == Stage::Read), u32::from(t.facts.stage == Stage::Write));
+                (u32::from(t.facts.stage == Stage::Prefill), u32::from(t.facts.stage == Stage::Decode));
             s.reads = s.reads.saturating_sub(read);
             s.read_tokens = s.read_tokens.saturating_sub(job.req.prompt_tokens * u64::from(read));
             s.streams = s.streams.saturating_sub(write);
@@ -928,11 +928,11 @@
             if let Some(r) = report {
                 s.report = Some(r);
                 s.since = 0.0;
-            } else if t.facts.stage == Stage::Write {
+            } else if t.facts.stage == Stage::Decode {
                 s.since = (s.since - job.req.prompt_tokens as f64).max(0.0);
             }
             s.down = outcome == Outcome::NoConnection;
-            if t.facts.stage == Stage::Read {
+            if t.facts.stage == Stage::Prefill {
                 s.took = (elapsed.as_secs_f64() / job.aim.as_secs_f64().max(1e-6), now);
             }
             if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && s.heard < t.facts.sent && !seldom
@@ -1019,7 +1019,7 @@
                 heard = s.heard > t.facts.sent && !(late && s.answered > t.facts.sent);
             }
             job.stuck = !heard;
-            let again = t.facts.stage == Stage::Read || free;
+            let again = t.facts.stage == Stage::Prefill || free;
             if !heard && !seldom && again && !done && self.set.may_cancel {
                 out.push(Action::Cancel { id: id.clone(), attempt: AttemptNo(i as u32) });
                 t.due = None;
@@ -1141,7 +1141,7 @@
 
     /// What kept a request whose time is up from its next attempt.
     fn barred(&self, job: &Job) -> RejectionReason {
-        let other = if job.held.is_some() { Role::Reader } else { Role::Writer };
+        let other = if job.held.is_some() { Role::Prefill } else { Role::Decode };
         let serves = |s: &&Server| s.info.lifecycle == Lifecycle::Active && s.info.role != other;
         let full = |s: &Server| s.full.get(&job.req.class).is_some_and(|(_, until)| self.now < *until);
         let at = |s: &Server| match (self.fit(s), full(s)) {
--- a/crates/policy/tests/audit.rs
+++ b/crates/policy/tests/audit.rs
@@ -47,14 +47,14 @@
             }
             Op::Stream { pick } => {
                 let Some((id, n)) = self.pick_open(*pick, Some(false)) else { return };
-                if self.workers[&self.asked[&id].tries[n].worker].role != Role::Reader {
+                if self.workers[&self.asked[&id].tries[n].worker].role != Role::Prefill {
                     self.stream(&id, n);
                 }
             }
             Op::End { pick, how, over } => {
                 let Some((id, n)) = self.pick_open(*pick, None) else { return };
                 let t = &self.asked[&id].tries[n];
-                let reader = self.workers[&t.worker].role == Role::Reader;
+                let reader = self.workers[&t.worker].role == Role::Prefill;
                 let outcome = match how % 8 {
                     0..=2 if reader => Outcome::Parsed,
                     0..=2 if t.streaming => Outcome::Served,
--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -46,7 +46,7 @@
         rig.stream(&id, 0);
         rig.end(&id, 0, Outcome::Served, 0);
     }
-    let gone = Worker { lifecycle: Lifecycle::Draining, ..worker(&first, Role::Writer, 0) };
+    let gone = Worker { lifecycle: Lifecycle::Draining, ..worker(&first, Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
     let (_, second) = rig.whole("b", "moving", LONG);
     assert_ne!(first, second);
@@ -111,7 +111,7 @@
 
 /// Without reports, two writers alike.
 fn unreported() -> Rig {
-    let workers = ["w0", "w1"].map(|w| worker(w, Role::Writer, 0));
+    let workers = ["w0", "w1"].map(|w| worker(w, Role::Decode, 0));
     let set = Settings { reports: Reports::Off, routers: 1, cold_for: secs(0.01), ..settings() };
     Rig::new(set, workers.to_vec())
 }
@@ -159,7 +159,7 @@
     };
     let old = ask(&mut rig, "old", 20);
     rig.wait(0.1);
-    let restarted = Worker { started: Some(rig.now), ..worker("w0", Role::Writer, 0) };
+    let restarted = Worker { started: Some(rig.now), ..worker("w0", Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.wait(0.1);
     let new = ask(&mut rig, "new", 12);
@@ -193,7 +193,7 @@
     };
     let early = (0..20).filter(|i| one(&mut rig, &format!("e{i}")) == "w0").count();
     // The list tells of the start only now, and all of these are out at the new life.
-    let restarted = Worker { started: Some(started), ..worker("w0", Role::Writer, 0) };
+    let restarted = Worker { started: Some(started), ..worker("w0", Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     // It is cold from the news on, for 10 ms here.
     rig.wait(0.02);
@@ -208,7 +208,7 @@
     let home = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
     rig.stream("a", 1);
     rig.wait(0.5);
-    let restarted = Worker { started: Some(rig.now), ..worker(&home, Role::Writer, 0) };
+    let restarted = Worker { started: Some(rig.now), ..worker(&home, Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.wait(0.5);
     rig.end("a", 1, Outcome::Served, 0);
@@ -221,7 +221,7 @@
     let mut rig = Rig::new(Settings { release: secs(60.0), ..settings() }, fleet());
     let asked = rig.ask("a", "s", FREE, LONG);
     let reader = sent(&asked).unwrap().0;
-    let gone = Worker { lifecycle: Lifecycle::Removed, ..worker(&reader, Role::Reader, 0) };
+    let gone = Worker { lifecycle: Lifecycle::Removed, ..worker(&reader, Role::Prefill, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
     let late = rig.fire(&asked);
     assert!(late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
@@ -231,7 +231,7 @@
 fn a_whole_list_costs_about_what_as_many_changes_cost() {
     // Of ten rounds the fastest, so that a busy machine changes nothing; when each known worker was looked for in the
     // list, it cost over eighty times as much.
-    let named = |i: u64| worker(&format!("w{i:05}"), Role::Writer, i % 50);
+    let named = |i: u64| worker(&format!("w{i:05}"), Role::Decode, i % 50);
     let all: Vec<Worker> = (0..10_000).map(named).collect();
     let mut rig = Rig::new(settings(), all.clone());
     let mut cost = |kind| {
@@ -287,7 +287,7 @@
 #[test]
 fn a_start_that_the_list_puts_into_the_future_keeps_nobody_cold_for_longer() {
     let mut rig = Rig::new(settings(), fleet());
-    let ahead = Worker { started: Some(rig.now + secs(3_600.0)), ..worker("w9", Role::Writer, 0) };
+    let ahead = Worker { started: Some(rig.now + secs(3_600.0)), ..worker("w9", Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![ahead] });
     rig.wait(11.0);
     let to = |rig: &mut Rig, i: usize| {
@@ -310,9 +310,9 @@
         // A day of 1,440 minutes, in each a worker that was never seen before comes and another goes.
         for minute in 0..1_440_u64 {
             let n = day * 1_440 + minute;
-            let fresh = worker(&format!("w{}", n + 10), Role::Writer, n % 2);
+            let fresh = worker(&format!("w{}", n + 10), Role::Decode, n % 2);
             let fresh = Worker { started: Some(rig.now), ..fresh };
-            let gone = worker(&format!("w{}", n + 5), Role::Writer, 0);
+            let gone = worker(&format!("w{}", n + 5), Role::Decode, 0);
             let gone = Worker { lifecycle: Lifecycle::Removed, ..gone };
             rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![fresh, gone] });
             let id = format!("{n}");
--- a/crates/policy/tests/common/audit.rs
+++ b/crates/policy/tests/common/audit.rs
@@ -48,7 +48,7 @@
 impl Audit {
     pub fn new(set: Settings) -> Self {
         let mut workers = fleet();
-        workers.push(worker("m0", Role::Mixed, 0));
+        workers.push(worker("m0", Role::Combined, 0));
         Self::of(set.clone(), set, workers)
     }
 
@@ -259,7 +259,7 @@
     pub fn verdict(&mut self, id: &RequestId, n: usize, outcome: Outcome, over: bool) {
         let now = self.rig.now;
         let job = self.asked.get_mut(id).expect("known");
-        let reader = self.workers[&job.tries[n].worker].role == Role::Reader;
+        let reader = self.workers[&job.tries[n].worker].role == Role::Prefill;
         job.tries[n].ran = Some(!reader && !outcome.proves_not_run());
         job.last = now;
         job.over |= over || outcome == Outcome::Served;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -61,16 +61,16 @@
 pub fn fleet() -> Vec<Worker> {
     let mut all = Vec::new();
     for i in 0..3 {
-        all.push(worker(&format!("r{i}"), Role::Reader, i % 2));
-        all.push(worker(&format!("w{i}"), Role::Writer, i % 2));
+        all.push(worker(&format!("r{i}"), Role::Prefill, i % 2));
+        all.push(worker(&format!("w{i}"), Role::Decode, i % 2));
     }
     all
 }
 
 /// One writer w0 and `n` readers r0.. beside it.
 pub fn readers(n: usize) -> Vec<Worker> {
-    let mut all = vec![worker("w0", Role::Writer, 0)];
-    all.extend((0..n).map(|i| worker(&format!("r{i}"), Role::Reader, 0)));
+    let mut all = vec![worker("w0", Role::Decode, 0)];
+    all.extend((0..n).map(|i| worker(&format!("r{i}"), Role::Prefill, 0)));
     all
 }
 
--- a/crates/policy/tests/joiner.rs
+++ b/crates/policy/tests/joiner.rs
@@ -119,8 +119,8 @@
     let (begin, started) = (secs(100.0), secs(120.0));
     let mut workers = Vec::new();
     for i in 0..8 {
-        workers.push(worker(&format!("r{i}"), Role::Reader, i % 2));
-        workers.push(worker(&format!("w{i}"), Role::Writer, i % 2));
+        workers.push(worker(&format!("r{i}"), Role::Prefill, i % 2));
+        workers.push(worker(&format!("w{i}"), Role::Decode, i % 2));
     }
     let rig = |seed| {
         let mut rig = Rig { router: Router::new(set.clone(), u64::from(seed)), now: begin };
@@ -145,7 +145,7 @@
         yard.until(now);
         if !joined && now >= started {
             joined = true;
-            let role = if case.joins.starts_with('r') { Role::Reader } else { Role::Writer };
+            let role = if case.joins.starts_with('r') { Role::Prefill } else { Role::Decode };
             let start = Some(started).filter(|_| case.cold);
             let fresh = Worker { started: start, ..worker(case.joins, role, 0) };
             for rig in &mut yard.rigs {
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -23,15 +23,15 @@
 /// The usual fleet and a mixed server in each of its cells.
 fn with_mixed() -> Vec<Worker> {
     let mut all = fleet();
-    all.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    all.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     all
 }
 
 /// Two cells: the first with most readers and one writer, the second with most writers.
 fn skewed() -> Vec<Worker> {
-    let mut all = vec![worker("w0", Role::Writer, 0), worker("r3", Role::Reader, 1)];
-    all.extend((0..3).map(|i| worker(&format!("r{i}"), Role::Reader, 0)));
-    all.extend((1..4).map(|i| worker(&format!("w{i}"), Role::Writer, 1)));
+    let mut all = vec![worker("w0", Role::Decode, 0), worker("r3", Role::Prefill, 1)];
+    all.extend((0..3).map(|i| worker(&format!("r{i}"), Role::Prefill, 0)));
+    all.extend((1..4).map(|i| worker(&format!("w{i}"), Role::Decode, 1)));
     all
 }
 
@@ -49,9 +49,9 @@
         let mut rig = one(seed, many(), workers.to_vec());
         quiet_run(&mut rig, "a", 20);
         let news =
-            gone.iter().map(|id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Reader, 0) });
+            gone.iter().map(|id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Prefill, 0) });
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: news.collect() });
-        let mut cold = worker("r0", Role::Reader, 0);
+        let mut cold = worker("r0", Role::Prefill, 0);
         cold.started = Some(rig.now);
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold] });
         for i in 0..4 {
@@ -93,7 +93,7 @@
         let mut rig = one(start * 1_000 + n, set.clone(), readers(3));
         let begun = rig.now;
         let back = begun + secs(20.0);
-        let mut cold = worker("r0", Role::Reader, 0);
+        let mut cold = worker("r0", Role::Prefill, 0);
         cold.started = Some(back);
         let (mut known, mut anew, mut i) = (false, n % 2 == 1, 0);
         // Out of step with each other.
@@ -101,7 +101,7 @@
         while rig.now < back + secs(6.0) {
             if !known && rig.now >= back {
                 known = true;
-                let gone = |id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Reader, 0) };
+                let gone = |id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Prefill, 0) };
                 let workers = vec![cold.clone(), gone("r1"), gone("r2")];
                 rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers });
             }
@@ -109,7 +109,7 @@
                 anew = false;
                 let at = rig.now;
                 rig.router = Router::new(set.clone(), start * 1_000 + 500 + n);
-                let workers = vec![cold.clone(), worker("w0", Role::Writer, 0)];
+                let workers = vec![cold.clone(), worker("w0", Role::Decode, 0)];
                 rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
                 rig.now = at;
             }
@@ -175,7 +175,7 @@
             rig.wait(1.2 - took);
         }
         let cold =
-            (0..5).map(|i| Worker { started: Some(rig.now), ..worker(&format!("r{i}"), Role::Reader, 0) });
+            (0..5).map(|i| Worker { started: Some(rig.now), ..worker(&format!("r{i}"), Role::Prefill, 0) });
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: cold.collect() });
         for i in 0..2 {
             let id = format!("{seed}c{i}");
@@ -215,8 +215,8 @@
         let mut rig = one(seed, many(), vec![]);
         let cold = |i: usize| (i < 2).then_some(rig.now);
         let readers =
-            (0..4).map(|i| Worker { started: cold(i), ..worker(&format!("r{i}"), Role::Reader, 0) });
-        let workers = readers.chain([worker("w0", Role::Writer, 0)]).collect();
+            (0..4).map(|i| Worker { started: cold(i), ..worker(&format!("r{i}"), Role::Prefill, 0) });
+        let workers = readers.chain([worker("w0", Role::Decode, 0)]).collect();
         rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
         let id = format!("first{seed}");
         sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0
@@ -236,7 +236,7 @@
         let mut rig = one(seed, set, readers(4));
         quiet_run(&mut rig, "a", 20);
         let at = rig.now;
-        let cold = (0..4).map(|i| Worker { started: Some(at), ..worker(&format!("r{i}"), Role::Reader, 0) });
+        let cold = (0..4).map(|i| Worker { started: Some(at), ..worker(&format!("r{i}"), Role::Prefill, 0) });
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: cold.collect() });
         let mut n = 0;
         while rig.now < at + secs(cold_for) {
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -58,7 +58,7 @@
 fn a_restarted_home_keeps_nothing() {
     let mut rig = Rig::new(settings(), fleet());
     let (_, writer) = rig.whole("a", "s", LONG);
-    let mut w = worker(&writer, Role::Writer, 0);
+    let mut w = worker(&writer, Role::Decode, 0);
     w.started = Some(rig.now);
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w] });
     assert!(sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0.starts_with('r'));
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_kept_count_far_under_the_note_voids_older_notes_of_that_writer() {
-    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Reader, 0), worker("w0", Role::Writer, 0)]);
+    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
     rig.whole("a", "s", LONG);
     rig.whole("b", "t", LONG);
     assert_eq!(sent(&rig.ask("c", "s", FREE, LONG + 100)).unwrap().0, "w0");
@@ -110,7 +110,7 @@
 #[test]
 fn of_two_readers_the_one_with_fewer_of_our_reads_out_is_taken() {
     let workers =
-        vec![worker("r0", Role::Reader, 0), worker("r1", Role::Reader, 0), worker("w0", Role::Writer, 0)];
+        vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0), worker("w0", Role::Decode, 0)];
     let mut rig = Rig::new(settings(), workers);
     let first = sent(&rig.ask("a", "s", FREE, LONG)).unwrap().0;
     let second = sent(&rig.ask("b", "s", FREE, LONG)).unwrap().0;
@@ -141,7 +141,7 @@
 /// Where twenty read states are pulled, once writers and mixed servers have reported such parts of their memory held.
 fn pulls_with(writers_held: f64, mixed_held: f64) -> std::collections::BTreeSet<String> {
     let mut workers = fleet();
-    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     let mut rig = Rig::new(settings(), workers);
     let mut pulled = std::collections::BTreeSet::new();
     for i in 0..60 {
@@ -192,7 +192,7 @@
 #[test]
 fn mixed_servers_take_their_share_whole() {
     let mut workers = fleet();
-    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     let mut rig = Rig::new(settings(), workers);
     let mixed = (0..16)
         .filter(|i| sent(&rig.ask(&format!("{i}"), &format!("s{i}"), FREE, LONG)).unwrap().0.starts_with('m'))
@@ -217,7 +217,7 @@
 #[test]
 fn a_very_long_read_counts_as_many() {
     let workers =
-        vec![worker("r0", Role::Reader, 0), worker("r1", Role::Reader, 0), worker("w0", Role::Writer, 0)];
+        vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0), worker("w0", Role::Decode, 0)];
     let mut rig = Rig::new(settings(), workers);
     for i in 0..20 {
         rig.whole(&format!("l{i}"), &format!("l{i}"), LONG);
@@ -232,7 +232,7 @@
 #[test]
 fn slow_reads_raise_the_share_of_mixed_servers() {
     let mut workers = fleet();
-    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     let share = |read_s: f64| {
         let mut rig = Rig::new(settings(), workers.clone());
         // Finished requests, two at a time so that both ways are used: reads take `read_s`,
--- a/crates/policy/tests/obligations.rs
+++ b/crates/policy/tests/obligations.rs
@@ -26,7 +26,7 @@
 }
 
 fn ended(stage: Stage, outcome: Outcome) -> AttemptFacts {
-    let mut facts = AttemptFacts::new(stage, NOW - secs(1.0), target(Role::Writer));
+    let mut facts = AttemptFacts::new(stage, NOW - secs(1.0), target(Role::Decode));
     facts.end(outcome);
     facts
 }
@@ -45,9 +45,9 @@
         Outcome::Served,
     ];
     let proven = [Outcome::Refused { no_state: true }, Outcome::NoConnection, Outcome::NotSent];
-    let writer = target(Role::Writer);
+    let writer = target(Role::Decode);
     for outcome in unproven {
-        let earlier = vec![ended(Stage::Write, outcome)];
+        let earlier = vec![ended(Stage::Decode, outcome)];
         let single = owed(Effect::SingleShot, earlier.clone());
         assert_eq!(denied(&single, &writer), Some(Denied::MayHaveRun), "{outcome:?}");
         assert_eq!(single.may_refuse().err(), Some(Denied::MayHaveRun), "{outcome:?}");
@@ -62,27 +62,27 @@
         assert_eq!(guarded.hopeless(NOW + secs(1.0)), Some(Denied::MayHaveRun));
     }
     for outcome in proven {
-        let single = owed(Effect::SingleShot, vec![ended(Stage::Write, outcome)]);
+        let single = owed(Effect::SingleShot, vec![ended(Stage::Decode, outcome)]);
         assert_eq!(denied(&single, &writer), None, "{outcome:?}");
         assert!(single.may_refuse().is_ok() && single.hopeless(NOW).is_none(), "{outcome:?}");
     }
     for outcome in unproven {
-        let read = owed(Effect::SingleShot, vec![ended(Stage::Read, outcome)]);
-        assert_eq!(denied(&read, &target(Role::Reader)), None, "a read has no effect");
+        let read = owed(Effect::SingleShot, vec![ended(Stage::Prefill, outcome)]);
+        assert_eq!(denied(&read, &target(Role::Prefill)), None, "a read has no effect");
     }
 }
 
 #[test]
 fn each_denial_names_its_reason() {
-    let writer = target(Role::Writer);
+    let writer = target(Role::Decode);
     let fresh = owed(Effect::Free, Vec::new());
     assert_eq!(denied(&fresh, &writer), None);
     for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
         assert_eq!(denied(&fresh, &Target { lifecycle, ..writer }), Some(Denied::NotInService));
     }
-    let open = AttemptFacts::new(Stage::Read, NOW, target(Role::Reader));
+    let open = AttemptFacts::new(Stage::Prefill, NOW, target(Role::Prefill));
     assert_eq!(denied(&owed(Effect::Free, vec![open]), &writer), Some(Denied::AttemptOpen));
-    let used = vec![ended(Stage::Write, Outcome::NoConnection); 4];
+    let used = vec![ended(Stage::Decode, Outcome::NoConnection); 4];
     assert_eq!(denied(&owed(Effect::Free, used.clone()), &writer), Some(Denied::AttemptsUsed));
     assert_eq!(owed(Effect::Free, used).hopeless(NOW), Some(Denied::AttemptsUsed));
     assert_eq!(fresh.may_send(NOW + secs(5.0), &writer).err(), Some(Denied::PastDeadline));
@@ -92,7 +92,7 @@
         assert_eq!(owed.may_answer().is_ok(), answer == AnswerState::Begun);
     }
     // While an attempt is open nothing is known of its effect: no promise that trying again is harmless.
-    let open = AttemptFacts::new(Stage::Write, NOW, writer);
+    let open = AttemptFacts::new(Stage::Decode, NOW, writer);
     assert_eq!(owed(Effect::SingleShot, vec![open]).may_refuse().err(), Some(Denied::MayHaveRun));
 }
 
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -44,7 +44,7 @@
 /// Two readers and two writers, a pair in each of two cells.
 fn tiny() -> Vec<Worker> {
     let pair =
-        |i: u64| [worker(&format!("r{i}"), Role::Reader, i), worker(&format!("w{i}"), Role::Writer, i)];
+        |i: u64| [worker(&format!("r{i}"), Role::Prefill, i), worker(&format!("w{i}"), Role::Decode, i)];
     (0..2).flat_map(pair).collect()
 }
 
@@ -72,7 +72,7 @@
     }
     for (id, job) in &a.asked {
         for (n, t) in job.tries.iter().enumerate().filter(|(_, t)| t.ran.is_none()) {
-            let reader = a.workers[&t.worker].role == Role::Reader;
+            let reader = a.workers[&t.worker].role == Role::Prefill;
             let mut end = |outcome| out.push(Step::End(id.clone(), n, outcome));
             if t.streaming {
                 end(Outcome::Served);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -9,10 +9,10 @@
 
 fn pair() -> Vec<Worker> {
     vec![
-        worker("r0", Role::Reader, 0),
-        worker("r1", Role::Reader, 1),
-        worker("w0", Role::Writer, 0),
-        worker("w1", Role::Writer, 1),
+        worker("r0", Role::Prefill, 0),
+        worker("r1", Role::Prefill, 1),
+        worker("w0", Role::Decode, 0),
+        worker("w1", Role::Decode, 1),
     ]
 }
 
@@ -109,8 +109,8 @@
 #[test]
 fn a_guarded_request_stays_in_its_group_and_window() {
     let mut workers = pair();
-    workers.push(worker("w2", Role::Writer, 0));
-    workers.push(worker("w3", Role::Writer, 1));
+    workers.push(worker("w2", Role::Decode, 0));
+    workers.push(worker("w3", Role::Decode, 1));
     let mut rig = Rig::new(settings(), workers.clone());
     rig.ask("a", "s", GUARDED, LONG);
     let first = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
@@ -138,7 +138,7 @@
     for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
         let mut rig = Rig::new(settings(), pair());
         rig.ask("a", "s", FREE, LONG);
-        let mut w0 = worker("w0", Role::Writer, 0);
+        let mut w0 = worker("w0", Role::Decode, 0);
         w0.lifecycle = lifecycle;
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w0] });
         let next = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
@@ -152,7 +152,7 @@
 fn a_home_that_drains_draws_no_local_read() {
     let mut rig = Rig::new(settings(), pair());
     let (_, home) = rig.whole("a", "s", LONG);
-    let mut w = worker(&home, Role::Writer, 0);
+    let mut w = worker(&home, Role::Decode, 0);
     w.lifecycle = Lifecycle::Draining;
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w] });
     assert!(sent(&rig.ask("b", "s", FREE, LONG + 50)).unwrap().0.starts_with('r'));
@@ -163,7 +163,7 @@
 /// A warm reader r0, and r1, which has just started.
 fn beside_a_cold_reader() -> Rig {
     let mut rig = Rig::new(settings(), readers(2));
-    let mut cold = worker("r1", Role::Reader, 0);
+    let mut cold = worker("r1", Role::Prefill, 0);
     cold.started = Some(rig.now);
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold] });
     rig
@@ -188,8 +188,8 @@
 fn a_cold_worker_that_leaves_the_list_for_a_moment_keeps_its_count() {
     for full in [false, true] {
         let mut rig = beside_a_cold_reader();
-        let cold = Worker { started: Some(rig.now), ..worker("r9", Role::Reader, 0) };
-        let all: Vec<Worker> = ["r0", "r1"].map(|r| worker(r, Role::Reader, 0)).to_vec();
+        let cold = Worker { started: Some(rig.now), ..worker("r9", Role::Prefill, 0) };
+        let all: Vec<Worker> = ["r0", "r1"].map(|r| worker(r, Role::Prefill, 0)).to_vec();
         let mut got = 0;
         for _ in 0..10 {
             // Off and on again, with the same start: the same process, and all within one window.
@@ -231,7 +231,7 @@
     let mut rig = Rig::new(Settings { self_prefill: false, ..settings() }, pair());
     rig.ask("a", "s", FREE, LONG);
     let mut gone = pair();
-    gone.retain(|w| w.role == Role::Reader);
+    gone.retain(|w| w.role == Role::Prefill);
     rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: gone });
     let since = rig.now;
     let actions = rig.end("a", 0, Outcome::Parsed, 0);
@@ -317,7 +317,7 @@
 
 #[test]
 fn a_pool_that_fails_as_a_whole_is_still_used() {
-    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Reader, 0), worker("w0", Role::Writer, 0)]);
+    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
     for i in 0..6 {
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
@@ -344,7 +344,7 @@
 
 #[test]
 fn a_busy_worker_that_still_answers_keeps_its_attempts() {
-    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Reader, 0), worker("w0", Role::Writer, 0)]);
+    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
     rig.ask("b", "t", FREE, LONG);
     rig.wait(0.5);
     let first = rig.ask("a", "s", FREE, LONG);
@@ -363,7 +363,7 @@
 fn a_read_that_a_later_one_has_overtaken_is_called_back_as_its_state_is_due() {
     for release in [0.3, 1.0, 2.0] {
         let set = Settings { release: secs(release), ..settings() };
-        let mut rig = Rig::new(set, vec![worker("r0", Role::Reader, 0), worker("w0", Role::Writer, 0)]);
+        let mut rig = Rig::new(set, vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
         let mut actions = rig.ask("a", "s", SINGLE, LONG);
         let begun = rig.now;
         rig.wait(0.01);
@@ -465,7 +465,7 @@
 
 #[test]
 fn clients_that_give_up_early_do_not_bench_the_worker() {
-    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Reader, 0), worker("r1", Role::Reader, 0)]);
+    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0)]);
     let mut request = rig.request("a", "s", FREE, LONG);
     request.deadline = rig.now + secs(0.3);
     let first = sent(&rig.feed(Event::Request(request))).unwrap().0;
@@ -666,8 +666,8 @@
 /// Three readers and eight writers, half of them in another zone.
 fn two_zones() -> Vec<Worker> {
     let mut all = readers(3);
-    all.extend((1..8).map(|i| worker(&format!("w{i}"), Role::Writer, i % 2)));
-    for w in all.iter_mut().filter(|w| w.role == Role::Writer) {
+    all.extend((1..8).map(|i| worker(&format!("w{i}"), Role::Decode, i % 2)));
+    for w in all.iter_mut().filter(|w| w.role == Role::Decode) {
         w.zone = Some(ZoneId(w.id.0[1..].parse::<usize>().unwrap() % 2));
     }
     all
@@ -735,7 +735,7 @@
 /// Requests of a class that is not called back from where it is written wait at a writer that has fallen silent.
 fn stuck_at_a_silent_writer(queued: Option<f64>, other_is_heard: bool) -> (usize, usize) {
     let mut all = readers(3);
-    all.push(worker("w1", Role::Writer, 0));
+    all.push(worker("w1", Role::Decode, 0));
     let mut rig = after_twenty_reads(all, queued);
     let mut stuck = Vec::new();
     for i in 0..30 {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -56,9 +56,9 @@
 
     fn role(self) -> Role {
         if self.cold == ColdRole::Reader {
-            Role::Reader
+            Role::Prefill
         } else {
-            Role::Writer
+            Role::Decode
         }
     }
 
@@ -94,8 +94,8 @@
 }
 
 fn fleet_of_one_cell() -> Vec<Worker> {
-    let readers = (0..3).map(|n| worker(&format!("r{n}"), Role::Reader, 0));
-    readers.chain((0..3).map(|n| worker(&format!("w{n}"), Role::Writer, 0))).collect()
+    let readers = (0..3).map(|n| worker(&format!("r{n}"), Role::Prefill, 0));
+    readers.chain((0..3).map(|n| worker(&format!("w{n}"), Role::Decode, 0))).collect()
 }
 
 fn mean_tokens() -> f64 {
@@ -258,7 +258,7 @@
     };
     for hours in [1.0, 30.0] {
         let set = settings();
-        let mut rig = Rig::new(set.clone(), vec![worker("w0", Role::Writer, 0)]);
+        let mut rig = Rig::new(set.clone(), vec![worker("w0", Role::Decode, 0)]);
         rig.now = secs(200_000.0);
         let old = rig.now - secs(hours * 3_600.0);
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: only(old) });
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -25,14 +25,18 @@
     ) {
         let now = self.now;
         let target = self.engines.get(&worker).map(super::pool::Engine::target);
-        let gone =
-            Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Removed };
+        let gone = Target {
+            role: p::Role::Combined,
+            zone: None,
+            cell: p::CellId(0),
+            lifecycle: p::Lifecycle::Removed,
+        };
         let target = target.unwrap_or(gone);
         let role = (target.lifecycle != p::Lifecycle::Removed).then_some(target.role);
         let Some(job) = self.jobs.get_mut(id) else { return };
         let permit = job.obligations(&self.config.policy).may_send(now, &target);
         let at = match (role, &job.held) {
-            (Some(p::Role::Reader), _) => At::Read,
+            (Some(p::Role::Prefill), _) => At::Read,
             (_, Some(_)) => At::Pull,
             _ => At::Whole,
         };
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -34,8 +34,8 @@
     /// As the rules see it.
     pub(super) fn stage(self) -> Stage {
         match self {
-            Self::Read => Stage::Read,
-            Self::Pull | Self::Whole => Stage::Write,
+            Self::Read => Stage::Prefill,
+            Self::Pull | Self::Whole => Stage::Decode,
         }
     }
 }
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -123,9 +123,9 @@
     /// Engines.
     pub fn engine_view(&self) -> Listed<EngineView> {
         let role = |role| match role {
-            p::Role::Reader => "reader",
-            p::Role::Writer => "writer",
-            p::Role::Mixed => "mixed",
+            p::Role::Prefill => "reader",
+            p::Role::Decode => "writer",
+            p::Role::Combined => "mixed",
         };
         let view = |(id, e): (&p::WorkerId, &super::pool::Engine)| EngineView {
             id: id.0.to_string(),
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -64,7 +64,7 @@
         tenants: vec![],
         keys: KeyRing::new([0; 32]),
         zones: BTreeMap::new(),
-        kinds: [("reader", p::Role::Reader), ("writer", p::Role::Writer), ("mixed", p::Role::Mixed)]
+        kinds: [("reader", p::Role::Prefill), ("writer", p::Role::Decode), ("mixed", p::Role::Combined)]
             .map(|(n, r)| (n.to_owned(), kind(r)))
             .into(),
         register: None,
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -32,7 +32,7 @@
     let (mut kinds, mut names) = (Kinds::new(), UniqueNames::default());
     for mut kind in list.children(&["kind"], errors) {
         let name = kind.must("name", Name("-".into()), errors).0;
-        let role = kind.must("role", RoleWord(p::Role::Mixed), errors).0;
+        let role = kind.must("role", RoleWord(p::Role::Combined), errors).0;
         let kv_tokens = kind.maybe::<u64>("kv-tokens", errors);
         kind.done(errors);
         names.add(&name, &kind, "name", errors);
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -100,7 +100,7 @@
     };
 }
 
-words!(RoleWord: p::Role { "reader" => p::Role::Reader, "writer" => p::Role::Writer, "mixed" => p::Role::Mixed });
+words!(RoleWord: p::Role { "reader" => p::Role::Prefill, "writer" => p::Role::Decode, "mixed" => p::Role::Combined });
 words!(DiscoveryWord: p::Discovery { "push" => p::Discovery::Push, "ask" => p::Discovery::Ask });
 words!(ReportsWord: p::Reports {
     "off" => p::Reports::Off, "in-answers" => p::Reports::InAnswers,
