--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -70,14 +70,14 @@
     for (i, c) in w.categories.iter().enumerate() {
         names.classes.insert(c.name.clone(), p::ClassId(i));
         let group = match c.group.as_str() {
-            "zone" => p::Group::Zone,
-            "cell" => p::Group::Cell,
-            _ => p::Group::All,
+            "zone" => p::DeduplicationScope::Zone,
+            "cell" => p::DeduplicationScope::Cell,
+            _ => p::DeduplicationScope::All,
         };
-        let effect = match c.repeat.as_str() {
-            "free" => p::Effect::Free,
-            "guarded" => p::Effect::Guarded(group),
-            "single_shot" => p::Effect::SingleShot,
+        let retry_safety = match c.repeat.as_str() {
+            "free" => p::RetrySafety::Idempotent,
+            "guarded" => p::RetrySafety::Deduplicated(group),
+            "single_shot" => p::RetrySafety::NonIdempotent,
             other => return Err(format!("field `repeat`: unknown value `{other}`")),
         };
         let at = |list: &[f64]| list.get(i).copied().unwrap_or(0.0);
@@ -85,7 +85,7 @@
             aim: secs(c.goal_time_s),
             aim_per_1000_tokens: secs(at(&w.family_info.aim_us_per_1000_prompt_tokens) / 1e6),
             deadline: secs(c.deadline_s),
-            effect,
+            retry_safety,
             dedup_window: secs(c.dedup_window_s),
         });
     }
--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -83,7 +83,7 @@
             aim: Micros(1),
             aim_per_1000_tokens: Micros(2),
             deadline: Micros(3),
-            effect: Effect::Guarded(Group::Zone),
+            retry_safety: RetrySafety::Deduplicated(DeduplicationScope::Zone),
             dedup_window: Micros(4),
         }],
         tenants: vec![Tenant { allowance_per_s: Some(2.5) }, Tenant { allowance_per_s: None }],
@@ -217,9 +217,13 @@
     all.value("timer id", &TimerId(5));
     all.value("attempt number", &AttemptNo(6));
     all.variants("role", &[Role::Prefill, Role::Decode, Role::Combined]);
-    all.variants("group", &[Group::All, Group::Zone, Group::Cell]);
-    let groups = [Group::All, Group::Zone, Group::Cell].map(Effect::Guarded);
-    all.variants("effect", &[&[Effect::Free], &groups[..], &[Effect::SingleShot]].concat());
+    all.variants("group", &[DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell]);
+    let groups = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell]
+        .map(RetrySafety::Deduplicated);
+    all.variants(
+        "effect",
+        &[&[RetrySafety::Idempotent], &groups[..], &[RetrySafety::NonIdempotent]].concat(),
+    );
     all.variants("discovery", &[Discovery::Push, Discovery::Ask]);
     all.variants("reports", &[Reports::Off, Reports::InAnswers]);
     all.variants("lifecycle", &[Lifecycle::Active, Lifecycle::Draining, Lifecycle::Removed]);
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -63,10 +63,10 @@
         aim: Micros(c.aim_us),
         aim_per_1000_tokens: Micros(c.aim_per_1000_us),
         deadline: Micros(c.deadline_us),
-        effect: match c.effect {
-            Effect::Free => p::Effect::Free,
-            Effect::SingleShot => p::Effect::SingleShot,
-            Effect::Guarded => p::Effect::Guarded(p::Group::Cell),
+        retry_safety: match c.effect {
+            Effect::Free => p::RetrySafety::Idempotent,
+            Effect::SingleShot => p::RetrySafety::NonIdempotent,
+            Effect::Guarded => p::RetrySafety::Deduplicated(p::DeduplicationScope::Cell),
         },
         dedup_window: Micros(c.window_us),
     });
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -125,19 +125,22 @@
 /// Where a class of requests may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Effect {
+pub enum RetrySafety {
     /// Repeating does no harm.
-    Free,
+    #[cfg_attr(feature = "serde", serde(rename = "Free"))]
+    Idempotent,
     /// Repeats are discarded within a group of workers for some time.
-    Guarded(Group),
+    #[cfg_attr(feature = "serde", serde(rename = "Guarded"))]
+    Deduplicated(DeduplicationScope),
     /// Must never run twice.
-    SingleShot,
+    #[cfg_attr(feature = "serde", serde(rename = "SingleShot"))]
+    NonIdempotent,
 }
 
 /// The workers that discard repeats of a guarded request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All workers.
     All,
     /// Those of one zone.
@@ -157,7 +160,8 @@
     /// A client's whole waiting time, over all its tries.
     pub deadline: Micros,
     /// Where it may be repeated.
-    pub effect: Effect,
+    #[cfg_attr(feature = "serde", serde(rename = "effect"))]
+    pub retry_safety: RetrySafety,
     /// For guarded classes: how long repeats are discarded, from the first send that may have run.
     pub dedup_window: Micros,
 }
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -5,7 +5,7 @@
 //! own. The module that decides asks here before it acts, and the program around it asks again, from its own record
 //! of the connections, before anything is written.
 
-use crate::interface::{CellId, Effect, Group, Lifecycle, Micros, Outcome, Role, ZoneId};
+use crate::interface::{CellId, DeduplicationScope, Lifecycle, Micros, Outcome, RetrySafety, Role, ZoneId};
 
 /// Held state is released after this share of the told time: the rest is for the call to reach a running worker.
 const RELEASE_SHARE: f64 = 0.8;
@@ -141,7 +141,7 @@
 #[derive(Debug, Clone)]
 pub struct Obligations {
     /// Where it may be repeated.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// For guarded classes: how long repeats are discarded.
     pub window: Micros,
     /// When its client gives it up.
@@ -188,10 +188,10 @@
         if ran.peek().is_none() {
             return true;
         }
-        match self.effect {
-            Effect::Free => true,
-            Effect::SingleShot => false,
-            Effect::Guarded(group) => {
+        match self.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => false,
+            RetrySafety::Deduplicated(group) => {
                 ran.all(|a| now < self.repeat_end(a) && is_same_group(group, &a.target, target))
             }
         }
@@ -207,16 +207,20 @@
     pub fn must_end(&self) -> Option<Micros> {
         let ran = self.attempts.iter().filter(|a| a.may_have_run);
         let ends = ran.map(|a| self.repeat_end(a)).min();
-        ends.filter(|_| matches!(self.effect, Effect::Guarded(_)))
+        ends.filter(|_| matches!(self.retry_safety, RetrySafety::Deduplicated(_)))
     }
 
     /// Whether a refusal, which says that trying again is harmless, would be true.
     pub fn may_refuse(&self) -> Result<RefusePermit, Denied> {
         let may_have_run = self.attempts.iter().any(|a| a.may_have_run || a.open);
-        match self.effect {
-            Effect::Free | Effect::Guarded(Group::All) => Ok(RefusePermit(())),
-            Effect::Guarded(_) | Effect::SingleShot if may_have_run => Err(Denied::MayHaveRun),
-            Effect::Guarded(_) | Effect::SingleShot => Ok(RefusePermit(())),
+        match self.retry_safety {
+            RetrySafety::Idempotent | RetrySafety::Deduplicated(DeduplicationScope::All) => {
+                Ok(RefusePermit(()))
+            }
+            RetrySafety::Deduplicated(_) | RetrySafety::NonIdempotent if may_have_run => {
+                Err(Denied::MayHaveRun)
+            }
+            RetrySafety::Deduplicated(_) | RetrySafety::NonIdempotent => Ok(RefusePermit(())),
         }
     }
 
@@ -230,10 +234,10 @@
 
     /// Why no worker can ever take it: its attempts are used up, or one that may have run bars more.
     pub fn hopeless(&self, now: Micros) -> Option<Denied> {
-        let bars = |a: &AttemptFacts| match self.effect {
-            Effect::Free => false,
-            Effect::SingleShot => true,
-            Effect::Guarded(_) => now >= self.repeat_end(a),
+        let bars = |a: &AttemptFacts| match self.retry_safety {
+            RetrySafety::Idempotent => false,
+            RetrySafety::NonIdempotent => true,
+            RetrySafety::Deduplicated(_) => now >= self.repeat_end(a),
         };
         if self.attempts.iter().any(|a| a.may_have_run && bars(a)) {
             return Some(Denied::MayHaveRun);
@@ -253,10 +257,10 @@
     since + release.mul_f64(RELEASE_SHARE)
 }
 
-fn is_same_group(group: Group, one: &Target, other: &Target) -> bool {
+fn is_same_group(group: DeduplicationScope, one: &Target, other: &Target) -> bool {
     match group {
-        Group::All => true,
-        Group::Zone => one.zone == other.zone,
-        Group::Cell => one.cell == other.cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => one.zone == other.zone,
+        DeduplicationScope::Cell => one.cell == other.cell,
     }
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -828,7 +828,7 @@
     /// The one place that sends.
     fn send(&mut self, job: &mut Job, (worker, stage, predicted): Step, out: &mut Vec<Action>) {
         let now = self.now;
-        let (effect, pace) = (self.effect(job).0, self.pace());
+        let (retry_safety, pace) = (self.retry_safety(job).0, self.pace());
         let must_end = self.obligations(job).must_end().filter(|_| stage == Stage::Decode);
         let Some(s) = self.servers.get(&worker) else { return };
         let (cold, trial, role) = (self.is_cold(s), s.failing >= FAILING || !self.fit(s), s.info.role);
@@ -852,7 +852,7 @@
         let usual = Micros::from_secs_f64(usual.0.unwrap_or(0.0) * OVERDUE_FACTOR);
         let patience = job.aim.mul_f64(OVERDUE_FLOOR).max(usual - s.silent) + Micros::from_secs_f64(reading);
         // Where nothing can be cancelled, a time-out has to be set beforehand.
-        let again = stage == Stage::Prefill || effect == Effect::Free;
+        let again = stage == Stage::Prefill || retry_safety == RetrySafety::Idempotent;
         let give_up = Some(patience + patience).filter(|g| !self.set.may_cancel && again && g.0 > 0);
         let must_end = must_end.map(|at| (at - now).max(self.set.tick));
         let give_up = give_up.into_iter().chain(must_end).min();
@@ -1006,7 +1006,7 @@
     /// nothing to anybody since is taken to hang: what can be repeated is called back from it; so is, after
     /// twice the time, what later ones have overtaken: its connection hangs.
     fn mark_overdue(&mut self, job: &mut Job, out: &mut Vec<Action>) {
-        let free = self.effect(job).0 == Effect::Free;
+        let free = self.retry_safety(job).0 == RetrySafety::Idempotent;
         let (now, id, done, seldom) = (self.now, &job.req.id, job.done, self.seldom());
         for (i, t) in job.tries.iter_mut().enumerate().filter(|(_, t)| t.facts.open) {
             if t.due.is_none_or(|d| d > now) {
@@ -1115,16 +1115,16 @@
         self.now >= s.benched_until && trial && s.overdue == 0
     }
 
-    fn effect(&self, job: &Job) -> (Effect, Micros) {
+    fn retry_safety(&self, job: &Job) -> (RetrySafety, Micros) {
         let class = self.set.classes.get(job.req.class.0);
-        class.map_or((Effect::SingleShot, Micros(0)), |c| (c.effect, c.dedup_window))
+        class.map_or((RetrySafety::NonIdempotent, Micros(0)), |c| (c.retry_safety, c.dedup_window))
     }
 
     /// What is owed for a request, as it stands.
     fn obligations(&self, job: &Job) -> Obligations {
-        let (effect, window) = self.effect(job);
+        let (retry_safety, window) = self.retry_safety(job);
         Obligations {
-            effect,
+            retry_safety,
             window,
             deadline: job.req.deadline,
             max_attempts: self.set.max_attempts,
--- a/crates/policy/tests/common/audit.rs
+++ b/crates/policy/tests/common/audit.rs
@@ -87,12 +87,12 @@
                 assert!(!job.over, "rule 1: sent after its end");
                 assert!(job.tries.len() < self.set.max_attempts as usize);
                 assert!(job.tries.iter().all(|t| t.ran.is_some()), "two at once");
-                let effect = self.set.classes[job.class.0].effect;
+                let effect = self.set.classes[job.class.0].retry_safety;
                 for t in job.tries.iter().filter(|t| t.ran == Some(true)) {
                     match effect {
-                        Effect::Free => {}
-                        Effect::SingleShot => panic!("rule 2: sent again"),
-                        Effect::Guarded(_) => {
+                        RetrySafety::Idempotent => {}
+                        RetrySafety::NonIdempotent => panic!("rule 2: sent again"),
+                        RetrySafety::Deduplicated(_) => {
                             let window = self.set.classes[job.class.0].dedup_window;
                             assert!(now < t.sent + window, "rule 2: window");
                             assert_eq!(self.workers[&t.worker].cell, w.cell, "rule 2: group");
@@ -106,10 +106,13 @@
                 self.sends.push_back((now, worker));
             }
             Action::Refuse { id, .. } => {
-                let effect = self.set.classes[self.asked[&id].class.0].effect;
+                let effect = self.set.classes[self.asked[&id].class.0].retry_safety;
                 let job = self.end(&id);
                 let clean = job.tries.iter().all(|t| t.ran == Some(false));
-                assert!(clean || matches!(effect, Effect::Free), "rule 2: refused after it may have run");
+                assert!(
+                    clean || matches!(effect, RetrySafety::Idempotent),
+                    "rule 2: refused after it may have run"
+                );
             }
             Action::Fail { id, .. } => {
                 self.end(&id);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -10,16 +10,20 @@
 }
 
 pub fn settings() -> Settings {
-    let class = |effect| Class {
+    let class = |retry_safety| Class {
         aim: secs(1.0),
         aim_per_1000_tokens: secs(0.1),
         deadline: secs(6.0),
-        effect,
+        retry_safety,
         dedup_window: secs(3.0),
     };
     Settings {
         routers: 2,
-        classes: vec![class(Effect::Free), class(Effect::SingleShot), class(Effect::Guarded(Group::Cell))],
+        classes: vec![
+            class(RetrySafety::Idempotent),
+            class(RetrySafety::NonIdempotent),
+            class(RetrySafety::Deduplicated(DeduplicationScope::Cell)),
+        ],
         tenants: vec![Tenant { allowance_per_s: Some(10.0) }, Tenant { allowance_per_s: None }],
         discovery: Discovery::Push,
         must_ask_in: secs(10.0),
--- a/crates/policy/tests/obligations.rs
+++ b/crates/policy/tests/obligations.rs
@@ -13,9 +13,9 @@
     Target { role, zone: Some(ZoneId(0)), cell: CellId(1), lifecycle: Lifecycle::Active }
 }
 
-fn owed(effect: Effect, attempts: Vec<AttemptFacts>) -> Obligations {
+fn owed(retry_safety: RetrySafety, attempts: Vec<AttemptFacts>) -> Obligations {
     Obligations {
-        effect,
+        retry_safety,
         window: secs(2.0),
         deadline: NOW + secs(5.0),
         max_attempts: 4,
@@ -48,13 +48,13 @@
     let writer = target(Role::Decode);
     for outcome in unproven {
         let earlier = vec![ended(Stage::Decode, outcome)];
-        let single = owed(Effect::SingleShot, earlier.clone());
+        let single = owed(RetrySafety::NonIdempotent, earlier.clone());
         assert_eq!(denied(&single, &writer), Some(Denied::MayHaveRun), "{outcome:?}");
         assert_eq!(single.may_refuse().err(), Some(Denied::MayHaveRun), "{outcome:?}");
         assert_eq!(single.hopeless(NOW), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(denied(&owed(Effect::Free, earlier.clone()), &writer), None);
+        assert_eq!(denied(&owed(RetrySafety::Idempotent, earlier.clone()), &writer), None);
         // A guarded one goes again within its group and window alone.
-        let guarded = owed(Effect::Guarded(Group::Cell), earlier);
+        let guarded = owed(RetrySafety::Deduplicated(DeduplicationScope::Cell), earlier);
         assert_eq!(denied(&guarded, &writer), None);
         let elsewhere = Target { cell: CellId(2), ..writer };
         assert_eq!(denied(&guarded, &elsewhere), Some(Denied::MayHaveRun));
@@ -62,12 +62,12 @@
         assert_eq!(guarded.hopeless(NOW + secs(1.0)), Some(Denied::MayHaveRun));
     }
     for outcome in proven {
-        let single = owed(Effect::SingleShot, vec![ended(Stage::Decode, outcome)]);
+        let single = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Decode, outcome)]);
         assert_eq!(denied(&single, &writer), None, "{outcome:?}");
         assert!(single.may_refuse().is_ok() && single.hopeless(NOW).is_none(), "{outcome:?}");
     }
     for outcome in unproven {
-        let read = owed(Effect::SingleShot, vec![ended(Stage::Prefill, outcome)]);
+        let read = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Prefill, outcome)]);
         assert_eq!(denied(&read, &target(Role::Prefill)), None, "a read has no effect");
     }
 }
@@ -75,16 +75,16 @@
 #[test]
 fn each_denial_names_its_reason() {
     let writer = target(Role::Decode);
-    let fresh = owed(Effect::Free, Vec::new());
+    let fresh = owed(RetrySafety::Idempotent, Vec::new());
     assert_eq!(denied(&fresh, &writer), None);
     for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
         assert_eq!(denied(&fresh, &Target { lifecycle, ..writer }), Some(Denied::NotInService));
     }
     let open = AttemptFacts::new(Stage::Prefill, NOW, target(Role::Prefill));
-    assert_eq!(denied(&owed(Effect::Free, vec![open]), &writer), Some(Denied::AttemptOpen));
+    assert_eq!(denied(&owed(RetrySafety::Idempotent, vec![open]), &writer), Some(Denied::AttemptOpen));
     let used = vec![ended(Stage::Decode, Outcome::NoConnection); 4];
-    assert_eq!(denied(&owed(Effect::Free, used.clone()), &writer), Some(Denied::AttemptsUsed));
-    assert_eq!(owed(Effect::Free, used).hopeless(NOW), Some(Denied::AttemptsUsed));
+    assert_eq!(denied(&owed(RetrySafety::Idempotent, used.clone()), &writer), Some(Denied::AttemptsUsed));
+    assert_eq!(owed(RetrySafety::Idempotent, used).hopeless(NOW), Some(Denied::AttemptsUsed));
     assert_eq!(fresh.may_send(NOW + secs(5.0), &writer).err(), Some(Denied::PastDeadline));
     for (answer, why) in [(AnswerState::Given, Denied::Answered), (AnswerState::Begun, Denied::Begun)] {
         let owed = Obligations { answer, ..fresh.clone() };
@@ -93,7 +93,7 @@
     }
     // While an attempt is open nothing is known of its effect: no promise that trying again is harmless.
     let open = AttemptFacts::new(Stage::Decode, NOW, writer);
-    assert_eq!(owed(Effect::SingleShot, vec![open]).may_refuse().err(), Some(Denied::MayHaveRun));
+    assert_eq!(owed(RetrySafety::NonIdempotent, vec![open]).may_refuse().err(), Some(Denied::MayHaveRun));
 }
 
 /// Whatever the effect, an open pull stops no clock: its bytes may never arrive.
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -307,13 +307,19 @@
 #[test]
 #[should_panic(expected = "rule 2")]
 fn a_single_shot_that_is_sent_again_is_seen() {
-    lied(|s| s.classes[SINGLE.0].effect = Effect::Free, Some, Scope { depth: 4, ..one_request() });
+    lied(
+        |s| s.classes[SINGLE.0].retry_safety = RetrySafety::Idempotent,
+        Some,
+        Scope { depth: 4, ..one_request() },
+    );
 }
 
 #[test]
 #[should_panic(expected = "rule 2")]
 fn a_guarded_request_outside_its_group_is_seen() {
-    let wide = |s: &mut Settings| s.classes[GUARDED.0].effect = Effect::Guarded(Group::All);
+    let wide = |s: &mut Settings| {
+        s.classes[GUARDED.0].retry_safety = RetrySafety::Deduplicated(DeduplicationScope::All)
+    };
     lied(wide, Some, Scope { depth: 4, ..one_request() });
 }
 
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -100,7 +100,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let phase = job.phase();
         let class = self.config.policy.classes.get(job.request.class.0);
-        let once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
         let until = (once && job.may_have_run()).then(|| now + remember);
         job.answer = Answer::Given { ended, phase, reason, at: now };
         if let Some(identity) = &job.identity {
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -183,7 +183,8 @@
         let tick = self.config.policy.tick;
         let Some(job) = self.jobs.get_mut(id) else { return };
         let class = self.config.policy.classes.get(job.request.class.0);
-        let (deadline, once) = (job.request.deadline, class.is_none_or(|c| c.effect != p::Effect::Free));
+        let (deadline, once) =
+            (job.request.deadline, class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent));
         let winner = job.winner == Some(index);
         let Some(attempt) = job.attempts.get_mut(index).filter(|a| a.ended.is_none()) else { return };
         attempt.ended = Some((outcome, now));
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -21,7 +21,7 @@
             let class = class.and_then(|c| self.config.policy.classes.get(c));
             let until = p::Micros(ran.at.0) + wait;
             // A class that is gone may have been one that must not run twice.
-            let once = class.is_none_or(|c| c.effect != p::Effect::Free);
+            let once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
             if once && until > now && (tenant.is_some() || ran.tenant.is_empty()) {
                 self.identities.restore(&(tenant, ran.identity.to_string()), until);
             }
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -203,15 +203,15 @@
     /// What is owed for it, by what its connections have proven.
     pub(super) fn obligations(&self, settings: &p::Settings) -> Obligations {
         let class = settings.classes.get(self.request.class.0);
-        let (effect, window) =
-            class.map_or((p::Effect::SingleShot, Micros(0)), |c| (c.effect, c.dedup_window));
+        let (retry_safety, window) =
+            class.map_or((p::RetrySafety::NonIdempotent, Micros(0)), |c| (c.retry_safety, c.dedup_window));
         let answer = match (&self.answer, self.winner) {
             (Answer::Given { .. }, _) => AnswerState::Given,
             (Answer::Begun, _) | (Answer::Owed, Some(_)) => AnswerState::Begun,
             (Answer::Owed, None) => AnswerState::Owed,
         };
         Obligations {
-            effect,
+            retry_safety,
             window,
             deadline: self.request.deadline,
             max_attempts: settings.max_attempts,
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -32,7 +32,7 @@
         aim: ms(1_000),
         aim_per_1000_tokens: ms(60),
         deadline: ms(4_000),
-        effect,
+        retry_safety: effect,
         dedup_window: ms(3_000),
     };
     let kind = |role| KindEntry { role, kv_tokens: Some(100_000) };
@@ -40,7 +40,7 @@
         name: "r1".into(),
         policy: p::Settings {
             routers: 1,
-            classes: vec![class(p::Effect::Free), class(p::Effect::SingleShot)],
+            classes: vec![class(p::RetrySafety::Idempotent), class(p::RetrySafety::NonIdempotent)],
             tenants: vec![],
             discovery: p::Discovery::Push,
             must_ask_in: ms(10_000),
--- a/crates/router/tests/orders.rs
+++ b/crates/router/tests/orders.rs
@@ -166,7 +166,11 @@
 #[test]
 #[should_panic(expected = "rule 2")]
 fn a_single_shot_that_is_sent_again_is_seen() {
-    lied(|s| s.classes[1].effect = p::Effect::Free, false, &Scope { asks: &[(true, true)], ..ONE });
+    lied(
+        |s| s.classes[1].retry_safety = p::RetrySafety::Idempotent,
+        false,
+        &Scope { asks: &[(true, true)], ..ONE },
+    );
 }
 
 #[test]
--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -150,7 +150,7 @@
             // The rules follow the effect: it must not change with the standing.
             let from = known.classes.iter().filter(|(n, _)| class.is_none_or(|c| c == *n));
             for (name, from) in from {
-                if from.effect != to.effect {
+                if from.retry_safety != to.retry_safety {
                     let what = format!(
                         "class `{lower}` has another effect than `{name}`, which would be lowered to it"
                     );
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -64,10 +64,10 @@
         aim,
         aim_per_1000_tokens: e.or("aim-per-1000-tokens", Span(Micros(0)), errors).0,
         deadline,
-        effect: match effect {
-            EffectKind::Free => p::Effect::Free,
-            EffectKind::Guarded => p::Effect::Guarded(group.unwrap_or(p::Group::Cell)),
-            EffectKind::SingleShot => p::Effect::SingleShot,
+        retry_safety: match effect {
+            EffectKind::Free => p::RetrySafety::Idempotent,
+            EffectKind::Guarded => p::RetrySafety::Deduplicated(group.unwrap_or(p::DeduplicationScope::Cell)),
+            EffectKind::SingleShot => p::RetrySafety::NonIdempotent,
         },
         dedup_window: window.unwrap_or_default(),
     };
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -105,7 +105,7 @@
 words!(ReportsWord: p::Reports {
     "off" => p::Reports::Off, "in-answers" => p::Reports::InAnswers,
 });
-words!(GroupWord: p::Group { "all" => p::Group::All, "zone" => p::Group::Zone, "cell" => p::Group::Cell });
+words!(GroupWord: p::DeduplicationScope { "all" => p::DeduplicationScope::All, "zone" => p::DeduplicationScope::Zone, "cell" => p::DeduplicationScope::Cell });
 
 /// How far a class may be repeated.
 #[derive(Clone, Copy, PartialEq)]
