--- a/crates/budget/src/settler.rs
+++ b/crates/budget/src/lease_allocator.rs
@@ -14,7 +14,7 @@
 
 /// How long things last, µs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// Between two rounds.
     pub epoch: u64,
     /// A lease's life.
@@ -27,7 +27,7 @@
 
 /// A router's lease is newer than the journal: another settlement job works with another journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fork {
+pub struct JournalForkError {
     /// Whose ledger shows it.
     pub router: Box<str>,
     /// The lease's number.
@@ -36,7 +36,7 @@
     pub head: u64,
 }
 
-impl std::fmt::Display for Fork {
+impl std::fmt::Display for JournalForkError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -49,7 +49,7 @@
 
 /// One account's standing over all routers, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
-pub struct Standing {
+pub struct AccountSummary {
     /// The account.
     pub account: String,
     /// The period's start, µs since 1970.
@@ -82,9 +82,9 @@
 
 /// The settlement job. Same observations, same rounds.
 #[derive(Debug, Clone)]
-pub struct Settler {
+pub struct LeaseAllocator {
     plan: Plan,
-    terms: Terms,
+    terms: LeaseTerms,
     /// Granted beyond the plan, by account and period; may be less than nothing.
     extra: BTreeMap<(AccountKey, Time), i64>,
     routers: BTreeMap<Box<str>, Seen>,
@@ -93,9 +93,9 @@
     outstanding: BTreeMap<(AccountKey, Time), BTreeMap<Box<str>, Vec<Outstanding>>>,
 }
 
-impl Settler {
+impl LeaseAllocator {
     /// For these routers; nobody else is granted anything.
-    pub fn new(plan: Plan, terms: Terms, routers: &[&str]) -> Self {
+    pub fn new(plan: Plan, terms: LeaseTerms, routers: &[&str]) -> Self {
         let routers = routers.iter().map(|r| ((*r).into(), Seen::default())).collect();
         Self { plan, terms, extra: BTreeMap::new(), routers, head: 0, outstanding: BTreeMap::new() }
     }
@@ -112,7 +112,7 @@
     }
 
     /// Takes the journal's newest entry.
-    pub fn learn(&mut self, round: &Round) {
+    pub fn apply_round(&mut self, round: &Round) {
         if round.number > self.head {
             self.head = round.number;
             self.outstanding.clear();
@@ -145,10 +145,10 @@
 
     /// What this router has used or may still come to use.
     fn committed(&self, router: &str, seen: &Seen, place: &(AccountKey, Time)) -> Units {
-        let held = seen.state.held.get(&place.0, place.1);
-        let leased = held.ceiling.filter(|_| !self.over(seen, seen.state.lease.1)).unwrap_or_default();
+        let usage = seen.state.usage.get(&place.0, place.1);
+        let leased = usage.ceiling.filter(|_| !self.over(seen, seen.state.lease.1)).unwrap_or_default();
         let out = self.unanswered(router, seen, place).unwrap_or_default();
-        out.max(leased).max(held.used())
+        out.max(leased).max(usage.used())
     }
 
     /// The highest ceiling that is out to a router for an account and may still be taken.
@@ -162,15 +162,19 @@
         out.number > seen.state.lease.0 && !self.over(seen, out.until)
     }
 
-    /// The next round. It holds once it stands in the journal under its number, alone; then [`Self::learn`]
+    /// The next round. It holds once it stands in the journal under its number, alone; then [`Self::apply_round`]
     /// takes it, and its grants may be delivered.
     ///
     /// # Errors
     /// If another journal is at work.
-    pub fn next(&mut self, now: Time) -> Result<Round, Fork> {
+    pub fn next_round(&mut self, now: Time) -> Result<Round, JournalForkError> {
         for (router, seen) in &self.routers {
             if seen.state.lease.0 > self.head {
-                return Err(Fork { router: router.clone(), number: seen.state.lease.0, head: self.head });
+                return Err(JournalForkError {
+                    router: router.clone(),
+                    number: seen.state.lease.0,
+                    head: self.head,
+                });
             }
         }
         let number = self.head + 1;
@@ -207,7 +211,7 @@
     fn pace(&mut self, key: &AccountKey, now: Time) {
         let start = self.plan.calendar.span(key.kind, now).start;
         for seen in self.routers.values_mut() {
-            let used = seen.state.held.get(key, start).used();
+            let used = seen.state.usage.get(key, start).used();
             let (at, before, pace) = seen.pace.get(key).copied().unwrap_or_default();
             let grown = if at == start { used.minus(before) } else { used };
             let refused = seen.state.wanted.get(key).map_or(Units(0), |w| w.0);
@@ -220,7 +224,7 @@
     fn share(&self, key: &AccountKey, span: Span) -> Vec<(Box<str>, Allowance)> {
         let place = (key.clone(), span.start);
         let limit = self.limit(key, span.start);
-        let used = |seen: &Seen| seen.state.held.get(key, span.start).used();
+        let used = |seen: &Seen| seen.state.usage.get(key, span.start).used();
         let total: Units = self.routers.values().map(used).sum();
         let left = limit.minus(total);
         let wants: Vec<Want> = self.routers.values().map(|seen| self.want(key, seen)).collect();
@@ -244,15 +248,15 @@
         }
         let mut out = Vec::new();
         for ((router, seen), ceiling) in self.routers.iter().zip(ceilings) {
-            let held = seen.state.held.get(&place.0, place.1);
+            let usage = seen.state.usage.get(&place.0, place.1);
             let alive = !self.over(seen, seen.state.lease.1);
             // An unanswered round that named it must be overruled by name.
             let named = self.unanswered(router, seen, &place).is_some();
             let nothing_new =
-                held.ceiling == Some(ceiling) || (held.ceiling.is_none() && ceiling == Units(0));
+                usage.ceiling == Some(ceiling) || (usage.ceiling.is_none() && ceiling == Units(0));
             // After a lease's end the next one would bring back what it does not name.
-            if named || !nothing_new || (!alive && held.ceiling.is_some()) {
-                let elsewhere = total.minus(held.used());
+            if named || !nothing_new || (!alive && usage.ceiling.is_some()) {
+                let elsewhere = total.minus(usage.used());
                 let allowance = Allowance { key: key.clone(), span, ceiling, limit, elsewhere };
                 out.push((router.clone(), allowance));
             }
@@ -298,11 +302,11 @@
             let Some(seen) = self.routers.get(router).filter(|s| !self.over(s, s.state.lease.1)) else {
                 continue;
             };
-            for (tenant, place, held) in seen.state.held.iter() {
+            for (tenant, place, usage) in seen.state.usage.iter() {
                 let span =
                     Span { start: place.start, end: self.plan.calendar.span(place.kind, place.start).end };
                 let key = AccountKey { tenant: tenant.into(), class: place.class.clone(), kind: place.kind };
-                if let Some(ceiling) = held.ceiling.filter(|_| !ended(span)) {
+                if let Some(ceiling) = usage.ceiling.filter(|_| !ended(span)) {
                     let entry = fresh.entry((key.clone(), place.start, router));
                     entry.or_insert_with(|| out(&key, span, ceiling));
                 }
@@ -328,12 +332,12 @@
     }
 
     /// Where all accounts stand in their present periods.
-    pub fn standings(&self, now: Time) -> Vec<Standing> {
+    pub fn account_summaries(&self, now: Time) -> Vec<AccountSummary> {
         let mut out = Vec::new();
         for key in self.plan.limits.keys() {
             let start = self.plan.calendar.span(key.kind, now).start;
             let place = (key.clone(), start);
-            let mut s = Standing {
+            let mut s = AccountSummary {
                 account: key.to_string(),
                 start,
                 limit: self.limit(key, start),
@@ -342,10 +346,10 @@
                 stranded: Units(0),
             };
             for (router, seen) in &self.routers {
-                let held = seen.state.held.get(&place.0, place.1);
-                s.spent = s.spent.plus(held.spent);
-                s.reserved = s.reserved.plus(held.reserved);
-                s.stranded = s.stranded.plus(self.committed(router, seen, &place).minus(held.used()));
+                let usage = seen.state.usage.get(&place.0, place.1);
+                s.spent = s.spent.plus(usage.spent);
+                s.reserved = s.reserved.plus(usage.reserved);
+                s.stranded = s.stranded.plus(self.committed(router, seen, &place).minus(usage.used()));
             }
             out.push(s);
         }
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::keeper::{Ask, Keeper};
-use super::settler::{Settler, Terms};
+use super::budget_enforcer::{BudgetEnforcer, ReservationRequest};
+use super::lease_allocator::{LeaseAllocator, LeaseTerms};
 use super::*;
 
 const START: u64 = 1_796_083_200_000_000;
@@ -53,12 +53,12 @@
 #[derive(Clone)]
 struct World {
     now: u64,
-    keepers: Vec<Keeper>,
+    enforcers: Vec<BudgetEnforcer>,
     /// All records of each router, as its ledger has them.
     ledgers: Vec<Vec<(u64, Record)>>,
     /// Units really used, whatever ledgers say.
     truth: Vec<u64>,
-    settlers: Vec<Settler>,
+    allocators: Vec<LeaseAllocator>,
     journals: Vec<Vec<Round>>,
     asks: u32,
     crashes: u32,
@@ -93,15 +93,15 @@
 impl World {
     fn new(scope: &Scope) -> Self {
         let mode = Mode::Leases { epoch: 1, routers: 2 };
-        let keeper = |name: &&str| Keeper::new(name, plan(mode), State::default(), Time(START));
-        let terms = Terms { epoch: 1, lease: 2, clock_error: scope.clock_error, even: 1 };
-        let settler = Settler::new(plan(mode), terms, &ROUTERS);
+        let enforcer = |name: &&str| BudgetEnforcer::new(name, plan(mode), State::default(), Time(START));
+        let terms = LeaseTerms { epoch: 1, lease: 2, clock_error: scope.clock_error, even: 1 };
+        let allocator = LeaseAllocator::new(plan(mode), terms, &ROUTERS);
         let mut world = Self {
             now: START,
-            keepers: ROUTERS.iter().map(keeper).collect(),
+            enforcers: ROUTERS.iter().map(enforcer).collect(),
             ledgers: vec![Vec::new(); 2],
             truth: vec![0; 2],
-            settlers: vec![settler.clone(), settler],
+            allocators: vec![allocator.clone(), allocator],
             journals: vec![Vec::new(); if scope.fork_at.is_some() { 2 } else { 1 }],
             asks: 0,
             crashes: 0,
@@ -113,8 +113,8 @@
     }
 
     fn drain(&mut self) {
-        for (keeper, ledger) in self.keepers.iter_mut().zip(&mut self.ledgers) {
-            ledger.extend(keeper.take_records());
+        for (enforcer, ledger) in self.enforcers.iter_mut().zip(&mut self.ledgers) {
+            ledger.extend(enforcer.take_records());
         }
     }
 
@@ -122,10 +122,10 @@
         Time(self.now - if router == 1 { scope.lag } else { 0 })
     }
 
-    fn journal(&self, settler: usize, scope: &Scope) -> usize {
+    fn journal(&self, allocator: usize, scope: &Scope) -> usize {
         // Up to the fork both copies are the same: the first journal stands for both.
         match scope.fork_at {
-            Some(_) => settler,
+            Some(_) => allocator,
             None => 0,
         }
     }
@@ -139,7 +139,7 @@
             if self.asks < scope.asks {
                 out.push(Step::Ask(r));
             }
-            if !self.keepers[r].state().open.is_empty() {
+            if !self.enforcers[r].state().open.is_empty() {
                 out.extend([Step::Settle(r, true), Step::Settle(r, false)]);
             }
             if self.crashes < scope.crashes {
@@ -164,19 +164,26 @@
             Step::Tick => self.now += 1,
             Step::Ask(r) => {
                 let id = format!("{r}-{}-{}", self.asks, self.crashes);
-                let ask = Ask { id: &id, tenant: "t", class: "c", identity: None, prompt: 1, output: 1 };
+                let request = ReservationRequest {
+                    id: &id,
+                    tenant: "t",
+                    class: "c",
+                    identity: None,
+                    prompt: 1,
+                    output: 1,
+                };
                 let now = self.clock(r, scope);
                 self.asks += 1;
-                if self.keepers[r].admit(now, ask).is_err() {
+                if self.enforcers[r].admit(now, request).is_err() {
                     return false;
                 }
                 self.truth[r] += 1;
             }
             Step::Settle(r, used) => {
                 let now = self.clock(r, scope);
-                let id = self.keepers[r].state().open.keys().next().unwrap().clone();
+                let id = self.enforcers[r].state().open.keys().next().unwrap().clone();
                 let (ending, prompt) = if used { (Ending::Served, 1) } else { (Ending::Failed, 0) };
-                self.keepers[r].settle(
+                self.enforcers[r].settle(
                     now,
                     &id,
                     ending,
@@ -190,7 +197,7 @@
                 let now = self.clock(r, scope);
                 let grants = &self.journals[j][n].grants;
                 let grant = grants.iter().find(|g| &*g.router == ROUTERS[r]).unwrap().clone();
-                if self.keepers[r].adopt(now, &grant).is_err() {
+                if self.enforcers[r].adopt(now, &grant).is_err() {
                     return false;
                 }
             }
@@ -207,7 +214,7 @@
                     };
                 }
                 // An orphan's tokens are nobody's to pay; its client is told that it failed.
-                self.truth[r] -= self.keepers[r].state().open.len() as u64;
+                self.truth[r] -= self.enforcers[r].state().open.len() as u64;
                 self.ledgers[r].truncate(kept);
                 let mut state = State::default();
                 for (number, record) in &self.ledgers[r] {
@@ -215,29 +222,29 @@
                 }
                 let now = self.clock(r, scope);
                 let mode = Mode::Leases { epoch: 1, routers: 2 };
-                self.keepers[r] = Keeper::new(ROUTERS[r], plan(mode), state, now);
+                self.enforcers[r] = BudgetEnforcer::new(ROUTERS[r], plan(mode), state, now);
             }
             Step::Round(s, view) => {
                 let j = self.journal(s, scope);
                 for (r, name) in ROUTERS.iter().enumerate() {
                     if view & (1 << r) != 0 {
-                        let state = self.keepers[r].state().clone();
-                        self.settlers[s].observe(name, Time(self.now), &state);
+                        let state = self.enforcers[r].state().clone();
+                        self.allocators[s].observe(name, Time(self.now), &state);
                     }
                 }
-                match self.settlers[s].next(Time(self.now)) {
+                match self.allocators[s].next_round(Time(self.now)) {
                     // Somebody was first under this number: it is read, and nothing granted.
                     Ok(round) if round.number as usize <= self.journals[j].len() => {
                         let newest = self.journals[j].last().unwrap().clone();
-                        self.settlers[s].learn(&newest);
+                        self.allocators[s].apply_round(&newest);
                     }
                     Ok(round) => {
                         assert_eq!(round.number as usize, self.journals[j].len() + 1);
-                        self.settlers[s].learn(&round);
+                        self.allocators[s].apply_round(&round);
                         if scope.fork_at.is_some_and(|at| round.number as usize <= at) {
                             // Not yet forked: both have it.
                             self.journals.iter_mut().for_each(|j| j.push(round.clone()));
-                            self.settlers.iter_mut().for_each(|s| s.learn(&round));
+                            self.allocators.iter_mut().for_each(|s| s.apply_round(&round));
                         } else {
                             self.journals[j].push(round);
                         }
@@ -248,8 +255,8 @@
                         let Some(newest) = self.journals[j].last().cloned() else {
                             panic!("fork without journal")
                         };
-                        assert!(newest.number > self.settlers[s].head());
-                        self.settlers[s].learn(&newest);
+                        assert!(newest.number > self.allocators[s].head());
+                        self.allocators[s].apply_round(&newest);
                     }
                     Err(_) => unreachable!(),
                 }
@@ -262,10 +269,10 @@
     fn print(&self) -> u64 {
         let mut h = DefaultHasher::new();
         (self.now, &self.truth, self.asks, self.crashes, self.excused).hash(&mut h);
-        for k in &self.keepers {
+        for k in &self.enforcers {
             k.hash_state(&mut h);
         }
-        for s in &self.settlers {
+        for s in &self.allocators {
             s.hash_state(&mut h);
         }
         self.journals.hash(&mut h);
