--- a/crates/rehearsal/src/record.rs
+++ b/crates/rehearsal/src/record.rs
@@ -1,9 +1,12 @@
 //! The recorded traffic: JSON lines, one thing seen a line, in the order of time. Documented in
 //! `docs/record.md`.
 
+use std::path::Path;
+
 use serde::{Deserialize, Serialize};
 
-use crate::day::LinkOf;
+use crate::scenario::LinkOf;
+use crate::Error;
 
 /// A line of the record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -136,7 +139,8 @@
 #[serde(tag = "k", rename_all = "snake_case")]
 pub enum Seen {
     /// The first line: the day.
-    Day {
+    #[serde(rename = "day")]
+    Scenario {
         /// Name.
         name: String,
         /// Seed.
@@ -353,6 +357,11 @@
     out
 }
 
+/// Writes the record to a file.
+pub fn write(file: &Path, lines: &[Line]) -> Result<(), Error> {
+    std::fs::write(file, text(lines)).map_err(|e| Error::CouldNotRun(format!("{}: {e}", file.display())))
+}
+
 /// Reads a record; an error names its line.
 pub fn parse(text: &str) -> Result<Vec<Line>, String> {
     let mut lines: Vec<Line> = Vec::new();
@@ -364,7 +373,7 @@
         lines.push(line);
     }
     match lines.first().map(|l| &l.seen) {
-        Some(Seen::Day { .. }) => Ok(lines),
+        Some(Seen::Scenario { .. }) => Ok(lines),
         _ => Err("1: the first line must be the day".into()),
     }
 }
--- a/crates/rehearsal/tests/record_forms.rs
+++ b/crates/rehearsal/tests/record_forms.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-use chalkyard_rehearsal::day::LinkOf;
 use chalkyard_rehearsal::record::{parse, text, Answer, Effect, End, Freed, Line, Seen, Stage};
+use chalkyard_rehearsal::scenario::LinkOf;
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -2,7 +2,7 @@
 //! variant. `losses` and operators' own tools read them, so they outlast the Rust names.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use chalkyard_policy::{Care, Report, Why};
+use chalkyard_policy::{AttemptKind, RejectionReason, Report};
 use chalkyard_router::*;
 use serde::Serialize;
 
@@ -122,7 +122,7 @@
     }
 }
 
-fn attempt(care: Care, report: Option<Report>) -> AttemptRecord {
+fn attempt(care: AttemptKind, report: Option<Report>) -> AttemptRecord {
     AttemptRecord {
         worker: "w1".into(),
         stage: "read",
@@ -146,8 +146,10 @@
 
 #[test]
 fn an_attempt_is_written_with_what_was_known_of_its_worker() {
-    assert_eq!(json(&attempt(Care::Trial, Some(report()))), FULL_ATTEMPT);
-    for (care, written) in [(Care::Usual, "usual"), (Care::Cold, "cold"), (Care::Trial, "trial")] {
+    assert_eq!(json(&attempt(AttemptKind::Probe, Some(report()))), FULL_ATTEMPT);
+    for (care, written) in
+        [(AttemptKind::Normal, "usual"), (AttemptKind::SlowStart, "cold"), (AttemptKind::Probe, "trial")]
+    {
         let expected = FULL_ATTEMPT.replace("trial", written);
         let (without_report, _) = expected.split_once(r#""report""#).unwrap();
         assert_eq!(json(&attempt(care, None)), format!(r#"{without_report}"report":null}}"#));
@@ -165,12 +167,12 @@
         session: Some("s1".into()),
         prefix: Some("p1".into()),
         ended: Ended::Refused,
-        why: Some(Why::MayHaveRun),
+        why: Some(RejectionReason::MayHaveRun),
         phase: "waiting",
         list_age_us: Some(4),
         open: 5,
         reason: "not taken now".into(),
-        attempts: vec![attempt(Care::Trial, Some(report()))],
+        attempts: vec![attempt(AttemptKind::Probe, Some(report()))],
         arrived_us: 6,
         first_token_us: Some(7),
         total_us: 8,
@@ -304,7 +306,7 @@
         prompt_tokens: 3,
         pieces: 4,
         may_have_run: true,
-        attempts: vec![attempt(Care::Trial, Some(report()))],
+        attempts: vec![attempt(AttemptKind::Probe, Some(report()))],
     };
     assert_eq!(
         json(&open),
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -7,7 +7,8 @@
 
 use chalkyard_budget::{AtHard, AtSoft, Calendar, Kind, Mode, Price, Units};
 use chalkyard_policy::{
-    Class, Discovery, Effect, Group, Micros, Reports, Role, Settings as Policy, Tenant, ZoneId,
+    Class, DeduplicationScope, Discovery, Micros, Reports, RetrySafety, Role, Settings as Policy, Tenant,
+    ZoneId,
 };
 use chalkyard_settings::{read, Settings};
 
@@ -27,7 +28,7 @@
         aim: ms(1_000),
         aim_per_1000_tokens: ms(0),
         deadline: ms(5_000),
-        effect,
+        retry_safety: effect,
         dedup_window,
     };
     assert_eq!(
@@ -35,12 +36,12 @@
         Policy {
             routers: 3,
             classes: vec![
-                Class { aim_per_1000_tokens: ms(60), ..class(Effect::Free, ms(0)) },
-                class(Effect::Guarded(Group::Cell), ms(3_000)),
-                class(Effect::Guarded(Group::Zone), ms(4_000)),
-                class(Effect::Guarded(Group::All), ms(5_000)),
-                class(Effect::SingleShot, ms(0)),
-                Class { aim: ms(2_000), deadline: ms(9_000), ..class(Effect::Free, ms(0)) },
+                Class { aim_per_1000_tokens: ms(60), ..class(RetrySafety::Idempotent, ms(0)) },
+                class(RetrySafety::Deduplicated(DeduplicationScope::Cell), ms(3_000)),
+                class(RetrySafety::Deduplicated(DeduplicationScope::Zone), ms(4_000)),
+                class(RetrySafety::Deduplicated(DeduplicationScope::All), ms(5_000)),
+                class(RetrySafety::NonIdempotent, ms(0)),
+                Class { aim: ms(2_000), deadline: ms(9_000), ..class(RetrySafety::Idempotent, ms(0)) },
             ],
             tenants: vec![Tenant { allowance_per_s: Some(20.5) }, Tenant { allowance_per_s: None }],
             discovery: Discovery::Ask,
@@ -90,7 +91,10 @@
     assert_eq!(zones, [("east", ZoneId(0)), ("west", ZoneId(1))]);
     let kinds: Vec<(&str, Role, Option<u64>)> =
         config.kinds.iter().map(|(n, k)| (n.as_str(), k.role, k.kv_tokens)).collect();
-    assert_eq!(kinds, [("a", Role::Reader, Some(100)), ("b", Role::Writer, None), ("c", Role::Mixed, None)]);
+    assert_eq!(
+        kinds,
+        [("a", Role::Prefill, Some(100)), ("b", Role::Decode, None), ("c", Role::Combined, None)]
+    );
 }
 
 #[test]
