--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -82,8 +82,8 @@
         };
         let at = |list: &[f64]| list.get(i).copied().unwrap_or(0.0);
         classes.push(p::Class {
-            aim: secs(c.goal_time_s),
-            aim_per_1000_tokens: secs(at(&w.family_info.aim_us_per_1000_prompt_tokens) / 1e6),
+            latency_objective: secs(c.goal_time_s),
+            latency_objective_per_1000_tokens: secs(at(&w.family_info.aim_us_per_1000_prompt_tokens) / 1e6),
             deadline: secs(c.deadline_s),
             retry_safety,
             dedup_window: secs(c.dedup_window_s),
@@ -96,25 +96,25 @@
         routers: w.balancers,
         classes,
         tenants: w.tenants.iter().map(|t| p::Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-        discovery: if w.discovery == "ask" { p::Discovery::Ask } else { p::Discovery::Push },
-        must_ask_in: secs(w.rules.must_ask_in_s),
+        discovery: if w.discovery == "ask" { p::Discovery::Poll } else { p::Discovery::Push },
+        max_poll_interval: secs(w.rules.must_ask_in_s),
         self_prefill: w.family_info.self_prefill,
         resume: w.family_info.resume,
-        release: secs(w.family_info.release_s),
+        reservation_timeout: secs(w.family_info.release_s),
         max_attempts: w.limits.max_attempts,
         may_cancel: w.limits.cancel,
         max_retry_after: if w.limits.retry_after { secs(w.limits.max_retry_after_s) } else { p::Micros(0) },
-        fall_multiple: w.rules.fall_multiple,
-        fall_after: secs(w.rules.fall_s),
-        cold_from: w.rules.cold_from,
-        cold_for: secs(w.rules.cold_s),
+        overload_multiple: w.rules.fall_multiple,
+        overload_window: secs(w.rules.fall_s),
+        slow_start_initial_share: w.rules.cold_from,
+        slow_start_duration: secs(w.rules.cold_s),
         answer_slack: secs(w.rules.answer_slack_s),
         tick: secs(w.tick_s),
         weighted: !w.weights.is_empty() && w.weights != "off",
-        reports: match w.reporting.how.as_str() {
-            "inline" => p::Reports::InAnswers,
+        load_reporting: match w.reporting.how.as_str() {
+            "inline" => p::LoadReporting::InResponses,
             // With answers to probes only, which are never sent: none.
-            _ => p::Reports::Off,
+            _ => p::LoadReporting::Off,
         },
     };
     Ok((settings, names))
@@ -164,13 +164,13 @@
         prompt_tokens: tokens(w.prompt_tokens),
         max_output: tokens(w.output_cap),
         deadline: secs(w.client_deadline_s),
-        came_back: w.came_back,
+        resumed: w.came_back,
     }))
 }
 
 /// Reads a load report.
-pub fn report(s: &wire::Stats) -> p::Report {
-    p::Report {
+pub fn report(s: &wire::Stats) -> p::LoadReport {
+    p::LoadReport {
         queued: s.depth,
         slots_used: s.load_share,
         kv_used: s.x0,
@@ -191,9 +191,9 @@
 pub fn verdict(w: &wire::Verdict) -> Result<p::Event, String> {
     let outcome = match w.status.as_str() {
         "served" => p::Outcome::Served,
-        "parsed" => p::Outcome::Parsed,
+        "parsed" => p::Outcome::Prefilled,
         "server_error" => p::Outcome::ServerError,
-        "turned_away" => p::Outcome::Refused { no_state: w.detail == 1 },
+        "turned_away" => p::Outcome::Rejected { no_state: w.detail == 1 },
         "no_answer" => p::Outcome::TimedOut,
         "no_connection" => p::Outcome::NoConnection,
         "connection_lost" => p::Outcome::ConnectionLost,
@@ -201,13 +201,17 @@
         "not_sent" => p::Outcome::NotSent,
         other => return Err(format!("field `status`: unknown value `{other}`")),
     };
-    Ok(p::Event::Verdict {
+    Ok(p::Event::AttemptOutcome {
         id: w.call.as_str().into(),
         attempt: p::AttemptNo(w.send_no),
         outcome,
         elapsed: secs(w.elapsed_s),
-        over: w.over,
-        kept: if matches!(outcome, p::Outcome::Served | p::Outcome::Parsed) { w.detail } else { 0 },
+        request_ended: w.over,
+        cached_tokens: if matches!(outcome, p::Outcome::Served | p::Outcome::Prefilled) {
+            w.detail
+        } else {
+            0
+        },
         report: w.stats.as_ref().map(report),
     })
 }
@@ -217,18 +221,18 @@
     let call = |id: p::RequestId| id.0.to_string();
     let name = |w: p::WorkerId| w.0.to_string();
     match action {
-        p::Action::Send { id, worker, give_up, .. } => wire::Deed::Send {
+        p::Action::Send { id, worker, timeout, .. } => wire::Deed::Send {
             call: call(id),
             worker: name(worker),
-            give_up_after_s: give_up.map(p::Micros::as_secs_f64),
+            give_up_after_s: timeout.map(p::Micros::as_secs_f64),
         },
         p::Action::Cancel { id, attempt } => wire::Deed::Cancel { call: call(id), send_no: attempt.0 },
-        p::Action::Refuse { id, retry_after, .. } => {
+        p::Action::Reject { id, retry_after, .. } => {
             wire::Deed::Decline { call: call(id), cool_down_s: retry_after.map(p::Micros::as_secs_f64) }
         }
         p::Action::Fail { id, .. } => wire::Deed::DropRequest { call: call(id) },
-        p::Action::Move(id) => wire::Deed::Transfer { call: call(id) },
-        p::Action::LetGo(id) => wire::Deed::Unhold { call: call(id) },
+        p::Action::Migrate(id) => wire::Deed::Transfer { call: call(id) },
+        p::Action::ReleaseReservation(id) => wire::Deed::Unhold { call: call(id) },
         p::Action::SetTimer { timer, after } => {
             wire::Deed::SetTimer { name: timer.0, in_s: after.as_secs_f64() }
         }
--- a/crates/daemon/src/logs_test.rs
+++ b/crates/daemon/src/logs_test.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
-use chalkyard_policy::{AttemptKind, RejectionReason, Report};
+use chalkyard_policy::{AttemptKind, LoadReport, RejectionReason};
 use chalkyard_router::{AttemptRecord, ByCause, Change, Counters, Ended, Finished, Tally, Transition};
 
 use super::Log;
@@ -61,7 +61,7 @@
             sent_us: 1,
             took_us: 2,
             kept_tokens: 3,
-            report: Some(Report { queued: Some(1.0), ..Report::default() }),
+            report: Some(LoadReport { queued: Some(1.0), ..LoadReport::default() }),
         }],
         arrived_us: 6,
         first_token_us: Some(7),
--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -72,7 +72,7 @@
         prompt_tokens: 1_200,
         max_output: 300,
         deadline: Micros(5_000_000),
-        came_back: true,
+        resumed: true,
     }
 }
 
@@ -80,29 +80,29 @@
     Settings {
         routers: 3,
         classes: vec![Class {
-            aim: Micros(1),
-            aim_per_1000_tokens: Micros(2),
+            latency_objective: Micros(1),
+            latency_objective_per_1000_tokens: Micros(2),
             deadline: Micros(3),
             retry_safety: RetrySafety::Deduplicated(DeduplicationScope::Zone),
             dedup_window: Micros(4),
         }],
         tenants: vec![Tenant { allowance_per_s: Some(2.5) }, Tenant { allowance_per_s: None }],
-        discovery: Discovery::Ask,
-        must_ask_in: Micros(5),
+        discovery: Discovery::Poll,
+        max_poll_interval: Micros(5),
         self_prefill: true,
         resume: false,
-        release: Micros(6),
+        reservation_timeout: Micros(6),
         max_attempts: 7,
         may_cancel: true,
         max_retry_after: Micros(8),
-        fall_multiple: 2.5,
-        fall_after: Micros(9),
-        cold_from: 0.25,
-        cold_for: Micros(10),
+        overload_multiple: 2.5,
+        overload_window: Micros(9),
+        slow_start_initial_share: 0.25,
+        slow_start_duration: Micros(10),
         answer_slack: Micros(11),
         tick: Micros(12),
         weighted: true,
-        reports: Reports::InAnswers,
+        load_reporting: LoadReporting::InResponses,
     }
 }
 
@@ -119,8 +119,13 @@
     }
 }
 
-fn report() -> Report {
-    Report { queued: Some(2.0), slots_used: Some(0.5), kv_used: Some(0.25), waiting_tokens: Some(4_000.0) }
+fn report() -> LoadReport {
+    LoadReport {
+        queued: Some(2.0),
+        slots_used: Some(0.5),
+        kv_used: Some(0.25),
+        waiting_tokens: Some(4_000.0),
+    }
 }
 
 fn events() -> Vec<Event> {
@@ -128,22 +133,22 @@
         Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![worker(), Worker::default()] },
         Event::Request(request()),
         Event::Streaming { id: "q1".into(), attempt: AttemptNo(1), elapsed: Micros(20) },
-        Event::Verdict {
+        Event::AttemptOutcome {
             id: "q1".into(),
             attempt: AttemptNo(0),
-            outcome: Outcome::Refused { no_state: true },
+            outcome: Outcome::Rejected { no_state: true },
             elapsed: Micros(30),
-            over: true,
-            kept: 64,
+            request_ended: true,
+            cached_tokens: 64,
             report: Some(report()),
         },
-        Event::Verdict {
+        Event::AttemptOutcome {
             id: "q1".into(),
             attempt: AttemptNo(0),
             outcome: Outcome::Served,
             elapsed: Micros(30),
-            over: false,
-            kept: 0,
+            request_ended: false,
+            cached_tokens: 0,
             report: None,
         },
         Event::ClientGone("q1".into()),
@@ -156,19 +161,19 @@
         Action::Send {
             id: "q1".into(),
             worker: "w1".into(),
-            give_up: Some(Micros(1)),
-            connect: Some(Micros(2)),
+            timeout: Some(Micros(1)),
+            connect_timeout: Some(Micros(2)),
             kind: AttemptKind::Probe,
         },
         Action::Cancel { id: "q1".into(), attempt: AttemptNo(3) },
-        Action::Refuse {
+        Action::Reject {
             id: "q1".into(),
             retry_after: Some(Micros(4)),
             reason: RejectionReason::ObservedLatency,
         },
         Action::Fail { id: "q1".into(), reason: RejectionReason::MayHaveRun },
-        Action::Move("q1".into()),
-        Action::LetGo("q1".into()),
+        Action::Migrate("q1".into()),
+        Action::ReleaseReservation("q1".into()),
         Action::SetTimer { timer: TimerId(5), after: Micros(6) },
         Action::Subscribe,
     ]
@@ -176,10 +181,10 @@
 
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Served,
-    Outcome::Parsed,
+    Outcome::Prefilled,
     Outcome::ServerError,
-    Outcome::Refused { no_state: false },
-    Outcome::Refused { no_state: true },
+    Outcome::Rejected { no_state: false },
+    Outcome::Rejected { no_state: true },
     Outcome::TimedOut,
     Outcome::NoConnection,
     Outcome::ConnectionLost,
@@ -224,8 +229,8 @@
         "effect",
         &[&[RetrySafety::Idempotent], &groups[..], &[RetrySafety::NonIdempotent]].concat(),
     );
-    all.variants("discovery", &[Discovery::Push, Discovery::Ask]);
-    all.variants("reports", &[Reports::Off, Reports::InAnswers]);
+    all.variants("discovery", &[Discovery::Push, Discovery::Poll]);
+    all.variants("reports", &[LoadReporting::Off, LoadReporting::InResponses]);
     all.variants("lifecycle", &[Lifecycle::Active, Lifecycle::Draining, Lifecycle::Removed]);
     all.variants(
         "kind of list",
@@ -238,11 +243,11 @@
     all.value("worker", &worker());
     all.value("default worker", &Worker::default());
     all.value("report", &report());
-    all.value("empty report", &Report::default());
+    all.value("empty report", &LoadReport::default());
     all.value("request", &request());
     all.value(
         "bare request",
-        &Request { tenant: None, session: None, prefix: None, came_back: false, ..request() },
+        &Request { tenant: None, session: None, prefix: None, resumed: false, ..request() },
     );
     all.variants("event", &events());
     all.variants("action", &actions());
@@ -254,8 +259,8 @@
     Action::Send {
         id: "q1".into(),
         worker: "w1".into(),
-        give_up: None,
-        connect: None,
+        timeout: None,
+        connect_timeout: None,
         kind: AttemptKind::Normal,
     }
 }
--- a/crates/platform/src/beside.rs
+++ b/crates/platform/src/beside.rs
@@ -44,7 +44,7 @@
 
 /// Reads `inflight=7,queue=2,util=0.61`, by the simulator's or the sockets' names of the fields. One that can't be read is
 /// as good as none.
-pub(crate) fn report(text: &str) -> Option<p::Report> {
+pub(crate) fn report(text: &str) -> Option<p::LoadReport> {
     let mut stats = wire::Stats::default();
     for pair in text.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -122,6 +122,6 @@
         prompt_tokens: attrs.prompt.unwrap_or(body_bytes / TOKEN_BYTES),
         max_output: attrs.output.unwrap_or(0),
         deadline: arrived + wait,
-        came_back: one(head, "X-Retried")?.is_some_and(|v| v.eq_ignore_ascii_case("again")),
+        resumed: one(head, "X-Retried")?.is_some_and(|v| v.eq_ignore_ascii_case("again")),
     })
 }
--- a/crates/platform/src/speak.rs
+++ b/crates/platform/src/speak.rs
@@ -72,13 +72,13 @@
         match (status, stage) {
             (200, Stage::Write) if events => Told::Stream,
             (202, Stage::Read) => Told::Read,
-            (410, _) if not_run => Told::Over(Outcome::Refused { no_state: true }),
-            (503 | 504, _) if not_run => Told::Over(Outcome::Refused { no_state: false }),
+            (410, _) if not_run => Told::Over(Outcome::Rejected { no_state: true }),
+            (503 | 504, _) if not_run => Told::Over(Outcome::Rejected { no_state: false }),
             _ => Told::Over(Outcome::ServerError),
         }
     }
 
-    fn report(&self, head: &Head) -> Option<p::Report> {
+    fn report(&self, head: &Head) -> Option<p::LoadReport> {
         head.header("x-server-load").and_then(beside::report)
     }
 
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -71,7 +71,7 @@
         .replace(r#""connect_timeout_s":0.25"#, &format!(r#""connect_timeout_s":{}"#, connect as f64 / 1e3))
         .replace(r#""dcs":["hall"]"#, r#""dcs":["hall","yard"]"#);
     let started = Started::read(&told).unwrap();
-    assert_eq!(started.config.policy.release, ms(release));
+    assert_eq!(started.config.policy.reservation_timeout, ms(release));
     Yard::started(started.config, started.known.as_deref())
 }
 
--- a/crates/platform/tests/flow.rs
+++ b/crates/platform/tests/flow.rs
@@ -60,10 +60,10 @@
         }
     }
     assert_eq!(String::from_utf8(body).unwrap(), format!("{FIRST}{LAST}{report}"));
-    assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Served]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::Served]);
     let heard = y.heard.lock().unwrap();
     let last = heard.iter().rev().find_map(|(_, e, _)| match e {
-        Event::Verdict { kept, report, .. } => Some((*kept, report.unwrap())),
+        Event::AttemptOutcome { cached_tokens: kept, report, .. } => Some((*kept, report.unwrap())),
         _ => None,
     });
     let (kept, report) = last.unwrap();
@@ -74,9 +74,9 @@
 fn what_comes_back_is_told_by_what_it_proves() {
     for (status, fields, outcome) in [
         (500, vec![], Outcome::ServerError),
-        (503, vec![NOT_RUN], Outcome::Refused { no_state: false }),
-        (504, vec![NOT_RUN], Outcome::Refused { no_state: false }),
-        (410, vec![NOT_RUN], Outcome::Refused { no_state: true }),
+        (503, vec![NOT_RUN], Outcome::Rejected { no_state: false }),
+        (504, vec![NOT_RUN], Outcome::Rejected { no_state: false }),
+        (410, vec![NOT_RUN], Outcome::Rejected { no_state: true }),
         // Without the mark it may have run.
         (503, vec![], Outcome::ServerError),
         (504, vec![("X-Not-Processed", "0")], Outcome::ServerError),
@@ -156,7 +156,7 @@
         format!("{:x};name=value\r\n{text}\r\n0\r\nX-Trailer: a\r\n\r\n", text.len()).as_bytes(),
     );
     assert!(y.raw(client).ends_with(encode::LAST_CHUNK));
-    assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Served]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::Served]);
     // A second answer behind the first: that connection is not used again.
     y.bytes(write.conn, b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
     assert!(y.closed.contains(&write.conn));
@@ -345,7 +345,7 @@
         .collect();
     let told =
         heard.lock().unwrap().iter().flat_map(|(_, _, actions)| actions.clone()).find_map(|a| match a {
-            Action::Refuse { id, retry_after: Some(after), .. } => Some((id, after)),
+            Action::Reject { id, retry_after: Some(after), .. } => Some((id, after)),
             _ => None,
         });
     let (id, after) = told.expect("nothing is answered: the module refuses for load");
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -4,8 +4,8 @@
 
 use chalkyard_platform::Started;
 use chalkyard_policy::{
-    CellId, Class, DeduplicationScope, Discovery, Lifecycle, Micros, Reports, RetrySafety, Role, Settings,
-    Tenant, Worker, ZoneId,
+    CellId, Class, DeduplicationScope, Discovery, Lifecycle, LoadReporting, Micros, RetrySafety, Role,
+    Settings, Tenant, Worker, ZoneId,
 };
 use serde_json::{json, Value};
 
@@ -22,8 +22,8 @@
 #[test]
 fn settings_of_the_platform_are_read_for_the_decision_module() {
     let class = |aim, per_1000, deadline, effect, window| Class {
-        aim: ms(aim),
-        aim_per_1000_tokens: ms(per_1000),
+        latency_objective: ms(aim),
+        latency_objective_per_1000_tokens: ms(per_1000),
         deadline: ms(deadline),
         retry_safety: effect,
         dedup_window: ms(window),
@@ -40,22 +40,22 @@
                 class(2_000, 20, 8_000, RetrySafety::NonIdempotent, 0),
             ],
             tenants: vec![Tenant { allowance_per_s: Some(1_000.0) }, Tenant { allowance_per_s: None }],
-            discovery: Discovery::Ask,
-            must_ask_in: ms(10_000),
+            discovery: Discovery::Poll,
+            max_poll_interval: ms(10_000),
             self_prefill: true,
             resume: true,
-            release: ms(1_250),
+            reservation_timeout: ms(1_250),
             max_attempts: 4,
             may_cancel: true,
             max_retry_after: ms(1_500),
-            fall_multiple: 3.0,
-            fall_after: ms(2_000),
-            cold_from: 0.3,
-            cold_for: ms(8_000),
+            overload_multiple: 3.0,
+            overload_window: ms(2_000),
+            slow_start_initial_share: 0.3,
+            slow_start_duration: ms(8_000),
             answer_slack: ms(10),
             tick: ms(2),
             weighted: true,
-            reports: Reports::InAnswers,
+            load_reporting: LoadReporting::InResponses,
         }
     );
 }
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -70,7 +70,7 @@
     y.advance(ms(900));
     assert!(!y.closed.contains(&read.conn));
     reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
-    assert_eq!(y.outcomes(), [Outcome::Parsed]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled]);
 }
 
 /// An answer that has begun before its call was taken whole is not cut off for that: the call has run.
@@ -88,7 +88,7 @@
     chunk(&mut y, early, FIRST);
     y.advance(ms(300));
     assert!(!y.closed.contains(&early) && !y.closed.contains(&client));
-    assert_eq!(y.outcomes(), [Outcome::Parsed]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled]);
 }
 
 fn ask_and_read(y: &mut Yard, client: ConnId) -> Call {
@@ -107,7 +107,7 @@
     y.input(Input::Connected(early));
     y.input(Input::Wrote(early, 100));
     reply(&mut y, early, 503, &[NOT_RUN], "");
-    assert_eq!(y.outcomes()[0], Outcome::Refused { no_state: false });
+    assert_eq!(y.outcomes()[0], Outcome::Rejected { no_state: false });
     assert!(y.closed.contains(&early));
 }
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -154,9 +154,11 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
     /// Time to the first token that earns full worth.
-    pub aim: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "aim"))]
+    pub latency_objective: Micros,
     /// Added to the aim for each 1,000 prompt tokens.
-    pub aim_per_1000_tokens: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "aim_per_1000_tokens"))]
+    pub latency_objective_per_1000_tokens: Micros,
     /// A client's whole waiting time, over all its tries.
     pub deadline: Micros,
     /// Where it may be repeated.
@@ -181,17 +183,19 @@
     /// Changes come unasked.
     Push,
     /// Changes come only after [`Action::Subscribe`].
-    Ask,
+    #[cfg_attr(feature = "serde", serde(rename = "Ask"))]
+    Poll,
 }
 
 /// How workers report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Reports {
+pub enum LoadReporting {
     /// Not at all.
     Off,
     /// With outcomes.
-    InAnswers,
+    #[cfg_attr(feature = "serde", serde(rename = "InAnswers"))]
+    InResponses,
 }
 
 /// What the site tells a router when it starts.
@@ -207,13 +211,15 @@
     /// How the list of workers is learnt.
     pub discovery: Discovery,
     /// Without a subscription, the list must be asked for at least this often.
-    pub must_ask_in: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "must_ask_in"))]
+    pub max_poll_interval: Micros,
     /// Writers read a prompt by themselves when there is no state to pull.
     pub self_prefill: bool,
     /// A broken stream goes on elsewhere, and a running one may be moved.
     pub resume: bool,
     /// Held state or place must be taken or let go within this span.
-    pub release: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "release"))]
+    pub reservation_timeout: Micros,
     /// At most this many attempts for a request.
     pub max_attempts: u32,
     /// An attempt may be cancelled.
@@ -221,13 +227,17 @@
     /// Clients are told when to come back, at most this far ahead; zero: they are not.
     pub max_retry_after: Micros,
     /// A cold worker falls over when sent this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_after: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "fall_after"))]
+    pub overload_window: Micros,
     /// A worker starts with at least this share of its capacity ...
-    pub cold_from: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "cold_from"))]
+    pub slow_start_initial_share: f64,
     /// ... and is warm after this span at the latest.
-    pub cold_for: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "cold_for"))]
+    pub slow_start_duration: Micros,
     /// How late a final answer still counts after the client's deadline.
     pub answer_slack: Micros,
     /// The smallest step of the clock.
@@ -235,7 +245,8 @@
     /// Whether worker weights mean anything.
     pub weighted: bool,
     /// How workers report their load.
-    pub reports: Reports,
+    #[cfg_attr(feature = "serde", serde(rename = "reports"))]
+    pub load_reporting: LoadReporting,
 }
 
 /// Whether a worker takes new work.
@@ -295,7 +306,7 @@
 /// A worker's load, as far as it tells it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that wait.
     pub queued: Option<f64>,
     /// Share of its slots in use, 0 to 1.
@@ -313,11 +324,13 @@
     /// Answered.
     Served,
     /// Prompt read; its state waits at this reader. Proves that nothing ran.
-    Parsed,
+    #[cfg_attr(feature = "serde", serde(rename = "Parsed"))]
+    Prefilled,
     /// The worker failed; it may have run.
     ServerError,
     /// Turned away. Proves that it never ran.
-    Refused {
+    #[cfg_attr(feature = "serde", serde(rename = "Refused"))]
+    Rejected {
         /// There was no state to pull.
         no_state: bool,
     },
@@ -336,7 +349,7 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Self::Parsed | Self::Refused { .. } | Self::NoConnection | Self::NotSent)
+        matches!(self, Self::Prefilled | Self::Rejected { .. } | Self::NoConnection | Self::NotSent)
     }
 }
 
@@ -361,7 +374,8 @@
     /// When the client gives this try up.
     pub deadline: Micros,
     /// The client returns after a stream that broke or was moved.
-    pub came_back: bool,
+    #[cfg_attr(feature = "serde", serde(rename = "came_back"))]
+    pub resumed: bool,
 }
 
 /// What a router hears.
@@ -389,7 +403,8 @@
         elapsed: Micros,
     },
     /// An attempt has ended. Each attempt gets exactly one.
-    Verdict {
+    #[cfg_attr(feature = "serde", serde(rename = "Verdict"))]
+    AttemptOutcome {
         /// The request.
         id: RequestId,
         /// Its attempt.
@@ -399,11 +414,13 @@
         /// Time since it was sent.
         elapsed: Micros,
         /// The request is over for the client.
-        over: bool,
+        #[cfg_attr(feature = "serde", serde(rename = "over"))]
+        request_ended: bool,
         /// Prompt tokens that the worker found kept (after `Served` and `Parsed`).
-        kept: u64,
+        #[cfg_attr(feature = "serde", serde(rename = "kept"))]
+        cached_tokens: u64,
         /// The worker's load.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// The client has left; nothing more is owed.
     ClientGone(RequestId),
@@ -498,9 +515,11 @@
         /// The worker.
         worker: WorkerId,
         /// Give up after this span (never zero); none: when the client does.
-        give_up: Option<Micros>,
+        #[cfg_attr(feature = "serde", serde(rename = "give_up"))]
+        timeout: Option<Micros>,
         /// Its connection has to stand within this span, or it is none; none: as the settings say.
-        connect: Option<Micros>,
+        #[cfg_attr(feature = "serde", serde(rename = "connect"))]
+        connect_timeout: Option<Micros>,
         /// What is known of that worker, for those who read the log.
         #[cfg_attr(feature = "serde", serde(rename = "care"))]
         kind: AttemptKind,
@@ -513,7 +532,8 @@
         attempt: AttemptNo,
     },
     /// Final answer: refused, trying again does no harm.
-    Refuse {
+    #[cfg_attr(feature = "serde", serde(rename = "Refuse"))]
+    Reject {
         /// The request.
         id: RequestId,
         /// Time that the client should stay away.
@@ -531,9 +551,11 @@
         reason: RejectionReason,
     },
     /// End a running stream so that it goes on elsewhere.
-    Move(RequestId),
+    #[cfg_attr(feature = "serde", serde(rename = "Move"))]
+    Migrate(RequestId),
     /// Let go of all state held for a request.
-    LetGo(RequestId),
+    #[cfg_attr(feature = "serde", serde(rename = "LetGo"))]
+    ReleaseReservation(RequestId),
     /// Ask for an [`Event::Timer`] after this span.
     SetTimer {
         /// Given back when it fires.
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -68,7 +68,7 @@
 /// nothing: bytes that the local system took may never have arrived.
 pub fn proves_arrival(outcome: Outcome) -> bool {
     match outcome {
-        Outcome::Served | Outcome::Parsed | Outcome::ServerError | Outcome::Refused { .. } => true,
+        Outcome::Served | Outcome::Prefilled | Outcome::ServerError | Outcome::Rejected { .. } => true,
         Outcome::TimedOut
         | Outcome::NoConnection
         | Outcome::ConnectionLost
@@ -129,9 +129,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct SendPermit(());
 
-/// Leave to refuse a request; only [`Obligations::may_refuse`] gives it.
+/// Leave to refuse a request; only [`Obligations::may_reject`] gives it.
 #[derive(Debug, PartialEq, Eq)]
-pub struct RefusePermit(());
+pub struct RejectPermit(());
 
 /// Leave to give a final answer; only [`Obligations::may_answer`] gives it.
 #[derive(Debug, PartialEq, Eq)]
@@ -143,7 +143,7 @@
     /// Where it may be repeated.
     pub retry_safety: RetrySafety,
     /// For guarded classes: how long repeats are discarded.
-    pub window: Micros,
+    pub deduplication_window: Micros,
     /// When its client gives it up.
     pub deadline: Micros,
     /// At most so many attempts.
@@ -153,7 +153,7 @@
     /// Its final answer.
     pub answer: AnswerState,
     /// Since when a worker holds state for it that nobody is known to have taken.
-    pub held_since: Option<Micros>,
+    pub reserved_at: Option<Micros>,
 }
 
 impl Obligations {
@@ -199,7 +199,7 @@
 
     /// Until when a repeat of this attempt may be out.
     fn repeat_end(&self, ran: &AttemptFacts) -> Micros {
-        ran.sent + (self.window - WINDOW_MARGIN)
+        ran.sent + (self.deduplication_window - WINDOW_MARGIN)
     }
 
     /// When the next attempt has to be over, whatever has become of it: one that lies at a silent worker runs as that
@@ -211,16 +211,16 @@
     }
 
     /// Whether a refusal, which says that trying again is harmless, would be true.
-    pub fn may_refuse(&self) -> Result<RefusePermit, Denied> {
+    pub fn may_reject(&self) -> Result<RejectPermit, Denied> {
         let may_have_run = self.attempts.iter().any(|a| a.may_have_run || a.open);
         match self.retry_safety {
             RetrySafety::Idempotent | RetrySafety::Deduplicated(DeduplicationScope::All) => {
-                Ok(RefusePermit(()))
+                Ok(RejectPermit(()))
             }
             RetrySafety::Deduplicated(_) | RetrySafety::NonIdempotent if may_have_run => {
                 Err(Denied::MayHaveRun)
             }
-            RetrySafety::Deduplicated(_) | RetrySafety::NonIdempotent => Ok(RefusePermit(())),
+            RetrySafety::Deduplicated(_) | RetrySafety::NonIdempotent => Ok(RejectPermit(())),
         }
     }
 
@@ -248,7 +248,7 @@
     /// When its held state is to be released, whatever is open: a pull that has arrived keeps what it takes, and one that
     /// has not arrived takes nothing.
     pub fn release_due(&self, release: Micros) -> Option<Micros> {
-        self.held_since.map(|since| release_due(since, release))
+        self.reserved_at.map(|since| release_due(since, release))
     }
 }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -175,7 +175,7 @@
     /// Our last read there, over its request's aim, and when it ended.
     took: (f64, Micros),
     /// Last report, and tokens of our streams sent since.
-    report: Option<Report>,
+    report: Option<LoadReport>,
     since: f64,
     /// Our sends within the cold window, while it is cold; prompt tokens so far, by which notes age.
     sends: Vec<Micros>,
@@ -211,8 +211,8 @@
         self.told().unwrap_or(average) - waiting / self.kv() - r.queued.unwrap_or(0.0) * 0.02
     }
 
-    fn cold(&self, now: Micros, cold_for: Micros) -> Option<Micros> {
-        self.info.started.map(|_| now - self.cold_since).filter(|age| *age < cold_for)
+    fn cold(&self, now: Micros, slow_start_duration: Micros) -> Option<Micros> {
+        self.info.started.map(|_| now - self.cold_since).filter(|age| *age < slow_start_duration)
     }
 
     /// Counts an attempt that is out here.
@@ -243,7 +243,7 @@
 type Step = (WorkerId, Stage, Option<u64>);
 
 /// How an attempt ended, after how long, with how much kept, and its worker's load.
-type End = (Outcome, Micros, u64, Option<Report>);
+type End = (Outcome, Micros, u64, Option<LoadReport>);
 
 #[derive(Debug, Clone)]
 struct Try {
@@ -368,7 +368,15 @@
             Event::Endpoints { update, workers } => self.apply_endpoints(update, workers, out),
             Event::Request(req) => self.request(req, out),
             Event::Streaming { id, attempt, elapsed } => self.streaming(&id, attempt, elapsed),
-            Event::Verdict { id, attempt, outcome, elapsed, over, kept, report } => {
+            Event::AttemptOutcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                request_ended: over,
+                cached_tokens: kept,
+                report,
+            } => {
                 if let Some(mut job) = self.take(&id) {
                     self.verdict(&mut job, attempt, (outcome, elapsed, kept, report));
                     job.done |= over;
@@ -441,15 +449,17 @@
         }
         self.has_fresh_list |= matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Delta);
         // One off the list is forgotten once warm: until then what it was sent still presses on it.
-        let (now, cold_for) = (self.now, self.set.cold_for);
-        self.servers.retain(|_, s| s.info.lifecycle != Lifecycle::Removed || s.cold(now, cold_for).is_some());
+        let (now, slow_start_duration) = (self.now, self.set.slow_start_duration);
+        self.servers.retain(|_, s| {
+            s.info.lifecycle != Lifecycle::Removed || s.cold(now, slow_start_duration).is_some()
+        });
         // Where the list has to be asked for: at the start, and again some time after a call has failed. All
         // routers may have lost it at one moment, so each has a time of its own.
         let again = ASK_AGAIN * (0.5 + self.coin(self.next_timer.to_le_bytes(), "list"));
         match update {
-            EndpointUpdate::LastKnown if self.set.discovery == Discovery::Ask => out.push(Action::Subscribe),
+            EndpointUpdate::LastKnown if self.set.discovery == Discovery::Poll => out.push(Action::Subscribe),
             EndpointUpdate::Failed => {
-                self.set_timer(self.now + self.set.must_ask_in.mul_f64(again), None, out)
+                self.set_timer(self.now + self.set.max_poll_interval.mul_f64(again), None, out)
             }
             _ => {}
         }
@@ -469,7 +479,8 @@
         let Some(class) = self.set.classes.get(req.class.0) else {
             return out.push(Action::Fail { id: req.id, reason: RejectionReason::UnknownClass });
         };
-        let aim = class.aim + class.aim_per_1000_tokens.mul_f64(req.prompt_tokens as f64 / 1e3);
+        let aim = class.latency_objective
+            + class.latency_objective_per_1000_tokens.mul_f64(req.prompt_tokens as f64 / 1e3);
         let over_share = self.over_share(req.tenant);
         self.seen.prompt.add(req.prompt_tokens as f64);
         self.seen.asked.add(self.now, HOT_SPAN, 1.0);
@@ -502,7 +513,7 @@
             .filter(|_| jam)
             .or((doomed && self.local(&job).is_none()).then_some(RejectionReason::CannotMeetDeadline))
         {
-            Some(reason) if !job.req.came_back => self.finish(job, reason, out),
+            Some(reason) if !job.req.resumed => self.finish(job, reason, out),
             _ => self.settle(job, out),
         }
     }
@@ -555,7 +566,7 @@
     }
 
     fn tightest(&self) -> Micros {
-        self.set.classes.iter().map(|c| c.aim).min().unwrap_or_default()
+        self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or_default()
     }
 
     /// Takes a request from its tenant's token bucket; tells whether it is beyond the share.
@@ -578,12 +589,12 @@
         // Whatever is open: a pull that has not arrived takes nothing, and one that has keeps what it takes.
         let release = self.now >= self.release_at(&job) || (job.done && !open);
         if job.held.is_some() && release {
-            out.push(Action::LetGo(job.req.id.clone()));
+            out.push(Action::ReleaseReservation(job.req.id.clone()));
             job.held = None;
             job.released_beside = open;
         } else if !open && std::mem::take(&mut job.released_beside) {
             // A release frees nothing that an attempt waits for.
-            out.push(Action::LetGo(job.req.id.clone()));
+            out.push(Action::ReleaseReservation(job.req.id.clone()));
         }
         self.cancel_overtaken_reads(&mut job, out);
         if !open && !job.done {
@@ -635,7 +646,7 @@
     }
 
     fn release_at(&self, job: &Job) -> Micros {
-        release_due(job.held_since, self.set.release)
+        release_due(job.held_since, self.set.reservation_timeout)
     }
 
     fn wake(&mut self, job: &Job, out: &mut Vec<Action>) {
@@ -686,7 +697,7 @@
         // While readers jam and writers do not, as with half of the readers gone, these read more; where
         // they report nothing their streams would fall behind unseen.
         let idle = read > tightest.as_secs_f64() * READS_JAM && pull < read * WRITERS_IDLE;
-        let idle = idle && self.set.reports != Reports::Off && self.seldom();
+        let idle = idle && self.set.load_reporting != LoadReporting::Off && self.seldom();
         let most = if idle { LOCAL_JAM } else { LOCAL_MOST };
         let (least, most) = (tightest.mul_f64(LOCAL_LEAST), tightest.mul_f64(most));
         let even = Micros::from_secs_f64(read - 2.0 * pull).clamp(least, most);
@@ -833,10 +844,10 @@
         let Some(s) = self.servers.get(&worker) else { return };
         let (cold, trial, role) = (self.is_cold(s), s.failing >= FAILING || !self.fit(s), s.info.role);
         let part = if cold && f64::from(self.set.routers) <= SELDOM { 0.0 } else { 1.0 / self.peers(role) };
-        self.seen.given.entry(role).or_default().add(now, self.set.cold_for, part);
+        self.seen.given.entry(role).or_default().add(now, self.set.slow_start_duration, part);
         let Some(s) = self.servers.get_mut(&worker) else { return };
         if cold {
-            s.sends.retain(|t| *t + self.set.fall_after > now);
+            s.sends.retain(|t| *t + self.set.overload_window > now);
             s.sends.push(now);
         }
         s.poured = s.poured.saturating_add(job.req.prompt_tokens);
@@ -853,23 +864,23 @@
         let patience = job.aim.mul_f64(OVERDUE_FLOOR).max(usual - s.silent) + Micros::from_secs_f64(reading);
         // Where nothing can be cancelled, a time-out has to be set beforehand.
         let again = stage == Stage::Prefill || retry_safety == RetrySafety::Idempotent;
-        let give_up = Some(patience + patience).filter(|g| !self.set.may_cancel && again && g.0 > 0);
+        let timeout = Some(patience + patience).filter(|g| !self.set.may_cancel && again && g.0 > 0);
         let must_end = must_end.map(|at| (at - now).max(self.set.tick));
-        let give_up = give_up.into_iter().chain(must_end).min();
+        let timeout = timeout.into_iter().chain(must_end).min();
         let (due, at) = (Some(now + patience), worker.clone());
         let facts = AttemptFacts::new(stage, now, target(s));
         let (pulls, overdue, unreached) = (job.held.is_some(), false, false);
         // From the time that reads take as a rule; their mean holds those that waited for a silent worker.
         let usual_read = Micros::from_secs_f64(self.seen.read_s.0.unwrap_or(0.0));
         let usual_read = usual_read.min(job.aim.mul_f64(OVERDUE_FLOOR));
-        let doubted = release_due(now + usual_read, self.set.release);
+        let doubted = release_due(now + usual_read, self.set.reservation_timeout);
         let doubted = Some(doubted).filter(|_| stage == Stage::Prefill);
         job.tries.push(Try { worker: at, facts, pulls, due, doubted, overdue, unreached, predicted });
         let kind = if cold { AttemptKind::SlowStart } else { AttemptKind::Normal };
         let kind = if trial { AttemptKind::Probe } else { kind };
         // While no connection comes up a state waits for nobody: half of its time is left for another writer.
         let left = job.held.as_ref().map(|_| (self.release_at(job) - now).mul_f64(0.5).max(self.set.tick));
-        out.push(Action::Send { id: job.req.id.clone(), worker, give_up, connect: left, kind });
+        out.push(Action::Send { id: job.req.id.clone(), worker, timeout, connect_timeout: left, kind });
     }
 
     // ---- What comes back.
@@ -940,20 +951,21 @@
                 s.silent = s.silent + elapsed;
             }
             match outcome {
-                Outcome::Refused { no_state: false } => {
+                Outcome::Rejected { no_state: false } => {
                     let queued = s.report.and_then(|r| r.queued).unwrap_or(0.0);
                     let idle = queued < 1.0 && s.told().is_some_and(|room| room > IDLE_ROOM);
                     let (refusals, until) = s.full.entry(job.req.class).or_default();
                     *until = now + Micros(FULL_WAIT.0 << *refusals);
                     *refusals = (*refusals + if idle { IDLE_DOUBLINGS } else { 1 }).min(FULL_DOUBLINGS);
                 }
-                Outcome::Served | Outcome::Parsed => {
+                Outcome::Served | Outcome::Prefilled => {
                     s.full.remove(&job.req.class);
                     s.failing *= 1.0 - WELL_GAIN;
                     s.benches = if s.failing < FAIL_GAIN / 2.0 { 0 } else { s.benches };
                     (s.heard, s.silent) = (now, Micros(0));
                     s.answered = s.answered.max(t.facts.sent);
-                    warm = (many || s.cold(now, self.set.cold_for).is_none()).then_some(s.info.role);
+                    warm =
+                        (many || s.cold(now, self.set.slow_start_duration).is_none()).then_some(s.info.role);
                 }
                 // Where nothing good was heard lately one failure says enough: two may take minutes.
                 Outcome::ServerError | Outcome::NoConnection | Outcome::ConnectionLost => {
@@ -982,15 +994,15 @@
         }
         if let Some(role) = warm {
             let part = 1.0 / self.peers(role);
-            self.seen.finished.entry(role).or_default().add(now, self.set.cold_for, part);
+            self.seen.finished.entry(role).or_default().add(now, self.set.slow_start_duration, part);
         }
         match outcome {
-            Outcome::Parsed => {
+            Outcome::Prefilled => {
                 let (took, mean) = (elapsed.as_secs_f64(), self.seen.read_s.0);
                 self.seen.read_s.add(mean.filter(|_| hung).unwrap_or(took));
                 job.held = Some(t.worker.clone());
             }
-            Outcome::Refused { no_state: true } => (job.held, job.released_beside) = (None, false),
+            Outcome::Rejected { no_state: true } => (job.held, job.released_beside) = (None, false),
             _ => {}
         }
         // A whole answer that broke may be tried again, and has then not begun.
@@ -1039,16 +1051,16 @@
         let id = job.req.id.clone();
         self.missed(&job);
         if job.held.take().is_some() {
-            out.push(Action::LetGo(id.clone()));
+            out.push(Action::ReleaseReservation(id.clone()));
         }
         job.done = true;
-        if self.now + self.set.tick < job.req.deadline && self.obligations(&job).may_refuse().is_ok() {
+        if self.now + self.set.tick < job.req.deadline && self.obligations(&job).may_reject().is_ok() {
             // Until the queue that we see falls to what is admitted; one asked seldom goes by first tokens.
             let late = if self.seldom() { self.pressure() - SELDOM_FELT } else { 0.0 };
             let drained = self.forecast() - self.tightest().mul_f64(ADMIT / 2.0);
             let drained = drained.max(self.tightest().mul_f64(late));
             let retry_after = Some(drained.min(self.set.max_retry_after)).filter(|t| t.0 > 0);
-            out.push(Action::Refuse { id, retry_after, reason });
+            out.push(Action::Reject { id, retry_after, reason });
         } else {
             out.push(Action::Fail { id, reason });
         }
@@ -1069,12 +1081,12 @@
     /// it: all would leave it idle. So a coin a request takes it in beside warm ones of its role, as often as
     /// it is warm, less by what these are sent in vain, and by half of the budget where most are cold.
     fn hashable(&self, job: &Job, role: Role) -> Vec<&Server> {
-        let fade = |r: &Rate| r.fade(self.now, self.set.cold_for);
+        let fade = |r: &Rate| r.fade(self.now, self.set.slow_start_duration);
         if self.seldom() {
             let listed = |s: &&Server| s.info.role == role && s.info.lifecycle == Lifecycle::Active;
             let peers = self.servers.values().filter(listed).map(|s| self.present(s));
             let (n, all) = peers.fold((0.0, 0.0), |(n, all), s| (n + 1.0, all + s));
-            let most = (self.set.fall_multiple * COLD_SHARE / 2.0 * all / f64::max(n, 1.0)).min(1.0);
+            let most = (self.set.overload_multiple * COLD_SHARE / 2.0 * all / f64::max(n, 1.0)).min(1.0);
             // With one imagined that was finished: a router that has just begun knows of none.
             let of = |r: &BTreeMap<Role, Rate>| r.get(&role).map_or(0.0, fade) + 1.0 / self.peers(role);
             let part = most * (of(&self.seen.finished) / of(&self.seen.given)).min(1.0);
@@ -1125,12 +1137,12 @@
         let (retry_safety, window) = self.retry_safety(job);
         Obligations {
             retry_safety,
-            window,
+            deduplication_window: window,
             deadline: job.req.deadline,
             max_attempts: self.set.max_attempts,
             attempts: job.tries.iter().map(|t| t.facts).collect(),
             answer: if job.done { AnswerState::Given } else { AnswerState::Owed },
-            held_since: job.held.as_ref().map(|_| job.held_since),
+            reserved_at: job.held.as_ref().map(|_| job.held_since),
         }
     }
 
@@ -1166,7 +1178,7 @@
         if !self.is_cold(s) {
             return true;
         }
-        let window = self.set.fall_after;
+        let window = self.set.overload_window;
         let (sent, budget) = self.cold_budget(job, s);
         let turn = (self.now + window.mul_f64(self.coin("phase", &s.info.id.0))).0 / window.0.max(1);
         let coin = self.coin(turn.to_le_bytes(), &s.info.id.0);
@@ -1174,14 +1186,14 @@
     }
 
     fn is_cold(&self, s: &Server) -> bool {
-        s.cold(self.now, self.set.cold_for).is_some()
+        s.cold(self.now, self.set.slow_start_duration).is_some()
     }
 
     /// The share of its capacity that a worker has at least, by what is told.
     fn present(&self, s: &Server) -> f64 {
-        let span = self.set.cold_for.as_secs_f64().max(1e-6);
-        let age = s.cold(self.now, self.set.cold_for).map_or(span, |age| age.as_secs_f64());
-        self.set.cold_from + (1.0 - self.set.cold_from) * age / span
+        let span = self.set.slow_start_duration.as_secs_f64().max(1e-6);
+        let age = s.cold(self.now, self.set.slow_start_duration).map_or(span, |age| age.as_secs_f64());
+        self.set.slow_start_initial_share + (1.0 - self.set.slow_start_initial_share) * age / span
     }
 
     /// How many usual prompts a long one weighs.
@@ -1191,13 +1203,17 @@
 
     /// What we sent it in this window, and our part of its budget.
     fn cold_budget(&self, job: &Job, s: &Server) -> (f64, f64) {
-        let window = self.set.fall_after;
+        let window = self.set.overload_window;
         let sent = s.sends.iter().filter(|t| **t + window > self.now).count();
-        let rate = self.seen.finished.get(&s.info.role).map_or(0.0, |r| r.per_s(self.now, self.set.cold_for));
+        let rate = self
+            .seen
+            .finished
+            .get(&s.info.role)
+            .map_or(0.0, |r| r.per_s(self.now, self.set.slow_start_duration));
         let share = (1.0 - COLD_CHANCE / f64::from(self.set.routers.max(1)).sqrt()).min(COLD_SHARE);
         // Where nothing is known yet, all together try one a window. A long prompt weighs as many.
         let least = 1.0 / f64::from(self.set.routers.max(1));
-        let per_s = self.set.fall_multiple * self.present(s) * share;
+        let per_s = self.set.overload_multiple * self.present(s) * share;
         (sent as f64, (rate * window.as_secs_f64() * per_s).max(least) / self.long(job))
     }
 }
--- a/crates/policy/tests/audit.rs
+++ b/crates/policy/tests/audit.rs
@@ -56,10 +56,10 @@
                 let t = &self.asked[&id].tries[n];
                 let reader = self.workers[&t.worker].role == Role::Prefill;
                 let outcome = match how % 8 {
-                    0..=2 if reader => Outcome::Parsed,
+                    0..=2 if reader => Outcome::Prefilled,
                     0..=2 if t.streaming => Outcome::Served,
-                    0 => Outcome::Refused { no_state: true },
-                    1 => Outcome::Refused { no_state: false },
+                    0 => Outcome::Rejected { no_state: true },
+                    1 => Outcome::Rejected { no_state: false },
                     2 | 3 => Outcome::ServerError,
                     4 if !t.streaming => Outcome::NoConnection,
                     5 if !t.streaming => Outcome::TimedOut,
--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -24,7 +24,7 @@
     for i in 0..SESSIONS {
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
-        rig.end(&id, 0, Outcome::Parsed, 0);
+        rig.end(&id, 0, Outcome::Prefilled, 0);
         rig.stream(&id, 1);
         rig.end(&id, 1, Outcome::Served, 0);
         rig.now = rig.now + Micros(100);
@@ -62,7 +62,7 @@
         let mut request = rig.request(id, id, FREE, LONG);
         request.prefix = Some(prefix.into());
         let to = sent(&rig.feed(Event::Request(request))).unwrap().0;
-        rig.end(id, 0, Outcome::Parsed, 0);
+        rig.end(id, 0, Outcome::Prefilled, 0);
         rig.stream(id, 1);
         rig.end(id, 1, Outcome::Served, 0);
         to
@@ -92,7 +92,7 @@
             let mut request = rig.request(&id, &id, FREE, LONG);
             request.prefix = Some(prefix.as_str().into());
             let to = sent(&rig.feed(Event::Request(request))).unwrap().0;
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.stream(&id, 1);
             rig.end(&id, 1, Outcome::Served, 0);
             if prefix == "hot" {
@@ -112,7 +112,12 @@
 /// Without reports, two writers alike.
 fn unreported() -> Rig {
     let workers = ["w0", "w1"].map(|w| worker(w, Role::Decode, 0));
-    let set = Settings { reports: Reports::Off, routers: 1, cold_for: secs(0.01), ..settings() };
+    let set = Settings {
+        load_reporting: LoadReporting::Off,
+        routers: 1,
+        slow_start_duration: secs(0.01),
+        ..settings()
+    };
     Rig::new(set, workers.to_vec())
 }
 
@@ -165,13 +170,13 @@
     let new = ask(&mut rig, "new", 12);
     // The old life's streams break only now: its new life has all of its own still.
     for (_, id) in old.iter().filter(|(w, _)| w == "w0") {
-        rig.feed(Event::Verdict {
+        rig.feed(Event::AttemptOutcome {
             id: id.as_str().into(),
             attempt: AttemptNo(0),
             outcome: Outcome::ConnectionLost,
             elapsed: secs(0.3),
-            over: true,
-            kept: 0,
+            request_ended: true,
+            cached_tokens: 0,
             report: None,
         });
     }
@@ -205,7 +210,7 @@
 fn what_an_earlier_life_served_is_no_home_in_the_next() {
     let mut rig = Rig::new(settings(), fleet());
     rig.ask("a", "s", FREE, LONG);
-    let home = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
+    let home = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
     rig.stream("a", 1);
     rig.wait(0.5);
     let restarted = Worker { started: Some(rig.now), ..worker(&home, Role::Decode, 0) };
@@ -218,7 +223,7 @@
 #[test]
 fn what_is_out_at_a_worker_off_the_list_is_called_back_when_silent() {
     // Its first timer is that of its silence: held state is due later.
-    let mut rig = Rig::new(Settings { release: secs(60.0), ..settings() }, fleet());
+    let mut rig = Rig::new(Settings { reservation_timeout: secs(60.0), ..settings() }, fleet());
     let asked = rig.ask("a", "s", FREE, LONG);
     let reader = sent(&asked).unwrap().0;
     let gone = Worker { lifecycle: Lifecycle::Removed, ..worker(&reader, Role::Prefill, 0) };
@@ -294,7 +299,7 @@
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
         rig.wait(0.01);
-        let to = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let to = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         rig.stream(&id, 1);
         to
     };
@@ -319,7 +324,7 @@
             let mut actions = rig.ask(&id, &format!("s{}", n % 7), FREE, LONG);
             let reads = sent(&actions).unwrap().0.starts_with('r');
             if reads {
-                actions.extend(rig.end(&id, 0, Outcome::Parsed, 0));
+                actions.extend(rig.end(&id, 0, Outcome::Prefilled, 0));
             }
             rig.stream(&id, u32::from(reads));
             actions.extend(rig.end(&id, u32::from(reads), Outcome::Served, 0));
@@ -341,7 +346,7 @@
     for i in 0..40 {
         let id = format!("{i}");
         let asked = rig.ask(&id, &id, FREE, if i % 2 == 0 { LONG } else { u64::MAX });
-        rig.end(&id, 0, if i % 3 == 0 { Outcome::TimedOut } else { Outcome::Parsed }, u64::MAX);
+        rig.end(&id, 0, if i % 3 == 0 { Outcome::TimedOut } else { Outcome::Prefilled }, u64::MAX);
         rig.fire(&asked);
     }
 }
@@ -353,7 +358,7 @@
         let mut rig = Rig::new(settings(), fleet());
         rig.wait(0.1);
         rig.ask("a", "s", FREE, LONG);
-        let writer = sent(&rig.end("a", 0, Outcome::Parsed, kept)).unwrap().0;
+        let writer = sent(&rig.end("a", 0, Outcome::Prefilled, kept)).unwrap().0;
         rig.stream("a", 1);
         rig.end("a", 1, Outcome::Served, kept);
         // The next turn adds little, and is read at home, whose count is again beyond the prompt.
--- a/crates/policy/tests/common/audit.rs
+++ b/crates/policy/tests/common/audit.rs
@@ -79,10 +79,10 @@
     pub fn check(&mut self, action: Action) {
         let now = self.rig.now;
         match action {
-            Action::Send { id, worker, give_up, .. } => {
+            Action::Send { id, worker, timeout, .. } => {
                 let w = &self.workers[&worker];
                 assert!(!self.stopped.contains(&worker), "rule 3: {worker:?} drains or is gone");
-                assert!(give_up.is_none_or(|g| g.0 > 0));
+                assert!(timeout.is_none_or(|g| g.0 > 0));
                 let job = self.asked.get_mut(&id).expect("known");
                 assert!(!job.over, "rule 1: sent after its end");
                 assert!(job.tries.len() < self.set.max_attempts as usize);
@@ -100,12 +100,12 @@
                     }
                 }
                 job.tries.push(Out { worker: worker.clone(), sent: now, ran: None, streaming: false });
-                if let Some(started) = w.started.filter(|s| now < *s + self.set.cold_for) {
+                if let Some(started) = w.started.filter(|s| now < *s + self.set.slow_start_duration) {
                     self.cold(&worker, started);
                 }
                 self.sends.push_back((now, worker));
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let effect = self.set.classes[self.asked[&id].class.0].retry_safety;
                 let job = self.end(&id);
                 let clean = job.tries.iter().all(|t| t.ran == Some(false));
@@ -117,7 +117,7 @@
             Action::Fail { id, .. } => {
                 self.end(&id);
             }
-            Action::LetGo(id) => self.asked.get_mut(&id).expect("known").held = false,
+            Action::ReleaseReservation(id) => self.asked.get_mut(&id).expect("known").held = false,
             Action::Cancel { id, attempt } => {
                 assert!((attempt.0 as usize) < self.asked[&id].tries.len());
                 self.called_back.insert((id, attempt.0 as usize));
@@ -142,7 +142,7 @@
     /// Rule 4: within the window no more than the multiple of what a warm peer was seen to do at
     /// full capacity; a first one is always allowed.
     pub fn cold(&self, worker: &WorkerId, started: Micros) {
-        let since = self.rig.now - self.set.fall_after;
+        let since = self.rig.now - self.set.overload_window;
         let count = |q: &VecDeque<(Micros, WorkerId)>, w: &WorkerId| {
             // What an earlier life of this worker got does not press on this one.
             let since = if w == worker { since.max(started) } else { since };
@@ -156,9 +156,10 @@
             .map(|w| count(&self.done, &w.id))
             .collect();
         let best = peers.iter().copied().fold(0.0, f64::max);
-        let age = (self.rig.now - started).as_secs_f64() / self.set.cold_for.as_secs_f64();
-        let present = self.set.cold_from + (1.0 - self.set.cold_from) * age.min(1.0);
-        let most = (best * self.set.fall_multiple * present).max(1.0);
+        let age = (self.rig.now - started).as_secs_f64() / self.set.slow_start_duration.as_secs_f64();
+        let present =
+            self.set.slow_start_initial_share + (1.0 - self.set.slow_start_initial_share) * age.min(1.0);
+        let most = (best * self.set.overload_multiple * present).max(1.0);
         assert!(count(&self.sends, worker) < most, "rule 4: {} of {most}", count(&self.sends, worker));
     }
 
@@ -179,7 +180,7 @@
         let late = |j: &Asked| {
             let answer = Some(j.deadline + self.set.answer_slack + Micros(1)).filter(|_| !j.over);
             let cut = Some(j.deadline).filter(|_| j.tries.iter().any(|t| t.ran.is_none() && !t.streaming));
-            let pinned = Some(j.last + self.set.release + Micros(1)).filter(|_| Self::idle(j));
+            let pinned = Some(j.last + self.set.reservation_timeout + Micros(1)).filter(|_| Self::idle(j));
             [answer, cut, pinned]
         };
         let jobs = self.asked.values().flat_map(late).flatten();
@@ -213,7 +214,7 @@
         }
         for (id, j) in &self.asked {
             assert!(j.over || now <= j.deadline + self.set.answer_slack, "rule 1: {id:?} unanswered");
-            assert!(!Self::idle(j) || now <= j.last + self.set.release, "rule 5: {id:?} pinned");
+            assert!(!Self::idle(j) || now <= j.last + self.set.reservation_timeout, "rule 5: {id:?} pinned");
         }
     }
 
@@ -267,22 +268,22 @@
         job.last = now;
         job.over |= over || outcome == Outcome::Served;
         match outcome {
-            Outcome::Parsed => job.held = true,
-            Outcome::Refused { no_state: true } => job.held = false,
+            Outcome::Prefilled => job.held = true,
+            Outcome::Rejected { no_state: true } => job.held = false,
             _ => {}
         }
-        if matches!(outcome, Outcome::Served | Outcome::Parsed) {
+        if matches!(outcome, Outcome::Served | Outcome::Prefilled) {
             self.done.push_back((now, job.tries[n].worker.clone()));
         }
         let over = job.over;
         let elapsed = now - job.tries[n].sent;
-        self.feed(Event::Verdict {
+        self.feed(Event::AttemptOutcome {
             id: id.clone(),
             attempt: AttemptNo(n as u32),
             outcome,
             elapsed,
-            over,
-            kept: 0,
+            request_ended: over,
+            cached_tokens: 0,
             report: None,
         });
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -11,8 +11,8 @@
 
 pub fn settings() -> Settings {
     let class = |retry_safety| Class {
-        aim: secs(1.0),
-        aim_per_1000_tokens: secs(0.1),
+        latency_objective: secs(1.0),
+        latency_objective_per_1000_tokens: secs(0.1),
         deadline: secs(6.0),
         retry_safety,
         dedup_window: secs(3.0),
@@ -26,21 +26,21 @@
         ],
         tenants: vec![Tenant { allowance_per_s: Some(10.0) }, Tenant { allowance_per_s: None }],
         discovery: Discovery::Push,
-        must_ask_in: secs(10.0),
+        max_poll_interval: secs(10.0),
         self_prefill: true,
         resume: false,
-        release: secs(0.5),
+        reservation_timeout: secs(0.5),
         max_attempts: 4,
         may_cancel: true,
         max_retry_after: secs(1.0),
-        fall_multiple: 3.0,
-        fall_after: secs(2.0),
-        cold_from: 0.25,
-        cold_for: secs(10.0),
+        overload_multiple: 3.0,
+        overload_window: secs(2.0),
+        slow_start_initial_share: 0.25,
+        slow_start_duration: secs(10.0),
         answer_slack: secs(0.01),
         tick: secs(0.002),
         weighted: false,
-        reports: Reports::InAnswers,
+        load_reporting: LoadReporting::InResponses,
     }
 }
 
@@ -114,7 +114,7 @@
             prompt_tokens: tokens,
             max_output: 200,
             deadline: self.now + secs(5.0),
-            came_back: false,
+            resumed: false,
         }
     }
 
@@ -133,18 +133,34 @@
         attempt: u32,
         outcome: Outcome,
         kept: u64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> Vec<Action> {
         let (id, attempt, elapsed) = (id.into(), AttemptNo(attempt), secs(0.1));
         let over = outcome == Outcome::Served;
-        self.feed(Event::Verdict { id, attempt, outcome, elapsed, over, kept, report })
+        self.feed(Event::AttemptOutcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            request_ended: over,
+            cached_tokens: kept,
+            report,
+        })
     }
 
     /// The end of a first attempt that was a read of `s` seconds.
     pub fn parsed_after(&mut self, id: &str, s: f64) -> Vec<Action> {
         let (id, attempt, elapsed) = (id.into(), AttemptNo(0), secs(s));
-        let outcome = Outcome::Parsed;
-        self.feed(Event::Verdict { id, attempt, outcome, elapsed, over: false, kept: 0, report: None })
+        let outcome = Outcome::Prefilled;
+        self.feed(Event::AttemptOutcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            request_ended: false,
+            cached_tokens: 0,
+            report: None,
+        })
     }
 
     /// Plays a free request through its attempts, four at most, 20 ms each: reads end well, answers stream to their end,
@@ -162,9 +178,9 @@
             sent_to(self.now, &to);
             self.wait(0.02);
             if first_is_turned_away && attempt == 0 {
-                next = sent(&self.end(id, attempt, Outcome::Refused { no_state: false }, 0));
+                next = sent(&self.end(id, attempt, Outcome::Rejected { no_state: false }, 0));
             } else if to.starts_with('r') {
-                next = sent(&self.end(id, attempt, Outcome::Parsed, 0));
+                next = sent(&self.end(id, attempt, Outcome::Prefilled, 0));
             } else {
                 self.stream(id, attempt);
                 self.end(id, attempt, Outcome::Served, 0);
@@ -192,7 +208,7 @@
     pub fn whole(&mut self, id: &str, session: &str, tokens: u64) -> (String, String) {
         let reader = sent(&self.ask(id, session, FREE, tokens)).unwrap().0;
         self.wait(0.1);
-        let writer = sent(&self.end(id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&self.end(id, 0, Outcome::Prefilled, 0)).unwrap().0;
         self.wait(0.1);
         self.stream(id, 1);
         self.wait(1.0);
@@ -215,7 +231,7 @@
 
 pub fn sent(actions: &[Action]) -> Option<Sent> {
     let mut all = actions.iter().filter_map(|a| match a {
-        Action::Send { worker, give_up, .. } => Some((worker.0.to_string(), *give_up)),
+        Action::Send { worker, timeout, .. } => Some((worker.0.to_string(), *timeout)),
         _ => None,
     });
     let first = all.next();
@@ -224,7 +240,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -232,5 +248,5 @@
 }
 
 pub fn let_go(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::LetGo(_)))
+    actions.iter().any(|a| matches!(a, Action::ReleaseReservation(_)))
 }
--- a/crates/policy/tests/joiner.rs
+++ b/crates/policy/tests/joiner.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Case {
     routers: u32,
-    reports: Reports,
+    reports: LoadReporting,
     cold: bool,
     joins: &'static str,
 }
@@ -97,11 +97,11 @@
                 self.rigs[r].stream(&id, attempt);
                 continue;
             }
-            let report = (self.case.reports == Reports::InAnswers).then(|| Report {
+            let report = (self.case.reports == LoadReporting::InResponses).then(|| LoadReport {
                 kv_used: Some(self.held.get(&w).copied().unwrap_or(0.0) / 100_000.0),
-                ..Report::default()
+                ..LoadReport::default()
             });
-            let outcome = if what == Due::Parsed { Outcome::Parsed } else { Outcome::Served };
+            let outcome = if what == Due::Parsed { Outcome::Prefilled } else { Outcome::Served };
             if what == Due::End {
                 *self.held.entry(w).or_default() -= LONG as f64;
             }
@@ -115,7 +115,7 @@
 /// Steady traffic of `RATE` requests a second over all routers, before and after one joins. Sessions have three turns,
 /// six seconds apart, at one router.
 fn play(case: Case) -> Seen {
-    let set = Settings { routers: case.routers, reports: case.reports, ..settings() };
+    let set = Settings { routers: case.routers, load_reporting: case.reports, ..settings() };
     let (begin, started) = (secs(100.0), secs(120.0));
     let mut workers = Vec::new();
     for i in 0..8 {
@@ -167,7 +167,7 @@
 fn cases() -> Vec<Case> {
     let mut all = Vec::new();
     for routers in [1, 24] {
-        for reports in [Reports::InAnswers, Reports::Off] {
+        for reports in [LoadReporting::InResponses, LoadReporting::Off] {
             for (cold, joins) in [(false, "r9"), (false, "w9"), (true, "r9"), (true, "w9")] {
                 all.push(Case { routers, reports, cold, joins });
             }
@@ -212,7 +212,7 @@
 
 /// One that is neither known to be empty nor heard from counts as average, less what is sent to it.
 fn unknown(case: &Case) -> bool {
-    case.routers == 1 && case.reports == Reports::InAnswers && !case.cold && case.joins == "w9"
+    case.routers == 1 && case.reports == LoadReporting::InResponses && !case.cold && case.joins == "w9"
 }
 
 #[test]
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -159,15 +159,15 @@
             rig.ask(&id, &id, FREE, LONG);
             rig.wait(took);
             // Every third comes back in any case.
-            let ends = if i % 3 == 0 { Outcome::Parsed } else { ends };
-            finished += f64::from(u8::from(ends == Outcome::Parsed));
-            rig.feed(Event::Verdict {
+            let ends = if i % 3 == 0 { Outcome::Prefilled } else { ends };
+            finished += f64::from(u8::from(ends == Outcome::Prefilled));
+            rig.feed(Event::AttemptOutcome {
                 id: id.as_str().into(),
                 attempt: AttemptNo(0),
                 outcome: ends,
                 elapsed: secs(took),
-                over: false,
-                kept: 0,
+                request_ended: false,
+                cached_tokens: 0,
                 report: None,
             });
             rig.stream(&id, 1);
@@ -183,7 +183,7 @@
                 reads += 1.0;
                 to_cold += f64::from(u8::from(to.as_str() < "r5"));
             }
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.end(&id, 1, Outcome::Served, 0);
             rig.wait(1.0);
         }
@@ -194,7 +194,7 @@
 
 #[test]
 fn cold_readers_are_used_as_far_as_they_are_warm() {
-    let (part, _) = part_of_cold(0.1, Outcome::Parsed);
+    let (part, _) = part_of_cold(0.1, Outcome::Prefilled);
     // Five with a quarter to nearly a half of their capacity, beside five warm ones.
     assert!(0.12 < part && part < 0.35, "{part} of the reads");
 }
@@ -202,9 +202,9 @@
 #[test]
 fn in_a_jam_cold_readers_get_no_more_than_their_budget() {
     // What each warm reader finishes, times the multiple of 3, times a quarter.
-    let (_, often) = part_of_cold(0.1, Outcome::Refused { no_state: false });
+    let (_, often) = part_of_cold(0.1, Outcome::Rejected { no_state: false });
     assert!(often < 3.0 * 0.25, "two of three reads end in vain: {often} of what a warm one finishes");
-    let (_, often) = part_of_cold(1.1, Outcome::Parsed);
+    let (_, often) = part_of_cold(1.1, Outcome::Prefilled);
     assert!(often < 3.0 * 0.25, "the warm ones are slow: {often} of what a warm one finishes");
 }
 
@@ -232,7 +232,7 @@
     let mut begun = 0;
     for seed in 0..u64::from(ROUTERS) {
         let set = Settings { self_prefill: false, ..many() };
-        let cold_for = set.cold_for.as_secs_f64();
+        let cold_for = set.slow_start_duration.as_secs_f64();
         let mut rig = one(seed, set, readers(4));
         quiet_run(&mut rig, "a", 20);
         let at = rig.now;
@@ -258,7 +258,7 @@
 #[test]
 fn routers_that_lose_the_list_at_one_moment_ask_again_at_times_of_their_own() {
     let pause = |seed| {
-        let mut rig = one(seed, Settings { discovery: Discovery::Ask, ..many() }, fleet());
+        let mut rig = one(seed, Settings { discovery: Discovery::Poll, ..many() }, fleet());
         let failed = rig.feed(Event::Endpoints { update: EndpointUpdate::Failed, workers: vec![] });
         let before = rig.now;
         assert_eq!(rig.fire(&failed), [Action::Subscribe]);
@@ -330,7 +330,7 @@
                     used.insert(reader);
                 }
                 rig.wait(0.1);
-                rig.end(&id, 0, Outcome::Parsed, 0);
+                rig.end(&id, 0, Outcome::Prefilled, 0);
                 rig.stream(&id, 1);
                 rig.end(&id, 1, Outcome::Served, 0);
                 rig.wait(1.0);
@@ -356,7 +356,7 @@
             if hot {
                 seen.insert(to);
             }
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.end(&id, 1, Outcome::Served, 0);
         }
         seen.len()
@@ -381,14 +381,14 @@
 
 #[test]
 fn writers_of_a_cell_with_many_readers_get_only_their_part() {
-    for reports in [Reports::Off, Reports::InAnswers] {
+    for reports in [LoadReporting::Off, LoadReporting::InResponses] {
         let mut near = 0;
         let mut reads = 0;
         for seed in 0..400 {
-            let mut rig = one(seed, Settings { reports, ..many() }, skewed());
+            let mut rig = one(seed, Settings { load_reporting: reports, ..many() }, skewed());
             let id = format!("s{seed}");
             let reader = sent(&rig.ask("a", &id, FREE, LONG)).unwrap().0;
-            let writer = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
+            let writer = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
             if reader != "r3" {
                 reads += 1;
                 near += u32::from(writer == "w0");
@@ -406,7 +406,7 @@
     let mut rig = one(1, many(), fleet());
     let bad = sent(&rig.ask("a", "s", FREE, LONG)).unwrap().0;
     rig.end("a", 0, Outcome::NoConnection, 0);
-    rig.end("a", 1, Outcome::Parsed, 0);
+    rig.end("a", 1, Outcome::Prefilled, 0);
     rig.stream("a", 2);
     rig.end("a", 2, Outcome::Served, 0);
     for i in 0..8 {
@@ -418,7 +418,7 @@
             "{} s later",
             0.9 * f64::from(i + 1)
         );
-        rig.end(&id, 0, Outcome::Parsed, 0);
+        rig.end(&id, 0, Outcome::Prefilled, 0);
         rig.stream(&id, 1);
         rig.end(&id, 1, Outcome::Served, 0);
     }
@@ -445,7 +445,7 @@
             }
             let actions = rig.ask("z", "z", FREE, LONG);
             for a in &actions {
-                if let Action::Refuse { retry_after, reason, .. } = a {
+                if let Action::Reject { retry_after, reason, .. } = a {
                     assert!(retry_after.is_some_and(|t| t.0 > 0), "a time to come back is named");
                     assert_eq!(*reason, RejectionReason::ObservedLatency);
                 }
@@ -458,8 +458,8 @@
 /// The reader tells that so many wait there, the answer begins.
 fn begins(queued: Option<f64>) -> impl Fn(&mut Rig, &str) {
     move |rig, id| {
-        let report = queued.map(|q| Report { queued: Some(q), ..Report::default() });
-        rig.end_with(id, 0, Outcome::Parsed, 0, report);
+        let report = queued.map(|q| LoadReport { queued: Some(q), ..LoadReport::default() });
+        rig.end_with(id, 0, Outcome::Prefilled, 0, report);
         rig.stream(id, 1);
     }
 }
@@ -504,13 +504,13 @@
             let id = format!("{i}");
             rig.ask(&id, &id, FREE, LONG);
             rig.wait(wait);
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.stream(&id, 1);
             rig.end(&id, 1, Outcome::Served, 0);
             rig.wait(0.4);
         }
         rig.ask("z", "z", FREE, LONG);
-        rig.end("z", 0, Outcome::Parsed, 0);
+        rig.end("z", 0, Outcome::Prefilled, 0);
         let actions = rig.end("z", 1, Outcome::ConnectionLost, 0);
         assert!(sent(&actions).is_some() || refused(&actions), "one or the other, at once");
         sent(&actions).is_some()
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -92,15 +92,15 @@
                 let mut request = rig.request(&other, &other, FREE, LONG);
                 request.prefix = Some(other.as_str().into());
                 rig.feed(Event::Request(request));
-                rig.end(&other, 0, Outcome::Parsed, 0);
+                rig.end(&other, 0, Outcome::Prefilled, 0);
                 rig.end(&other, 1, Outcome::Served, 0);
             }
             let mut request = rig.request(&id, &format!("s{i}"), FREE, LONG);
             request.prefix = Some("shared".into());
             seen.insert(sent(&rig.feed(Event::Request(request))).unwrap().0);
             if i % 2 == 1 {
-                rig.end(&id, 0, Outcome::Parsed, 0);
-                rig.end(&format!("{}", i - 1), 0, Outcome::Parsed, 0);
+                rig.end(&id, 0, Outcome::Prefilled, 0);
+                rig.end(&format!("{}", i - 1), 0, Outcome::Prefilled, 0);
             }
         }
     }
@@ -125,16 +125,16 @@
     for i in 0..30 {
         let id = format!("l{i}");
         rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         rig.stream(&id, 1);
         rig.wait(0.5);
         let used = if writer == "w1" { 0.1 } else { 0.8 };
-        let report = Report { slots_used: Some(used), ..Report::default() };
+        let report = LoadReport { slots_used: Some(used), ..LoadReport::default() };
         rig.end_with(&id, 1, Outcome::Served, 0, Some(report));
         writers.insert(writer);
     }
     rig.ask("a", "new", FREE, LONG);
-    assert_eq!(sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0, "w1");
+    assert_eq!(sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0, "w1");
     assert!(writers.contains("w1"));
 }
 
@@ -149,13 +149,13 @@
         let mut at = sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0;
         let reads = at.starts_with('r');
         if reads {
-            at = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+            at = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         }
         if reads && i >= 40 {
             pulled.insert(at.clone());
         }
         let held = if at.starts_with('m') { mixed_held } else { writers_held };
-        let report = Report { kv_used: Some(held), ..Report::default() };
+        let report = LoadReport { kv_used: Some(held), ..LoadReport::default() };
         rig.stream(&id, u32::from(reads));
         rig.end_with(&id, u32::from(reads), Outcome::Served, 0, Some(report));
         rig.wait(0.5);
@@ -182,7 +182,7 @@
     for i in 0..9 {
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         rig.stream(&id, 1);
         *count.entry(writer).or_insert(0) += 1;
     }
--- a/crates/policy/tests/obligations.rs
+++ b/crates/policy/tests/obligations.rs
@@ -16,12 +16,12 @@
 fn owed(retry_safety: RetrySafety, attempts: Vec<AttemptFacts>) -> Obligations {
     Obligations {
         retry_safety,
-        window: secs(2.0),
+        deduplication_window: secs(2.0),
         deadline: NOW + secs(5.0),
         max_attempts: 4,
         attempts,
         answer: AnswerState::Owed,
-        held_since: None,
+        reserved_at: None,
     }
 }
 
@@ -44,13 +44,13 @@
         Outcome::Cancelled,
         Outcome::Served,
     ];
-    let proven = [Outcome::Refused { no_state: true }, Outcome::NoConnection, Outcome::NotSent];
+    let proven = [Outcome::Rejected { no_state: true }, Outcome::NoConnection, Outcome::NotSent];
     let writer = target(Role::Decode);
     for outcome in unproven {
         let earlier = vec![ended(Stage::Decode, outcome)];
         let single = owed(RetrySafety::NonIdempotent, earlier.clone());
         assert_eq!(denied(&single, &writer), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(single.may_refuse().err(), Some(Denied::MayHaveRun), "{outcome:?}");
+        assert_eq!(single.may_reject().err(), Some(Denied::MayHaveRun), "{outcome:?}");
         assert_eq!(single.hopeless(NOW), Some(Denied::MayHaveRun), "{outcome:?}");
         assert_eq!(denied(&owed(RetrySafety::Idempotent, earlier.clone()), &writer), None);
         // A guarded one goes again within its group and window alone.
@@ -64,7 +64,7 @@
     for outcome in proven {
         let single = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Decode, outcome)]);
         assert_eq!(denied(&single, &writer), None, "{outcome:?}");
-        assert!(single.may_refuse().is_ok() && single.hopeless(NOW).is_none(), "{outcome:?}");
+        assert!(single.may_reject().is_ok() && single.hopeless(NOW).is_none(), "{outcome:?}");
     }
     for outcome in unproven {
         let read = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Prefill, outcome)]);
@@ -93,7 +93,7 @@
     }
     // While an attempt is open nothing is known of its effect: no promise that trying again is harmless.
     let open = AttemptFacts::new(Stage::Decode, NOW, writer);
-    assert_eq!(owed(RetrySafety::NonIdempotent, vec![open]).may_refuse().err(), Some(Denied::MayHaveRun));
+    assert_eq!(owed(RetrySafety::NonIdempotent, vec![open]).may_reject().err(), Some(Denied::MayHaveRun));
 }
 
 /// Whatever the effect, an open pull stops no clock: its bytes may never arrive.
@@ -101,11 +101,11 @@
 fn state_is_released_in_time_beside_a_pull_that_stays_open() {
     for class in [FREE, SINGLE, GUARDED] {
         for release in [0.1, 0.3, 1.0, 2.0] {
-            let set = Settings { release: secs(release), may_cancel: false, ..settings() };
+            let set = Settings { reservation_timeout: secs(release), may_cancel: false, ..settings() };
             let mut rig = Rig::new(set, fleet());
             rig.ask("a", "s", class, 40_000);
             rig.wait(0.1);
-            let pull = rig.end("a", 0, Outcome::Parsed, 0);
+            let pull = rig.end("a", 0, Outcome::Prefilled, 0);
             assert!(sent(&pull).is_some_and(|(to, _)| to.starts_with('w')));
             let (parsed, mut actions) = (rig.now, pull);
             while !let_go(&actions) {
@@ -126,12 +126,12 @@
         (Outcome::Cancelled, false),
         (Outcome::ConnectionLost, false),
         (Outcome::ServerError, true),
-        (Outcome::Refused { no_state: false }, true),
+        (Outcome::Rejected { no_state: false }, true),
     ] {
-        let mut rig = Rig::new(Settings { release: secs(1.0), ..settings() }, fleet());
+        let mut rig = Rig::new(Settings { reservation_timeout: secs(1.0), ..settings() }, fleet());
         rig.ask("a", "s", FREE, 40_000);
         rig.wait(0.1);
-        rig.end("a", 0, Outcome::Parsed, 0);
+        rig.end("a", 0, Outcome::Prefilled, 0);
         let parsed = rig.now;
         rig.wait(0.5);
         let mut actions = rig.end("a", 1, outcome, 0);
@@ -157,7 +157,7 @@
     rig.wait(0.5);
     let actions = rig.end("a", 0, Outcome::ServerError, 0);
     let give_up = actions.iter().find_map(|a| match a {
-        Action::Send { give_up, .. } => Some(*give_up),
+        Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
     let give_up = give_up.expect("a repeat within the window").expect("a time at which it is over");
@@ -178,14 +178,14 @@
         (Outcome::Cancelled, true),
         (Outcome::ConnectionLost, true),
         (Outcome::ServerError, true),
-        (Outcome::Refused { no_state: false }, true),
-        (Outcome::Refused { no_state: true }, false),
+        (Outcome::Rejected { no_state: false }, true),
+        (Outcome::Rejected { no_state: true }, false),
     ] {
-        let set = Settings { release: secs(0.3), may_cancel: false, ..settings() };
+        let set = Settings { reservation_timeout: secs(0.3), may_cancel: false, ..settings() };
         let mut rig = Rig::new(set, fleet());
         rig.ask("a", "s", SINGLE, 40_000);
         rig.wait(0.1);
-        let mut actions = rig.end("a", 0, Outcome::Parsed, 0);
+        let mut actions = rig.end("a", 0, Outcome::Prefilled, 0);
         while !let_go(&actions) {
             actions = rig.fire(&actions);
         }
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -80,7 +80,7 @@
                 continue;
             }
             if reader {
-                end(Outcome::Parsed);
+                end(Outcome::Prefilled);
             }
             scope.ends.iter().for_each(|o| end(*o));
             if a.called_back.contains(&(id.clone(), n)) {
@@ -197,8 +197,8 @@
 fn all_ends() -> Vec<Outcome> {
     vec![
         Outcome::ServerError,
-        Outcome::Refused { no_state: false },
-        Outcome::Refused { no_state: true },
+        Outcome::Rejected { no_state: false },
+        Outcome::Rejected { no_state: true },
         Outcome::NoConnection,
         Outcome::ConnectionLost,
         Outcome::NotSent,
@@ -222,7 +222,7 @@
     Scope {
         depth: 7,
         asks: vec![(FREE, LONG), (SINGLE, LONG), (GUARDED, LONG)],
-        ends: vec![Outcome::ConnectionLost, Outcome::Refused { no_state: false }],
+        ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: false }],
         listed: vec!["r0", "r1", "w0", "w1"],
         news: 3,
         ..one_request()
@@ -235,7 +235,7 @@
         depth: 6,
         requests: 2,
         asks: vec![(FREE, LONG), (SINGLE, LONG), (GUARDED, SHORT)],
-        ends: vec![Outcome::ConnectionLost, Outcome::Refused { no_state: true }, Outcome::NoConnection],
+        ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: true }, Outcome::NoConnection],
         listed: vec!["w0"],
         news: 1,
     }
@@ -333,11 +333,11 @@
 #[test]
 #[should_panic(expected = "rule 4")]
 fn a_cold_worker_that_is_pushed_over_is_seen() {
-    lied(|s| s.cold_for = Micros(0), Some, beside_a_cold_one());
+    lied(|s| s.slow_start_duration = Micros(0), Some, beside_a_cold_one());
 }
 
 #[test]
 #[should_panic(expected = "rule 5")]
 fn a_pinned_state_is_seen() {
-    lied(|s| s.release = secs(3.0), Some, Scope { depth: 5, ..with_news() });
+    lied(|s| s.reservation_timeout = secs(3.0), Some, Scope { depth: 5, ..with_news() });
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -63,8 +63,8 @@
     let mut set = settings();
     set.may_cancel = false;
     for class in &mut set.classes {
-        class.aim = Micros(0);
-        class.aim_per_1000_tokens = Micros(0);
+        class.latency_objective = Micros(0);
+        class.latency_objective_per_1000_tokens = Micros(0);
     }
     let mut rig = Rig::new(set, pair());
     let (_, give_up) = sent(&rig.ask("a", "s", FREE, 0)).unwrap();
@@ -75,7 +75,7 @@
 
 fn at_writer(rig: &mut Rig, class: ClassId) {
     rig.ask("a", "s", class, LONG);
-    assert!(sent(&rig.end("a", 0, Outcome::Parsed, 0)).is_some());
+    assert!(sent(&rig.end("a", 0, Outcome::Prefilled, 0)).is_some());
 }
 
 #[test]
@@ -94,7 +94,7 @@
 fn a_single_shot_that_was_turned_away_tries_the_other_writer() {
     let mut rig = Rig::new(settings(), pair());
     at_writer(&mut rig, SINGLE);
-    let again = sent(&rig.end("a", 1, Outcome::Refused { no_state: false }, 0)).unwrap().0;
+    let again = sent(&rig.end("a", 1, Outcome::Rejected { no_state: false }, 0)).unwrap().0;
     assert!(again.starts_with('w'));
 }
 
@@ -113,7 +113,7 @@
     workers.push(worker("w3", Role::Decode, 1));
     let mut rig = Rig::new(settings(), workers.clone());
     rig.ask("a", "s", GUARDED, LONG);
-    let first = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
+    let first = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
     let cell = |id: &str| workers.iter().find(|w| *w.id.0 == *id).map(|w| w.cell);
     let second = sent(&rig.end("a", 1, Outcome::ConnectionLost, 0)).unwrap().0;
     assert_eq!(cell(&first), cell(&second));
@@ -141,9 +141,9 @@
         let mut w0 = worker("w0", Role::Decode, 0);
         w0.lifecycle = lifecycle;
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w0] });
-        let next = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
+        let next = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
         assert_eq!(next, "w1");
-        let actions = rig.end("a", 1, Outcome::Refused { no_state: false }, 0);
+        let actions = rig.end("a", 1, Outcome::Rejected { no_state: false }, 0);
         assert!(sent(&actions).is_none_or(|s| s.0 != "w0"));
     }
 }
@@ -217,7 +217,7 @@
         } else {
             warm_done += 1;
         }
-        rig.end(&id, 0, Outcome::Parsed, 0);
+        rig.end(&id, 0, Outcome::Prefilled, 0);
     }
     // A third of the multiple times the cold share at the start, of what the warm peer did.
     assert!(to_cold >= 2, "{to_cold}");
@@ -234,7 +234,7 @@
     gone.retain(|w| w.role == Role::Prefill);
     rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: gone });
     let since = rig.now;
-    let actions = rig.end("a", 0, Outcome::Parsed, 0);
+    let actions = rig.end("a", 0, Outcome::Prefilled, 0);
     rig.fire_until(actions, 100, let_go);
     assert!(rig.now <= since + secs(0.5));
 }
@@ -244,7 +244,7 @@
     let mut rig = Rig::new(settings(), pair());
     rig.ask("a", "s", FREE, LONG);
     rig.feed(Event::ClientGone("a".into()));
-    let actions = rig.end("a", 0, Outcome::Parsed, 0);
+    let actions = rig.end("a", 0, Outcome::Prefilled, 0);
     assert!(let_go(&actions) && sent(&actions).is_none());
 }
 
@@ -270,7 +270,7 @@
         if first == *bad {
             rig.end(&id, 0, Outcome::ServerError, 0);
         } else {
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
         }
         rig.feed(Event::ClientGone(id.as_str().into()));
     }
@@ -279,7 +279,7 @@
         .filter(|i| {
             let id = format!("{i}");
             let to = sent(&rig.ask(&id, "one", FREE, LONG)).unwrap().0;
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.feed(Event::ClientGone(id.as_str().into()));
             to == bad
         })
@@ -289,7 +289,7 @@
     let again = (60..80).any(|i| {
         let id = format!("{i}");
         let to = sent(&rig.ask(&id, "one", FREE, LONG)).unwrap().0;
-        rig.end(&id, 0, Outcome::Parsed, 0);
+        rig.end(&id, 0, Outcome::Prefilled, 0);
         to == bad
     });
     assert!(again, "a way to recover");
@@ -302,7 +302,7 @@
     for i in 0..40 {
         let id = format!("{i}");
         rig.ask(&id, &id, SINGLE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         if writer == "w0" {
             rig.end(&id, 1, Outcome::ServerError, 0);
             failed += 1;
@@ -349,7 +349,7 @@
     rig.wait(0.5);
     let first = rig.ask("a", "s", FREE, LONG);
     rig.wait(0.5);
-    rig.end("b", 0, Outcome::Parsed, 0);
+    rig.end("b", 0, Outcome::Prefilled, 0);
     let mut late = rig.fire(&first);
     for _ in 0..4 {
         assert!(!late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
@@ -362,14 +362,14 @@
 #[test]
 fn a_read_that_a_later_one_has_overtaken_is_called_back_as_its_state_is_due() {
     for release in [0.3, 1.0, 2.0] {
-        let set = Settings { release: secs(release), ..settings() };
+        let set = Settings { reservation_timeout: secs(release), ..settings() };
         let mut rig = Rig::new(set, vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
         let mut actions = rig.ask("a", "s", SINGLE, LONG);
         let begun = rig.now;
         rig.wait(0.01);
         rig.ask("b", "t", SINGLE, LONG);
         rig.wait(0.01);
-        rig.end("b", 0, Outcome::Parsed, 0);
+        rig.end("b", 0, Outcome::Prefilled, 0);
         while !actions.iter().any(|a| matches!(a, Action::Cancel { .. })) {
             actions = rig.fire(&actions);
             assert!(rig.now < begun + secs(3.0), "{release} s");
@@ -381,17 +381,17 @@
 
 #[test]
 fn a_worker_that_turns_away_at_once_does_not_look_empty() {
-    let mut rig = Rig::new(Settings { reports: Reports::Off, ..settings() }, fleet());
+    let mut rig = Rig::new(Settings { load_reporting: LoadReporting::Off, ..settings() }, fleet());
     let mut sends = 0;
     for i in 0..100 {
         rig.wait(0.05);
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
-        let mut to = sent(&rig.end(&id, 0, Outcome::Parsed, 0));
+        let mut to = sent(&rig.end(&id, 0, Outcome::Prefilled, 0));
         let mut attempt = 1;
         while to.as_ref().is_some_and(|t| t.0 == "w0") {
             sends += 1;
-            to = sent(&rig.end(&id, attempt, Outcome::Refused { no_state: false }, 0));
+            to = sent(&rig.end(&id, attempt, Outcome::Rejected { no_state: false }, 0));
             attempt += 1;
         }
         assert!(to.is_some(), "another writer is there");
@@ -403,9 +403,13 @@
 
 #[test]
 fn a_worker_that_turns_one_class_away_is_left_alone_for_that_class() {
-    let idle =
-        Some(Report { queued: Some(0.0), slots_used: Some(0.1), kv_used: Some(0.1), waiting_tokens: None });
-    let busy = idle.map(|r| Report { queued: Some(9.0), slots_used: Some(1.0), ..r });
+    let idle = Some(LoadReport {
+        queued: Some(0.0),
+        slots_used: Some(0.1),
+        kv_used: Some(0.1),
+        waiting_tokens: None,
+    });
+    let busy = idle.map(|r| LoadReport { queued: Some(9.0), slots_used: Some(1.0), ..r });
     for (report, most) in [(idle, 5), (busy, 9)] {
         let mut rig = Rig::new(settings(), readers(1));
         let (mut free, mut single) = (0, 0);
@@ -414,13 +418,13 @@
             let (id, other) = (format!("f{i}"), format!("s{i}"));
             if sent(&rig.ask(&id, &id, FREE, LONG)).is_some() {
                 free += 1;
-                rig.end_with(&id, 0, Outcome::Refused { no_state: false }, 0, report);
+                rig.end_with(&id, 0, Outcome::Rejected { no_state: false }, 0, report);
             }
             rig.feed(Event::ClientGone(id.as_str().into()));
             // The other class is served all the while, and says nothing of the first.
             if i % 7 == 0 && sent(&rig.ask(&other, &other, SINGLE, LONG)).is_some() {
                 single += 1;
-                rig.end_with(&other, 0, Outcome::Parsed, 0, report);
+                rig.end_with(&other, 0, Outcome::Prefilled, 0, report);
                 rig.feed(Event::ClientGone(other.as_str().into()));
             }
         }
@@ -443,7 +447,7 @@
         let to = sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0;
         answered += u32::from(to == at);
         rig.wait(0.1);
-        rig.end(&id, 0, Outcome::Parsed, 0);
+        rig.end(&id, 0, Outcome::Prefilled, 0);
         rig.feed(Event::ClientGone(id.as_str().into()));
         let due = actions.iter().any(|a| matches!(a, Action::SetTimer { .. }));
         if due && i % 10 == 9 {
@@ -481,7 +485,7 @@
     let mut attempt = 0;
     while let Some((to, _)) = sent(&actions) {
         assert!(to.starts_with('r'), "{to}");
-        actions = rig.end("a", attempt, Outcome::Refused { no_state: false }, 0);
+        actions = rig.end("a", attempt, Outcome::Rejected { no_state: false }, 0);
         attempt += 1;
     }
     assert!(attempt <= 2, "both are left alone now");
@@ -494,7 +498,7 @@
 
 #[test]
 fn a_jam_refuses_early_and_the_over_share_first() {
-    let run = |tenant: usize, came_back: bool| {
+    let run = |tenant: usize, resumed: bool| {
         let mut rig = Rig::new(settings(), fleet());
         let mut refusals = Vec::new();
         // Slow first tokens, far more requests than are answered.
@@ -504,13 +508,13 @@
             let mut request = rig.request(&id, &id, FREE, LONG);
             request.tenant = Some(TenantId(tenant));
             request.deadline = rig.now + secs(60.0);
-            request.came_back = came_back;
+            request.resumed = resumed;
             let actions = rig.feed(Event::Request(request));
             if refused(&actions) {
                 assert!(!let_go(&actions) && sent(&actions).is_none());
                 refusals.push(i);
             } else if i % 4 == 0 {
-                rig.end(&id, 0, Outcome::Parsed, 0);
+                rig.end(&id, 0, Outcome::Prefilled, 0);
                 rig.wait(1.0);
                 rig.stream(&id, 1);
             }
@@ -548,7 +552,7 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_subscribed_to_and_asked_for_again_after_a_failure() {
-    let mut rig = Rig::new(Settings { discovery: Discovery::Ask, ..settings() }, vec![]);
+    let mut rig = Rig::new(Settings { discovery: Discovery::Poll, ..settings() }, vec![]);
     let start = rig.feed(Event::Endpoints { update: EndpointUpdate::LastKnown, workers: fleet() });
     assert_eq!(start, [Action::Subscribe]);
     let failed = rig.feed(Event::Endpoints { update: EndpointUpdate::Failed, workers: vec![] });
@@ -578,7 +582,7 @@
 #[test]
 fn herds_are_foreseen_between_two_reports() {
     let mut rig = Rig::new(settings(), fleet());
-    let report = |used| Some(Report { kv_used: Some(used), ..Report::default() });
+    let report = |used| Some(LoadReport { kv_used: Some(used), ..LoadReport::default() });
     // All writers have told their room; the nearest has a little more.
     let mut n = 0;
     let mut told = std::collections::BTreeSet::new();
@@ -586,7 +590,7 @@
         n += 1;
         let id = format!("l{n}");
         rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         rig.stream(&id, 1);
         rig.wait(0.4);
         rig.end_with(&id, 1, Outcome::Served, 0, report(0.2));
@@ -596,7 +600,7 @@
     for i in 0..12 {
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
-        *count.entry(sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0).or_insert(0) += 1;
+        *count.entry(sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0).or_insert(0) += 1;
     }
     assert!(count.values().all(|c| *c <= 6), "no writer gets all until its next report: {count:?}");
 }
@@ -648,7 +652,7 @@
             let id = format!("{i}");
             all.extend(rig.ask(&id, &format!("s{}", i % 17), FREE, 100 + 37 * i));
             rig.wait(0.01);
-            all.extend(rig.end(&id, 0, Outcome::Parsed, 0));
+            all.extend(rig.end(&id, 0, Outcome::Prefilled, 0));
         }
         all
     };
@@ -658,7 +662,7 @@
 /// Where it was sent, and within what span its connection has to stand.
 fn sent_within(actions: &[Action]) -> Option<(String, Option<Micros>)> {
     actions.iter().find_map(|a| match a {
-        Action::Send { worker, connect, .. } => Some((worker.0.to_string(), *connect)),
+        Action::Send { worker, connect_timeout, .. } => Some((worker.0.to_string(), *connect_timeout)),
         _ => None,
     })
 }
@@ -676,10 +680,10 @@
 #[test]
 fn the_time_of_held_state_runs_on_while_no_connection_comes_up() {
     for (release, wait) in [(0.1_f64, 0.25_f64), (0.3, 0.25), (0.3, 0.75), (0.3, 0.08), (1.0, 0.25)] {
-        let mut rig = Rig::new(Settings { release: secs(release), ..settings() }, two_zones());
+        let mut rig = Rig::new(Settings { reservation_timeout: secs(release), ..settings() }, two_zones());
         rig.ask("a", "s", SINGLE, 4_000);
         rig.wait(0.1);
-        let mut actions = rig.end("a", 0, Outcome::Parsed, 0);
+        let mut actions = rig.end("a", 0, Outcome::Prefilled, 0);
         let parsed = rig.now;
         let mut tries = 0;
         while !let_go(&actions) {
@@ -705,7 +709,7 @@
     for n in 0..20 {
         let id = format!("a{n}");
         rig.ask(&id, &id, FREE, 4_000);
-        let first = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let first = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         let second = sent(&rig.end(&id, 1, Outcome::NoConnection, 0)).unwrap().0;
         assert_ne!(zone(&first), zone(&second), "{first}, then {second}");
         rig.feed(Event::ClientGone(id.as_str().into()));
@@ -723,8 +727,8 @@
         let id = format!("l{i}");
         rig.ask(&id, &id, FREE, 4_000);
         rig.wait(0.1);
-        let report = Some(Report { queued, ..Report::default() });
-        rig.end_with(&id, 0, Outcome::Parsed, 0, report);
+        let report = Some(LoadReport { queued, ..LoadReport::default() });
+        rig.end_with(&id, 0, Outcome::Prefilled, 0, report);
         rig.stream(&id, 1);
         rig.wait(0.05);
         rig.end(&id, 1, Outcome::Served, 0);
@@ -744,7 +748,7 @@
         request.deadline = rig.now + secs(60.0);
         rig.feed(Event::Request(request));
         rig.wait(0.6);
-        let actions = rig.end(&id, 0, Outcome::Parsed, 0);
+        let actions = rig.end(&id, 0, Outcome::Prefilled, 0);
         let Some((at, _)) = sent(&actions) else { continue };
         if at == "w0" || !other_is_heard {
             stuck.push((id, actions));
@@ -780,8 +784,8 @@
             let id = format!("s{i}");
             rig.ask(&id, &id, FREE, 4_000);
             rig.wait(0.9);
-            let report = Some(Report { queued: Some(queued), ..Report::default() });
-            rig.end_with(&id, 0, Outcome::Parsed, 0, report);
+            let report = Some(LoadReport { queued: Some(queued), ..LoadReport::default() });
+            rig.end_with(&id, 0, Outcome::Prefilled, 0, report);
             rig.stream(&id, 1);
             rig.end(&id, 1, Outcome::Served, 0);
         }
@@ -819,8 +823,16 @@
                 }
             }
             let (id, attempt, elapsed) = (id.as_str().into(), AttemptNo(0), secs(20.0));
-            let (outcome, over, kept, report) = (Outcome::Parsed, false, 0, None);
-            rig.feed(Event::Verdict { id, attempt, outcome, elapsed, over, kept, report });
+            let (outcome, over, kept, report) = (Outcome::Prefilled, false, 0, None);
+            rig.feed(Event::AttemptOutcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                request_ended: over,
+                cached_tokens: kept,
+                report,
+            });
         }
         let mut request = rig.request("z", "z", FREE, 4_000);
         request.deadline = rig.now + secs(0.8);
@@ -832,7 +844,7 @@
 fn silence_adds_up_over_attempts_whose_clients_left() {
     let patience = |left: usize, routers: u32| {
         // Held state is due later than what is measured here.
-        let set = Settings { routers, release: secs(60.0), ..settings() };
+        let set = Settings { routers, reservation_timeout: secs(60.0), ..settings() };
         let mut rig = Rig::new(set, readers(1));
         // Reads of 0.6 s: four times as long is silence.
         for i in 0..60 {
@@ -849,7 +861,15 @@
             rig.wait(0.7);
             let (id, attempt, elapsed) = (id.as_str().into(), AttemptNo(0), secs(0.7));
             let (outcome, over, kept, report) = (Outcome::TimedOut, true, 0, None);
-            rig.feed(Event::Verdict { id, attempt, outcome, elapsed, over, kept, report });
+            rig.feed(Event::AttemptOutcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                request_ended: over,
+                cached_tokens: kept,
+                report,
+            });
         }
         let actions = rig.ask("z", "z", FREE, 4_000);
         assert_eq!(sent(&actions).unwrap().0, "r0");
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -168,14 +168,15 @@
     }
     to_cold.sort_by(|a, b| a.0.total_cmp(&b.0));
     let rate = before / RATE_S / 3.0;
-    let window = set.fall_after.as_secs_f64();
+    let window = set.overload_window.as_secs_f64();
     let mut worst = None;
     for (i, (from, _)) in to_cold.iter().enumerate() {
         let within: f64 =
             to_cold[i..].iter().take_while(|(at, _)| *at < from + window).map(|(_, work)| work).sum();
         // Its capacity at the window's begin: a quarter at its start, all of it after the told time.
-        let present = set.cold_from + (1.0 - set.cold_from) * from / set.cold_for.as_secs_f64();
-        let budget = set.fall_multiple * window * rate * present;
+        let present = set.slow_start_initial_share
+            + (1.0 - set.slow_start_initial_share) * from / set.slow_start_duration.as_secs_f64();
+        let budget = set.overload_multiple * window * rate * present;
         if within > bears(budget) {
             worst.get_or_insert(format!("{within:.1} from {from:.2} s on, budget {budget:.1}"));
         }
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -16,7 +16,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
-        let permit = job.obligations(&self.config.policy).may_refuse();
+        let permit = job.obligations(&self.config.policy).may_reject();
         if let Err(denied) = permit {
             self.deny(id, denied);
             return self.give_up(id);
@@ -196,7 +196,7 @@
         let finished = Finished {
             id: id.0.to_string(),
             class: self.config.classes.get(job.request.class.0).map(|c| c.name.clone()).unwrap_or_default(),
-            came_back: job.request.came_back,
+            came_back: job.request.resumed,
             tenant: job.request.tenant.and_then(|t| name(t.0)),
             identity: job.identity.map(|(_, key)| key),
             session: job.request.session.as_ref().map(|s| s.0.to_string()),
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -32,7 +32,7 @@
     at: At,
     conn: Option<ConnId>,
     elapsed: Micros,
-    report: Option<p::Report>,
+    report: Option<p::LoadReport>,
     kept: u64,
     /// Its answer was the one that went to the client.
     won: bool,
@@ -193,7 +193,7 @@
     pub(super) fn end_attempt(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, kept: u64) {
         let Some(mut ended) = self.mark_ended(id, no, outcome, kept) else { return };
         self.record_end(id, no, outcome, &ended);
-        if outcome == (Outcome::Refused { no_state: true }) {
+        if outcome == (Outcome::Rejected { no_state: true }) {
             self.take_held(id);
         } else if ended.at == At::Pull && proves_arrival(outcome) {
             self.restart_held(id);
@@ -201,7 +201,7 @@
         if let Some(conn) = ended.conn.take() {
             self.abort_link(conn);
         }
-        let took = ended.won || matches!(outcome, Outcome::Served | Outcome::Refused { no_state: true });
+        let took = ended.won || matches!(outcome, Outcome::Served | Outcome::Rejected { no_state: true });
         if ended.at == At::Pull && !took {
             self.release_again(id);
         }
@@ -246,7 +246,7 @@
     fn record_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: &EndedAttempt) {
         let name = outcome_name(outcome);
         increment(self.counters.attempts(ended.at), name);
-        if matches!(outcome, Outcome::Served | Outcome::Parsed) {
+        if matches!(outcome, Outcome::Served | Outcome::Prefilled) {
             return;
         }
         let about =
@@ -275,7 +275,15 @@
     fn report_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: EndedAttempt) {
         let EndedAttempt { worker, at, elapsed, report, kept, .. } = ended;
         let over = self.jobs.get(id).is_none_or(Job::over);
-        let verdict = Event::Verdict { id: id.clone(), attempt: no, outcome, elapsed, over, kept, report };
+        let verdict = Event::AttemptOutcome {
+            id: id.clone(),
+            attempt: no,
+            outcome,
+            elapsed,
+            request_ended: over,
+            cached_tokens: kept,
+            report,
+        };
         // A read that ended otherwise may have left state behind; a client's leaving is no reason to hold it.
         let state_left = matches!(
             outcome,
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -15,10 +15,10 @@
 /// The list's source is asked again so long after a call to it failed.
 const ASK_PAUSE: p::Micros = p::Micros(100_000);
 
-pub(super) fn report(header: Option<&str>) -> Option<p::Report> {
+pub(super) fn report(header: Option<&str>) -> Option<p::LoadReport> {
     let load = engine::load(header?)?;
     let named = load.named_metrics;
-    Some(p::Report {
+    Some(p::LoadReport {
         queued: named.queue_depth,
         slots_used: load.cpu_utilization,
         kv_used: load.mem_utilization,
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -90,7 +90,7 @@
     pub(super) care: p::AttemptKind,
     pub(super) conn: Option<ConnId>,
     pub(super) timer: Option<Key>,
-    pub(super) report: Option<p::Report>,
+    pub(super) report: Option<p::LoadReport>,
     /// Prompt tokens that its worker found kept.
     pub(super) kept: u64,
     /// The wait between events.
@@ -231,12 +231,12 @@
         };
         Obligations {
             retry_safety,
-            window,
+            deduplication_window: window,
             deadline: self.request.deadline,
             max_attempts: settings.max_attempts,
             attempts: self.attempts.iter().map(|a| a.facts).collect(),
             answer,
-            held_since: self.held.as_ref().map(|h| h.since),
+            reserved_at: self.held.as_ref().map(|h| h.since),
         }
     }
 
@@ -278,7 +278,7 @@
     pub(super) fn billed_attempts(&self) -> (Option<u32>, Option<u32>) {
         let write = self.winner.and_then(|w| u32::try_from(w).ok());
         let pulled = self.winner.and_then(|w| self.attempts.get(w)).is_some_and(|a| a.at == At::Pull);
-        let parsed = |a: &Attempt| a.at == At::Read && a.ended.is_some_and(|(o, _)| o == Outcome::Parsed);
+        let parsed = |a: &Attempt| a.at == At::Read && a.ended.is_some_and(|(o, _)| o == Outcome::Prefilled);
         let read = self.attempts.iter().rposition(parsed).filter(|_| pulled);
         (read.and_then(|r| u32::try_from(r).ok()), write)
     }
@@ -315,10 +315,10 @@
 pub(super) fn outcome_name(o: Outcome) -> &'static str {
     match o {
         Outcome::Served => "served",
-        Outcome::Parsed => "parsed",
+        Outcome::Prefilled => "parsed",
         Outcome::ServerError => "server_error",
-        Outcome::Refused { no_state: false } => "refused",
-        Outcome::Refused { no_state: true } => "no_state",
+        Outcome::Rejected { no_state: false } => "refused",
+        Outcome::Rejected { no_state: true } => "no_state",
         Outcome::TimedOut => "timed_out",
         Outcome::NoConnection => "no_connection",
         Outcome::ConnectionLost => "connection_lost",
--- a/crates/router/src/core/job_test.rs
+++ b/crates/router/src/core/job_test.rs
@@ -10,10 +10,10 @@
     assert_eq!([At::Read, At::Pull, At::Whole].map(At::name), ["read", "pull", "whole"]);
     let outcomes = [
         (Outcome::Served, "served"),
-        (Outcome::Parsed, "parsed"),
+        (Outcome::Prefilled, "parsed"),
         (Outcome::ServerError, "server_error"),
-        (Outcome::Refused { no_state: false }, "refused"),
-        (Outcome::Refused { no_state: true }, "no_state"),
+        (Outcome::Rejected { no_state: false }, "refused"),
+        (Outcome::Rejected { no_state: true }, "no_state"),
         (Outcome::TimedOut, "timed_out"),
         (Outcome::NoConnection, "no_connection"),
         (Outcome::ConnectionLost, "connection_lost"),
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -324,14 +324,14 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker, give_up, connect, kind } => {
-                self.send(&id, worker, AttemptLimits { give_up, connect }, kind);
+            Action::Send { id, worker, timeout, connect_timeout, kind } => {
+                self.send(&id, worker, AttemptLimits { give_up: timeout, connect: connect_timeout }, kind);
             }
             Action::Cancel { id, attempt } => self.cancel(&id, attempt),
-            Action::Refuse { id, retry_after, reason } => self.refuse(&id, retry_after, reason),
+            Action::Reject { id, retry_after, reason } => self.refuse(&id, retry_after, reason),
             Action::Fail { id, reason } => self.fail(&id, reason),
-            Action::Move(id) => self.move_on(&id),
-            Action::LetGo(id) => self.let_go(&id),
+            Action::Migrate(id) => self.move_on(&id),
+            Action::ReleaseReservation(id) => self.let_go(&id),
             Action::SetTimer { timer, after } => {
                 self.timers.set(self.now + after, Due::Module(timer));
             }
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -66,7 +66,7 @@
     /// Prompt tokens that the worker found in its cache; 0 where it did not say.
     pub kept_tokens: u64,
     /// The load that the worker reported with its answer.
-    pub report: Option<p::Report>,
+    pub report: Option<p::LoadReport>,
 }
 
 /// One finished request.
--- a/crates/router/src/core/releases.rs
+++ b/crates/router/src/core/releases.rs
@@ -51,7 +51,7 @@
     /// When state that is held since then is released if the module has not had it released: just past its own time.
     fn held_backstop(&self, since: Micros) -> Micros {
         let tick = self.config.policy.tick;
-        obligations::release_due(since, self.config.policy.release) + tick + tick
+        obligations::release_due(since, self.config.policy.reservation_timeout) + tick + tick
     }
 
     /// Nobody holds state for the request any more, as far as a call can say; gives what was held.
@@ -101,7 +101,7 @@
         self.next_release.0 += 1;
         increment(&mut self.counters.releases, "begun");
         let proof = held_since.map(|since| {
-            let owed = (since + self.config.policy.release + PROOF_SLACK).max(self.now);
+            let owed = (since + self.config.policy.reservation_timeout + PROOF_SLACK).max(self.now);
             (since, self.timers.set(owed, Due::HeldProof(no)))
         });
         self.releases.insert(no, Release { request, since: self.now, proof, asked: Vec::new(), verdict });
@@ -203,7 +203,7 @@
     pub(super) fn release_due(&mut self, no: ReleaseNo) {
         let Some(release) = self.releases.get(&no) else { return };
         let least = if self.config.dialect.is_some() { RELEASE_LEAST } else { Micros(0) };
-        let late = self.now >= release.since + self.config.policy.release.max(least);
+        let late = self.now >= release.since + self.config.policy.reservation_timeout.max(least);
         let worker = self.next_asked(release).filter(|w| !late && self.engines.contains_key(w));
         if let Some(release) = self.releases.get_mut(&no) {
             let told = release.verdict.take_if(|(_, by)| worker.is_none() || self.now >= *by);
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -174,12 +174,12 @@
         let (outcome, kept) = match (status, at) {
             (202, At::Read) if self.config.dialect.is_some() => self.dialect_read(id, no, body),
             (200, At::Read) => self.engine_read(id, no, body),
-            (429, _) => (Outcome::Refused { no_state: false }, 0),
-            (409, At::Pull) if engine::says_no_state(body) => (Outcome::Refused { no_state: true }, 0),
+            (429, _) => (Outcome::Rejected { no_state: false }, 0),
+            (409, At::Pull) if engine::says_no_state(body) => (Outcome::Rejected { no_state: true }, 0),
             _ => (Outcome::ServerError, 0),
         };
         self.park_attempt(conn, id, no);
-        if outcome == Outcome::Parsed {
+        if outcome == Outcome::Prefilled {
             self.keep_held(id);
         }
         self.end_attempt(id, no, outcome, kept);
@@ -195,7 +195,7 @@
         if let Some(worker) = worker {
             self.hold(id, worker, None);
         }
-        (Outcome::Parsed, kept)
+        (Outcome::Prefilled, kept)
     }
 
     /// A reader has read the prompt, if its answer can be read: its outcome, and the prompt tokens that it found kept.
@@ -209,7 +209,7 @@
         if let Some(worker) = worker {
             self.hold(id, worker, Some(params));
         }
-        (Outcome::Parsed, usage.kept_tokens)
+        (Outcome::Prefilled, usage.kept_tokens)
     }
 
     /// The reply to an attempt has ended well: its connection may be used again.
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -241,7 +241,7 @@
             prompt_tokens: call.prompt_tokens,
             max_output: call.max_tokens,
             deadline: self.now + (asked - self.config.waits.reply_margin.min(asked.mul_f64(0.5))),
-            came_back: call.came_back,
+            resumed: call.came_back,
         };
         Job::new(conn, request, Call::Messages(Box::new(call)), identity, self.now)
     }
--- a/crates/router/src/dialect.rs
+++ b/crates/router/src/dialect.rs
@@ -64,7 +64,7 @@
     /// Tokens of the prompt, of those found kept, and of the answer.
     pub usage: Option<[u64; 3]>,
     /// The engine's load.
-    pub report: Option<p::Report>,
+    pub report: Option<p::LoadReport>,
 }
 
 /// Reads a stream beside its being passed on. Whatever the bytes, it never fails and holds little.
@@ -97,7 +97,7 @@
     /// Reads the head of a reply.
     fn told(&self, stage: Stage, head: &Head) -> Told;
     /// The load report in a reply's head.
-    fn report(&self, head: &Head) -> Option<p::Report>;
+    fn report(&self, head: &Head) -> Option<p::LoadReport>;
     /// What a reader found kept.
     fn kept(&self, body: &[u8]) -> u64;
     /// A reader for a stream that begins.
--- a/crates/router/tests/common/answers.rs
+++ b/crates/router/tests/common/answers.rs
@@ -63,7 +63,7 @@
         heard
             .iter()
             .filter_map(|(_, e, _)| match e {
-                Event::Verdict { outcome, .. } => Some(*outcome),
+                Event::AttemptOutcome { outcome, .. } => Some(*outcome),
                 _ => None,
             })
             .collect()
--- a/crates/router/tests/common/day.rs
+++ b/crates/router/tests/common/day.rs
@@ -344,7 +344,7 @@
         let heard = self.y.heard.lock().unwrap();
         let (mut sends, mut verdicts): (BTreeMap<String, u32>, BTreeSet<(String, u32)>) = Default::default();
         for (_, event, actions) in heard.iter() {
-            if let Event::Verdict { id, attempt, .. } = event {
+            if let Event::AttemptOutcome { id, attempt, .. } = event {
                 assert!(verdicts.insert((id.0.to_string(), attempt.0)), "two verdicts for one attempt");
             }
             for a in actions {
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -165,7 +165,7 @@
         y.begin_stream(pull.conn);
         y.closed.insert(pull.conn);
         y.input(Input::Lost(pull.conn));
-        assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::ConnectionLost]);
+        assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::ConnectionLost]);
         if goes_on {
             let next = y.call();
             assert_ne!(next.port, pull.port, "the state still waits: another writer pulls it");
@@ -200,7 +200,7 @@
         let (name, last) = events.last().unwrap();
         assert_eq!((status, name.as_str()), (200, "message.broken"));
         assert_eq!(last["error"]["may_have_run"], true);
-        assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::ConnectionLost], "one verdict");
+        assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::ConnectionLost], "one verdict");
         assert!(!y.has_call() && y.core.open_requests() == 0);
     }
 }
@@ -215,7 +215,7 @@
     y.closed.insert(pull.conn);
     y.input(Input::Lost(pull.conn));
     assert_eq!(y.answer(client).1.last().unwrap().0, "message.closed");
-    assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Served]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::Served]);
     let (_, next) = y.pulling("report");
     assert_ne!(next.conn, pull.conn);
 }
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -22,7 +22,7 @@
     assert_eq!(status, 200);
     assert_eq!(names, ["message.opened", "message.delta", "message.delta", "message.closed"]);
     assert_eq!(events[3].1["usage"]["kept_tokens"], 64, "what the reader found kept, not the writer");
-    assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Served]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::Served]);
     assert_eq!(y.core.open_requests(), 0);
     let record = &y.finished[0];
     assert_eq!((record.phase, record.attempts.len(), record.output_tokens), ("streaming", 2, 2));
@@ -53,7 +53,7 @@
     // A kept connection that ends before a byte was taken tells nothing: the same attempt goes on a new one, and only if
     // that does not stand either is the writer not reached.
     let cases = [
-        (0, true, Outcome::Parsed),
+        (0, true, Outcome::Prefilled),
         (0, false, Outcome::NoConnection),
         (1, true, Outcome::ConnectionLost),
         (1, false, Outcome::ConnectionLost),
@@ -186,7 +186,7 @@
     let mut y = yard();
     let (client, pull) = y.pulling("report");
     y.reply(pull.conn, 409, r#"{"error":{"type":"no_state","message":"gone"}}"#);
-    assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Refused { no_state: true }]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::Rejected { no_state: true }]);
     y.advance(ms(100));
     let again = y.call();
     assert!(again.body["kv_transfer_params"]["remote_engine_id"].is_null());
--- a/crates/router/tests/orders.rs
+++ b/crates/router/tests/orders.rs
@@ -184,12 +184,12 @@
 fn a_cold_engine_that_is_pushed_over_is_seen() {
     let scope =
         Scope { depth: 6, requests: 4, asks: &[(false, false)], answers: &[], list: &[2], passes: &[] };
-    lied(|s| s.cold_for = p::Micros(0), false, &scope);
+    lied(|s| s.slow_start_duration = p::Micros(0), false, &scope);
 }
 
 #[test]
 #[should_panic(expected = "rule 5")]
 fn a_pinned_state_is_seen() {
     let scope = Scope { depth: 5, answers: &[6], list: &[2, 3], passes: &[1_300], ..ONE };
-    lied(|s| s.release = ms(3_000), false, &scope);
+    lied(|s| s.reservation_timeout = ms(3_000), false, &scope);
 }
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -2,7 +2,7 @@
 //! variant. `losses` and operators' own tools read them, so they outlast the Rust names.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use chalkyard_policy::{AttemptKind, RejectionReason, Report};
+use chalkyard_policy::{AttemptKind, LoadReport, RejectionReason};
 use chalkyard_router::*;
 use serde::Serialize;
 
@@ -122,7 +122,7 @@
     }
 }
 
-fn attempt(care: AttemptKind, report: Option<Report>) -> AttemptRecord {
+fn attempt(care: AttemptKind, report: Option<LoadReport>) -> AttemptRecord {
     AttemptRecord {
         worker: "w1".into(),
         stage: "read",
@@ -135,8 +135,8 @@
     }
 }
 
-fn report() -> Report {
-    Report { queued: Some(1.0), slots_used: Some(0.5), kv_used: None, waiting_tokens: Some(9.0) }
+fn report() -> LoadReport {
+    LoadReport { queued: Some(1.0), slots_used: Some(0.5), kv_used: None, waiting_tokens: Some(9.0) }
 }
 
 const FULL_ATTEMPT: &str = concat!(
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -61,8 +61,8 @@
         e.wrong(None, "`group` and `dedup-window` are for guarded classes", errors);
     }
     let class = p::Class {
-        aim,
-        aim_per_1000_tokens: e.or("aim-per-1000-tokens", Span(Micros(0)), errors).0,
+        latency_objective: aim,
+        latency_objective_per_1000_tokens: e.or("aim-per-1000-tokens", Span(Micros(0)), errors).0,
         deadline,
         retry_safety: match effect {
             EffectKind::Free => p::RetrySafety::Idempotent,
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -101,9 +101,9 @@
 }
 
 words!(RoleWord: p::Role { "reader" => p::Role::Prefill, "writer" => p::Role::Decode, "mixed" => p::Role::Combined });
-words!(DiscoveryWord: p::Discovery { "push" => p::Discovery::Push, "ask" => p::Discovery::Ask });
-words!(ReportsWord: p::Reports {
-    "off" => p::Reports::Off, "in-answers" => p::Reports::InAnswers,
+words!(DiscoveryWord: p::Discovery { "push" => p::Discovery::Push, "ask" => p::Discovery::Poll });
+words!(ReportsWord: p::LoadReporting {
+    "off" => p::LoadReporting::Off, "in-answers" => p::LoadReporting::InResponses,
 });
 words!(GroupWord: p::DeduplicationScope { "all" => p::DeduplicationScope::All, "zone" => p::DeduplicationScope::Zone, "cell" => p::DeduplicationScope::Cell });
 
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -7,8 +7,8 @@
 
 use chalkyard_budget::{AtHard, AtSoft, Calendar, Kind, Mode, Price, Units};
 use chalkyard_policy::{
-    Class, DeduplicationScope, Discovery, Micros, Reports, RetrySafety, Role, Settings as Policy, Tenant,
-    ZoneId,
+    Class, DeduplicationScope, Discovery, LoadReporting, Micros, RetrySafety, Role, Settings as Policy,
+    Tenant, ZoneId,
 };
 use chalkyard_settings::{read, Settings};
 
@@ -25,8 +25,8 @@
 #[test]
 fn rules_classes_and_allowances_are_read_for_the_decision_module() {
     let class = |effect, dedup_window| Class {
-        aim: ms(1_000),
-        aim_per_1000_tokens: ms(0),
+        latency_objective: ms(1_000),
+        latency_objective_per_1000_tokens: ms(0),
         deadline: ms(5_000),
         retry_safety: effect,
         dedup_window,
@@ -36,30 +36,34 @@
         Policy {
             routers: 3,
             classes: vec![
-                Class { aim_per_1000_tokens: ms(60), ..class(RetrySafety::Idempotent, ms(0)) },
+                Class { latency_objective_per_1000_tokens: ms(60), ..class(RetrySafety::Idempotent, ms(0)) },
                 class(RetrySafety::Deduplicated(DeduplicationScope::Cell), ms(3_000)),
                 class(RetrySafety::Deduplicated(DeduplicationScope::Zone), ms(4_000)),
                 class(RetrySafety::Deduplicated(DeduplicationScope::All), ms(5_000)),
                 class(RetrySafety::NonIdempotent, ms(0)),
-                Class { aim: ms(2_000), deadline: ms(9_000), ..class(RetrySafety::Idempotent, ms(0)) },
+                Class {
+                    latency_objective: ms(2_000),
+                    deadline: ms(9_000),
+                    ..class(RetrySafety::Idempotent, ms(0))
+                },
             ],
             tenants: vec![Tenant { allowance_per_s: Some(20.5) }, Tenant { allowance_per_s: None }],
-            discovery: Discovery::Ask,
-            must_ask_in: ms(2_000),
+            discovery: Discovery::Poll,
+            max_poll_interval: ms(2_000),
             self_prefill: false,
             resume: false,
-            release: ms(900),
+            reservation_timeout: ms(900),
             max_attempts: 5,
             may_cancel: false,
             max_retry_after: ms(3_000),
-            fall_multiple: 2.5,
-            fall_after: ms(1_500),
-            cold_from: 0.25,
-            cold_for: ms(120_000),
+            overload_multiple: 2.5,
+            overload_window: ms(1_500),
+            slow_start_initial_share: 0.25,
+            slow_start_duration: ms(120_000),
             answer_slack: ms(40),
             tick: ms(2),
             weighted: true,
-            reports: Reports::Off,
+            load_reporting: LoadReporting::Off,
         }
     );
 }
@@ -232,10 +236,19 @@
     assert_eq!((&settings.list_file, &settings.control, &settings.engines), (&None, &None, &None));
     let p = settings.config.policy;
     assert_eq!((p.routers, p.discovery, p.self_prefill, p.resume), (1, Discovery::Push, true, false));
-    assert_eq!([p.must_ask_in, p.release, p.max_retry_after], [10_000, 1_000, 2_000].map(ms));
-    assert_eq!((p.max_attempts, p.may_cancel, p.weighted, p.reports), (4, true, false, Reports::InAnswers));
-    assert_eq!((p.fall_multiple, p.cold_from), (3.0, 0.3));
-    assert_eq!([p.fall_after, p.cold_for, p.answer_slack, p.tick], [2_000, 10_000, 100, 2].map(ms));
+    assert_eq!(
+        [p.max_poll_interval, p.reservation_timeout, p.max_retry_after],
+        [10_000, 1_000, 2_000].map(ms)
+    );
+    assert_eq!(
+        (p.max_attempts, p.may_cancel, p.weighted, p.load_reporting),
+        (4, true, false, LoadReporting::InResponses)
+    );
+    assert_eq!((p.overload_multiple, p.slow_start_initial_share), (3.0, 0.3));
+    assert_eq!(
+        [p.overload_window, p.slow_start_duration, p.answer_slack, p.tick],
+        [2_000, 10_000, 100, 2].map(ms)
+    );
     let budgets = settings.budgets.unwrap();
     assert_eq!((budgets.sync, budgets.segment), (Duration::from_millis(50), 64 * 1024 * 1024));
     let plan = budgets.plan;
