--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -56,9 +56,9 @@
 
     fn role(self) -> Role {
         if self.cold == ColdRole::Reader {
-            Role::Reader
+            Role::Prefill
         } else {
-            Role::Writer
+            Role::Decode
         }
     }
 
@@ -72,7 +72,7 @@
         cold.started = Some(back);
         let others = ["1", "2"].map(|n| format!("{}{n}", &self.cold_id()[..1]));
         let gone = others.iter().filter(|_| self.alone);
-        let gone = gone.map(|id| Worker { lifecycle: Lifecycle::Out, ..worker(id, self.role(), 0) });
+        let gone = gone.map(|id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, self.role(), 0) });
         std::iter::once(cold).chain(gone).collect()
     }
 
@@ -81,7 +81,7 @@
         let news = self.news(back);
         let mut all: Vec<Worker> = fleet_of_one_cell();
         all.retain(|w| !news.iter().any(|n| n.id == w.id));
-        all.extend(news.into_iter().filter(|w| w.lifecycle == Lifecycle::In));
+        all.extend(news.into_iter().filter(|w| w.lifecycle == Lifecycle::Active));
         all
     }
 
@@ -94,8 +94,8 @@
 }
 
 fn fleet_of_one_cell() -> Vec<Worker> {
-    let readers = (0..3).map(|n| worker(&format!("r{n}"), Role::Reader, 0));
-    readers.chain((0..3).map(|n| worker(&format!("w{n}"), Role::Writer, 0))).collect()
+    let readers = (0..3).map(|n| worker(&format!("r{n}"), Role::Prefill, 0));
+    readers.chain((0..3).map(|n| worker(&format!("w{n}"), Role::Decode, 0))).collect()
 }
 
 fn mean_tokens() -> f64 {
@@ -108,7 +108,7 @@
     let set = Settings { routers: fleet.told, self_prefill: false, ..settings() };
     let mut rig = Rig::new(set.clone(), vec![]);
     rig.router = Router::new(set.clone(), seed * 10_000 + router);
-    rig.feed(Event::Workers { kind: ListKind::Full, workers: fleet_of_one_cell() });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: fleet_of_one_cell() });
     let begun = rig.now;
     let back = begun + secs(BEFORE_S);
     let (mut known, mut anew) = (false, router % 2 == 1);
@@ -119,12 +119,12 @@
     while rig.now < back + secs(AFTER_S) {
         if !known && rig.now >= back {
             known = true;
-            rig.feed(Event::Workers { kind: ListKind::Changes, workers: fleet.news(back) });
+            rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: fleet.news(back) });
         }
         if anew && rig.now >= back + secs(RESTART_S) {
             anew = false;
             rig.router = Router::new(set.clone(), seed * 10_000 + 5_000 + router);
-            rig.feed(Event::Workers { kind: ListKind::Full, workers: fleet.list(back) });
+            rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: fleet.list(back) });
         }
         let asked = rig.now;
         one_request(fleet, &mut rig, back, (router, number), &mut sends);
@@ -168,14 +168,15 @@
     }
     to_cold.sort_by(|a, b| a.0.total_cmp(&b.0));
     let rate = before / RATE_S / 3.0;
-    let window = set.fall_after.as_secs_f64();
+    let window = set.overload_window.as_secs_f64();
     let mut worst = None;
     for (i, (from, _)) in to_cold.iter().enumerate() {
         let within: f64 =
             to_cold[i..].iter().take_while(|(at, _)| *at < from + window).map(|(_, work)| work).sum();
         // Its capacity at the window's begin: a quarter at its start, all of it after the told time.
-        let present = set.cold_from + (1.0 - set.cold_from) * from / set.cold_for.as_secs_f64();
-        let budget = set.fall_multiple * window * rate * present;
+        let present = set.slow_start_initial_share
+            + (1.0 - set.slow_start_initial_share) * from / set.slow_start_duration.as_secs_f64();
+        let budget = set.overload_multiple * window * rate * present;
         if within > bears(budget) {
             worst.get_or_insert(format!("{within:.1} from {from:.2} s on, budget {budget:.1}"));
         }
@@ -237,11 +238,11 @@
 }
 
 /// How a request's read is sent to the only reader, of as many requests as it takes.
-fn care_of_the_only_reader(rig: &mut Rig, prefix: &str) -> Option<Care> {
+fn care_of_the_only_reader(rig: &mut Rig, prefix: &str) -> Option<AttemptKind> {
     (0..200).find_map(|n| {
         let actions = rig.ask(&format!("{prefix}{n}"), &format!("{prefix}{n}"), FREE, 40_000);
         actions.iter().find_map(|a| match a {
-            Action::Send { worker, care, .. } if &*worker.0 == "r0" => Some(*care),
+            Action::Send { worker, kind, .. } if &*worker.0 == "r0" => Some(*kind),
             _ => None,
         })
     })
@@ -258,18 +259,18 @@
     };
     for hours in [1.0, 30.0] {
         let set = settings();
-        let mut rig = Rig::new(set.clone(), vec![worker("w0", Role::Writer, 0)]);
+        let mut rig = Rig::new(set.clone(), vec![worker("w0", Role::Decode, 0)]);
         rig.now = secs(200_000.0);
         let old = rig.now - secs(hours * 3_600.0);
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: only(old) });
-        assert_eq!(care_of_the_only_reader(&mut rig, "a"), Some(Care::Cold), "{hours} h");
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: only(old) });
+        assert_eq!(care_of_the_only_reader(&mut rig, "a"), Some(AttemptKind::SlowStart), "{hours} h");
         // It is back after a restart, and its clock has not moved.
         rig.wait(20.0);
-        assert_eq!(care_of_the_only_reader(&mut rig, "b"), Some(Care::Usual));
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: only(old + secs(1.0)) });
-        assert_eq!(care_of_the_only_reader(&mut rig, "c"), Some(Care::Cold), "{hours} h");
+        assert_eq!(care_of_the_only_reader(&mut rig, "b"), Some(AttemptKind::Normal));
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: only(old + secs(1.0)) });
+        assert_eq!(care_of_the_only_reader(&mut rig, "c"), Some(AttemptKind::SlowStart), "{hours} h");
     }
     // What the first list of a life holds may be as old as it says.
     let mut rig = Rig::new(settings(), only(secs(1.0)));
-    assert_eq!(care_of_the_only_reader(&mut rig, "d"), Some(Care::Usual));
+    assert_eq!(care_of_the_only_reader(&mut rig, "d"), Some(AttemptKind::Normal));
 }
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -34,8 +34,8 @@
     /// As the rules see it.
     pub(super) fn stage(self) -> Stage {
         match self {
-            Self::Read => Stage::Read,
-            Self::Pull | Self::Whole => Stage::Write,
+            Self::Read => Stage::Prefill,
+            Self::Pull | Self::Whole => Stage::Decode,
         }
     }
 }
@@ -87,10 +87,10 @@
     /// It is given up then; how long a connection may take, if not as long as usual.
     pub(super) due: Micros,
     pub(super) connect: Option<Micros>,
-    pub(super) care: p::Care,
+    pub(super) care: p::AttemptKind,
     pub(super) conn: Option<ConnId>,
     pub(super) timer: Option<Key>,
-    pub(super) report: Option<p::Report>,
+    pub(super) report: Option<p::LoadReport>,
     /// Prompt tokens that its worker found kept.
     pub(super) kept: u64,
     /// The wait between events.
@@ -137,7 +137,7 @@
     pub(super) backstop: Option<Key>,
     pub(super) answer: Answer,
     /// The module's condition, where it gave the request up.
-    pub(super) why: Option<p::Why>,
+    pub(super) why: Option<p::RejectionReason>,
     pub(super) first_token: Option<Micros>,
     /// The attempt whose answer goes to the client.
     pub(super) winner: Option<usize>,
@@ -189,7 +189,7 @@
 
     /// What an attempt at this worker would do.
     pub(super) fn next_stage(&self, target: &Target) -> At {
-        let reads = target.lifecycle != p::Lifecycle::Out && target.role == p::Role::Reader;
+        let reads = target.lifecycle != p::Lifecycle::Removed && target.role == p::Role::Prefill;
         match &self.held {
             _ if reads => At::Read,
             Some(_) => At::Pull,
@@ -222,21 +222,21 @@
     /// What is owed for it, by what its connections have proven.
     pub(super) fn obligations(&self, settings: &p::Settings) -> Obligations {
         let class = settings.classes.get(self.request.class.0);
-        let (effect, window) =
-            class.map_or((p::Effect::SingleShot, Micros(0)), |c| (c.effect, c.dedup_window));
+        let (retry_safety, window) =
+            class.map_or((p::RetrySafety::NonIdempotent, Micros(0)), |c| (c.retry_safety, c.dedup_window));
         let answer = match (&self.answer, self.winner) {
             (Answer::Given { .. }, _) => AnswerState::Given,
             (Answer::Begun, _) | (Answer::Owed, Some(_)) => AnswerState::Begun,
             (Answer::Owed, None) => AnswerState::Owed,
         };
         Obligations {
-            effect,
-            window,
+            retry_safety,
+            deduplication_window: window,
             deadline: self.request.deadline,
             max_attempts: settings.max_attempts,
             attempts: self.attempts.iter().map(|a| a.facts).collect(),
             answer,
-            held_since: self.held.as_ref().map(|h| h.since),
+            reserved_at: self.held.as_ref().map(|h| h.since),
         }
     }
 
@@ -278,7 +278,7 @@
     pub(super) fn billed_attempts(&self) -> BilledAttempts {
         let write = self.winner.and_then(|w| u32::try_from(w).ok());
         let pulled = self.winner.and_then(|w| self.attempts.get(w)).is_some_and(|a| a.at == At::Pull);
-        let parsed = |a: &Attempt| a.at == At::Read && a.ended.is_some_and(|(o, _)| o == Outcome::Parsed);
+        let parsed = |a: &Attempt| a.at == At::Read && a.ended.is_some_and(|(o, _)| o == Outcome::Prefilled);
         let read = self.attempts.iter().rposition(parsed).filter(|_| pulled);
         BilledAttempts { prefill: read.and_then(|r| u32::try_from(r).ok()), answering: write }
     }
@@ -315,10 +315,10 @@
 pub(super) fn outcome_name(o: Outcome) -> &'static str {
     match o {
         Outcome::Served => "served",
-        Outcome::Parsed => "parsed",
+        Outcome::Prefilled => "parsed",
         Outcome::ServerError => "server_error",
-        Outcome::Refused { no_state: false } => "refused",
-        Outcome::Refused { no_state: true } => "no_state",
+        Outcome::Rejected { no_state: false } => "refused",
+        Outcome::Rejected { no_state: true } => "no_state",
         Outcome::TimedOut => "timed_out",
         Outcome::NoConnection => "no_connection",
         Outcome::ConnectionLost => "connection_lost",
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -200,8 +200,12 @@
             None => Vec::new(),
         };
         // Without a register the list given is all there is, and current.
-        let kind = if self.config.register.is_some() { p::ListKind::Stale } else { p::ListKind::Full };
-        self.events.push_back(Event::Workers { kind, workers });
+        let update = if self.config.register.is_some() {
+            p::EndpointUpdate::LastKnown
+        } else {
+            p::EndpointUpdate::Snapshot
+        };
+        self.events.push_back(Event::Endpoints { update, workers });
         if self.config.policy.discovery == p::Discovery::Push {
             self.watch_register();
         }
@@ -320,14 +324,14 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker, give_up, connect, care } => {
-                self.send(&id, worker, AttemptLimits { give_up, connect }, care);
+            Action::Send { id, worker, timeout, connect_timeout, kind } => {
+                self.send(&id, worker, AttemptLimits { give_up: timeout, connect: connect_timeout }, kind);
             }
             Action::Cancel { id, attempt } => self.cancel(&id, attempt),
-            Action::Refuse { id, retry_after, why } => self.refuse(&id, retry_after, why),
-            Action::Fail { id, why } => self.fail(&id, why),
-            Action::Move(id) => self.move_on(&id),
-            Action::LetGo(id) => self.let_go(&id),
+            Action::Reject { id, retry_after, reason } => self.refuse(&id, retry_after, reason),
+            Action::Fail { id, reason } => self.fail(&id, reason),
+            Action::Migrate(id) => self.move_on(&id),
+            Action::ReleaseReservation(id) => self.let_go(&id),
             Action::SetTimer { timer, after } => {
                 self.timers.set(self.now + after, Due::Module(timer));
             }
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -58,7 +58,7 @@
     /// How it ended.
     pub outcome: &'static str,
     /// What the module knew of the worker.
-    pub care: p::Care,
+    pub care: p::AttemptKind,
     /// From the request's arrival to its sending, µs.
     pub sent_us: u64,
     /// From its sending to its end, µs.
@@ -66,7 +66,7 @@
     /// Prompt tokens that the worker found in its cache; 0 where it did not say.
     pub kept_tokens: u64,
     /// The load that the worker reported with its answer.
-    pub report: Option<p::Report>,
+    pub report: Option<p::LoadReport>,
 }
 
 /// One finished request.
@@ -89,7 +89,7 @@
     /// Who ended it.
     pub ended: Ended,
     /// The module's condition, where it ended it.
-    pub why: Option<p::Why>,
+    pub why: Option<p::RejectionReason>,
     /// In which phase: `waiting`, `reading`, `held`, `pulling`, `writing`, `streaming`.
     pub phase: &'static str,
     /// Since the list of workers last changed, µs; none: it has not in this life.
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -34,21 +34,21 @@
         classes: Vec::new(),
         tenants: Vec::new(),
         discovery: p::Discovery::Push,
-        must_ask_in: Micros(10_000_000),
+        max_poll_interval: Micros(10_000_000),
         self_prefill: true,
         resume: false,
-        release: Micros(1_000_000),
+        reservation_timeout: Micros(1_000_000),
         max_attempts: 4,
         may_cancel: true,
         max_retry_after: Micros(2_000_000),
-        fall_multiple: 3.0,
-        fall_after: Micros(2_000_000),
-        cold_from: 0.3,
-        cold_for: Micros(10_000_000),
+        overload_multiple: 3.0,
+        overload_window: Micros(2_000_000),
+        slow_start_initial_share: 0.3,
+        slow_start_duration: Micros(10_000_000),
         answer_slack: Micros(100_000),
         tick: Micros(2_000),
         weighted: false,
-        reports: p::Reports::InAnswers,
+        load_reporting: p::LoadReporting::InResponses,
     }
 }
 
@@ -70,31 +70,35 @@
 
 fn read_rules(rules: &mut Element<'_, '_>, settings: &mut p::Settings, errors: &mut Errors) {
     settings.discovery = rules.with_default("discovery", DiscoveryValue(settings.discovery), errors).0;
-    settings.must_ask_in = rules.with_default("must-ask-in", TimeSpan(settings.must_ask_in), errors).0;
+    settings.max_poll_interval =
+        rules.with_default("must-ask-in", TimeSpan(settings.max_poll_interval), errors).0;
     settings.self_prefill = rules.with_default("self-prefill", settings.self_prefill, errors);
-    settings.release = rules.with_default("release", TimeSpan(settings.release), errors).0;
+    settings.reservation_timeout =
+        rules.with_default("release", TimeSpan(settings.reservation_timeout), errors).0;
     settings.max_attempts = max_attempts(rules, settings.max_attempts, errors);
     settings.may_cancel = rules.with_default("may-cancel", settings.may_cancel, errors);
     settings.max_retry_after =
         rules.with_default("max-retry-after", TimeSpan(settings.max_retry_after), errors).0;
-    settings.fall_multiple =
-        rules.with_default("fall-multiple", PositiveNumber(settings.fall_multiple), errors).0;
-    settings.fall_after = rules.with_default("fall-after", TimeSpan(settings.fall_after), errors).0;
-    settings.cold_from = rules.with_default("cold-from", Fraction(settings.cold_from), errors).0;
-    settings.cold_for = rules.with_default("cold-for", TimeSpan(settings.cold_for), errors).0;
+    settings.overload_multiple =
+        rules.with_default("fall-multiple", PositiveNumber(settings.overload_multiple), errors).0;
+    settings.overload_window = rules.with_default("fall-after", TimeSpan(settings.overload_window), errors).0;
+    settings.slow_start_initial_share =
+        rules.with_default("cold-from", Fraction(settings.slow_start_initial_share), errors).0;
+    settings.slow_start_duration =
+        rules.with_default("cold-for", TimeSpan(settings.slow_start_duration), errors).0;
     settings.answer_slack = rules.with_default("answer-slack", TimeSpan(settings.answer_slack), errors).0;
     settings.weighted = rules.with_default("weighted", settings.weighted, errors);
-    settings.reports = rules.with_default("reports", ReportsValue(settings.reports), errors).0;
+    settings.load_reporting = rules.with_default("reports", ReportsValue(settings.load_reporting), errors).0;
 }
 
 /// Reports time spans that are too short.
 fn check_least(rules: &Element<'_, '_>, settings: &p::Settings, errors: &mut Errors) {
     // An endpoint source that can't be reached is polled again after a tenth of must-ask-in.
     let spans = [
-        ("release", settings.release, 10),
-        ("fall-after", settings.fall_after, 10),
-        ("cold-for", settings.cold_for, 10),
-        ("must-ask-in", settings.must_ask_in, 1_000),
+        ("release", settings.reservation_timeout, 10),
+        ("fall-after", settings.overload_window, 10),
+        ("cold-for", settings.slow_start_duration, 10),
+        ("must-ask-in", settings.max_poll_interval, 1_000),
     ];
     for (name, span, least_ms) in spans {
         if span < Micros(least_ms * 1_000) {
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -108,12 +108,12 @@
     };
 }
 
-keywords!(RoleValue: p::Role { "reader" => p::Role::Reader, "writer" => p::Role::Writer, "mixed" => p::Role::Mixed });
-keywords!(DiscoveryValue: p::Discovery { "push" => p::Discovery::Push, "ask" => p::Discovery::Ask });
-keywords!(ReportsValue: p::Reports {
-    "off" => p::Reports::Off, "in-answers" => p::Reports::InAnswers,
+keywords!(RoleValue: p::Role { "reader" => p::Role::Prefill, "writer" => p::Role::Decode, "mixed" => p::Role::Combined });
+keywords!(DiscoveryValue: p::Discovery { "push" => p::Discovery::Push, "ask" => p::Discovery::Poll });
+keywords!(ReportsValue: p::LoadReporting {
+    "off" => p::LoadReporting::Off, "in-answers" => p::LoadReporting::InResponses,
 });
-keywords!(GroupValue: p::Group { "all" => p::Group::All, "zone" => p::Group::Zone, "cell" => p::Group::Cell });
+keywords!(GroupValue: p::DeduplicationScope { "all" => p::DeduplicationScope::All, "zone" => p::DeduplicationScope::Zone, "cell" => p::DeduplicationScope::Cell });
 
 /// How far requests of a class may be retried.
 #[derive(Clone, Copy, PartialEq)]
