--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -3,12 +3,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use chalkyard_budget::{AccountKey, Kind};
+use chalkyard_budget::{AccountKey, PeriodKind};
 use clap::{Args, Subcommand, ValueEnum};
 
 use crate::keeping::now;
 use crate::settle::{
-    add_adjustment, adjusted, parts, settler, Adjustment, Adjustments, Change, Journal, Sums,
+    add_adjustment, adjusted, parts, restore_allocator, Adjustment, Adjustments, Change, Journal, Sums,
 };
 use crate::{Format, Trouble};
 use chalkyard_settings::{Budgets, Settlement};
@@ -20,7 +20,7 @@
     Month,
 }
 
-impl From<Period> for Kind {
+impl From<Period> for PeriodKind {
     fn from(p: Period) -> Self {
         match p {
             Period::Hour => Self::Hour,
@@ -150,13 +150,13 @@
             if tokens == Some(0) {
                 return Err(Trouble::BadInput("--tokens must be at least 1".into()));
             }
-            let start = budgets.plan.calendar.span(key.kind, now()).start;
+            let start = budgets.plan.calendar.period(key.kind, now()).start;
             add(&budgets, who, Change::Set(key, start, tokens))
         }
         Command::Grant { which, tokens, who } => {
             let budgets = load(&which.file)?;
             let key = account(&which, &budgets)?;
-            let start = budgets.plan.calendar.span(key.kind, now()).start;
+            let start = budgets.plan.calendar.period(key.kind, now()).start;
             add(&budgets, who, Change::Grant(key, start, tokens))
         }
         Command::Adjust { file, tenant, class, day, amount, who } => {
@@ -168,8 +168,8 @@
                 )));
             }
             let budgets = load(&file)?;
-            match budgets.plan.calendar.named(&day) {
-                Ok((Kind::Day, _)) => {}
+            match budgets.plan.calendar.parse_period(&day) {
+                Ok((PeriodKind::Day, _)) => {}
                 Ok(_) => return Err(Trouble::BadInput(format!("--day: `{day}` is no day"))),
                 Err(why) => return Err(Trouble::BadInput(format!("--day: {why}"))),
             }
@@ -182,25 +182,25 @@
     let (settlement, key) = parts(budgets)?;
     let journal = Journal::open(&settlement.journal, key)
         .map_err(|e| Trouble::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
-    let mut settler = settler(&budgets.plan, settlement, &journal)?;
+    let mut allocator = restore_allocator(&budgets.plan, settlement, &journal)?;
     let mut by_hand = Adjustments::new(settlement);
     let changes = by_hand.read()?;
     let (plan, extra) = adjusted(&budgets.plan, changes);
-    settler.replan(plan, extra);
-    Sums::new(settlement).read(&mut settler);
-    let standings = settler.standings(now());
+    allocator.replan(plan, extra);
+    Sums::new(settlement).read(&mut allocator);
+    let account_summaries = allocator.account_summaries(now());
     match format {
         Format::Json => {
             let trail: Vec<serde_json::Value> =
                 changes.iter().map(|(n, a)| serde_json::json!({"number": n, "adjustment": a})).collect();
             println!(
                 "{}",
-                serde_json::json!({"round": settler.head(), "budgets": standings, "adjustments": trail})
+                serde_json::json!({"round": allocator.head(), "budgets": account_summaries, "adjustments": trail})
             );
         }
         Format::Text => {
-            println!("round {}; tokens of the present periods", settler.head());
-            for s in standings {
+            println!("round {}; tokens of the present periods", allocator.head());
+            for s in account_summaries {
                 println!(
                     "{}: {} of {} spent, {} reserved, {} leased and not used",
                     s.account,
--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{Figures, Grant, Keeper, Key, Record, Settled, State, Time};
-use chalkyard_ledger::{Folder, Limits, Writer};
+use chalkyard_budget::{BudgetEnforcer, Figures, Grant, Record, Settled, SigningKey, State, Time};
+use chalkyard_ledger::{DirectoryVolume, Limits, Writer};
 use chalkyard_router::shell::{News, Sink};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
 use chalkyard_state::LifecycleAction;
@@ -51,15 +51,15 @@
 }
 
 /// Reads the key under which leases are signed.
-pub fn read_key(path: &Path) -> Result<Key, Trouble> {
+pub fn read_key(path: &Path) -> Result<SigningKey, Trouble> {
     let text =
         std::fs::read_to_string(path).map_err(|e| Trouble::BadInput(format!("{}: {e}", path.display())))?;
-    Key::new(&text).map_err(|why| Trouble::BadInput(format!("{}: {why}", path.display())))
+    SigningKey::new(&text).map_err(|why| Trouble::BadInput(format!("{}: {why}", path.display())))
 }
 
 /// The ledger of a running router.
 pub struct Ledger {
-    writer: Writer<Folder>,
+    writer: Writer<DirectoryVolume>,
     sync: Duration,
     told: bool,
     failing: bool,
@@ -73,7 +73,7 @@
 /// What recovery gave.
 pub struct Recovered {
     /// The decisions, with all that the ledger told.
-    pub keeper: Keeper,
+    pub enforcer: BudgetEnforcer,
     /// To go on writing.
     pub ledger: Ledger,
 }
@@ -88,19 +88,19 @@
     news: &SyncSender<News>,
 ) -> Result<Recovered, Trouble> {
     let at = budgets.ledger.display();
-    let folder = Folder::writer(&budgets.ledger).map_err(|e| match e.kind() {
+    let folder = DirectoryVolume::writer(&budgets.ledger).map_err(|e| match e.kind() {
         std::io::ErrorKind::WouldBlock => {
             Trouble::CouldNotRun(format!("ledger {at}: another process writes this ledger"))
         }
         _ => Trouble::CouldNotRun(format!("ledger {at}: {e}")),
     })?;
-    let limits = Limits { segment: budgets.segment, ..Limits::default() };
+    let limits = Limits { segment_bytes: budgets.segment, ..Limits::default() };
     let (mut state, start) = (State::default(), Instant::now());
     let opened = Writer::open(folder, limits, is_checkpoint, |number, record| {
         state.take(number, &record);
     });
     let opened = opened.map_err(|e| Trouble::CouldNotRun(format!("ledger {at}: {e}")))?;
-    if let Some(trouble) = opened.report.trouble() {
+    if let Some(trouble) = opened.report.describe_damage() {
         warn!(target: "ledger", "{trouble}");
     }
     // Numbers of records that were damaged are not given again.
@@ -113,14 +113,14 @@
         let thread = std::thread::Builder::new().name("grants".into()).spawn(watch);
         thread.map_err(|e| Trouble::CouldNotRun(format!("starting: {e}")))?;
     }
-    let keeper = match before {
-        None => Keeper::new(router, budgets.plan.clone(), state, now),
+    let enforcer = match before {
+        None => BudgetEnforcer::new(router, budgets.plan.clone(), state, now),
         Some(before) => {
             let news = news.clone();
             let listen = move || inherit(before, &news);
             let thread = std::thread::Builder::new().name("inherit".into()).spawn(listen);
             thread.map_err(|e| Trouble::CouldNotRun(format!("starting: {e}")))?;
-            Keeper::succeed(router, budgets.plan.clone(), state, now)
+            BudgetEnforcer::succeed(router, budgets.plan.clone(), state, now)
         }
     };
     let ledger = Ledger {
@@ -130,7 +130,7 @@
         failing: false,
         again: Instant::now(),
     };
-    Ok(Recovered { keeper, ledger })
+    Ok(Recovered { enforcer, ledger })
 }
 
 /// Gives the loop what the life before settles, until it is over.
@@ -157,7 +157,7 @@
 }
 
 /// Looks for new grants until the loop is gone.
-fn watch(file: &Path, key: &Key, news: &SyncSender<News>) {
+fn watch(file: &Path, key: &SigningKey, news: &SyncSender<News>) {
     let mut last = Vec::new();
     loop {
         std::thread::sleep(LOOK);
@@ -187,7 +187,7 @@
         let again = self.again <= Instant::now();
         if again {
             self.again = Instant::now() + AGAIN;
-            self.writer.heal();
+            self.writer.retry_reserve();
         }
         if self.told != self.writer.is_writable() {
             self.told = self.writer.is_writable();
@@ -380,6 +380,6 @@
 }
 
 /// A grant as it is written to its file.
-pub fn deliver(folder: &Path, key: &Key, grant: &Grant) -> std::io::Result<()> {
+pub fn deliver(folder: &Path, key: &SigningKey, grant: &Grant) -> std::io::Result<()> {
     replace(&folder.join(format!("{}.grant", grant.router)), &key.sign_grant(grant))
 }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write as _;
 
-use chalkyard_rehearsal::day::Day;
 use chalkyard_rehearsal::record::Line;
+use chalkyard_rehearsal::scenario::Scenario;
 use chalkyard_rehearsal::{judge, Rules};
 use serde::Serialize;
 
@@ -26,9 +26,14 @@
 
 impl Played {
     /// Judges a record of the day.
-    pub fn judge(day: &Day, lines: &[Line]) -> Self {
+    pub fn judge(scenario: &Scenario, lines: &[Line]) -> Self {
         let report = judge(lines);
-        Self { rules: report.rules, broken: report.broken, requests: report.requests, sums: sums(day, lines) }
+        Self {
+            rules: report.rules,
+            broken: report.broken,
+            requests: report.requests,
+            sums: sums(scenario, lines),
+        }
     }
 }
 
@@ -54,16 +59,16 @@
 
 impl Report {
     /// Judges one record, and that of another build.
-    pub fn new(day: &Day, way: &'static str, lines: &[Line], baseline: Option<&[Line]>) -> Self {
-        let played = Played::judge(day, lines);
+    pub fn new(scenario: &Scenario, way: &'static str, lines: &[Line], baseline: Option<&[Line]>) -> Self {
+        let played = Played::judge(scenario, lines);
         Self {
-            case: day.name.clone(),
-            seed: day.seed,
-            routers: day.routers,
+            case: scenario.name.clone(),
+            seed: scenario.seed,
+            routers: scenario.routers,
             way,
-            bounds: bounds(day, &played.sums),
+            bounds: bounds(scenario, &played.sums),
             played,
-            baseline: baseline.map(|lines| Played::judge(day, lines)),
+            baseline: baseline.map(|lines| Played::judge(scenario, lines)),
         }
     }
 
@@ -73,8 +78,8 @@
     }
 
     /// Whether the rules and all bounds held.
-    pub fn held(&self) -> bool {
-        self.played.rules.held() && self.past().next().is_none()
+    pub fn passed(&self) -> bool {
+        self.played.rules.passed() && self.past().next().is_none()
     }
 
     /// As one JSON object.
@@ -102,10 +107,10 @@
                 "  baseline: goodput {:.3}, during {:.3}; rules {}",
                 p.sums.goodput,
                 p.sums.goodput_during,
-                if p.rules.held() { "held" } else { "BROKEN" }
+                if p.rules.passed() { "held" } else { "BROKEN" }
             );
         }
-        if !self.played.rules.held() {
+        if !self.played.rules.passed() {
             out.push_str(&self.played.rules.text());
         }
         for line in &self.played.broken {
--- a/crates/fleet/src/sums.rs
+++ b/crates/fleet/src/sums.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chalkyard_rehearsal::by_second;
-use chalkyard_rehearsal::day::{Day, Kind, LinkOf};
-use chalkyard_rehearsal::record::{Answer, Line, Seen, Stage};
+use chalkyard_rehearsal::record::{Answer, Event, Line, Stage};
+use chalkyard_rehearsal::scenario::{Kind, LinkScope, Scenario};
 use serde::Serialize;
 
 /// Goodput counts as back at this share of what it was, over this many seconds.
@@ -96,17 +96,17 @@
 }
 
 /// Engines that are sick for routers: from when to when, and for whom (none named: for all).
-fn sick(day: &Day) -> Vec<(String, u64, u64, Vec<String>)> {
+fn sick(scenario: &Scenario) -> Vec<(String, u64, u64, Vec<String>)> {
     let mut out = Vec::new();
-    for f in &day.faults {
+    for f in &scenario.faults {
         let routers = match (&f.links, f.kind) {
-            (Some(links), Kind::LinkCut | Kind::LinkMute) if links.of == LinkOf::Engines => {
+            (Some(links), Kind::LinkCut | Kind::LinkMute) if links.of == LinkScope::Engines => {
                 links.routers.iter().map(|r| format!("r{}", r + 1)).collect()
             }
             (None, Kind::FastErrors | Kind::Hang) => Vec::new(),
             _ => continue,
         };
-        for engine in f.on.iter().filter_map(|i| day.engines.get(*i)) {
+        for engine in f.on.iter().filter_map(|i| scenario.engines.get(*i)) {
             out.push((engine.id.clone(), f.at + SICK_KNOWN, f.at + f.len, routers.clone()));
         }
     }
@@ -114,11 +114,11 @@
 }
 
 /// Measures a record of this day.
-pub fn sums(day: &Day, lines: &[Line]) -> Sums {
+pub fn sums(scenario: &Scenario, lines: &[Line]) -> Sums {
     let seconds = by_second(lines);
     let second = |t: u64| (t / 1_000_000) as usize;
-    let first = day.faults.iter().map(|f| f.at).min().unwrap_or(day.length);
-    let last = day.faults.iter().map(|f| f.at + f.len).max().unwrap_or(0).min(day.length);
+    let first = scenario.faults.iter().map(|f| f.at).min().unwrap_or(scenario.length);
+    let last = scenario.faults.iter().map(|f| f.at + f.len).max().unwrap_or(0).min(scenario.length);
     let part = |from: usize, to: usize| seconds.get(from..to.min(seconds.len())).unwrap_or_default();
     let mut out = Sums {
         goodput: goodput(part(WARM_UP_S, seconds.len())),
@@ -127,7 +127,7 @@
         ..Sums::default()
     };
     // The last seconds of the day may hold too little to be judged.
-    let end = second(day.length).min(seconds.len());
+    let end = second(scenario.length).min(seconds.len());
     let back = |at: &usize| goodput(part(*at, at + BACK_S)) >= BACK_SHARE * out.goodput_before;
     let at = (second(last)..(end + 1).saturating_sub(BACK_S)).find(back);
     out.recovery_s = at.map(|at| (at as f64 - last as f64 / 1e6).max(0.0));
@@ -139,29 +139,29 @@
     let (mut firsts, mut repeats) = (BTreeMap::new(), BTreeMap::new());
     let mut begun: BTreeSet<(&str, bool)> = BTreeSet::new();
     let (mut trials, mut connects, mut lists) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-    let sick = sick(day);
-    for Line { t, seen } in lines {
+    let sick = sick(scenario);
+    for Line { t, event } in lines {
         let s = second(*t);
-        match seen {
+        match event {
             // Of the second that has just ended.
-            Seen::Use { used: part, .. } => {
+            Event::Utilisation { used: part, .. } => {
                 let most = used.entry(s.saturating_sub(1)).or_default();
                 *most = part.max(*most);
             }
-            Seen::Ask { no, router, .. } => {
+            Event::Request { number, router, .. } => {
                 add(&mut asked, s);
-                router_of.insert(*no, router);
+                router_of.insert(*number, router);
                 by_router.entry(router).or_default().0.push(*t);
             }
-            Seen::Answer { no, how: Answer::Refused, .. } => {
+            Event::Answer { number, how: Answer::Rejected, .. } => {
                 add(&mut refused, s);
-                if let Some(router) = router_of.get(no) {
+                if let Some(router) = router_of.get(number) {
                     by_router.entry(router).or_default().1.push(*t);
                 }
             }
-            Seen::Arrive { engine, router, request, stage, .. } => {
+            Event::AttemptArrived { engine, router, request, stage, .. } => {
                 // A request's first read, or its first way to an answer, is no repeat.
-                let pull = *stage == Stage::Pull;
+                let pull = *stage == Stage::Decode;
                 let fresh = begun.insert((request, pull));
                 add(if fresh && !pull { &mut firsts } else { &mut repeats }, s);
                 if fresh && pull {
@@ -176,8 +176,8 @@
                     add(&mut trials, (engine, s));
                 }
             }
-            Seen::Connect { engine } if s >= WARM_UP_S => add(&mut connects, (engine, t / CONNECT_SPAN)),
-            Seen::Listed { .. } if s >= WARM_UP_S => add(&mut lists, t / CONNECT_SPAN),
+            Event::Connect { engine } if s >= WARM_UP_S => add(&mut connects, (engine, t / CONNECT_SPAN)),
+            Event::EndpointsRequested { .. } if s >= WARM_UP_S => add(&mut lists, t / CONNECT_SPAN),
             _ => {}
         }
     }
@@ -205,7 +205,7 @@
     let all_refused: u64 = refused.values().sum();
     out.refused_share = share(all_refused as f64, asked.values().sum::<u64>() as f64);
     // Those whose links fail have other news than the rest.
-    let struck: BTreeSet<String> = day
+    let struck: BTreeSet<String> = scenario
         .faults
         .iter()
         .filter_map(|f| f.links.as_ref())
--- a/crates/policy/tests/audit.rs
+++ b/crates/policy/tests/audit.rs
@@ -47,19 +47,19 @@
             }
             Op::Stream { pick } => {
                 let Some((id, n)) = self.pick_open(*pick, Some(false)) else { return };
-                if self.workers[&self.asked[&id].tries[n].worker].role != Role::Reader {
+                if self.workers[&self.asked[&id].tries[n].worker].role != Role::Prefill {
                     self.stream(&id, n);
                 }
             }
             Op::End { pick, how, over } => {
                 let Some((id, n)) = self.pick_open(*pick, None) else { return };
                 let t = &self.asked[&id].tries[n];
-                let reader = self.workers[&t.worker].role == Role::Reader;
+                let reader = self.workers[&t.worker].role == Role::Prefill;
                 let outcome = match how % 8 {
-                    0..=2 if reader => Outcome::Parsed,
+                    0..=2 if reader => Outcome::Prefilled,
                     0..=2 if t.streaming => Outcome::Served,
-                    0 => Outcome::Refused { no_state: true },
-                    1 => Outcome::Refused { no_state: false },
+                    0 => Outcome::Rejected { no_state: true },
+                    1 => Outcome::Rejected { no_state: false },
                     2 | 3 => Outcome::ServerError,
                     4 if !t.streaming => Outcome::NoConnection,
                     5 if !t.streaming => Outcome::TimedOut,
@@ -79,8 +79,8 @@
                 let all: Vec<WorkerId> = self.workers.keys().cloned().collect();
                 let to = match to % 4 {
                     0 => Lifecycle::Draining,
-                    1 => Lifecycle::Out,
-                    _ => Lifecycle::In,
+                    1 => Lifecycle::Removed,
+                    _ => Lifecycle::Active,
                 };
                 self.change(&all[*worker as usize % all.len()], to);
             }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -10,33 +10,37 @@
 }
 
 pub fn settings() -> Settings {
-    let class = |effect| Class {
-        aim: secs(1.0),
-        aim_per_1000_tokens: secs(0.1),
+    let class = |retry_safety| Class {
+        latency_objective: secs(1.0),
+        latency_objective_per_1000_tokens: secs(0.1),
         deadline: secs(6.0),
-        effect,
+        retry_safety,
         dedup_window: secs(3.0),
     };
     Settings {
         routers: 2,
-        classes: vec![class(Effect::Free), class(Effect::SingleShot), class(Effect::Guarded(Group::Cell))],
+        classes: vec![
+            class(RetrySafety::Idempotent),
+            class(RetrySafety::NonIdempotent),
+            class(RetrySafety::Deduplicated(DeduplicationScope::Cell)),
+        ],
         tenants: vec![Tenant { allowance_per_s: Some(10.0) }, Tenant { allowance_per_s: None }],
         discovery: Discovery::Push,
-        must_ask_in: secs(10.0),
+        max_poll_interval: secs(10.0),
         self_prefill: true,
         resume: false,
-        release: secs(0.5),
+        reservation_timeout: secs(0.5),
         max_attempts: 4,
         may_cancel: true,
         max_retry_after: secs(1.0),
-        fall_multiple: 3.0,
-        fall_after: secs(2.0),
-        cold_from: 0.25,
-        cold_for: secs(10.0),
+        overload_multiple: 3.0,
+        overload_window: secs(2.0),
+        slow_start_initial_share: 0.25,
+        slow_start_duration: secs(10.0),
         answer_slack: secs(0.01),
         tick: secs(0.002),
         weighted: false,
-        reports: Reports::InAnswers,
+        load_reporting: LoadReporting::InResponses,
     }
 }
 
@@ -51,7 +55,7 @@
         cell: CellId(cell),
         role,
         kv_tokens: Some(100_000),
-        lifecycle: Lifecycle::In,
+        lifecycle: Lifecycle::Active,
         weight: 1.0,
         started: None,
     }
@@ -61,16 +65,16 @@
 pub fn fleet() -> Vec<Worker> {
     let mut all = Vec::new();
     for i in 0..3 {
-        all.push(worker(&format!("r{i}"), Role::Reader, i % 2));
-        all.push(worker(&format!("w{i}"), Role::Writer, i % 2));
+        all.push(worker(&format!("r{i}"), Role::Prefill, i % 2));
+        all.push(worker(&format!("w{i}"), Role::Decode, i % 2));
     }
     all
 }
 
 /// One writer w0 and `n` readers r0.. beside it.
 pub fn readers(n: usize) -> Vec<Worker> {
-    let mut all = vec![worker("w0", Role::Writer, 0)];
-    all.extend((0..n).map(|i| worker(&format!("r{i}"), Role::Reader, 0)));
+    let mut all = vec![worker("w0", Role::Decode, 0)];
+    all.extend((0..n).map(|i| worker(&format!("r{i}"), Role::Prefill, 0)));
     all
 }
 
@@ -86,7 +90,7 @@
 impl Rig {
     pub fn new(settings: Settings, workers: Vec<Worker>) -> Self {
         let mut rig = Self { router: Router::new(settings, 7), now: secs(100.0) };
-        rig.feed(Event::Workers { kind: ListKind::Full, workers });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
         rig
     }
 
@@ -110,7 +114,7 @@
             prompt_tokens: tokens,
             max_output: 200,
             deadline: self.now + secs(5.0),
-            came_back: false,
+            resumed: false,
         }
     }
 
@@ -129,18 +133,34 @@
         attempt: u32,
         outcome: Outcome,
         kept: u64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> Vec<Action> {
         let (id, attempt, elapsed) = (id.into(), AttemptNo(attempt), secs(0.1));
         let over = outcome == Outcome::Served;
-        self.feed(Event::Verdict { id, attempt, outcome, elapsed, over, kept, report })
+        self.feed(Event::AttemptOutcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            request_ended: over,
+            cached_tokens: kept,
+            report,
+        })
     }
 
     /// The end of a first attempt that was a read of `s` seconds.
     pub fn parsed_after(&mut self, id: &str, s: f64) -> Vec<Action> {
         let (id, attempt, elapsed) = (id.into(), AttemptNo(0), secs(s));
-        let outcome = Outcome::Parsed;
-        self.feed(Event::Verdict { id, attempt, outcome, elapsed, over: false, kept: 0, report: None })
+        let outcome = Outcome::Prefilled;
+        self.feed(Event::AttemptOutcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            request_ended: false,
+            cached_tokens: 0,
+            report: None,
+        })
     }
 
     /// Plays a free request through its attempts, four at most, 20 ms each: reads end well, answers stream to their end,
@@ -158,9 +178,9 @@
             sent_to(self.now, &to);
             self.wait(0.02);
             if first_is_turned_away && attempt == 0 {
-                next = sent(&self.end(id, attempt, Outcome::Refused { no_state: false }, 0));
+                next = sent(&self.end(id, attempt, Outcome::Rejected { no_state: false }, 0));
             } else if to.starts_with('r') {
-                next = sent(&self.end(id, attempt, Outcome::Parsed, 0));
+                next = sent(&self.end(id, attempt, Outcome::Prefilled, 0));
             } else {
                 self.stream(id, attempt);
                 self.end(id, attempt, Outcome::Served, 0);
@@ -188,7 +208,7 @@
     pub fn whole(&mut self, id: &str, session: &str, tokens: u64) -> (String, String) {
         let reader = sent(&self.ask(id, session, FREE, tokens)).unwrap().0;
         self.wait(0.1);
-        let writer = sent(&self.end(id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&self.end(id, 0, Outcome::Prefilled, 0)).unwrap().0;
         self.wait(0.1);
         self.stream(id, 1);
         self.wait(1.0);
@@ -211,7 +231,7 @@
 
 pub fn sent(actions: &[Action]) -> Option<Sent> {
     let mut all = actions.iter().filter_map(|a| match a {
-        Action::Send { worker, give_up, .. } => Some((worker.0.to_string(), *give_up)),
+        Action::Send { worker, timeout, .. } => Some((worker.0.to_string(), *timeout)),
         _ => None,
     });
     let first = all.next();
@@ -220,7 +240,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -228,5 +248,5 @@
 }
 
 pub fn let_go(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::LetGo(_)))
+    actions.iter().any(|a| matches!(a, Action::ReleaseReservation(_)))
 }
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -16,22 +16,22 @@
 fn one(seed: u64, set: Settings, workers: Vec<Worker>) -> Rig {
     let mut rig = Rig::new(set.clone(), vec![]);
     rig.router = Router::new(set, seed);
-    rig.feed(Event::Workers { kind: ListKind::Full, workers });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
     rig
 }
 
 /// The usual fleet and a mixed server in each of its cells.
 fn with_mixed() -> Vec<Worker> {
     let mut all = fleet();
-    all.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    all.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     all
 }
 
 /// Two cells: the first with most readers and one writer, the second with most writers.
 fn skewed() -> Vec<Worker> {
-    let mut all = vec![worker("w0", Role::Writer, 0), worker("r3", Role::Reader, 1)];
-    all.extend((0..3).map(|i| worker(&format!("r{i}"), Role::Reader, 0)));
-    all.extend((1..4).map(|i| worker(&format!("w{i}"), Role::Writer, 1)));
+    let mut all = vec![worker("w0", Role::Decode, 0), worker("r3", Role::Prefill, 1)];
+    all.extend((0..3).map(|i| worker(&format!("r{i}"), Role::Prefill, 0)));
+    all.extend((1..4).map(|i| worker(&format!("w{i}"), Role::Decode, 1)));
     all
 }
 
@@ -48,11 +48,12 @@
     for seed in 0..u64::from(ROUTERS) {
         let mut rig = one(seed, many(), workers.to_vec());
         quiet_run(&mut rig, "a", 20);
-        let news = gone.iter().map(|id| Worker { lifecycle: Lifecycle::Out, ..worker(id, Role::Reader, 0) });
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: news.collect() });
-        let mut cold = worker("r0", Role::Reader, 0);
+        let news =
+            gone.iter().map(|id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Prefill, 0) });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: news.collect() });
+        let mut cold = worker("r0", Role::Prefill, 0);
         cold.started = Some(rig.now);
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![cold] });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold] });
         for i in 0..4 {
             let id = format!("c{i}");
             total += u32::from(sent(&rig.ask(&id, &id, FREE, LONG)).is_some_and(|s| s.0 == "r0"));
@@ -92,7 +93,7 @@
         let mut rig = one(start * 1_000 + n, set.clone(), readers(3));
         let begun = rig.now;
         let back = begun + secs(20.0);
-        let mut cold = worker("r0", Role::Reader, 0);
+        let mut cold = worker("r0", Role::Prefill, 0);
         cold.started = Some(back);
         let (mut known, mut anew, mut i) = (false, n % 2 == 1, 0);
         // Out of step with each other.
@@ -100,16 +101,16 @@
         while rig.now < back + secs(6.0) {
             if !known && rig.now >= back {
                 known = true;
-                let gone = |id| Worker { lifecycle: Lifecycle::Out, ..worker(id, Role::Reader, 0) };
+                let gone = |id| Worker { lifecycle: Lifecycle::Removed, ..worker(id, Role::Prefill, 0) };
                 let workers = vec![cold.clone(), gone("r1"), gone("r2")];
-                rig.feed(Event::Workers { kind: ListKind::Changes, workers });
+                rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers });
             }
             if anew && rig.now >= back + secs(1.0) {
                 anew = false;
                 let at = rig.now;
                 rig.router = Router::new(set.clone(), start * 1_000 + 500 + n);
-                let workers = vec![cold.clone(), worker("w0", Role::Writer, 0)];
-                rig.feed(Event::Workers { kind: ListKind::Full, workers });
+                let workers = vec![cold.clone(), worker("w0", Role::Decode, 0)];
+                rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
                 rig.now = at;
             }
             let (id, asked) = (format!("{n}-{i}"), rig.now);
@@ -158,15 +159,15 @@
             rig.ask(&id, &id, FREE, LONG);
             rig.wait(took);
             // Every third comes back in any case.
-            let ends = if i % 3 == 0 { Outcome::Parsed } else { ends };
-            finished += f64::from(u8::from(ends == Outcome::Parsed));
-            rig.feed(Event::Verdict {
+            let ends = if i % 3 == 0 { Outcome::Prefilled } else { ends };
+            finished += f64::from(u8::from(ends == Outcome::Prefilled));
+            rig.feed(Event::AttemptOutcome {
                 id: id.as_str().into(),
                 attempt: AttemptNo(0),
                 outcome: ends,
                 elapsed: secs(took),
-                over: false,
-                kept: 0,
+                request_ended: false,
+                cached_tokens: 0,
                 report: None,
             });
             rig.stream(&id, 1);
@@ -174,15 +175,15 @@
             rig.wait(1.2 - took);
         }
         let cold =
-            (0..5).map(|i| Worker { started: Some(rig.now), ..worker(&format!("r{i}"), Role::Reader, 0) });
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: cold.collect() });
+            (0..5).map(|i| Worker { started: Some(rig.now), ..worker(&format!("r{i}"), Role::Prefill, 0) });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: cold.collect() });
         for i in 0..2 {
             let id = format!("{seed}c{i}");
             if let Some((to, _)) = sent(&rig.ask(&id, &id, FREE, LONG)) {
                 reads += 1.0;
                 to_cold += f64::from(u8::from(to.as_str() < "r5"));
             }
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.end(&id, 1, Outcome::Served, 0);
             rig.wait(1.0);
         }
@@ -193,7 +194,7 @@
 
 #[test]
 fn cold_readers_are_used_as_far_as_they_are_warm() {
-    let (part, _) = part_of_cold(0.1, Outcome::Parsed);
+    let (part, _) = part_of_cold(0.1, Outcome::Prefilled);
     // Five with a quarter to nearly a half of their capacity, beside five warm ones.
     assert!(0.12 < part && part < 0.35, "{part} of the reads");
 }
@@ -201,9 +202,9 @@
 #[test]
 fn in_a_jam_cold_readers_get_no_more_than_their_budget() {
     // What each warm reader finishes, times the multiple of 3, times a quarter.
-    let (_, often) = part_of_cold(0.1, Outcome::Refused { no_state: false });
+    let (_, often) = part_of_cold(0.1, Outcome::Rejected { no_state: false });
     assert!(often < 3.0 * 0.25, "two of three reads end in vain: {often} of what a warm one finishes");
-    let (_, often) = part_of_cold(1.1, Outcome::Parsed);
+    let (_, often) = part_of_cold(1.1, Outcome::Prefilled);
     assert!(often < 3.0 * 0.25, "the warm ones are slow: {often} of what a warm one finishes");
 }
 
@@ -214,9 +215,9 @@
         let mut rig = one(seed, many(), vec![]);
         let cold = |i: usize| (i < 2).then_some(rig.now);
         let readers =
-            (0..4).map(|i| Worker { started: cold(i), ..worker(&format!("r{i}"), Role::Reader, 0) });
-        let workers = readers.chain([worker("w0", Role::Writer, 0)]).collect();
-        rig.feed(Event::Workers { kind: ListKind::Full, workers });
+            (0..4).map(|i| Worker { started: cold(i), ..worker(&format!("r{i}"), Role::Prefill, 0) });
+        let workers = readers.chain([worker("w0", Role::Decode, 0)]).collect();
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
         let id = format!("first{seed}");
         sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0
     };
@@ -231,12 +232,12 @@
     let mut begun = 0;
     for seed in 0..u64::from(ROUTERS) {
         let set = Settings { self_prefill: false, ..many() };
-        let cold_for = set.cold_for.as_secs_f64();
+        let cold_for = set.slow_start_duration.as_secs_f64();
         let mut rig = one(seed, set, readers(4));
         quiet_run(&mut rig, "a", 20);
         let at = rig.now;
-        let cold = (0..4).map(|i| Worker { started: Some(at), ..worker(&format!("r{i}"), Role::Reader, 0) });
-        rig.feed(Event::Workers { kind: ListKind::Changes, workers: cold.collect() });
+        let cold = (0..4).map(|i| Worker { started: Some(at), ..worker(&format!("r{i}"), Role::Prefill, 0) });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: cold.collect() });
         let mut n = 0;
         while rig.now < at + secs(cold_for) {
             let id = format!("c{n}");
@@ -257,8 +258,8 @@
 #[test]
 fn routers_that_lose_the_list_at_one_moment_ask_again_at_times_of_their_own() {
     let pause = |seed| {
-        let mut rig = one(seed, Settings { discovery: Discovery::Ask, ..many() }, fleet());
-        let failed = rig.feed(Event::Workers { kind: ListKind::Failed, workers: vec![] });
+        let mut rig = one(seed, Settings { discovery: Discovery::Poll, ..many() }, fleet());
+        let failed = rig.feed(Event::Endpoints { update: EndpointUpdate::Failed, workers: vec![] });
         let before = rig.now;
         assert_eq!(rig.fire(&failed), [Action::Subscribe]);
         (rig.now - before).0
@@ -329,7 +330,7 @@
                     used.insert(reader);
                 }
                 rig.wait(0.1);
-                rig.end(&id, 0, Outcome::Parsed, 0);
+                rig.end(&id, 0, Outcome::Prefilled, 0);
                 rig.stream(&id, 1);
                 rig.end(&id, 1, Outcome::Served, 0);
                 rig.wait(1.0);
@@ -355,7 +356,7 @@
             if hot {
                 seen.insert(to);
             }
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.end(&id, 1, Outcome::Served, 0);
         }
         seen.len()
@@ -380,14 +381,14 @@
 
 #[test]
 fn writers_of_a_cell_with_many_readers_get_only_their_part() {
-    for reports in [Reports::Off, Reports::InAnswers] {
+    for reports in [LoadReporting::Off, LoadReporting::InResponses] {
         let mut near = 0;
         let mut reads = 0;
         for seed in 0..400 {
-            let mut rig = one(seed, Settings { reports, ..many() }, skewed());
+            let mut rig = one(seed, Settings { load_reporting: reports, ..many() }, skewed());
             let id = format!("s{seed}");
             let reader = sent(&rig.ask("a", &id, FREE, LONG)).unwrap().0;
-            let writer = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
+            let writer = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
             if reader != "r3" {
                 reads += 1;
                 near += u32::from(writer == "w0");
@@ -405,7 +406,7 @@
     let mut rig = one(1, many(), fleet());
     let bad = sent(&rig.ask("a", "s", FREE, LONG)).unwrap().0;
     rig.end("a", 0, Outcome::NoConnection, 0);
-    rig.end("a", 1, Outcome::Parsed, 0);
+    rig.end("a", 1, Outcome::Prefilled, 0);
     rig.stream("a", 2);
     rig.end("a", 2, Outcome::Served, 0);
     for i in 0..8 {
@@ -417,7 +418,7 @@
             "{} s later",
             0.9 * f64::from(i + 1)
         );
-        rig.end(&id, 0, Outcome::Parsed, 0);
+        rig.end(&id, 0, Outcome::Prefilled, 0);
         rig.stream(&id, 1);
         rig.end(&id, 1, Outcome::Served, 0);
     }
@@ -444,9 +445,9 @@
             }
             let actions = rig.ask("z", "z", FREE, LONG);
             for a in &actions {
-                if let Action::Refuse { retry_after, why, .. } = a {
+                if let Action::Reject { retry_after, reason, .. } = a {
                     assert!(retry_after.is_some_and(|t| t.0 > 0), "a time to come back is named");
-                    assert_eq!(*why, Why::Pressure);
+                    assert_eq!(*reason, RejectionReason::ObservedLatency);
                 }
             }
             refused(&actions)
@@ -457,8 +458,8 @@
 /// The reader tells that so many wait there, the answer begins.
 fn begins(queued: Option<f64>) -> impl Fn(&mut Rig, &str) {
     move |rig, id| {
-        let report = queued.map(|q| Report { queued: Some(q), ..Report::default() });
-        rig.end_with(id, 0, Outcome::Parsed, 0, report);
+        let report = queued.map(|q| LoadReport { queued: Some(q), ..LoadReport::default() });
+        rig.end_with(id, 0, Outcome::Prefilled, 0, report);
         rig.stream(id, 1);
     }
 }
@@ -503,13 +504,13 @@
             let id = format!("{i}");
             rig.ask(&id, &id, FREE, LONG);
             rig.wait(wait);
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.stream(&id, 1);
             rig.end(&id, 1, Outcome::Served, 0);
             rig.wait(0.4);
         }
         rig.ask("z", "z", FREE, LONG);
-        rig.end("z", 0, Outcome::Parsed, 0);
+        rig.end("z", 0, Outcome::Prefilled, 0);
         let actions = rig.end("z", 1, Outcome::ConnectionLost, 0);
         assert!(sent(&actions).is_some() || refused(&actions), "one or the other, at once");
         sent(&actions).is_some()
--- a/crates/rehearsal/src/day/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,15 +1,15 @@
 //! Days: a fleet, traffic and faults, by name or from a day file that the bench printed.
 
-mod bench;
+mod bench_file;
 mod named;
 
 use serde::{Deserialize, Serialize};
 
-use self::bench::bench_day;
-pub use self::named::{afternoon, base, budgets, make, Restarts};
+use self::bench_file::from_bench_file;
 use self::named::{bad_day, S};
+pub use self::named::{base, budgets, make, restart_scenario, Restarts};
 use crate::engine::Make;
-use crate::record::{Class, Figures};
+use crate::record::{Class, RuleLimits};
 
 /// An engine of the fleet.
 #[derive(Debug, Clone)]
@@ -63,8 +63,8 @@
 
 /// Which links a fault strikes; of engines' those of the engines in [`Fault::on`], all of them if none is named.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Links {
-    pub of: LinkOf,
+pub struct LinkSelector {
+    pub of: LinkScope,
     /// Routers by place; none named: all.
     pub routers: Vec<usize>,
 }
@@ -72,7 +72,7 @@
 /// What links lead to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LinkOf {
+pub enum LinkScope {
     /// Clients.
     Clients,
     /// Engines.
@@ -182,12 +182,12 @@
     /// How hard: a factor, or a share, by kind.
     pub size: f64,
     /// Of faults of links: which.
-    pub links: Option<Links>,
+    pub links: Option<LinkSelector>,
 }
 
 /// A day.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     pub name: String,
     pub seed: u64,
     pub length: u64,
@@ -200,7 +200,7 @@
     pub rate: f64,
     /// The register tells of changes after this.
     pub notice: u64,
-    pub figures: Figures,
+    pub limits: RuleLimits,
     pub faults: Vec<Fault>,
     /// Thousandths by which engines count more prompt tokens than a token for four bytes, at most.
     pub counts_more: u64,
@@ -220,19 +220,19 @@
 }
 
 /// A day by name, or a bench's day file by its path.
-pub fn load(day: &str, seed: u64, seconds: Option<u64>) -> Result<Day, String> {
-    match day {
+pub fn load(scenario: &str, seed: u64, seconds: Option<u64>) -> Result<Scenario, String> {
+    match scenario {
         "bad-day" => Ok(bad_day(seed, seconds.unwrap_or(60))),
         "calm-day" => Ok(base("calm-day", seed, seconds.unwrap_or(20) * S)),
         path => {
             let text = std::fs::read_to_string(path).map_err(|e| {
                 format!("{path}: no day of this name (bad-day, calm-day) and no day file: {e}")
             })?;
-            bench_day(&text, seed, seconds).map_err(|e| format!("{path}: {e}"))
+            from_bench_file(&text, seed, seconds).map_err(|e| format!("{path}: {e}"))
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../day_test.rs"]
+#[path = "../scenario_test.rs"]
 mod tests;
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -12,11 +12,11 @@
 use super::{Core, FinishedLine, Output};
 
 impl Core {
-    pub(super) fn refuse(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::Why) {
+    pub(super) fn refuse(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::RejectionReason) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
-        let permit = job.obligations(&self.config.policy).may_refuse();
+        let permit = job.obligations(&self.config.policy).may_reject();
         if let Err(denied) = permit {
             self.deny(id, denied);
             return self.give_up(id);
@@ -31,7 +31,7 @@
         self.give_error(id, Ended::Refused, 503, error);
     }
 
-    pub(super) fn fail(&mut self, id: &RequestId, why: p::Why) {
+    pub(super) fn fail(&mut self, id: &RequestId, why: p::RejectionReason) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
@@ -100,7 +100,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let phase = job.phase();
         let class = self.config.policy.classes.get(job.request.class.0);
-        let once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
         let until = (once && job.may_have_run()).then(|| now + remember);
         job.answer = Answer::Given { ended, phase, reason, at: now };
         if let Some(identity) = &job.identity {
@@ -196,7 +196,7 @@
         let finished = Finished {
             id: id.0.to_string(),
             class: self.config.classes.get(job.request.class.0).map(|c| c.name.clone()).unwrap_or_default(),
-            came_back: job.request.came_back,
+            came_back: job.request.resumed,
             tenant: job.request.tenant.and_then(|t| name(t.0)),
             identity: job.identity.map(|(_, key)| key),
             session: job.request.session.as_ref().map(|s| s.0.to_string()),
--- a/crates/router/src/core/job.rs
+++ b/crates/router/src/core/job.rs
@@ -1,15 +1,15 @@
 //! A request from arrival to its last verdict, as the core holds it.
 
 use chalkyard_api::client::{MessagesRequest, Usage};
-use chalkyard_budget::Usage as Tokens;
+use chalkyard_budget::{BilledAttempts, Usage as Tokens};
 use chalkyard_policy as p;
-use chalkyard_policy::obligations::{AnswerState, AttemptFacts, Obligations, Stage};
+use chalkyard_policy::obligations::{AnswerState, AttemptFacts, Obligations, Stage, Target};
 use chalkyard_policy::{Micros, Outcome, WorkerId};
 use chalkyard_proto::sse;
 use serde_json::value::RawValue;
 
 use super::record::{since, AttemptRecord, Ended};
-use super::ConnId;
+use super::{tally, ConnId};
 use crate::dialect::{Beside, Passed};
 use crate::identity::Identity;
 use crate::timers::Key;
@@ -34,8 +34,8 @@
     /// As the rules see it.
     pub(super) fn stage(self) -> Stage {
         match self {
-            Self::Read => Stage::Read,
-            Self::Pull | Self::Whole => Stage::Write,
+            Self::Read => Stage::Prefill,
+            Self::Pull | Self::Whole => Stage::Decode,
         }
     }
 }
@@ -87,10 +87,10 @@
     /// It is given up then; how long a connection may take, if not as long as usual.
     pub(super) due: Micros,
     pub(super) connect: Option<Micros>,
-    pub(super) care: p::Care,
+    pub(super) care: p::AttemptKind,
     pub(super) conn: Option<ConnId>,
     pub(super) timer: Option<Key>,
-    pub(super) report: Option<p::Report>,
+    pub(super) report: Option<p::LoadReport>,
     /// Prompt tokens that its worker found kept.
     pub(super) kept: u64,
     /// The wait between events.
@@ -137,7 +137,7 @@
     pub(super) backstop: Option<Key>,
     pub(super) answer: Answer,
     /// The module's condition, where it gave the request up.
-    pub(super) why: Option<p::Why>,
+    pub(super) why: Option<p::RejectionReason>,
     pub(super) first_token: Option<Micros>,
     /// The attempt whose answer goes to the client.
     pub(super) winner: Option<usize>,
@@ -187,6 +187,25 @@
         self.held.as_ref().is_some_and(|h| h.worker == *worker)
     }
 
+    /// What an attempt at this worker would do.
+    pub(super) fn next_stage(&self, target: &Target) -> At {
+        let reads = target.lifecycle != p::Lifecycle::Removed && target.role == p::Role::Prefill;
+        match &self.held {
+            _ if reads => At::Read,
+            Some(_) => At::Pull,
+            None => At::Whole,
+        }
+    }
+
+    /// As what an attempt counts that begins now.
+    pub(super) fn next_call(&self, at: At) -> tally::Call {
+        match self.attempts.last() {
+            None => tally::Call::First,
+            Some(last) if at == At::Pull && last.at == At::Read => tally::Call::Pull,
+            Some(_) => tally::Call::Again { ran: self.may_have_run() },
+        }
+    }
+
     pub(super) fn over(&self) -> bool {
         matches!(self.answer, Answer::Given { .. })
     }
@@ -203,21 +222,21 @@
     /// What is owed for it, by what its connections have proven.
     pub(super) fn obligations(&self, settings: &p::Settings) -> Obligations {
         let class = settings.classes.get(self.request.class.0);
-        let (effect, window) =
-            class.map_or((p::Effect::SingleShot, Micros(0)), |c| (c.effect, c.dedup_window));
+        let (retry_safety, window) =
+            class.map_or((p::RetrySafety::NonIdempotent, Micros(0)), |c| (c.retry_safety, c.dedup_window));
         let answer = match (&self.answer, self.winner) {
             (Answer::Given { .. }, _) => AnswerState::Given,
             (Answer::Begun, _) | (Answer::Owed, Some(_)) => AnswerState::Begun,
             (Answer::Owed, None) => AnswerState::Owed,
         };
         Obligations {
-            effect,
-            window,
+            retry_safety,
+            deduplication_window: window,
             deadline: self.request.deadline,
             max_attempts: settings.max_attempts,
             attempts: self.attempts.iter().map(|a| a.facts).collect(),
             answer,
-            held_since: self.held.as_ref().map(|h| h.since),
+            reserved_at: self.held.as_ref().map(|h| h.since),
         }
     }
 
@@ -252,16 +271,16 @@
         let u = self.usage;
         let prompt = if u.prompt_tokens == 0 { self.request.prompt_tokens } else { u.prompt_tokens };
         let output = if cut || u.output_tokens == 0 { self.pieces } else { u.output_tokens };
-        Tokens { prompt, kept: u.kept_tokens.min(prompt), output }
+        Tokens { prompt, cached: u.kept_tokens.min(prompt), output }
     }
 
     /// The attempt that read the prompt for the one whose answer was given, and that one.
-    pub(super) fn billed_attempts(&self) -> (Option<u32>, Option<u32>) {
+    pub(super) fn billed_attempts(&self) -> BilledAttempts {
         let write = self.winner.and_then(|w| u32::try_from(w).ok());
         let pulled = self.winner.and_then(|w| self.attempts.get(w)).is_some_and(|a| a.at == At::Pull);
-        let parsed = |a: &Attempt| a.at == At::Read && a.ended.is_some_and(|(o, _)| o == Outcome::Parsed);
+        let parsed = |a: &Attempt| a.at == At::Read && a.ended.is_some_and(|(o, _)| o == Outcome::Prefilled);
         let read = self.attempts.iter().rposition(parsed).filter(|_| pulled);
-        (read.and_then(|r| u32::try_from(r).ok()), write)
+        BilledAttempts { prefill: read.and_then(|r| u32::try_from(r).ok()), answering: write }
     }
 
     /// Its attempts as operators see them.
@@ -296,10 +315,10 @@
 pub(super) fn outcome_name(o: Outcome) -> &'static str {
     match o {
         Outcome::Served => "served",
-        Outcome::Parsed => "parsed",
+        Outcome::Prefilled => "parsed",
         Outcome::ServerError => "server_error",
-        Outcome::Refused { no_state: false } => "refused",
-        Outcome::Refused { no_state: true } => "no_state",
+        Outcome::Rejected { no_state: false } => "refused",
+        Outcome::Rejected { no_state: true } => "no_state",
         Outcome::TimedOut => "timed_out",
         Outcome::NoConnection => "no_connection",
         Outcome::ConnectionLost => "connection_lost",
@@ -307,3 +326,7 @@
         Outcome::NotSent => "not_sent",
     }
 }
+
+#[cfg(test)]
+#[path = "job_test.rs"]
+mod tests;
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -88,7 +88,7 @@
 impl Core {
     /// Counts.
     pub fn counts(&self) -> Counts {
-        let lease = self.keeper.as_ref().map(|k| k.state().lease);
+        let lease = self.budget_enforcer.as_ref().map(|k| k.state().lease);
         Counts {
             open_requests: self.jobs.len(),
             clients: self.clients.len(),
@@ -98,7 +98,7 @@
             has_list: self.has_list,
             register: self.register.is_some(),
             identities: self.identities.len(),
-            lease: lease.map(|(number, until)| (number, until.0.saturating_sub(self.now.0))),
+            lease: lease.map(|lease| (lease.number, lease.until.0.saturating_sub(self.now.0))),
         }
     }
 
@@ -123,11 +123,11 @@
     /// Engines.
     pub fn engine_view(&self) -> Listed<EngineView> {
         let role = |role| match role {
-            p::Role::Reader => "reader",
-            p::Role::Writer => "writer",
-            p::Role::Mixed => "mixed",
+            p::Role::Prefill => "reader",
+            p::Role::Decode => "writer",
+            p::Role::Combined => "mixed",
         };
-        let view = |(id, e): (&p::WorkerId, &super::pool::Engine)| EngineView {
+        let view = |(id, e): (&p::WorkerId, &super::worker_connection::Engine)| EngineView {
             id: id.0.to_string(),
             address: e.address.to_string(),
             role: role(e.role),
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use chalkyard_budget::{
-    AccountKey, AtHard, AtSoft, Calendar, Ending, Keeper, Kind, Limit, Mode, Plan, Record, State, Time,
-    Units, Weights,
+    AccountKey, AtHard, AtSoft, BudgetEnforcer, Calendar, Ending, Limit, Mode, PeriodKind, Plan, Record,
+    State, Time, Units, Weights,
 };
 use chalkyard_router::*;
 use common::*;
@@ -18,7 +18,7 @@
 
 fn plan(tokens: u64, at_hard: AtHard) -> Plan {
     // No tenants: all requests are nobody's, who has a budget here.
-    let key = AccountKey { tenant: "".into(), class: None, kind: Kind::Day };
+    let key = AccountKey { tenant: "".into(), class: None, kind: PeriodKind::Day };
     let limit =
         Limit { hard: Units::tokens(tokens), soft: 1_000, at_soft: AtSoft::Warn, at_hard, marks: vec![] };
     Plan {
@@ -34,7 +34,7 @@
 
 fn yard_with(plan: Plan) -> Yard {
     let mut yard = Yard::new(config(), &usual());
-    yard.core.keep_budgets(Keeper::new("r1", plan, State::default(), Time(START.0)));
+    yard.core.keep_budgets(BudgetEnforcer::new("r1", plan, State::default(), Time(START.0)));
     yard
 }
 
@@ -43,7 +43,9 @@
 
 fn settled(yard: &Yard) -> Vec<Bill> {
     let of = |r: &Record| match r {
-        Record::Settled(s) => Some((s.ending, s.usage.prompt, s.usage.output, s.read, s.write)),
+        Record::Settled(s) => {
+            Some((s.ending, s.usage.prompt, s.usage.output, s.prefill_attempt, s.answering_attempt))
+        }
         _ => None,
     };
     yard.records.iter().filter_map(|(_, r)| of(r)).collect()
@@ -55,7 +57,7 @@
         assert_eq!(*n, state.sequence + 1, "numbered without gaps");
         state.take(*n, r);
     }
-    state.held.values().map(|h| h.used()).sum::<Units>().in_tokens()
+    state.usage.values().map(|h| h.used()).sum::<Units>().in_tokens()
 }
 
 #[test]
@@ -119,8 +121,8 @@
     assert!(record.unwrap() < said.unwrap(), "{out:?}");
     let Some(Output::Record(_, r)) = out.get(record.unwrap()) else { panic!() };
     let Record::Settled(s) = &**r else { panic!() };
-    assert_eq!((s.ending, s.usage.prompt, s.usage.kept, s.usage.output), (Ending::Served, 4_000, 64, 2));
-    assert_eq!((s.read, s.write), (Some(0), Some(1)));
+    assert_eq!((s.ending, s.usage.prompt, s.usage.cached, s.usage.output), (Ending::Served, 4_000, 64, 2));
+    assert_eq!((s.prefill_attempt, s.answering_attempt), (Some(0), Some(1)));
 }
 
 #[test]
