--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use chalkyard_budget::{AtHard, AtSoft, Calendar, Kind, Mode, Price, Units};
+use chalkyard_budget::{AtHard, AtSoft, Calendar, Mode, PeriodKind, Price, Units};
 use chalkyard_policy::{
     Class, Discovery, Effect, Group, Micros, Reports, Role, Settings as Policy, Tenant, ZoneId,
 };
@@ -136,7 +136,7 @@
     let budgets = stored().budgets.unwrap();
     let plan = budgets.plan;
     assert_eq!(plan.calendar, Calendar::new("Europe/Zurich").unwrap());
-    assert_eq!((plan.weights.prompt, plan.weights.kept, plan.weights.output), (1_000, 100, 4_250));
+    assert_eq!((plan.weights.prompt, plan.weights.cached, plan.weights.output), (1_000, 100, 4_250));
     assert_eq!((plan.margin, plan.mode), (50, Mode::Leases { epoch: 500_000, routers: 3 }));
     let limits: Vec<_> = plan
         .limits
@@ -151,7 +151,7 @@
         [
             (
                 "nord/*/day".into(),
-                Kind::Day,
+                PeriodKind::Day,
                 Units::tokens(2_000),
                 900,
                 AtSoft::Clamp(64),
@@ -160,7 +160,7 @@
             ),
             (
                 "nord/free/month".into(),
-                Kind::Month,
+                PeriodKind::Month,
                 Units::tokens(1_000),
                 800,
                 lower,
@@ -169,7 +169,7 @@
             ),
             (
                 "sued/*/hour".into(),
-                Kind::Hour,
+                PeriodKind::Hour,
                 Units::tokens(3_000),
                 1_000,
                 AtSoft::Warn,
@@ -187,7 +187,7 @@
         from: from.into(),
         currency: "Rp".into(),
         prompt: 300 + n,
-        kept: 30 + n,
+        cached: 30 + n,
         output: 1_500 + n,
     };
     assert_eq!(plan.prices, [price("2026-01-01", 0), price("2026-07-01", 1)]);
@@ -236,7 +236,7 @@
     assert_eq!((budgets.sync, budgets.segment), (Duration::from_millis(50), 64 * 1024 * 1024));
     let plan = budgets.plan;
     assert_eq!((plan.margin, plan.mode), (100, Mode::Shares(1)));
-    assert_eq!((plan.weights.prompt, plan.weights.kept, plan.weights.output), (1_000, 1_000, 1_000));
+    assert_eq!((plan.weights.prompt, plan.weights.cached, plan.weights.output), (1_000, 1_000, 1_000));
     let t = budgets.settlement.unwrap().terms;
     assert_eq!((t.epoch, t.lease, t.clock_error, t.even), (1_000_000, 10_000_000, 250_000, 4));
 }
