--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -1,12 +1,12 @@
-//! `chalkyard bill`: statements from ledgers and engines' records; `chalkyard compact`.
+//! `chalkyard bill`: statements from ledgers and engines' records.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, EngineLine, LineKey};
-use chalkyard_budget::{Period, Record};
+use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, Cause, EngineLine, LineKey};
+use chalkyard_budget::{Period, Record, Time};
 use chalkyard_ledger::{read, segment_number, DirectoryVolume, Volume};
 
 use crate::settle::{Adjustments, Change};
@@ -15,6 +15,8 @@
 
 /// Longest line of an engine's record.
 const LINE_BYTES: usize = 64 * 1024;
+/// Exit code of a bill that engines' records contradict.
+const UNEXPLAINED: u8 = 3;
 
 /// What a bill is made from.
 pub struct Sources<'a> {
@@ -26,8 +28,8 @@
     pub engines: Vec<PathBuf>,
 }
 
-/// All segments of a ledger.
-fn all_segments(folder: &Path) -> Result<Vec<String>, Trouble> {
+/// All segments of a ledger, oldest first.
+pub fn all_segments(folder: &Path) -> Result<Vec<String>, Trouble> {
     let names = DirectoryVolume::reader(folder).list();
     let names = names.map_err(|e| Trouble::BadInput(format!("{}: {e}", folder.display())))?;
     let mut segments: Vec<(u64, String)> =
@@ -95,172 +97,172 @@
     Ok((biller.bill(&budgets.plan, period), troubles))
 }
 
-/// By tenant, class and day: an adjustment's number, its amount and why.
-type ByHand = BTreeMap<(String, String, String), Vec<(u64, i64, String)>>;
+/// Which line of the bill an amount is put on.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct AdjustedLine {
+    tenant: String,
+    class: String,
+    day: String,
+}
+
+/// An amount put on or taken off by hand.
+struct ManualAmount {
+    /// The adjustment's number.
+    number: u64,
+    amount: i64,
+    reason: String,
+}
 
-/// Amounts put on or taken off by hand, by tenant, class and day.
-fn by_hand(budgets: &Budgets) -> Result<ByHand, Trouble> {
-    let mut out = ByHand::new();
-    let Some(settlement) = &budgets.settlement else { return Ok(out) };
-    for (number, a) in Adjustments::new(settlement).read()? {
-        if let Change::Bill { tenant, class, day, amount } = &a.what {
-            let place = (tenant.clone(), class.clone(), day.clone());
-            out.entry(place).or_default().push((*number, *amount, a.why.clone()));
+type ManualAmounts = BTreeMap<AdjustedLine, Vec<ManualAmount>>;
+
+fn manual_amounts(budgets: &Budgets) -> Result<ManualAmounts, Trouble> {
+    let mut amounts = ManualAmounts::new();
+    let Some(settlement) = &budgets.settlement else { return Ok(amounts) };
+    for (number, adjustment) in Adjustments::new(settlement).read()? {
+        if let Change::Bill { tenant, class, day, amount } = &adjustment.what {
+            let line = AdjustedLine { tenant: tenant.clone(), class: class.clone(), day: day.clone() };
+            let reason = adjustment.why.clone();
+            amounts.entry(line).or_default().push(ManualAmount { number: *number, amount: *amount, reason });
         }
     }
-    Ok(out)
+    Ok(amounts)
+}
+
+/// What `chalkyard bill` prints.
+struct Statement<'a> {
+    period: &'a str,
+    /// Engines' records were given, so that the bill can be compared with them.
+    is_reconciled: bool,
+    bill: Bill,
+    manual: ManualAmounts,
+    /// Damage met in ledgers.
+    damage: Vec<String>,
 }
 
 /// `chalkyard bill`: exit code 3 if engines and bill differ and nothing explains it.
 pub fn bill(sources: &Sources<'_>, period: &str, format: Format) -> Result<ExitCode, Trouble> {
     let calendar = &sources.budgets.plan.calendar;
-    let (_, span) =
-        calendar.parse_period(period).map_err(|why| Trouble::BadInput(format!("--period: {why}")))?;
-    let (bill, troubles) = make(sources, span)?;
-    let (first, last) = (calendar.date(span.start), calendar.date(chalkyard_budget::Time(span.end.0 - 1)));
-    let mut hand = by_hand(sources.budgets)?;
-    hand.retain(|(_, _, day), _| (&first..=&last).contains(&day));
-    // Without any engine's record there is nothing to agree with.
-    let reconciled = !sources.engines.is_empty();
+    let parsed = calendar.parse_period(period);
+    let (_, span) = parsed.map_err(|error| Trouble::BadInput(format!("--period: {error}")))?;
+    let (bill, damage) = make(sources, span)?;
+    let (first, last) = (calendar.date(span.start), calendar.date(Time(span.end.0 - 1)));
+    let mut manual = manual_amounts(sources.budgets)?;
+    manual.retain(|line, _| (&first..=&last).contains(&&line.day));
+    let is_reconciled = !sources.engines.is_empty();
+    let statement = Statement { period, is_reconciled, bill, manual, damage };
     match format {
-        Format::Json => {
-            let hand: Vec<serde_json::Value> = hand
-                .iter()
-                .flat_map(|((tenant, class, day), list)| {
-                    list.iter().map(move |(number, amount, why)| {
-                        serde_json::json!({"tenant": tenant, "class": class, "day": day, "number": number,
-                                           "amount": amount, "why": why})
-                    })
-                })
-                .collect();
-            println!(
-                "{}",
-                serde_json::json!({"period": period, "reconciled": reconciled, "bill": bill, "by_hand": hand,
-                                   "damage": troubles})
-            );
-        }
-        Format::Text => print(&bill, period, reconciled, &hand, &troubles),
+        Format::Json => println!("{}", statement.json()),
+        Format::Text => statement.print(),
     }
-    Ok(if reconciled && bill.unexplained_tokens > 0 { ExitCode::from(3) } else { ExitCode::SUCCESS })
+    let is_unexplained = is_reconciled && statement.bill.unexplained_tokens > 0;
+    Ok(if is_unexplained { ExitCode::from(UNEXPLAINED) } else { ExitCode::SUCCESS })
 }
 
-fn print(bill: &Bill, period: &str, reconciled: bool, hand: &ByHand, troubles: &[String]) {
-    println!("bill for {period}");
-    let mut sums: BTreeMap<(&str, &str), u128> = BTreeMap::new();
-    for (LineKey { tenant, class, day }, line) in &bill.lines {
-        let price = line.price_millionths.map(|p| {
-            let currency = line.currency.as_deref().unwrap_or("");
-            *sums.entry((tenant, currency)).or_default() += p;
-            format!("{} {currency}", round_to_smallest_unit(p))
-        });
-        println!(
-            "{tenant} {class} {day}: {} requests, {} prompt tokens ({} of them kept), {} output tokens, {}",
-            line.requests,
-            line.usage.prompt,
-            line.usage.cached,
-            line.usage.output,
-            price.unwrap_or_else(|| "no price".into())
-        );
-    }
-    for ((tenant, class, day), list) in hand {
-        for (number, amount, why) in list {
-            println!("{tenant} {class} {day}: by hand, adjustment {number}: {amount} ({why})");
+impl Statement<'_> {
+    fn json(&self) -> serde_json::Value {
+        let mut by_hand = Vec::new();
+        for (line, amounts) in &self.manual {
+            for manual in amounts {
+                by_hand.push(serde_json::json!({
+                    "tenant": line.tenant, "class": line.class, "day": line.day,
+                    "number": manual.number, "amount": manual.amount, "why": manual.reason,
+                }));
+            }
         }
+        serde_json::json!({
+            "period": self.period, "reconciled": self.is_reconciled, "bill": self.bill,
+            "by_hand": by_hand, "damage": self.damage,
+        })
     }
-    for ((tenant, currency), sum) in sums {
-        let amounts = hand.iter().filter(|((t, ..), _)| t == tenant).flat_map(|(_, l)| l).map(|(_, a, _)| *a);
-        let total = i128::try_from(round_to_smallest_unit(sum)).unwrap_or(i128::MAX)
-            + amounts.map(i128::from).sum::<i128>();
-        println!("{tenant}: {total} {currency} in all");
-    }
-    if bill.open > 0 {
-        println!("{} requests are still open", bill.open);
-    }
-    for d in troubles {
-        println!("damage: {d}");
-    }
-    if !reconciled {
-        println!("not reconciled: no engine's record was given");
-        return;
-    }
-    println!(
-        "engines did {} tokens: {} billed, {} explained, {} unexplained",
-        bill.engine_tokens, bill.billed_tokens, bill.explained_tokens, bill.unexplained_tokens
-    );
-    let mut by_cause: BTreeMap<_, (u64, u64)> = BTreeMap::new();
-    for d in &bill.differences {
-        let (count, tokens) = by_cause.entry(d.cause).or_default();
-        (*count, *tokens) = (*count + 1, *tokens + d.tokens);
-    }
-    for (cause, (count, tokens)) in &by_cause {
-        println!("  {cause:?}: {tokens} tokens in {count} attempts");
-    }
-    for d in bill.differences.iter().filter(|d| !d.cause.explains()) {
-        println!("  unexplained: {:?}, request {}, {} tokens", d.cause, d.request, d.tokens);
+
+    fn print(&self) {
+        println!("bill for {}", self.period);
+        self.print_lines();
+        self.print_manual();
+        self.print_totals();
+        if self.bill.open > 0 {
+            println!("{} requests are still open", self.bill.open);
+        }
+        for damage in &self.damage {
+            println!("damage: {damage}");
+        }
+        if self.is_reconciled {
+            self.print_reconciliation();
+        } else {
+            println!("not reconciled: no engine's record was given");
+        }
     }
-}
 
-/// `chalkyard compact`: sums of whole months are kept, their records go.
-pub fn compact(budgets: &Budgets, folder: &Path, before: &str) -> Result<ExitCode, Trouble> {
-    let (_, cut) = budgets
-        .plan
-        .calendar
-        .parse_period(before)
-        .map_err(|why| Trouble::BadInput(format!("--before: {why}")))?;
-    let names = all_segments(folder)?;
-    let volume = DirectoryVolume::reader(folder);
-    let wrong = |e: chalkyard_ledger::LedgerError| Trouble::BadInput(format!("{}: {e}", folder.display()));
-    // A segment may go if a later one begins with a checkpoint and no record in it is as late as the cut.
-    let (mut old, mut biller, mut records) = (Vec::new(), Biller::default(), 0_u64);
-    let mut open: BTreeSet<Box<str>> = BTreeSet::new();
-    let restart = chalkyard_ledger::last_segments(&volume, crate::keeping::is_checkpoint).map_err(wrong)?;
-    for name in names.iter().take_while(|n| restart.first().is_some_and(|r| *n < r)) {
-        let (mut late, mut taken) = (false, Vec::new());
-        read(&volume, std::slice::from_ref(name), |n, r: Record| {
-            let at = match &r {
-                Record::Reserved(c) => Some(c.at),
-                Record::Settled(s) => Some(s.at),
-                Record::Started(at) | Record::Succeeded(at) => Some(*at),
-                Record::Adopted(a) => Some(a.at),
-                Record::State(_) => None,
-            };
-            late |= at.is_some_and(|at| at >= cut.start);
-            taken.push((n, r));
-        })
-        .map_err(wrong)?;
-        if late {
-            break;
+    fn print_lines(&self) {
+        for (LineKey { tenant, class, day }, line) in &self.bill.lines {
+            let price = line.price_millionths.map(|price| {
+                let currency = line.currency.as_deref().unwrap_or("");
+                format!("{} {currency}", round_to_smallest_unit(price))
+            });
+            println!(
+                "{tenant} {class} {day}: {} requests, {} prompt tokens ({} of them kept), {} output tokens, {}",
+                line.requests,
+                line.usage.prompt,
+                line.usage.cached,
+                line.usage.output,
+                price.unwrap_or_else(|| "no price".into())
+            );
         }
-        for (n, r) in taken {
-            match &r {
-                Record::Reserved(c) => drop(open.insert(c.id.clone())),
-                Record::Settled(s) => drop(open.remove(&s.id)),
-                _ => {}
+    }
+
+    fn print_manual(&self) {
+        for (AdjustedLine { tenant, class, day }, amounts) in &self.manual {
+            for ManualAmount { number, amount, reason } in amounts {
+                println!("{tenant} {class} {day}: by hand, adjustment {number}: {amount} ({reason})");
             }
-            records += 1;
-            biller.record("", n, &r);
         }
-        old.push((name.clone(), open.is_empty()));
-    }
-    // Only up to a place where nothing is open: a request's two records stay together.
-    let keep = old.iter().rposition(|(_, whole)| *whole).map_or(0, |i| i + 1);
-    if keep != old.len() || old.is_empty() {
-        println!("nothing to compact: no segment before {before} with all its requests settled and a checkpoint after it");
-        return Ok(ExitCode::SUCCESS);
     }
-    let all = Period { start: chalkyard_budget::Time(0), end: cut.start };
-    let bill = biller.bill(&budgets.plan, all);
-    let target = folder.join(format!("sums-before-{before}.json"));
-    if target.exists() {
-        return Err(Trouble::BadInput(format!("{}: is there already", target.display())));
+
+    /// Sums by tenant and currency, rounded once, with the amounts by hand.
+    fn print_totals(&self) {
+        let mut sums: BTreeMap<(&str, &str), u128> = BTreeMap::new();
+        for (key, line) in &self.bill.lines {
+            if let Some(price) = line.price_millionths {
+                let currency = line.currency.as_deref().unwrap_or("");
+                *sums.entry((&key.tenant, currency)).or_default() += price;
+            }
+        }
+        for ((tenant, currency), sum) in sums {
+            let of_tenant = self.manual.iter().filter(|(line, _)| line.tenant == tenant);
+            let manual: i128 =
+                of_tenant.flat_map(|(_, amounts)| amounts).map(|manual| i128::from(manual.amount)).sum();
+            let total = i128::try_from(round_to_smallest_unit(sum)).unwrap_or(i128::MAX) + manual;
+            println!("{tenant}: {total} {currency} in all");
+        }
     }
-    let lines = serde_json::json!({"before": before, "segments": old.iter().map(|(n, _)| n).collect::<Vec<_>>(),
-                                   "records": records, "bill": bill});
-    let io = |e: std::io::Error| Trouble::CouldNotRun(format!("{}: {e}", folder.display()));
-    crate::keeping::replace(&target, lines.to_string().as_bytes()).map_err(io)?;
-    for (name, _) in &old {
-        std::fs::remove_file(folder.join(name)).map_err(io)?;
+
+    fn print_reconciliation(&self) {
+        let bill = &self.bill;
+        println!(
+            "engines did {} tokens: {} billed, {} explained, {} unexplained",
+            bill.engine_tokens, bill.billed_tokens, bill.explained_tokens, bill.unexplained_tokens
+        );
+        let mut by_cause: BTreeMap<Cause, CauseSum> = BTreeMap::new();
+        for difference in &bill.differences {
+            let sum = by_cause.entry(difference.cause).or_default();
+            sum.attempts += 1;
+            sum.tokens += difference.tokens;
+        }
+        for (cause, sum) in &by_cause {
+            println!("  {cause:?}: {} tokens in {} attempts", sum.tokens, sum.attempts);
+        }
+        for difference in bill.differences.iter().filter(|difference| !difference.cause.explains()) {
+            println!(
+                "  unexplained: {:?}, request {}, {} tokens",
+                difference.cause, difference.request, difference.tokens
+            );
+        }
     }
-    println!("{records} records of {} segments became {}", old.len(), target.display());
-    Ok(ExitCode::SUCCESS)
+}
+
+/// Engines' work that is not billed for one cause.
+#[derive(Default)]
+struct CauseSum {
+    attempts: u64,
+    tokens: u64,
 }
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -6,10 +6,10 @@
 use chalkyard_budget::{AccountKey, PeriodKind};
 use clap::{Args, Subcommand, ValueEnum};
 
-use crate::keeping::now;
 use crate::settle::{
     add_adjustment, adjusted, parts, restore_allocator, Adjustment, Adjustments, Change, Journal, Sums,
 };
+use crate::wall_clock::now;
 use crate::{Format, Trouble};
 use chalkyard_settings::{Budgets, Settlement};
 
--- /dev/null
+++ b/crates/daemon/src/compact.rs
@@ -0,0 +1,90 @@
+//! `chalkyard compact`: the sums of a ledger's old periods replace their records.
+
+use std::collections::BTreeSet;
+use std::path::Path;
+use std::process::ExitCode;
+
+use chalkyard_budget::bill::{Bill, Biller};
+use chalkyard_budget::{Period, Record, Time};
+use chalkyard_ledger::{last_segments, read, DirectoryVolume, LedgerError};
+use chalkyard_settings::Budgets;
+
+use crate::bill::all_segments;
+use crate::files::replace;
+use crate::Trouble;
+
+/// Old segments, as far as they were read.
+#[derive(Default)]
+struct OldSegments {
+    names: Vec<String>,
+    biller: Biller,
+    records: u64,
+    /// Requests whose settlement was not read yet.
+    open: BTreeSet<Box<str>>,
+}
+
+impl OldSegments {
+    fn add(&mut self, name: &str, records: &[(u64, Record)]) {
+        for (number, record) in records {
+            match record {
+                Record::Reserved(reservation) => {
+                    self.open.insert(reservation.id.clone());
+                }
+                Record::Settled(settled) => {
+                    self.open.remove(&settled.id);
+                }
+                _ => {}
+            }
+            self.records += 1;
+            self.biller.record("", *number, record);
+        }
+        self.names.push(name.into());
+    }
+}
+
+/// `chalkyard compact`: the sums of complete months are kept, their records go.
+pub fn compact(budgets: &Budgets, folder: &Path, before: &str) -> Result<ExitCode, Trouble> {
+    let parsed = budgets.plan.calendar.parse_period(before);
+    let (_, cut) = parsed.map_err(|error| Trouble::BadInput(format!("--before: {error}")))?;
+    let old = old_segments(folder, cut.start)?;
+    // A request's two records stay together: nothing may be open at the cut.
+    if old.names.is_empty() || !old.open.is_empty() {
+        println!("nothing to compact: no segment before {before} with all its requests settled and a checkpoint after it");
+        return Ok(ExitCode::SUCCESS);
+    }
+    let target = folder.join(format!("sums-before-{before}.json"));
+    if target.exists() {
+        return Err(Trouble::BadInput(format!("{}: is there already", target.display())));
+    }
+    let all = Period { start: Time(0), end: cut.start };
+    let bill: Bill = old.biller.bill(&budgets.plan, all);
+    let sums = serde_json::json!({
+        "before": before, "segments": old.names, "records": old.records, "bill": bill,
+    });
+    let failed = |e: std::io::Error| Trouble::CouldNotRun(format!("{}: {e}", folder.display()));
+    replace(&target, sums.to_string().as_bytes()).map_err(failed)?;
+    for name in &old.names {
+        std::fs::remove_file(folder.join(name)).map_err(failed)?;
+    }
+    println!("{} records of {} segments became {}", old.records, old.names.len(), target.display());
+    Ok(ExitCode::SUCCESS)
+}
+
+/// The segments that may go: a later one begins with a checkpoint, and no record in them is as late as the cut.
+fn old_segments(folder: &Path, cut: Time) -> Result<OldSegments, Trouble> {
+    let volume = DirectoryVolume::reader(folder);
+    let failed = |error: LedgerError| Trouble::BadInput(format!("{}: {error}", folder.display()));
+    let names = all_segments(folder)?;
+    let needed = last_segments(&volume, Record::is_checkpoint).map_err(failed)?;
+    let mut old = OldSegments::default();
+    for name in names.iter().take_while(|name| needed.first().is_some_and(|first| *name < first)) {
+        let mut records: Vec<(u64, Record)> = Vec::new();
+        let segment = std::slice::from_ref(name);
+        read(&volume, segment, |number, record| records.push((number, record))).map_err(failed)?;
+        if records.iter().any(|(_, record)| record.at().is_some_and(|at| at >= cut)) {
+            break;
+        }
+        old.add(name, &records);
+    }
+    Ok(old)
+}
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -5,12 +5,15 @@
 //! 5 a router was told twice to end.
 
 mod bill;
+mod budget_runtime;
 mod budgets;
+mod compact;
 mod control;
+mod files;
 #[cfg(test)]
 #[allow(clippy::unwrap_used, clippy::indexing_slicing)]
 mod fuzz_test;
-mod keeping;
+mod grant_files;
 mod line_budget;
 mod logs;
 mod losses;
@@ -19,9 +22,11 @@
 mod platform;
 mod reload;
 mod replay;
+mod router_sink;
 mod run;
 mod settle;
 mod soak;
+mod wall_clock;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -283,7 +288,9 @@
             let sources = bill::Sources { budgets: &budgets, ledgers: ledger, engines };
             bill::bill(&sources, &period, format)
         }
-        Command::Compact { file, ledger, before } => bill::compact(&with_budgets(&file)?, &ledger, &before),
+        Command::Compact { file, ledger, before } => {
+            compact::compact(&with_budgets(&file)?, &ledger, &before)
+        }
         Command::Check { file } => {
             let s = load(&file)?;
             let c = &s.config;
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -150,7 +150,7 @@
 
     fn compare(&self, held: &str) -> Result<(Vec<Change>, Settings, String), String> {
         let name = self.file.display();
-        let bytes = crate::keeping::read_some(&self.file, FILE_BYTES).map_err(|e| format!("{name}: {e}"))?;
+        let bytes = crate::files::read_limited(&self.file, FILE_BYTES).map_err(|e| format!("{name}: {e}"))?;
         let text = String::from_utf8(bytes).map_err(|_| format!("{name}: not UTF-8"))?;
         let fresh = chalkyard_settings::read(&text).map_err(|wrong| {
             let lines: Vec<String> = wrong.iter().map(|w| format!("{name}:{w}")).collect();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -17,9 +17,10 @@
 use signal_hook::iterator::Signals;
 use tracing::{info, warn};
 
-use crate::keeping::{self, Keeping};
+use crate::budget_runtime::{self, Predecessor};
 use crate::line_budget::LineBudget;
 use crate::reload::Reloader;
+use crate::router_sink::{RouterSink, PENDING_NEWS};
 use crate::{control, logs, Trouble};
 
 /// The first line of a decisions file: what the module was started with.
@@ -68,11 +69,11 @@
     let seed = seed.unwrap_or(clock.now().0);
     let mut config = settings.config;
     config.policy.tick = granularity();
-    let mut before: Option<keeping::Before> = None;
+    let mut predecessor: Option<Predecessor> = None;
     let address = if take_over {
         let none = || Trouble::BadInput(format!("{}: <router> names no `control`", file.display()));
         let taken = control::take_over(settings.control.as_ref().ok_or_else(none)?)?;
-        before = taken.before.map(|b| Box::new(b) as keeping::Before);
+        predecessor = taken.before.map(|lines| Box::new(lines) as Predecessor);
         ListenAddress::inherited(taken.listener, settings.shared_port)
     } else {
         with_retries(STARTING_TRIES, || ListenAddress::take(settings.listen, settings.shared_port))
@@ -85,10 +86,10 @@
         core.count_seconds();
     }
     // All that was spent is known before the first request is taken.
-    let (told, news) = sync_channel(keeping::WAITING);
+    let (told, news) = sync_channel(PENDING_NEWS);
     let mut ledger = None;
     if let Some(budgets) = &settings.budgets {
-        let recovered = keeping::recover(budgets, &name, Time(clock.now().0), before, &told)?;
+        let recovered = budget_runtime::recover(budgets, &name, Time(clock.now().0), predecessor, &told)?;
         core.keep_budgets(recovered.enforcer);
         ledger = Some(recovered.ledger);
     }
@@ -107,11 +108,11 @@
         (None, None) => None,
     };
     let reloader = Arc::new(Reloader { file: file.clone(), text: Mutex::new(text), tenants, news: told });
-    let keeping = Keeping {
+    let sink = RouterSink {
         lines: LineBudget::new(began),
         log: logs::Log { list_file: settings.list_file },
         ledger,
-        heir: None,
+        successor: None,
         recent: VecDeque::new(),
         name,
         seed,
@@ -122,8 +123,7 @@
     };
     let drain = settings.drain_for.as_micros() as u64;
     let timeouts = LifecycleTimeouts { endpoint_wait: START, lame_duck: 0, drain, flush: FAREWELL };
-    let mut shell =
-        Shell::new(core, keeping, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
+    let mut shell = Shell::new(core, sink, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
     let handle = shell.handle();
     let control = settings
         .control
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -5,14 +5,18 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{AccountKey, AccountStart, LeaseAllocator, Plan, Round, SigningKey, State, Time};
+use chalkyard_budget::{
+    AccountKey, AccountStart, LeaseAllocator, Plan, Record, Round, SigningKey, State, Time,
+};
 use chalkyard_ledger::{DirectoryVolume, FollowEvent, Follower, Limits, Writer};
 use serde::{Deserialize, Serialize};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing::{info, warn};
 
-use crate::keeping::{deliver, is_checkpoint, now, read_key, read_some};
+use crate::files::read_limited;
+use crate::grant_files::{deliver, read_key};
+use crate::wall_clock::now;
 use crate::{logs, Trouble};
 use chalkyard_settings::{Budgets, Settlement};
 
@@ -169,7 +173,7 @@
             return Ok(None);
         };
         let path = self.folder.join(round_file(number));
-        let bytes = read_some(&path, ROUND_BYTES).map_err(|e| format!("{}: {e}", path.display()))?;
+        let bytes = read_limited(&path, ROUND_BYTES).map_err(|e| format!("{}: {e}", path.display()))?;
         let round = self.key.open_round(&bytes).map_err(|e| format!("{}: {e}", path.display()))?;
         if round.number != number {
             return Err(format!("{}: holds round {}", path.display(), round.number));
@@ -227,7 +231,7 @@
     pub fn read(&mut self, allocator: &mut LeaseAllocator) {
         for (name, follower, state) in &mut self.ledgers {
             let read_at = now();
-            let told = follower.poll(is_checkpoint, |item| match item {
+            let told = follower.poll(Record::is_checkpoint, |item| match item {
                 FollowEvent::Restart => *state = State::default(),
                 FollowEvent::Record(number, record) => {
                     state.take(number, &record);
