--- a/crates/ledger/src/follow.rs
+++ b/crates/ledger/src/follow.rs
@@ -30,6 +30,67 @@
     last_bytes: [u8; 4],
 }
 
+/// How far reading on has come.
+enum Progress {
+    /// There may be more, in this segment or the next.
+    NextSegment,
+    /// All that is written was read.
+    CaughtUp,
+    /// The ledger is not the one that was read, or is damaged: it is read again from its last checkpoint.
+    Lost,
+}
+
+impl Position {
+    /// Reads the rest of the segment, and moves to the next one if there is one.
+    fn advance<T: DeserializeOwned>(
+        &mut self,
+        folder: &Path,
+        take: &mut impl FnMut(FollowEvent<T>),
+    ) -> Result<Progress, LedgerError> {
+        let Some(bytes) = tail(folder, self).map_err(LedgerError::io(&self.segment))? else {
+            return Ok(Progress::Lost);
+        };
+        let mut frames = Frames::resume(&bytes, 0, self.next);
+        for (number, payload) in frames.by_ref() {
+            if let Some(record) = decode(payload) {
+                take(FollowEvent::Record(number, record));
+            }
+        }
+        if !frames.damage.is_empty() {
+            // Written over while it was read, or damaged: all of it is looked at.
+            return Ok(Progress::Lost);
+        }
+        let valid = frames.valid_length();
+        self.next = frames.next_number();
+        self.offset += valid as u64;
+        if let Some(last_bytes) = bytes.get(valid.wrapping_sub(4)..valid).and_then(|s| s.try_into().ok()) {
+            self.last_bytes = last_bytes;
+        }
+        self.move_to_next_segment(folder)
+    }
+
+    /// The next segment is read only after all of this one.
+    fn move_to_next_segment(&mut self, folder: &Path) -> Result<Progress, LedgerError> {
+        let all = segments(&DirectoryVolume::reader(folder))?;
+        let Some(next) = all.iter().skip_while(|name| **name != self.segment).nth(1).cloned() else {
+            return Ok(Progress::CaughtUp);
+        };
+        let rest = tail(folder, self).map_err(LedgerError::io(&self.segment))?;
+        if rest.is_none_or(|rest| !rest.is_empty()) {
+            return Ok(Progress::NextSegment);
+        }
+        match head_of(folder, &next).map_err(LedgerError::io(&next))? {
+            Some(head) if head.first == self.next => {
+                let Head { length, first, last_bytes } = head;
+                *self = Self { segment: next, offset: length, next: first, last_bytes };
+                Ok(Progress::NextSegment)
+            }
+            Some(_) => Ok(Progress::Lost),
+            None => Ok(Progress::CaughtUp),
+        }
+    }
+}
+
 /// Reads on where it stopped; a half-written record is left for the next time.
 #[derive(Debug)]
 pub struct Follower {
@@ -43,61 +104,20 @@
         Self { folder: folder.into(), position: None }
     }
 
-    /// Gives what is new. Damage in words, where some was stepped over.
+    /// Gives the records that are new. If some of the ledger is damaged, what is missing is described.
     ///
     /// # Errors
-    /// If the ledger can't be read; what was given stands.
+    /// If the ledger can't be read; the records that were given stay valid.
     pub fn poll<T: DeserializeOwned>(
         &mut self,
         is_checkpoint: impl Fn(&T) -> bool,
         mut take: impl FnMut(FollowEvent<T>),
     ) -> Result<Option<String>, LedgerError> {
-        let io = |name: &str| {
-            let name = name.to_owned();
-            move |e| LedgerError::Io(name, e)
-        };
         while let Some(position) = &mut self.position {
-            let bytes = match tail(&self.folder, position).map_err(io(&position.segment))? {
-                Some(bytes) => bytes,
-                None => {
-                    self.position = None;
-                    break;
-                }
-            };
-            let mut frames = Frames::resume(&bytes, 0, position.next);
-            for (number, payload) in frames.by_ref() {
-                if let Some(record) = decode(payload) {
-                    take(FollowEvent::Record(number, record));
-                }
-            }
-            if !frames.damage.is_empty() {
-                // Written over while it was read, or damaged: the whole is looked at.
-                self.position = None;
-                break;
-            }
-            let good = frames.valid_length();
-            position.next = frames.next_number();
-            position.offset += good as u64;
-            if let Some(last_bytes) = bytes.get(good.wrapping_sub(4)..good).and_then(|s| s.try_into().ok()) {
-                position.last_bytes = last_bytes;
-            }
-            // Only after all of this segment, the next one.
-            let all = segments(&DirectoryVolume::reader(&self.folder))?;
-            let Some(next) = all.iter().skip_while(|n| **n != position.segment).nth(1).cloned() else {
-                return Ok(None);
-            };
-            if tail(&self.folder, position)
-                .map_err(io(&position.segment))?
-                .is_none_or(|rest| !rest.is_empty())
-            {
-                continue;
-            }
-            match head_of(&self.folder, &next).map_err(io(&next))? {
-                Some((offset, first, last_bytes)) if first == position.next => {
-                    *position = Position { segment: next, offset, next: first, last_bytes };
-                }
-                Some(_) => self.position = None,
-                None => return Ok(None),
+            match position.advance(&self.folder, &mut take)? {
+                Progress::NextSegment => {}
+                Progress::CaughtUp => return Ok(None),
+                Progress::Lost => self.position = None,
             }
         }
         self.restart(is_checkpoint, take)
@@ -113,8 +133,7 @@
         take(FollowEvent::Restart);
         let report = read(&volume, &names, |n, r| take(FollowEvent::Record(n, r)))?;
         if let Some(segment) = names.last().filter(|_| report.valid_length >= 4) {
-            let bytes =
-                crate::Volume::read(&volume, segment).map_err(|e| LedgerError::Io(segment.clone(), e))?;
+            let bytes = crate::Volume::read(&volume, segment).map_err(LedgerError::io(segment))?;
             let last_bytes =
                 bytes.get(report.valid_length - 4..report.valid_length).and_then(|s| s.try_into().ok());
             self.position = last_bytes.map(|last_bytes| Position {
@@ -149,11 +168,20 @@
     Ok(Some(bytes.split_off(4)))
 }
 
-/// A segment's head, once it is whole: its length, the number of its first record, its last bytes.
-fn head_of(folder: &Path, name: &str) -> io::Result<Option<(u64, u64, [u8; 4])>> {
+/// A complete segment head.
+struct Head {
+    length: u64,
+    /// The number of the segment's first record.
+    first: u64,
+    last_bytes: [u8; 4],
+}
+
+/// A segment's head; none while it is being written.
+fn head_of(folder: &Path, name: &str) -> io::Result<Option<Head>> {
     let mut bytes = Vec::new();
     File::open(folder.join(name))?.take(crate::frame::HEAD as u64).read_to_end(&mut bytes)?;
     let first = crate::frame::read_head(&bytes).ok();
     let last_bytes = bytes.last_chunk::<4>().copied();
-    Ok(first.zip(last_bytes).map(|(first, last_bytes)| (bytes.len() as u64, first, last_bytes)))
+    let length = bytes.len() as u64;
+    Ok(first.zip(last_bytes).map(|(first, last_bytes)| Head { length, first, last_bytes }))
 }
--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -17,6 +17,20 @@
 /// After damage, a frame is taken for one if its number is at most so far ahead.
 const AHEAD: u64 = 10_000_000;
 
+/// Why a segment's head can't be read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum SegmentHeadError {
+    /// The segment is shorter than a head.
+    #[error("cut within its head")]
+    Truncated,
+    /// It begins otherwise.
+    #[error("not a ledger's segment, or of another version")]
+    Foreign,
+    /// The checksum is wrong.
+    #[error("its head is damaged")]
+    Damaged,
+}
+
 /// A segment's head.
 pub(crate) fn head(first: u64) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
@@ -27,17 +41,17 @@
 }
 
 /// The number of a segment's first record.
-pub(crate) fn read_head(bytes: &[u8]) -> Result<u64, &'static str> {
-    let head = bytes.get(..HEAD).ok_or("cut within its head")?;
+pub(crate) fn read_head(bytes: &[u8]) -> Result<u64, SegmentHeadError> {
+    let head = bytes.get(..HEAD).ok_or(SegmentHeadError::Truncated)?;
     let (front, crc) = head.split_at(16);
     let (magic, first) = front.split_at(8);
     if magic != MAGIC {
-        return Err("not a ledger's segment, or of another version");
+        return Err(SegmentHeadError::Foreign);
     }
     if u32_at(crc, 0) != Some(crc32c::crc32c(front)) {
-        return Err("its head is damaged");
+        return Err(SegmentHeadError::Damaged);
     }
-    u64_at(first, 0).ok_or("cut within its head")
+    u64_at(first, 0).ok_or(SegmentHeadError::Truncated)
 }
 
 fn u32_at(bytes: &[u8], at: usize) -> Option<u32> {
@@ -97,7 +111,7 @@
     ///
     /// # Errors
     /// What is wrong with its head.
-    pub fn new(bytes: &'a [u8]) -> Result<Self, &'static str> {
+    pub fn new(bytes: &'a [u8]) -> Result<Self, SegmentHeadError> {
         Ok(Self { bytes, at: HEAD, next: read_head(bytes)?, damage: Vec::new() })
     }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,9 +1,9 @@
 //! A ledger: durable, append-only, checksummed records of one writer, in numbered order.
 //!
-//! Records are framed and numbered without gaps, kept in segments of a bounded size, and written in groups:
-//! [`Writer::flush`] gives all that was appended to the system in one write (nothing of it is lost when the
-//! process is killed), and syncing to the disk goes on beside it (the window of loss at power loss). A torn
-//! tail is cut and told of; damage elsewhere is stepped over and told of.
+//! Records are framed and numbered without gaps, stored in segments of a bounded size, and written in groups:
+//! [`Writer::flush`] hands all that was appended to the system in one write (nothing of it is lost when the
+//! process is killed), and syncing to the disk runs on a thread of its own (the window of loss at power loss).
+//! A torn tail is truncated and reported; damage elsewhere is skipped and reported.
 
 mod follow;
 mod frame;
@@ -12,33 +12,48 @@
 mod writer;
 
 pub use follow::{FollowEvent, Follower};
-pub use frame::{decode, encode, Damage, Frames, FRAME_BYTES};
+pub use frame::{decode, encode, Damage, Frames, SegmentHeadError, FRAME_BYTES};
 pub use reader::{last_segments, read, Report, Tail};
 pub use volume::{segment_name, segment_number, DirectoryVolume, Volume};
 pub use writer::{Limits, Opened, Writer};
 
 /// Why a ledger can't be read or written.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The file system refused.
-    Io(String, std::io::Error),
+    /// The file system's error.
+    #[error("{place}: {source}")]
+    Io {
+        /// The segment, or the ledger.
+        place: String,
+        /// What failed.
+        source: std::io::Error,
+    },
     /// Another process writes it.
-    Locked(String),
+    #[error("{place}: another process writes this ledger")]
+    Locked {
+        /// The ledger.
+        place: String,
+    },
     /// A segment is of another format, or its head is damaged.
-    Foreign(String, &'static str),
+    #[error("{segment}: {source}")]
+    Foreign {
+        /// The segment.
+        segment: String,
+        /// What is wrong with its head.
+        source: SegmentHeadError,
+    },
     /// A record is larger than a frame may be.
-    TooLarge(usize),
+    #[error("a record of {bytes} bytes is larger than {FRAME_BYTES}")]
+    TooLarge {
+        /// The record's length.
+        bytes: usize,
+    },
 }
 
-impl std::fmt::Display for LedgerError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Self::Io(what, e) => write!(f, "{what}: {e}"),
-            Self::Locked(what) => write!(f, "{what}: another process writes this ledger"),
-            Self::Foreign(what, why) => write!(f, "{what}: {why}"),
-            Self::TooLarge(bytes) => write!(f, "a record of {bytes} bytes is larger than {FRAME_BYTES}"),
-        }
+impl LedgerError {
+    /// An error of the file system at a segment.
+    pub(crate) fn io(place: &str) -> impl FnOnce(std::io::Error) -> Self {
+        let place = place.to_owned();
+        move |source| Self::Io { place, source }
     }
 }
-
-impl std::error::Error for LedgerError {}
--- a/crates/ledger/src/reader.rs
+++ b/crates/ledger/src/reader.rs
@@ -42,7 +42,7 @@
 ) -> Result<Vec<String>, LedgerError> {
     let all = segments(volume)?;
     for (i, name) in all.iter().enumerate().rev() {
-        let bytes = volume.read(name).map_err(|e| LedgerError::Io(name.clone(), e))?;
+        let bytes = volume.read(name).map_err(LedgerError::io(name))?;
         let Ok(mut frames) = Frames::new(&bytes) else { continue };
         let first = frames.next().filter(|_| frames.damage.is_empty()).and_then(|(_, p)| decode(p));
         if first.is_some_and(|record| is_checkpoint(&record)) {
@@ -53,7 +53,7 @@
 }
 
 pub(crate) fn segments(volume: &impl Volume) -> Result<Vec<String>, LedgerError> {
-    let names = volume.list().map_err(|e| LedgerError::Io("ledger".into(), e))?;
+    let names = volume.list().map_err(LedgerError::io("ledger"))?;
     let mut numbered: Vec<(u64, String)> =
         names.into_iter().filter_map(|n| segment_number(&n).map(|i| (i, n))).collect();
     numbered.sort();
@@ -79,7 +79,7 @@
     };
     for (i, name) in names.iter().enumerate() {
         let newest = i + 1 == names.len();
-        let bytes = volume.read(name).map_err(|e| LedgerError::Io(name.clone(), e))?;
+        let bytes = volume.read(name).map_err(LedgerError::io(name))?;
         let mut frames = match Frames::new(&bytes) {
             Ok(frames) => frames,
             Err(_) if newest && bytes.len() <= HEAD => {
@@ -87,7 +87,7 @@
                 report.tail = Tail::Torn(bytes.len());
                 continue;
             }
-            Err(why) => return Err(LedgerError::Foreign(name.clone(), why)),
+            Err(source) => return Err(LedgerError::Foreign { segment: name.clone(), source }),
         };
         while let Some((number, payload)) = frames.next() {
             match decode(payload) {
--- a/crates/ledger/src/volume.rs
+++ b/crates/ledger/src/volume.rs
@@ -21,25 +21,52 @@
     (digits.len() == 12).then(|| digits.parse().ok()).flatten()
 }
 
-/// Keeps segments; one of them, the newest, is written.
+/// Where a ledger's files are; the newest segment is open for writing.
 pub trait Volume {
     /// Names of files.
+    ///
+    /// # Errors
+    /// The file system's.
     fn list(&self) -> io::Result<Vec<String>>;
     /// All of a file.
+    ///
+    /// # Errors
+    /// The file system's.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Makes a file, which must not be there, the one that is written.
+    /// Creates a file, which must not exist, and opens it for writing.
+    ///
+    /// # Errors
+    /// The file system's.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Makes a file that is there the one that is written, cut to a length.
+    /// Opens an existing file for writing, truncated to a length.
+    ///
+    /// # Errors
+    /// The file system's.
     fn open(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Appends to it; how many bytes were taken.
+    /// Appends to the open file; how many bytes were written.
+    ///
+    /// # Errors
+    /// The file system's.
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize>;
-    /// Cuts it.
+    /// Truncates the open file.
+    ///
+    /// # Errors
+    /// The file system's.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// Has all written so far brought to the disk; it need not be there on return.
+    /// Begins to sync all that was written to the disk; it need not be there on return.
+    ///
+    /// # Errors
+    /// If an earlier sync failed, or this one can't begin.
     fn sync(&mut self) -> io::Result<()>;
-    /// Keeps so much space aside under a name.
+    /// Reserves space by a file of this name and length.
+    ///
+    /// # Errors
+    /// The file system's, such as a full disk.
     fn reserve_space(&mut self, name: &str, bytes: usize) -> io::Result<()>;
     /// Removes a file.
+    ///
+    /// # Errors
+    /// The file system's.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -72,26 +72,24 @@
     ) -> Result<Opened<V>, LedgerError> {
         let names = last_segments(&volume, is_checkpoint)?;
         let report = read(&volume, &names, take)?;
-        let wrong = |what: &str| {
-            let what = what.to_owned();
-            move |e| LedgerError::Io(what, e)
-        };
         let newest = segments(&volume)?.last().cloned();
         let (segment, length) = match &newest {
             // A head that was cut: the segment is made anew.
             Some(name) if report.valid_length == 0 => {
-                volume.remove(name).map_err(wrong(name))?;
+                volume.remove(name).map_err(LedgerError::io(name))?;
                 (segment_number(name).unwrap_or(1), None)
             }
             Some(name) => {
-                volume.open(name, report.valid_length as u64).map_err(wrong(name))?;
+                volume.open(name, report.valid_length as u64).map_err(LedgerError::io(name))?;
                 (segment_number(name).unwrap_or(1), Some(report.valid_length as u64))
             }
             None => (1, None),
         };
         let length = match length {
             Some(length) => length,
-            None => begin(&mut volume, segment, report.next).map_err(wrong(&segment_name(segment)))?,
+            None => {
+                begin(&mut volume, segment, report.next).map_err(LedgerError::io(&segment_name(segment)))?
+            }
         };
         let full = volume.reserve_space(RESERVE_FILE, limits.reserve_bytes).is_err();
         let next = report.next;
@@ -120,7 +118,7 @@
     /// # Errors
     /// If it is too large for a frame.
     pub fn append(&mut self, record: &impl Serialize) -> Result<u64, LedgerError> {
-        encode(self.next, record, &mut self.waiting).map_err(LedgerError::TooLarge)?;
+        encode(self.next, record, &mut self.waiting).map_err(|bytes| LedgerError::TooLarge { bytes })?;
         self.next += 1;
         Ok(self.next - 1)
     }
@@ -190,17 +188,17 @@
     /// The file system's; the old segment goes on then, and the checkpoint was not taken.
     pub fn rotate(&mut self, checkpoint: &impl Serialize) -> Result<(), LedgerError> {
         let old = segment_name(self.segment);
-        self.flush().map_err(|e| LedgerError::Io(old.clone(), e))?;
+        self.flush().map_err(LedgerError::io(&old))?;
         let name = segment_name(self.segment + 1);
         match begin(&mut self.volume, self.segment + 1, self.next) {
             Ok(length) => (self.segment, self.length) = (self.segment + 1, length),
             Err(e) => {
-                self.volume.open(&old, self.length).map_err(|e| LedgerError::Io(old, e))?;
-                return Err(LedgerError::Io(name, e));
+                self.volume.open(&old, self.length).map_err(LedgerError::io(&old))?;
+                return Err(LedgerError::Io { place: name, source: e });
             }
         }
         self.append(checkpoint)?;
-        self.flush().map_err(|e| LedgerError::Io(name, e))
+        self.flush().map_err(LedgerError::io(&name))
     }
 }
 
--- a/crates/ledger/tests/stored_data.rs
+++ b/crates/ledger/tests/stored_data.rs
@@ -181,7 +181,7 @@
     ];
     for (folder, told) in cases {
         let error = read_all(folder, &[1]).unwrap_err();
-        assert!(matches!(error, LedgerError::Foreign(..)), "{error:?}");
+        assert!(matches!(error, LedgerError::Foreign { .. }), "{error:?}");
         assert_eq!(error.to_string(), told);
     }
     // A head that was cut is a crash at the newest segment, and foreign at an older one.
@@ -196,15 +196,18 @@
 #[test]
 fn missing_segment_is_an_io_error_with_its_name() {
     let error = read_all("complete", &[9]).unwrap_err();
-    assert!(matches!(error, LedgerError::Io(..)), "{error:?}");
+    assert!(matches!(error, LedgerError::Io { .. }), "{error:?}");
     assert!(error.to_string().starts_with("000000000009.ledger: "), "{error}");
 }
 
 #[test]
 fn errors_are_printed_as_before() {
-    assert_eq!(LedgerError::Locked("here".into()).to_string(), "here: another process writes this ledger");
     assert_eq!(
-        LedgerError::TooLarge(67_108_865).to_string(),
+        LedgerError::Locked { place: "here".into() }.to_string(),
+        "here: another process writes this ledger"
+    );
+    assert_eq!(
+        LedgerError::TooLarge { bytes: 67_108_865 }.to_string(),
         "a record of 67108865 bytes is larger than 67108864"
     );
 }
