--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -6,13 +6,16 @@
 
 mod arguments;
 mod bill;
+mod budget_runtime;
 mod budgets;
+mod compact;
 mod control;
 mod error;
+mod files;
 #[cfg(test)]
 #[allow(clippy::unwrap_used, clippy::indexing_slicing)]
 mod fuzz_test;
-mod keeping;
+mod grant_files;
 mod line_budget;
 mod logs;
 mod losses;
@@ -22,10 +25,12 @@
 mod rehearse;
 mod reload;
 mod replay;
+mod router_sink;
 mod run;
 mod settings_file;
 mod settle;
 mod soak;
+mod wall_clock;
 
 use std::process::ExitCode;
 
@@ -68,7 +73,9 @@
             let sources = bill::Sources { budgets: &budgets, ledgers: ledger, engines };
             bill::bill(&sources, &period, format)
         }
-        Command::Compact { file, ledger, before } => bill::compact(&load_budgets(&file)?, &ledger, &before),
+        Command::Compact { file, ledger, before } => {
+            compact::compact(&load_budgets(&file)?, &ledger, &before)
+        }
         Command::Check { file } => settings_file::check(&file),
         Command::HashKey { file } => settings_file::hash_key(&file),
         Command::Replay { file } => replay::replay(&file),
