--- a/crates/platform/src/speak.rs
+++ b/crates/platform/src/speak.rs
@@ -49,7 +49,7 @@
                 let (method, target) = (method.clone(), target.clone());
                 Heard::Call(Box::new(request), Passed { method, target, idempotency_key, body })
             }
-            Err(why) => Heard::Wrong(400, why),
+            Err(error) => Heard::Wrong(400, error.to_string()),
         }
     }
 
