--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -6,14 +6,14 @@
 
 use chalkyard_budget::bill::{EngineLine, Work};
 use chalkyard_budget::*;
-use chalkyard_ledger::{encode, read, segment_name, Folder, Tail};
+use chalkyard_ledger::{encode, read, segment_name, DirectoryVolume, Tail};
 
 const START: Time = Time(1_796_100_000_000_000);
 const S: u64 = 1_000_000;
 /// December 2026 in Zurich.
-const MONTH: Span = Span { start: Time(1_796_079_600_000_000), end: Time(1_798_758_000_000_000) };
-const HOUR: Span = Span { start: Time(1_796_097_600_000_000), end: Time(1_796_101_200_000_000) };
-const DAY: Span = Span { start: Time(1_796_079_600_000_000), end: Time(1_796_166_000_000_000) };
+const MONTH: Period = Period { start: Time(1_796_079_600_000_000), end: Time(1_798_758_000_000_000) };
+const HOUR: Period = Period { start: Time(1_796_097_600_000_000), end: Time(1_796_101_200_000_000) };
+const DAY: Period = Period { start: Time(1_796_079_600_000_000), end: Time(1_796_166_000_000_000) };
 
 const ENDINGS: [Ending; 7] = [
     Ending::Served,
@@ -30,52 +30,60 @@
 }
 
 fn tenant_month() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: None, kind: Kind::Month }
+    AccountKey { tenant: "nord".into(), class: None, kind: PeriodKind::Month }
 }
 
 fn class_hour() -> AccountKey {
-    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: Kind::Hour }
+    AccountKey { tenant: "nord".into(), class: Some("help".into()), kind: PeriodKind::Hour }
 }
 
 fn tenant_day() -> AccountKey {
-    AccountKey { tenant: "ost".into(), class: None, kind: Kind::Day }
+    AccountKey { tenant: "ost".into(), class: None, kind: PeriodKind::Day }
 }
 
-fn month_place() -> Place {
-    Place { class: None, kind: Kind::Month, start: MONTH.start }
+fn month_place() -> AccountPeriod {
+    AccountPeriod { class: None, kind: PeriodKind::Month, start: MONTH.start }
 }
 
-fn hour_place() -> Place {
-    Place { class: Some("help".into()), kind: Kind::Hour, start: HOUR.start }
+fn hour_place() -> AccountPeriod {
+    AccountPeriod { class: Some("help".into()), kind: PeriodKind::Hour, start: HOUR.start }
 }
 
-fn day_place() -> Place {
-    Place { class: None, kind: Kind::Day, start: DAY.start }
+fn day_place() -> AccountPeriod {
+    AccountPeriod { class: None, kind: PeriodKind::Day, start: DAY.start }
 }
 
-fn adopted() -> Adopted {
-    Adopted {
+fn ceiling(key: AccountKey, period: Period, ceiling: u64) -> AccountCeiling {
+    AccountCeiling { key, period, ceiling: Units(ceiling) }
+}
+
+fn denied(key: AccountKey, total: u64, largest: u64) -> DeniedDemand {
+    DeniedDemand { key, total: Units(total), largest: Units(largest) }
+}
+
+fn adopted() -> AdoptedLease {
+    AdoptedLease {
         number: 7,
         at: START.after(2 * S),
         until: START.after(12 * S),
         ceilings: vec![
-            (tenant_month(), MONTH, Units(5_000_000)),
-            (class_hour(), HOUR, Units(700_000)),
-            (tenant_day(), DAY, Units(40_000)),
+            ceiling(tenant_month(), MONTH, 5_000_000),
+            ceiling(class_hour(), HOUR, 700_000),
+            ceiling(tenant_day(), DAY, 40_000),
         ],
-        wanted: vec![(tenant_month(), Units(300_500), Units(200_250)), (class_hour(), Units(9), Units(9))],
+        demand: vec![denied(tenant_month(), 300_500, 200_250), denied(class_hour(), 9, 9)],
     }
 }
 
-fn reserved(id: &str, n: u64) -> Charge {
-    Charge {
+fn reserved(id: &str, n: u64) -> Reservation {
+    Reservation {
         id: id.into(),
         tenant: "nord".into(),
         class: "help".into(),
         identity: Some(format!("order-{n}").into()),
         at: START.after(3 * S + n),
         amount: Units(28_800),
-        slots: vec![month_place(), hour_place()],
+        account_periods: vec![month_place(), hour_place()],
     }
 }
 
@@ -84,10 +92,10 @@
         id: format!("r1-{n}").into(),
         at: START.after(4 * S + n),
         ending,
-        usage: Usage { prompt: 200 + n, kept: 20, output: n },
+        usage: Usage { prompt: 200 + n, cached: 20, output: n },
         cost: Units(1_000 * n + 250),
-        read: n.is_multiple_of(2).then_some(0),
-        write: (n != 1).then_some(300),
+        prefill_attempt: n.is_multiple_of(2).then_some(0),
+        answering_attempt: (n != 1).then_some(300),
         may_have_run: n.is_multiple_of(3),
     }
 }
@@ -100,23 +108,23 @@
         records.push(Record::Reserved(reserved(&format!("r1-{n}"), n)));
         records.push(Record::Settled(settled(n, ending)));
     }
-    records.push(Record::Reserved(Charge {
+    records.push(Record::Reserved(Reservation {
         id: "r1-open".into(),
         tenant: "ost".into(),
         class: "later".into(),
         identity: Some("order-99".into()),
         at: START.after(5 * S),
         amount: Units(12_345),
-        slots: vec![day_place()],
+        account_periods: vec![day_place()],
     }));
-    records.push(Record::Reserved(Charge {
+    records.push(Record::Reserved(Reservation {
         id: "r1-free".into(),
         tenant: "".into(),
         class: "help".into(),
         identity: None,
         at: START.after(6 * S),
         amount: Units(0),
-        slots: vec![],
+        account_periods: vec![],
     }));
     let state = recovered(&records);
     records.push(Record::State(Box::new(state)));
@@ -134,14 +142,14 @@
 fn read_segment(folder: &str) -> (chalkyard_ledger::Report, Vec<(u64, Record)>) {
     let mut records = Vec::new();
     let names = [segment_name(1)];
-    let report = read(&Folder::reader(&data(folder)), &names, |n, r| records.push((n, r))).unwrap();
+    let report = read(&DirectoryVolume::reader(&data(folder)), &names, |n, r| records.push((n, r))).unwrap();
     (report, records)
 }
 
 #[test]
 fn ledger_with_every_record_gives_their_values() {
     let (report, read) = read_segment("ledger");
-    assert_eq!((report.records, report.tail, report.trouble()), (20, Tail::Whole, None));
+    assert_eq!((report.records, report.tail, report.describe_damage()), (20, Tail::Complete, None));
     assert_eq!(read, records());
 }
 
@@ -162,10 +170,10 @@
     assert_eq!(state.sequence, 19);
     assert_eq!(state.last, START.after(6 * S));
     assert_eq!(state.settled, 7);
-    assert_eq!(state.lease, (7, START.after(12 * S)));
+    assert_eq!(state.lease, Lease { number: 7, until: START.after(12 * S) });
     let usage =
         |spent, reserved, ceiling| AccountUsage { spent: Units(spent), reserved: Units(reserved), ceiling };
-    let uses: Vec<(&str, Place, AccountUsage)> =
+    let uses: Vec<(&str, AccountPeriod, AccountUsage)> =
         state.usage.iter().map(|(tenant, place, usage)| (tenant, place.clone(), *usage)).collect();
     assert_eq!(
         uses,
@@ -175,27 +183,27 @@
             ("ost", day_place(), usage(0, 12_345, Some(Units(40_000)))),
         ]
     );
-    let open: Vec<(&str, Open)> = state.open.iter().map(|(id, open)| (&**id, open.clone())).collect();
-    let ost = Open {
+    let open: Vec<(&str, OpenReservation)> =
+        state.open.iter().map(|(id, open)| (&**id, open.clone())).collect();
+    let ost = OpenReservation {
         tenant: "ost".into(),
         amount: Units(12_345),
-        slots: vec![day_place()],
-        identity: Some(("order-99".into(), "later".into())),
+        account_periods: vec![day_place()],
+        identity: Some(RequestIdentity { identity: "order-99".into(), class: "later".into() }),
     };
-    let free = Open { tenant: "".into(), amount: Units(0), slots: vec![], identity: None };
+    let free =
+        OpenReservation { tenant: "".into(), amount: Units(0), account_periods: vec![], identity: None };
     assert_eq!(open, [("r1-free", free), ("r1-open", ost)]);
-    let ran = |n: u64| Ran {
+    let ran = |n: u64| ExecutedRequest {
         tenant: "nord".into(),
         identity: format!("order-{n}").into(),
         class: "help".into(),
         at: START.after(4 * S + n),
     };
-    assert_eq!(state.ran, [ran(0), ran(3), ran(6)]);
-    let wanted: Vec<(AccountKey, (Units, Units))> = state.wanted.clone().into_iter().collect();
-    assert_eq!(
-        wanted,
-        [(tenant_month(), (Units(300_500), Units(200_250))), (class_hour(), (Units(9), Units(9)))]
-    );
+    assert_eq!(state.executed, [ran(0), ran(3), ran(6)]);
+    let demand: Vec<(AccountKey, Demand)> = state.demand.clone().into_iter().collect();
+    let denied = |total, largest| Demand { total: Units(total), largest: Units(largest) };
+    assert_eq!(demand, [(tenant_month(), denied(300_500, 200_250)), (class_hour(), denied(9, 9))]);
 }
 
 #[test]
@@ -231,9 +239,9 @@
 }
 
 fn stored_grant() -> Grant {
-    let allowance = |key, span, ceiling| Allowance {
+    let allowance = |key, period, ceiling| Allowance {
         key,
-        span,
+        period,
         ceiling: Units(ceiling),
         limit: Units(9_000_000),
         elsewhere: Units(1_234),
@@ -255,7 +263,7 @@
     let outstanding = Outstanding {
         router: "r1".into(),
         key: class_hour(),
-        span: HOUR,
+        period: HOUR,
         ceiling: Units(700_000),
         number: 6,
         until: START.after(9 * S),
@@ -316,11 +324,11 @@
         attempt,
         work,
         prompt: 200,
-        kept: 20,
+        cached: 20,
         output: 3,
         at: START,
     };
-    let expected = [line(0, Work::Read), line(1, Work::Pull), line(2, Work::Whole)];
+    let expected = [line(0, Work::Prefill), line(1, Work::Decode), line(2, Work::Combined)];
     assert_eq!(stored.lines().count(), expected.len());
     for (expected, stored) in expected.iter().zip(stored.lines()) {
         assert_eq!(&serde_json::from_str::<EngineLine>(stored).unwrap(), expected);
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -6,10 +6,11 @@
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_budget::{
-    AccountKey, Allowance, AtHard, AtSoft, BudgetEnforcer, Calendar, Charge, Ending, Grant, Kind, Limit,
-    Mode, Place, Plan, RateLimit, Record, ReservationRequest, Settled, State, Time, Units, Usage, Weights,
+    AccountKey, AccountPeriod, Allowance, AtHard, AtSoft, BilledAttempts, BudgetEnforcer, Calendar, Ending,
+    Grant, Limit, Mode, PeriodKind, Plan, RateLimit, Record, Reservation, ReservationRequest, Settled, State,
+    Time, Units, Usage, Weights,
 };
-use chalkyard_ledger::{read, Folder, Limits, Volume, Writer};
+use chalkyard_ledger::{read, DirectoryVolume, Limits, Volume, Writer};
 use hdrhistogram::Histogram;
 
 use crate::clients::{self, Style};
@@ -26,7 +27,7 @@
     let (mut limits, mut rates) = (BTreeMap::new(), BTreeMap::new());
     for i in 0..tenants {
         let tenant: Box<str> = format!("tenant-{i:05}").into();
-        for kind in [Kind::Day, Kind::Month] {
+        for kind in [PeriodKind::Day, PeriodKind::Month] {
             let key = AccountKey { tenant: tenant.clone(), class: None, kind };
             let limit = Limit {
                 hard: Units::tokens(1_000_000_000),
@@ -61,7 +62,7 @@
     let plan = plan(tenants);
     let allowance = |key: &AccountKey| Allowance {
         key: key.clone(),
-        span: plan.calendar.span(key.kind, NOW),
+        period: plan.calendar.period(key.kind, NOW),
         ceiling: Units::tokens(900_000_000),
         limit: Units::tokens(1_000_000_000),
         elsewhere: Units::tokens(1),
@@ -98,9 +99,10 @@
         let taken = enforcer.admit(NOW.after(n), request);
         admit.record(start.elapsed().as_nanos() as u64)?;
         refused += u64::from(taken.is_err());
-        let usage = Usage { prompt: 910, kept: 64, output: 120 };
+        let usage = Usage { prompt: 910, cached: 64, output: 120 };
+        let attempts = BilledAttempts { prefill: Some(0), answering: Some(1) };
         let start = Instant::now();
-        enforcer.settle(NOW.after(n), &id, Ending::Served, usage, (Some(0), Some(1)), true);
+        enforcer.settle(NOW.after(n), &id, Ending::Served, usage, attempts, true);
         settle.record(start.elapsed().as_nanos() as u64)?;
         enforcer.take_records().for_each(drop);
     }
@@ -118,17 +120,17 @@
 fn pair(n: u64) -> [Record; 2] {
     let id: Box<str> = format!("r1-64a3c2b1f-{n:x}").into();
     let at = NOW.after(n * 50);
-    let slot = |kind| Place { class: None, kind, start: NOW };
-    let usage = Usage { prompt: 910, kept: 64, output: 120 };
+    let slot = |kind| AccountPeriod { class: None, kind, start: NOW };
+    let usage = Usage { prompt: 910, cached: 64, output: 120 };
     [
-        Record::Reserved(Charge {
+        Record::Reserved(Reservation {
             id: id.clone(),
             tenant: format!("tenant-{:05}", n % 10_000).into(),
             class: "help".into(),
             identity: Some(format!("k{n}").into()),
             at,
             amount: Units::tokens(1_300),
-            slots: vec![slot(Kind::Day), slot(Kind::Month)],
+            account_periods: vec![slot(PeriodKind::Day), slot(PeriodKind::Month)],
         }),
         Record::Settled(Settled {
             id,
@@ -136,8 +138,8 @@
             ending: Ending::Served,
             usage,
             cost: Units::tokens(1_030),
-            read: Some(0),
-            write: Some(1),
+            prefill_attempt: Some(0),
+            answering_attempt: Some(1),
             may_have_run: true,
         }),
     ]
@@ -147,9 +149,9 @@
     matches!(record, Record::State(_))
 }
 
-fn open(folder: &Path) -> Result<Writer<Folder>, Error> {
-    let limits = Limits { segment: 64 * 1024 * 1024, ..Limits::default() };
-    Ok(Writer::open(Folder::writer(folder)?, limits, is_checkpoint, |_, _: Record| {})?.writer)
+fn open(folder: &Path) -> Result<Writer<DirectoryVolume>, Error> {
+    let limits = Limits { segment_bytes: 64 * 1024 * 1024, ..Limits::default() };
+    Ok(Writer::open(DirectoryVolume::writer(folder)?, limits, is_checkpoint, |_, _: Record| {})?.writer)
 }
 
 /// Settlements a second, with so many requests a turn of the loop, and syncing beside every 50 ms.
@@ -190,7 +192,7 @@
     }
     writer.flush()?;
     drop(writer);
-    let volume = Folder::reader(folder);
+    let volume = DirectoryVolume::reader(folder);
     let mut names = volume.list()?;
     names.retain(|n| chalkyard_ledger::segment_number(n).is_some());
     let bytes: u64 =
@@ -207,7 +209,7 @@
         start.elapsed().as_secs_f64()
     );
     let (mut last, start) = (State::default(), Instant::now());
-    let opened = Writer::open(Folder::writer(folder)?, Limits::default(), is_checkpoint, |n, r| {
+    let opened = Writer::open(DirectoryVolume::writer(folder)?, Limits::default(), is_checkpoint, |n, r| {
         last.take(n, &r);
     })?;
     println!(
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -18,7 +18,7 @@
     /// run twice are known from its ledger.
     pub fn keep_budgets(&mut self, budget_enforcer: BudgetEnforcer) {
         let (now, wait) = (self.now, self.config.waits.identity);
-        for ran in &budget_enforcer.state().ran {
+        for ran in &budget_enforcer.state().executed {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
             let class = self.config.classes.iter().position(|c| *c.name == *ran.class);
             let class = class.and_then(|c| self.config.policy.classes.get(c));
@@ -76,9 +76,12 @@
             let place = self.config.classes.iter().position(|c| *c.name == *lower);
             job.request.class = place.map_or(job.request.class, p::ClassId);
         }
-        for (account, mark) in admission.marks {
-            let part = f64::from(mark) / 10.0;
-            self.note("budget", format!("{account}: {part} % of the period's budget is reserved or spent"));
+        for mark in admission.marks {
+            let part = f64::from(mark.thousandths) / 10.0;
+            self.note(
+                "budget",
+                format!("{}: {part} % of the period's budget is reserved or spent", mark.account),
+            );
         }
         self.write_records();
         Ok(())
--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -105,7 +105,7 @@
 
 fn weights(element: &mut Element<'_, '_>, errors: &mut Errors) -> Weights {
     let mut weight = |name| element.with_default(name, Thousandths(1_000), errors).0;
-    Weights { prompt: weight("prompt"), kept: weight("kept"), output: weight("output") }
+    Weights { prompt: weight("prompt"), cached: weight("kept"), output: weight("output") }
 }
 
 fn path(element: &mut Element<'_, '_>, name: &'static str, errors: &mut Errors) -> Option<PathBuf> {
--- a/crates/settings/src/budgets/limits.rs
+++ b/crates/settings/src/budgets/limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use chalkyard_budget::{AccountKey, AtHard, AtSoft, Kind, Limit, Price, RateLimit, Units};
+use chalkyard_budget::{AccountKey, AtHard, AtSoft, Limit, PeriodKind, Price, RateLimit, Units};
 use chalkyard_policy as p;
 
 use super::values::{Currency, Day, Marks, PeriodValue, Thousandths};
@@ -96,7 +96,7 @@
     if class.as_ref().is_some_and(|class| known.class(class).is_none()) {
         element.report(Some("class"), "no such <class>", errors);
     }
-    let kind = element.required("period", PeriodValue(Kind::Day), errors).0;
+    let kind = element.required("period", PeriodValue(PeriodKind::Day), errors).0;
     let tokens = element.required("tokens", 1_u64, errors);
     if !(1..=MAX_BUDGET_TOKENS).contains(&tokens) {
         element.report(Some("tokens"), "must be 1 to 18446744073709", errors);
@@ -136,7 +136,7 @@
         from: element.required("from", Day("2000-01-01".into()), errors).0,
         currency: element.required("currency", Currency("x".into()), errors).0,
         prompt: element.required("prompt", 0_u64, errors),
-        kept: element.required("kept", 0_u64, errors),
+        cached: element.required("kept", 0_u64, errors),
         output: element.required("output", 0_u64, errors),
     }
 }
--- a/crates/settings/src/budgets/values.rs
+++ b/crates/settings/src/budgets/values.rs
@@ -1,6 +1,6 @@
 //! Types of attribute values in `<budgets>`.
 
-use chalkyard_budget::{Calendar, Kind};
+use chalkyard_budget::{Calendar, PeriodKind};
 
 use crate::xml::{Value, ValueError};
 
@@ -40,11 +40,11 @@
 }
 
 /// The kind of a budget's periods.
-pub struct PeriodValue(pub Kind);
+pub struct PeriodValue(pub PeriodKind);
 
 impl Value for PeriodValue {
     fn parse(text: &str) -> Result<Self, ValueError> {
-        let kind = Kind::ALL.into_iter().find(|k| k.word() == text);
+        let kind = PeriodKind::ALL.into_iter().find(|k| k.word() == text);
         kind.map(Self).ok_or_else(|| "must be one of hour, day, month".into())
     }
 }
@@ -73,8 +73,9 @@
 
 impl Value for Day {
     fn parse(text: &str) -> Result<Self, ValueError> {
-        let is_day =
-            Calendar::new("UTC").and_then(|c| c.named(text)).is_ok_and(|(kind, _)| kind == Kind::Day);
+        let is_day = Calendar::new("UTC")
+            .and_then(|c| c.parse_period(text))
+            .is_ok_and(|(kind, _)| kind == PeriodKind::Day);
         is_day.then(|| Self(text.into())).ok_or_else(|| "must be a day such as 2026-12-01".into())
     }
 }
