--- a/crates/daemon/src/logs_test.rs
+++ b/crates/daemon/src/logs_test.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
-use chalkyard_policy::{Care, Report, Why};
+use chalkyard_policy::{AttemptKind, LoadReport, RejectionReason};
 use chalkyard_router::{AttemptRecord, ByCause, Change, Counters, Ended, Finished, Tally, Transition};
 
 use super::Log;
@@ -48,7 +48,7 @@
         session: Some("s1".into()),
         prefix: Some("p1".into()),
         ended: Ended::ClientGone,
-        why: Some(Why::MayHaveRun),
+        why: Some(RejectionReason::MayHaveRun),
         phase: "waiting",
         list_age_us: Some(4),
         open: 5,
@@ -57,11 +57,11 @@
             worker: "w1".into(),
             stage: "read",
             outcome: "parsed",
-            care: Care::Trial,
+            care: AttemptKind::Probe,
             sent_us: 1,
             took_us: 2,
             kept_tokens: 3,
-            report: Some(Report { queued: Some(1.0), ..Report::default() }),
+            report: Some(LoadReport { queued: Some(1.0), ..LoadReport::default() }),
         }],
         arrived_us: 6,
         first_token_us: Some(7),
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -160,6 +160,6 @@
         prompt_tokens: attributes.prompt_tokens.unwrap_or(body_bytes / BYTES_PER_TOKEN),
         max_output: attributes.max_output.unwrap_or(0),
         deadline: arrived + timeout,
-        came_back: one(head, "X-Retried")?.is_some_and(|v| v.eq_ignore_ascii_case("again")),
+        resumed: one(head, "X-Retried")?.is_some_and(|v| v.eq_ignore_ascii_case("again")),
     })
 }
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -4,8 +4,8 @@
 
 use chalkyard_platform::Started;
 use chalkyard_policy::{
-    CellId, Class, Discovery, Effect, Group, Lifecycle, Micros, Reports, Role, Settings, Tenant, Worker,
-    ZoneId,
+    CellId, Class, DeduplicationScope, Discovery, Lifecycle, LoadReporting, Micros, RetrySafety, Role,
+    Settings, Tenant, Worker, ZoneId,
 };
 use serde_json::{json, Value};
 
@@ -22,10 +22,10 @@
 #[test]
 fn settings_of_the_platform_are_read_for_the_decision_module() {
     let class = |aim, per_1000, deadline, effect, window| Class {
-        aim: ms(aim),
-        aim_per_1000_tokens: ms(per_1000),
+        latency_objective: ms(aim),
+        latency_objective_per_1000_tokens: ms(per_1000),
         deadline: ms(deadline),
-        effect,
+        retry_safety: effect,
         dedup_window: ms(window),
     };
     assert_eq!(
@@ -33,29 +33,29 @@
         Settings {
             routers: 3,
             classes: vec![
-                class(1_000, 60, 5_000, Effect::Free, 0),
-                class(500, 50, 4_000, Effect::Guarded(Group::Cell), 3_000),
-                class(500, 40, 4_000, Effect::Guarded(Group::Zone), 2_000),
-                class(500, 30, 4_000, Effect::Guarded(Group::All), 1_000),
-                class(2_000, 20, 8_000, Effect::SingleShot, 0),
+                class(1_000, 60, 5_000, RetrySafety::Idempotent, 0),
+                class(500, 50, 4_000, RetrySafety::Deduplicated(DeduplicationScope::Cell), 3_000),
+                class(500, 40, 4_000, RetrySafety::Deduplicated(DeduplicationScope::Zone), 2_000),
+                class(500, 30, 4_000, RetrySafety::Deduplicated(DeduplicationScope::All), 1_000),
+                class(2_000, 20, 8_000, RetrySafety::NonIdempotent, 0),
             ],
             tenants: vec![Tenant { allowance_per_s: Some(1_000.0) }, Tenant { allowance_per_s: None }],
-            discovery: Discovery::Ask,
-            must_ask_in: ms(10_000),
+            discovery: Discovery::Poll,
+            max_poll_interval: ms(10_000),
             self_prefill: true,
             resume: true,
-            release: ms(1_250),
+            reservation_timeout: ms(1_250),
             max_attempts: 4,
             may_cancel: true,
             max_retry_after: ms(1_500),
-            fall_multiple: 3.0,
-            fall_after: ms(2_000),
-            cold_from: 0.3,
-            cold_for: ms(8_000),
+            overload_multiple: 3.0,
+            overload_window: ms(2_000),
+            slow_start_initial_share: 0.3,
+            slow_start_duration: ms(8_000),
             answer_slack: ms(10),
             tick: ms(2),
             weighted: true,
-            reports: Reports::InAnswers,
+            load_reporting: LoadReporting::InResponses,
         }
     );
 }
@@ -87,7 +87,7 @@
         cell: CellId(cell),
         role,
         kv_tokens,
-        lifecycle: Lifecycle::In,
+        lifecycle: Lifecycle::Active,
         weight: 1.0,
         started: None,
     }
@@ -112,20 +112,20 @@
                 Worker {
                     weight: 1.5,
                     started: Some(Micros(1_700_000_000_123_000)),
-                    ..worker("r", Some(0), 1, Role::Reader, Some(100_000))
+                    ..worker("r", Some(0), 1, Role::Prefill, Some(100_000))
                 },
                 at("127.0.0.1:1")
             ),
             (
                 Worker {
                     lifecycle: Lifecycle::Draining,
-                    ..worker("w", Some(1), 2, Role::Writer, Some(200_000))
+                    ..worker("w", Some(1), 2, Role::Decode, Some(200_000))
                 },
                 at("127.0.0.1:2")
             ),
-            (worker("b", None, 0, Role::Mixed, None), at("127.0.0.1:3")),
+            (worker("b", None, 0, Role::Combined, None), at("127.0.0.1:3")),
             (
-                Worker { lifecycle: Lifecycle::Out, ..worker("gone", None, 0, Role::Mixed, None) },
+                Worker { lifecycle: Lifecycle::Removed, ..worker("gone", None, 0, Role::Combined, None) },
                 at("0.0.0.0:0")
             ),
         ]
@@ -147,7 +147,7 @@
     assert_eq!((list.version, list.whole), (42, false));
     assert_eq!(
         list.workers,
-        [(worker("a", None, 0, Role::Mixed, Some(300_000)), "127.0.0.1:4".parse().unwrap())]
+        [(worker("a", None, 0, Role::Combined, Some(300_000)), "127.0.0.1:4".parse().unwrap())]
     );
     assert_eq!(
         list.wrong,
--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -24,12 +24,12 @@
     for i in 0..SESSIONS {
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
-        rig.end(&id, 0, Outcome::Parsed, 0);
+        rig.end(&id, 0, Outcome::Prefilled, 0);
         rig.stream(&id, 1);
         rig.end(&id, 1, Outcome::Served, 0);
         rig.now = rig.now + Micros(100);
     }
-    let homes = format!("{:?}", rig.router).matches("Home {").count();
+    let homes = format!("{:?}", rig.router).matches("CachedSession {").count();
     assert!((1..=32_768).contains(&homes), "{homes}");
     // What others pour would void the notes; a new session asks on at once.
     let (_, home) = rig.whole("new", "new", LONG);
@@ -46,8 +46,8 @@
         rig.stream(&id, 0);
         rig.end(&id, 0, Outcome::Served, 0);
     }
-    let gone = Worker { lifecycle: Lifecycle::Draining, ..worker(&first, Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![gone] });
+    let gone = Worker { lifecycle: Lifecycle::Draining, ..worker(&first, Role::Decode, 0) };
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
     let (_, second) = rig.whole("b", "moving", LONG);
     assert_ne!(first, second);
     assert_eq!(next_turn(&mut rig, "moving"), second);
@@ -62,7 +62,7 @@
         let mut request = rig.request(id, id, FREE, LONG);
         request.prefix = Some(prefix.into());
         let to = sent(&rig.feed(Event::Request(request))).unwrap().0;
-        rig.end(id, 0, Outcome::Parsed, 0);
+        rig.end(id, 0, Outcome::Prefilled, 0);
         rig.stream(id, 1);
         rig.end(id, 1, Outcome::Served, 0);
         to
@@ -92,7 +92,7 @@
             let mut request = rig.request(&id, &id, FREE, LONG);
             request.prefix = Some(prefix.as_str().into());
             let to = sent(&rig.feed(Event::Request(request))).unwrap().0;
-            rig.end(&id, 0, Outcome::Parsed, 0);
+            rig.end(&id, 0, Outcome::Prefilled, 0);
             rig.stream(&id, 1);
             rig.end(&id, 1, Outcome::Served, 0);
             if prefix == "hot" {
@@ -111,8 +111,13 @@
 
 /// Without reports, two writers alike.
 fn unreported() -> Rig {
-    let workers = ["w0", "w1"].map(|w| worker(w, Role::Writer, 0));
-    let set = Settings { reports: Reports::Off, routers: 1, cold_for: secs(0.01), ..settings() };
+    let workers = ["w0", "w1"].map(|w| worker(w, Role::Decode, 0));
+    let set = Settings {
+        load_reporting: LoadReporting::Off,
+        routers: 1,
+        slow_start_duration: secs(0.01),
+        ..settings()
+    };
     Rig::new(set, workers.to_vec())
 }
 
@@ -159,19 +164,19 @@
     };
     let old = ask(&mut rig, "old", 20);
     rig.wait(0.1);
-    let restarted = Worker { started: Some(rig.now), ..worker("w0", Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![restarted] });
+    let restarted = Worker { started: Some(rig.now), ..worker("w0", Role::Decode, 0) };
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.wait(0.1);
     let new = ask(&mut rig, "new", 12);
     // The old life's streams break only now: its new life has all of its own still.
     for (_, id) in old.iter().filter(|(w, _)| w == "w0") {
-        rig.feed(Event::Verdict {
+        rig.feed(Event::AttemptOutcome {
             id: id.as_str().into(),
             attempt: AttemptNo(0),
             outcome: Outcome::ConnectionLost,
             elapsed: secs(0.3),
-            over: true,
-            kept: 0,
+            request_ended: true,
+            cached_tokens: 0,
             report: None,
         });
     }
@@ -193,8 +198,8 @@
     };
     let early = (0..20).filter(|i| one(&mut rig, &format!("e{i}")) == "w0").count();
     // The list tells of the start only now, and all of these are out at the new life.
-    let restarted = Worker { started: Some(started), ..worker("w0", Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![restarted] });
+    let restarted = Worker { started: Some(started), ..worker("w0", Role::Decode, 0) };
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     // It is cold from the news on, for 10 ms here.
     rig.wait(0.02);
     let late = (0..20).filter(|i| one(&mut rig, &format!("l{i}")) == "w0").count();
@@ -205,11 +210,11 @@
 fn what_an_earlier_life_served_is_no_home_in_the_next() {
     let mut rig = Rig::new(settings(), fleet());
     rig.ask("a", "s", FREE, LONG);
-    let home = sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0;
+    let home = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
     rig.stream("a", 1);
     rig.wait(0.5);
-    let restarted = Worker { started: Some(rig.now), ..worker(&home, Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![restarted] });
+    let restarted = Worker { started: Some(rig.now), ..worker(&home, Role::Decode, 0) };
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.wait(0.5);
     rig.end("a", 1, Outcome::Served, 0);
     assert!(next_turn(&mut rig, "s").starts_with('r'), "its text went with the old life");
@@ -218,11 +223,11 @@
 #[test]
 fn what_is_out_at_a_worker_off_the_list_is_called_back_when_silent() {
     // Its first timer is that of its silence: held state is due later.
-    let mut rig = Rig::new(Settings { release: secs(60.0), ..settings() }, fleet());
+    let mut rig = Rig::new(Settings { reservation_timeout: secs(60.0), ..settings() }, fleet());
     let asked = rig.ask("a", "s", FREE, LONG);
     let reader = sent(&asked).unwrap().0;
-    let gone = Worker { lifecycle: Lifecycle::Out, ..worker(&reader, Role::Reader, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![gone] });
+    let gone = Worker { lifecycle: Lifecycle::Removed, ..worker(&reader, Role::Prefill, 0) };
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
     let late = rig.fire(&asked);
     assert!(late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
 }
@@ -231,15 +236,16 @@
 fn a_whole_list_costs_about_what_as_many_changes_cost() {
     // Of ten rounds the fastest, so that a busy machine changes nothing; when each known worker was looked for in the
     // list, it cost over eighty times as much.
-    let named = |i: u64| worker(&format!("w{i:05}"), Role::Writer, i % 50);
+    let named = |i: u64| worker(&format!("w{i:05}"), Role::Decode, i % 50);
     let all: Vec<Worker> = (0..10_000).map(named).collect();
     let mut rig = Rig::new(settings(), all.clone());
     let mut cost = |kind| {
         let (workers, start) = (all.clone(), std::time::Instant::now());
-        rig.feed(Event::Workers { kind, workers });
+        rig.feed(Event::Endpoints { update: kind, workers });
         start.elapsed()
     };
-    let rounds: Vec<_> = (0..10).map(|_| (cost(ListKind::Changes), cost(ListKind::Full))).collect();
+    let rounds: Vec<_> =
+        (0..10).map(|_| (cost(EndpointUpdate::Delta), cost(EndpointUpdate::Snapshot))).collect();
     let changes = rounds.iter().map(|r| r.0).min().unwrap();
     let whole = rounds.iter().map(|r| r.1).min().unwrap();
     assert!(whole < changes * 20, "{changes:?} for 10,000 changes, {whole:?} for a list of as many");
@@ -286,14 +292,14 @@
 #[test]
 fn a_start_that_the_list_puts_into_the_future_keeps_nobody_cold_for_longer() {
     let mut rig = Rig::new(settings(), fleet());
-    let ahead = Worker { started: Some(rig.now + secs(3_600.0)), ..worker("w9", Role::Writer, 0) };
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![ahead] });
+    let ahead = Worker { started: Some(rig.now + secs(3_600.0)), ..worker("w9", Role::Decode, 0) };
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![ahead] });
     rig.wait(11.0);
     let to = |rig: &mut Rig, i: usize| {
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
         rig.wait(0.01);
-        let to = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let to = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         rig.stream(&id, 1);
         to
     };
@@ -309,16 +315,16 @@
         // A day of 1,440 minutes, in each a worker that was never seen before comes and another goes.
         for minute in 0..1_440_u64 {
             let n = day * 1_440 + minute;
-            let fresh = worker(&format!("w{}", n + 10), Role::Writer, n % 2);
+            let fresh = worker(&format!("w{}", n + 10), Role::Decode, n % 2);
             let fresh = Worker { started: Some(rig.now), ..fresh };
-            let gone = worker(&format!("w{}", n + 5), Role::Writer, 0);
-            let gone = Worker { lifecycle: Lifecycle::Out, ..gone };
-            rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![fresh, gone] });
+            let gone = worker(&format!("w{}", n + 5), Role::Decode, 0);
+            let gone = Worker { lifecycle: Lifecycle::Removed, ..gone };
+            rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![fresh, gone] });
             let id = format!("{n}");
             let mut actions = rig.ask(&id, &format!("s{}", n % 7), FREE, LONG);
             let reads = sent(&actions).unwrap().0.starts_with('r');
             if reads {
-                actions.extend(rig.end(&id, 0, Outcome::Parsed, 0));
+                actions.extend(rig.end(&id, 0, Outcome::Prefilled, 0));
             }
             rig.stream(&id, u32::from(reads));
             actions.extend(rig.end(&id, u32::from(reads), Outcome::Served, 0));
@@ -340,7 +346,7 @@
     for i in 0..40 {
         let id = format!("{i}");
         let asked = rig.ask(&id, &id, FREE, if i % 2 == 0 { LONG } else { u64::MAX });
-        rig.end(&id, 0, if i % 3 == 0 { Outcome::TimedOut } else { Outcome::Parsed }, u64::MAX);
+        rig.end(&id, 0, if i % 3 == 0 { Outcome::TimedOut } else { Outcome::Prefilled }, u64::MAX);
         rig.fire(&asked);
     }
 }
@@ -352,7 +358,7 @@
         let mut rig = Rig::new(settings(), fleet());
         rig.wait(0.1);
         rig.ask("a", "s", FREE, LONG);
-        let writer = sent(&rig.end("a", 0, Outcome::Parsed, kept)).unwrap().0;
+        let writer = sent(&rig.end("a", 0, Outcome::Prefilled, kept)).unwrap().0;
         rig.stream("a", 1);
         rig.end("a", 1, Outcome::Served, kept);
         // The next turn adds little, and is read at home, whose count is again beyond the prompt.
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -9,7 +9,7 @@
 use self::named::{bad_day, S};
 pub use self::named::{base, budgets, make, restart_scenario, Restarts};
 use crate::engine::Make;
-use crate::record::{Class, Figures};
+use crate::record::{Class, RuleLimits};
 
 /// An engine of the fleet.
 #[derive(Debug, Clone)]
@@ -63,8 +63,8 @@
 
 /// Which links a fault strikes; of engines' those of the engines in [`Fault::on`], all of them if none is named.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Links {
-    pub of: LinkOf,
+pub struct LinkSelector {
+    pub of: LinkScope,
     /// Routers by place; none named: all.
     pub routers: Vec<usize>,
 }
@@ -72,7 +72,7 @@
 /// What links lead to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LinkOf {
+pub enum LinkScope {
     /// Clients.
     Clients,
     /// Engines.
@@ -182,7 +182,7 @@
     /// How hard: a factor, or a share, by kind.
     pub size: f64,
     /// Of faults of links: which.
-    pub links: Option<Links>,
+    pub links: Option<LinkSelector>,
 }
 
 /// A day.
@@ -200,7 +200,7 @@
     pub rate: f64,
     /// The register tells of changes after this.
     pub notice: u64,
-    pub figures: Figures,
+    pub limits: RuleLimits,
     pub faults: Vec<Fault>,
     /// Thousandths by which engines count more prompt tokens than a token for four bytes, at most.
     pub counts_more: u64,
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -15,7 +15,7 @@
 
 /// A worker that is not known any more.
 const GONE: Target =
-    Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Out };
+    Target { role: p::Role::Combined, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Removed };
 
 /// How long an attempt may take, as the module says; none: as long as its request, or as connections usually may.
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
     at: At,
     conn: Option<ConnId>,
     elapsed: Micros,
-    report: Option<p::Report>,
+    report: Option<p::LoadReport>,
     kept: u64,
     /// Its answer was the one that went to the client.
     won: bool,
@@ -40,7 +40,13 @@
 
 impl Core {
     /// Begins an attempt, if the request's obligations permit it; it is given up in any case at the request's deadline.
-    pub(super) fn send(&mut self, id: &RequestId, worker: WorkerId, limits: AttemptLimits, care: p::Care) {
+    pub(super) fn send(
+        &mut self,
+        id: &RequestId,
+        worker: WorkerId,
+        limits: AttemptLimits,
+        care: p::AttemptKind,
+    ) {
         let target = self.engines.get(&worker).map_or(GONE, Engine::target);
         let Some(job) = self.jobs.get_mut(id) else { return };
         let permit = job.obligations(&self.config.policy).may_send(self.now, &target);
@@ -187,7 +193,7 @@
     pub(super) fn end_attempt(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, kept: u64) {
         let Some(mut ended) = self.mark_ended(id, no, outcome, kept) else { return };
         self.record_end(id, no, outcome, &ended);
-        if outcome == (Outcome::Refused { no_state: true }) {
+        if outcome == (Outcome::Rejected { no_state: true }) {
             self.take_held(id);
         } else if ended.at == At::Pull && proves_arrival(outcome) {
             self.restart_held(id);
@@ -195,7 +201,7 @@
         if let Some(conn) = ended.conn.take() {
             self.abort_link(conn);
         }
-        let took = ended.won || matches!(outcome, Outcome::Served | Outcome::Refused { no_state: true });
+        let took = ended.won || matches!(outcome, Outcome::Served | Outcome::Rejected { no_state: true });
         if ended.at == At::Pull && !took {
             self.release_again(id);
         }
@@ -240,7 +246,7 @@
     fn record_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: &EndedAttempt) {
         let name = outcome_name(outcome);
         increment(self.counters.attempts(ended.at), name);
-        if matches!(outcome, Outcome::Served | Outcome::Parsed) {
+        if matches!(outcome, Outcome::Served | Outcome::Prefilled) {
             return;
         }
         let about =
@@ -269,7 +275,15 @@
     fn report_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: EndedAttempt) {
         let EndedAttempt { worker, at, elapsed, report, kept, .. } = ended;
         let over = self.jobs.get(id).is_none_or(Job::over);
-        let verdict = Event::Verdict { id: id.clone(), attempt: no, outcome, elapsed, over, kept, report };
+        let verdict = Event::AttemptOutcome {
+            id: id.clone(),
+            attempt: no,
+            outcome,
+            elapsed,
+            request_ended: over,
+            cached_tokens: kept,
+            report,
+        };
         // A read that ended otherwise may have left state behind; a client's leaving is no reason to hold it.
         let state_left = matches!(
             outcome,
@@ -293,7 +307,7 @@
     fn release_awaited_until(&self, id: &RequestId) -> Option<Micros> {
         let job = self.jobs.get(id).filter(|j| !j.over() && self.config.dialect.is_some())?;
         let class = self.config.policy.classes.get(job.request.class.0);
-        let once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
         let tick = self.config.policy.tick;
         let by = (self.now + self.config.waits.connect).min(job.request.deadline - tick - tick - tick);
         (once && by > self.now).then_some(by)
--- a/crates/settings/src/budgets/limits.rs
+++ b/crates/settings/src/budgets/limits.rs
@@ -67,7 +67,7 @@
     };
     let lowered = known.classes.iter().filter(|(name, _)| class.is_none_or(|class| class == *name));
     for (name, from) in lowered {
-        if from.effect != to.effect {
+        if from.retry_safety != to.retry_safety {
             let message = format!(
                 "class `{lower_class}` has another effect than `{name}`, which would be lowered to it"
             );
