--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::{sync_channel, Receiver};
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -25,14 +25,16 @@
 use tracing::{info, warn};
 
 use crate::reload::Reloader;
-use crate::{logs, Format, Trouble};
+use crate::{logs, CommandError, Format};
 
 /// Longest question.
 const LINE_BYTES: u64 = 64 * 1024;
 /// Longest answer that a command reads.
 const ANSWER_BYTES: u64 = 64 * 1024 * 1024;
-/// The loop has so long to answer, and a peer to ask.
+/// How long the loop may take to answer, and a peer to ask.
 const WAIT: Duration = Duration::from_secs(2);
+/// Pause after a connection could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What can be asked.
 #[derive(Debug, Serialize, Deserialize)]
@@ -69,60 +71,76 @@
     }
 }
 
-/// Listens on the control socket. One that a dead router has left is taken over; a living one's only by its
+/// Binds the control socket so that it is never open to others, not for a moment: it is made in a folder that only its
+/// owner can enter, then moved to its path.
+fn bind_private(path: &Path) -> std::io::Result<UnixListener> {
+    let folder = path.with_extension(format!("new-{}", std::process::id()));
+    std::fs::create_dir(&folder)?;
+    let bound = (|| {
+        std::fs::set_permissions(&folder, PermissionsExt::from_mode(0o700))?;
+        let inner = folder.join("s");
+        let listener = UnixListener::bind(&inner)?;
+        std::fs::set_permissions(&inner, PermissionsExt::from_mode(0o600))?;
+        std::fs::rename(&inner, path)?;
+        Ok(listener)
+    })();
+    let _ = std::fs::remove_dir(&folder);
+    bound
+}
+
+/// Listens on the control socket. The socket of a dead router is replaced; that of a running one only by its
 /// successor.
+///
+/// # Errors
+/// The socket can't be bound, or another router answers there.
 pub fn serve(
     path: &Path,
     handle: Handle,
     reloader: Arc<Reloader>,
     successor: bool,
-) -> Result<Server, Trouble> {
-    let wrong = |e: std::io::Error| Trouble::CouldNotRun(format!("control socket {}: {e}", path.display()));
+) -> Result<Server, CommandError> {
+    let failed =
+        |e: std::io::Error| CommandError::CouldNotRun(format!("control socket {}: {e}", path.display()));
     if !successor && UnixStream::connect(path).is_ok() {
-        return Err(Trouble::CouldNotRun(format!(
+        return Err(CommandError::CouldNotRun(format!(
             "control socket {}: another router answers there",
             path.display()
         )));
     }
-    // Bound in a folder of the owner's alone, then put in its place: it is never open to others, not for a moment.
-    let private = path.with_extension(format!("new-{}", std::process::id()));
-    std::fs::create_dir(&private).map_err(wrong)?;
-    let made = (|| {
-        std::fs::set_permissions(&private, PermissionsExt::from_mode(0o700))?;
-        let inner = private.join("s");
-        let listener = UnixListener::bind(&inner)?;
-        std::fs::set_permissions(&inner, PermissionsExt::from_mode(0o600))?;
-        std::fs::rename(&inner, path)?;
-        Ok(listener)
-    })();
-    let _ = std::fs::remove_dir(&private);
-    let listener = made.map_err(wrong)?;
+    let listener = bind_private(path).map_err(failed)?;
     let handed = Arc::new(AtomicBool::new(false));
     let (say, said) = sync_channel(1);
     let flag = handed.clone();
-    let listen = move || {
-        for stream in listener.incoming() {
-            match stream {
-                // One after the other: each has its bound in bytes and time.
-                Ok(stream) => {
-                    let talked = talk(&stream, &handle, &reloader, &flag);
-                    if let Err(e) = talked {
-                        warn!(target: "control", "{e}");
-                    }
-                    if flag.load(Ordering::SeqCst) {
-                        let _ = say.try_send(());
-                        return;
-                    }
-                }
-                Err(e) => {
+    let listen = move || answer_all(&listener, &handle, &reloader, &flag, &say);
+    std::thread::Builder::new().name("control".into()).spawn(listen).map_err(failed)?;
+    Ok(Server { path: path.into(), handed, said })
+}
+
+/// Answers one connection after the other, each bounded in bytes and time, until a successor has taken over.
+fn answer_all(
+    listener: &UnixListener,
+    handle: &Handle,
+    reloader: &Reloader,
+    handed: &AtomicBool,
+    say: &SyncSender<()>,
+) {
+    for stream in listener.incoming() {
+        match stream {
+            Ok(stream) => {
+                if let Err(e) = talk(&stream, handle, reloader, handed) {
                     warn!(target: "control", "{e}");
-                    std::thread::sleep(Duration::from_millis(50));
                 }
+                if handed.load(Ordering::SeqCst) {
+                    let _ = say.try_send(());
+                    return;
+                }
+            }
+            Err(e) => {
+                warn!(target: "control", "{e}");
+                std::thread::sleep(ACCEPT_PAUSE);
             }
         }
-    };
-    std::thread::Builder::new().name("control".into()).spawn(listen).map_err(wrong)?;
-    Ok(Server { path: path.into(), handed, said })
+    }
 }
 
 fn talk(
@@ -200,8 +218,9 @@
 }
 
 /// Takes over from the router that answers at a control socket.
-pub fn take_over(socket: &Path) -> Result<Taken, Trouble> {
-    let wrong = |e: std::io::Error| Trouble::CouldNotRun(format!("taking over at {}: {e}", socket.display()));
+pub fn take_over(socket: &Path) -> Result<Taken, CommandError> {
+    let wrong =
+        |e: std::io::Error| CommandError::CouldNotRun(format!("taking over at {}: {e}", socket.display()));
     let mut stream = UnixStream::connect(socket).map_err(wrong)?;
     stream.set_read_timeout(Some(WAIT * 3)).map_err(wrong)?;
     stream.write_all(b"{\"command\":\"take-over\"}\n").map_err(wrong)?;
@@ -222,10 +241,10 @@
     let said: Value = serde_json::from_str(first).map_err(|e| wrong(e.into()))?;
     let Some(listener) = listener else {
         let why = said.get("error").and_then(Value::as_str).unwrap_or("no listening socket came");
-        return Err(Trouble::CouldNotRun(format!("taking over at {}: {why}", socket.display())));
+        return Err(CommandError::CouldNotRun(format!("taking over at {}: {why}", socket.display())));
     };
     if !rest.is_empty() {
-        return Err(Trouble::CouldNotRun(format!(
+        return Err(CommandError::CouldNotRun(format!(
             "taking over at {}: more came than was asked",
             socket.display()
         )));
@@ -274,30 +293,36 @@
 }
 
 /// Asks a running router.
-pub fn ask(socket: &Path, call: &Call) -> Result<Value, Trouble> {
-    let wrong = |e: std::io::Error| Trouble::CouldNotRun(format!("control socket {}: {e}", socket.display()));
+pub fn ask(socket: &Path, call: &Call) -> Result<Value, CommandError> {
+    let wrong =
+        |e: std::io::Error| CommandError::CouldNotRun(format!("control socket {}: {e}", socket.display()));
     let mut stream = UnixStream::connect(socket).map_err(wrong)?;
     stream.set_read_timeout(Some(WAIT * 3)).map_err(wrong)?;
-    let line = serde_json::to_string(call).map_err(|e| Trouble::CouldNotRun(e.to_string()))?;
+    let line = serde_json::to_string(call).map_err(|e| CommandError::CouldNotRun(e.to_string()))?;
     stream.write_all(format!("{line}\n").as_bytes()).map_err(wrong)?;
     let mut answer = String::new();
     stream.take(ANSWER_BYTES).read_to_string(&mut answer).map_err(wrong)?;
-    serde_json::from_str(&answer).map_err(|e| Trouble::CouldNotRun(format!("{}: {e}", socket.display())))
+    serde_json::from_str(&answer).map_err(|e| CommandError::CouldNotRun(format!("{}: {e}", socket.display())))
 }
 
 /// One of the commands that speak to a running router; with `watch`, again after so many seconds, until it is gone.
-pub fn command(socket: &Path, call: &Call, format: Format, watch: Option<u64>) -> Result<ExitCode, Trouble> {
+pub fn command(
+    socket: &Path,
+    call: &Call,
+    format: Format,
+    watch: Option<u64>,
+) -> Result<ExitCode, CommandError> {
     loop {
         let answer = ask(socket, call)?;
         if let Some(why) = answer.get("error").and_then(Value::as_str) {
-            return Err(Trouble::CouldNotRun(why.into()));
+            return Err(CommandError::CouldNotRun(why.into()));
         }
         match format {
             Format::Json => println!("{answer}"),
             Format::Text => print!("{}", text(&answer)),
         }
         if answer.get("reloaded") == Some(&Value::Bool(false)) {
-            return Err(Trouble::BadInput(
+            return Err(CommandError::BadInput(
                 "not reloaded: some of this needs a successor (run --take-over)".into(),
             ));
         }
--- a/crates/daemon/src/fuzz_test.rs
+++ b/crates/daemon/src/fuzz_test.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes settings and control lines hold: an answer, never a panic, and each error has its place.
+//! Arbitrary settings and control lines give an answer, never a panic, and each error has its position.
 
 use proptest::prelude::*;
 
@@ -46,7 +46,7 @@
 
     /// Each value of the examples replaced by a word, or a piece cut out, or moved elsewhere.
     #[test]
-    fn settings(example in 0..2_usize, value in 0..200_usize, word in 0..16_usize, cut in any::<(u16, u16)>(), how in 0..3) {
+    fn altered_settings_are_read_or_refused_with_a_position(example in 0..2_usize, value in 0..200_usize, word in 0..16_usize, cut in any::<(u16, u16)>(), how in 0..3) {
         let xml = EXAMPLES[example];
         let changed = match how {
             0 => {
@@ -73,12 +73,12 @@
     }
 
     #[test]
-    fn anything_as_settings(text in ".{0,400}") {
+    fn arbitrary_text_as_settings_is_refused_with_a_position(text in ".{0,400}") {
         check(&text)?;
     }
 
     #[test]
-    fn control_lines(text in ".{0,200}", id in ".{0,40}") {
+    fn arbitrary_control_lines_are_parsed_without_a_panic(text in ".{0,200}", id in ".{0,40}") {
         let _ = serde_json::from_str::<Call>(&text);
         // What is written is read as the same.
         let line = serde_json::to_string(&Call::Trace { id: id.clone() }).unwrap();
--- a/crates/daemon/src/line_budget.rs
+++ b/crates/daemon/src/line_budget.rs
@@ -1,4 +1,4 @@
-//! A bound on log lines about single requests: so many a second, and a count of those that were left out.
+//! Limits the log lines about single requests to a number a second, and counts those that were left out.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 const LINES: u32 = 20;
 const SPAN: Duration = Duration::from_secs(1);
 
-/// What is left of a second's lines.
+/// The lines that may still be written in this second.
 #[derive(Debug)]
 pub struct LineBudget {
     since: Instant,
@@ -20,7 +20,8 @@
         Self { since: now, written: 0, left_out: 0 }
     }
 
-    /// Whether a line may be written; with it goes how many were left out since the last one.
+    /// Takes a line from the budget: the number of lines that were left out since the last one, or none when no line may
+    /// be written.
     pub fn take(&mut self, now: Instant) -> Option<u64> {
         if now.saturating_duration_since(self.since) >= SPAN {
             (self.since, self.written) = (now, 0);
--- a/crates/daemon/src/line_budget_test.rs
+++ b/crates/daemon/src/line_budget_test.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn so_many_lines_a_second_are_written_and_the_others_counted() {
+fn lines_beyond_the_limit_of_a_second_are_left_out_and_counted() {
     let start = Instant::now();
     let mut budget = LineBudget::new(start);
     let written = (0..500).filter(|_| budget.take(start).is_some()).count();
--- a/crates/daemon/src/notify.rs
+++ b/crates/daemon/src/notify.rs
@@ -1,10 +1,10 @@
-//! The supervisor's readiness protocol: datagrams of `NAME=VALUE` lines to the socket that `NOTIFY_SOCKET`
-//! names, as `sd_notify(3)` publishes it. Without the variable nothing is said.
+//! Readiness notifications to the supervisor: datagrams of `NAME=VALUE` lines to the socket in `NOTIFY_SOCKET`, as
+//! `sd_notify(3)` documents it. Without the variable nothing is sent.
 
 use std::os::linux::net::SocketAddrExt;
 use std::os::unix::net::{SocketAddr, UnixDatagram};
 
-/// Says a state; a supervisor that does not listen is no reason to fail.
+/// Sends a state. A supervisor that does not listen is logged, and otherwise ignored.
 pub fn say(state: &str) {
     let Some(place) = std::env::var_os("NOTIFY_SOCKET") else { return };
     let text = place.to_string_lossy();
