--- a/crates/settings/src/budgets/values.rs
+++ b/crates/settings/src/budgets/values.rs
@@ -12,14 +12,14 @@
 
 impl Value for Thousandths {
     fn parse(text: &str) -> Result<Self, ValueError> {
-        let (whole, decimals) = text.split_once('.').unwrap_or((text, ""));
+        let (integer, decimals) = text.split_once('.').unwrap_or((text, ""));
         let is_decimal = |digits: &str| digits.bytes().all(|b| b.is_ascii_digit());
-        if whole.is_empty() || decimals.len() > 3 || !is_decimal(whole) || !is_decimal(decimals) {
+        if integer.is_empty() || decimals.len() > 3 || !is_decimal(integer) || !is_decimal(decimals) {
             return Err(THOUSANDTHS.into());
         }
-        let whole: u32 = whole.parse().map_err(|_| THOUSANDTHS)?;
+        let integer: u32 = integer.parse().map_err(|_| THOUSANDTHS)?;
         let thousandths: u32 = format!("{decimals:0<3}").parse().map_err(|_| THOUSANDTHS)?;
-        let value = whole.checked_mul(1_000).and_then(|whole| whole.checked_add(thousandths));
+        let value = integer.checked_mul(1_000).and_then(|integer| integer.checked_add(thousandths));
         value.map(Self).ok_or_else(|| THOUSANDTHS.into())
     }
 }
