--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -59,21 +59,45 @@
     pub config: Config,
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("field `{field}`: `{text}` is no address with a port"))
+/// A configuration that can't be used: the field, and why.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The configuration is malformed, or a field is missing or of another type.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The same of the settings in it.
+    #[error("field `settings`: {0}")]
+    SettingsJson(#[source] serde_json::Error),
+    /// A value in the settings is unknown.
+    #[error("field `settings`: {0}")]
+    Settings(String),
+    /// A field holds no address.
+    #[error("field `{field}`: `{text}` is no address with a port")]
+    Address {
+        /// The field.
+        field: &'static str,
+        /// What it holds.
+        text: String,
+    },
+    /// Too few file descriptors for a router to serve.
+    #[error("field `limits.sockets`: under {SOCKETS_LEAST}")]
+    Sockets,
+    /// Too little memory for a router to serve.
+    #[error("field `limits.memory_mb`: under {MEMORY_LEAST_MB}")]
+    Memory,
 }
 
-fn wrong(e: &serde_json::Error) -> String {
-    e.to_string()
+fn address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::Address { field, text: text.to_owned() })
 }
 
 impl Limits {
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), ConfigError> {
         if self.sockets < SOCKETS_LEAST {
-            return Err(format!("field `limits.sockets`: under {SOCKETS_LEAST}"));
+            return Err(ConfigError::Sockets);
         }
         if !(self.memory_mb.is_finite() && self.memory_mb >= MEMORY_LEAST_MB) {
-            return Err(format!("field `limits.memory_mb`: under {MEMORY_LEAST_MB}"));
+            return Err(ConfigError::Memory);
         }
         Ok(())
     }
@@ -122,13 +146,16 @@
 }
 
 impl Started {
-    /// Reads the configuration. An error names the field and what is wrong with it.
-    pub fn read(text: &str) -> Result<Self, String> {
-        let file: File<'_> = serde_json::from_str(text).map_err(|e| wrong(&e))?;
+    /// Reads the configuration.
+    ///
+    /// # Errors
+    /// The first field that is wrong, and why.
+    pub fn read(text: &str) -> Result<Self, ConfigError> {
+        let file: File<'_> = serde_json::from_str(text)?;
         file.limits.check()?;
-        let params: wire::Params = serde_json::from_str(file.settings.get())
-            .map_err(|e| format!("field `settings`: {}", wrong(&e)))?;
-        let (policy, names) = translate::settings(&params).map_err(|e| format!("field `settings`: {e}"))?;
+        let params: wire::Params =
+            serde_json::from_str(file.settings.get()).map_err(ConfigError::SettingsJson)?;
+        let (policy, names) = translate::settings(&params).map_err(ConfigError::Settings)?;
         let ms = |n: u64| Micros(n * 1_000);
         let told = |s: Option<f64>, default: Micros| s.map_or(default, Micros::from_secs_f64);
         let idle = told(params.limits.conn_idle_s, ms(20_000));
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -8,5 +8,5 @@
 mod head;
 mod speak;
 
-pub use config::{Limits, Started};
+pub use config::{ConfigError, Limits, Started};
 pub use speak::Platform;
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_adapter::translate::Names;
-use chalkyard_platform::{Platform, Started};
+use chalkyard_platform::{ConfigError, Platform, Started};
 use chalkyard_policy::Micros;
 use chalkyard_proto::{Decoder, Part, Side};
 use chalkyard_router::dialect::{Dialect, Heard};
@@ -21,7 +21,7 @@
     })
 }
 
-fn with(change: impl Fn(&mut Value)) -> Result<Started, String> {
+fn with(change: impl Fn(&mut Value)) -> Result<Started, ConfigError> {
     let mut value = config();
     change(&mut value);
     Started::read(&value.to_string())
@@ -39,7 +39,7 @@
         ("name", |v| drop(v.as_object_mut().unwrap().remove("name"))),
     ];
     for (field, change) in cases {
-        let why = with(change).unwrap_err();
+        let why = with(change).unwrap_err().to_string();
         assert!(why.contains(field), "{field}: {why}");
     }
     assert!(Started::read("{").is_err());
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -167,7 +167,7 @@
     let told = |path: &str, value: Value| {
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         *config.pointer_mut(path).unwrap() = value;
-        Started::read(&config.to_string()).map(drop).unwrap_err()
+        Started::read(&config.to_string()).map(drop).unwrap_err().to_string()
     };
     assert_eq!(told("/listen", json!("here")), "field `listen`: `here` is no address with a port");
     assert_eq!(told("/discovery", json!("x")), "field `discovery`: `x` is no address with a port");
@@ -185,5 +185,8 @@
         told("/settings", json!({})),
         "field `settings`: missing field `balancers` at line 1 column 2"
     );
-    assert_eq!(Started::read("{").map(drop).unwrap_err(), "EOF while parsing an object at line 1 column 1");
+    assert_eq!(
+        Started::read("{").map(drop).unwrap_err().to_string(),
+        "EOF while parsing an object at line 1 column 1"
+    );
 }
