--- a/crates/fleet/src/cases.rs
+++ b/crates/fleet/src/cases.rs
@@ -78,7 +78,7 @@
             small.iter().map(move |e| EngineSpec {
                 id: format!("{}-{n}", e.id),
                 cell: e.cell + n as u64 * 10,
-                make: e.make,
+                model: e.model,
             })
         })
         .collect();
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -101,9 +101,9 @@
         keys: KeyRing::new([0; 32]),
         zones: [("yard".to_owned(), p::ZoneId(0))].into(),
         kinds: [
-            (Role::Reader.name().to_owned(), kind(p::Role::Reader, 200_000)),
-            (Role::Writer.name().to_owned(), kind(p::Role::Writer, 120_000)),
-            (Role::Mixed.name().to_owned(), kind(p::Role::Mixed, 160_000)),
+            (Role::Prefill.name().to_owned(), kind(p::Role::Reader, 200_000)),
+            (Role::Decode.name().to_owned(), kind(p::Role::Writer, 120_000)),
+            (Role::Combined.name().to_owned(), kind(p::Role::Mixed, 160_000)),
         ]
         .into(),
         register: Some(register),
--- a/crates/rehearsal/src/audit/trace.rs
+++ b/crates/rehearsal/src/audit/trace.rs
@@ -144,7 +144,7 @@
         match &line.event {
             Event::Fault { name, on, links, begins: true } if name.starts_with("link_") => {
                 // A fault that names no peers may concern all of them.
-                let to_clients = !matches!(links, Some(LinkScope::Engines | LinkScope::Register));
+                let to_clients = !matches!(links, Some(LinkScope::Engines | LinkScope::Discovery));
                 let engines = on.split_whitespace().collect();
                 self.links.push(LinkFault { name, engines, to_clients, from: line.t, until: u64::MAX });
             }
--- a/crates/rehearsal/src/engine.rs
+++ b/crates/rehearsal/src/engine.rs
@@ -1,88 +1,120 @@
-//! The model of one engine, without sockets: slots, queue, KV memory, kept text, steps, cold start.
+//! The model of one inference engine, without sockets: slots, queue, KV memory, prefix cache, steps, cold start.
 
 use std::collections::{BTreeMap, VecDeque};
 
 /// What an engine does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    Reader,
-    Writer,
-    Mixed,
+    /// Prefill; `reader` in settings and records.
+    Prefill,
+    /// Decode; `writer` in settings and records.
+    Decode,
+    /// Both; `mixed` in settings and records.
+    Combined,
 }
 
 impl Role {
+    /// As settings and records name it.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Reader => "reader",
-            Self::Writer => "writer",
-            Self::Mixed => "mixed",
+            Self::Prefill => "reader",
+            Self::Decode => "writer",
+            Self::Combined => "mixed",
         }
     }
 }
 
-/// What kind of engine it is. Times in µs, text in tokens.
+/// The model of an engine. Times in µs, text in tokens.
 #[derive(Debug, Clone, Copy)]
-pub struct Make {
+pub struct EngineModel {
     pub role: Role,
     pub slots: usize,
     pub queue: usize,
     pub memory: u64,
-    pub read_per_s: f64,
+    pub prefill_per_s: f64,
     pub step_us: f64,
-    /// Added to a step for each answer being written.
+    /// Added to a step for each answer being generated.
     pub per_answer_us: f64,
     /// Requests a second that it can do when warm, by which its cold budget is counted.
     pub capacity_per_s: f64,
 }
 
-/// Tokens whose text is kept or forgotten together.
+/// Tokens that are cached or evicted together.
 pub const BLOCK: usize = 64;
-/// Bytes in a token of the stand-ins: their own count, not the router's estimate.
+/// Bytes in a token of the fake workers: their own count, not the router's estimate.
 pub const TOKEN_BYTES: usize = 4;
+/// Blocks that even the smallest engine can cache.
+const MIN_CACHED_BLOCKS: usize = 16;
+/// A prefill takes up to this many times a step's length at once.
+const PREFILL_CHUNK_STEPS: f64 = 4.0;
+/// Weight of the latest request in the average latency.
+const LATENCY_GAIN: f64 = 0.2;
+/// Slowest speed of an engine, as a share of its own.
+const MIN_SPEED: f64 = 0.01;
 
 /// Work at an engine.
 #[derive(Debug, Clone)]
 pub struct Work {
     /// Its number, chosen by the caller.
-    pub no: u64,
+    pub id: u64,
     pub prompt: u64,
     /// Hashes of the prompt's blocks, each with all before it.
     pub blocks: Vec<u64>,
-    /// Tokens of the answer; none: only read.
+    /// Tokens of the answer; none: prefill only.
     pub answer: Option<u64>,
-    /// State comes from elsewhere: it is there at that time.
-    pub arrives: Option<u64>,
+    /// KV state is fetched from elsewhere: it is there at that time.
+    pub state_arrives: Option<u64>,
 }
 
 #[derive(Debug)]
 struct Running {
     work: Work,
-    kept: u64,
-    to_read: f64,
-    written: u64,
+    cached: u64,
+    prefill_left: f64,
+    generated: u64,
 }
 
-/// What a step brought.
+/// What a step did.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The read is done, with so many tokens found kept.
-    Read { no: u64, kept: u64 },
-    /// Work has begun for good: its effect takes place.
-    Began { no: u64, kept: u64 },
+    /// A prefill is done, with so many tokens found in the cache.
+    PrefillDone { id: u64, cached: u64 },
+    /// A request has begun for good: its effect takes place.
+    Began { id: u64, cached: u64 },
     /// One more token; true: the last.
-    Token { no: u64, last: bool },
+    Token { id: u64, last: bool },
+}
+
+/// How far an engine is in use.
+#[derive(Debug, Clone, Copy)]
+pub struct Load {
+    /// Share of its slots.
+    pub slots: f64,
+    /// Share of its KV memory.
+    pub memory: f64,
+    pub in_flight: usize,
+    pub queued: usize,
+    pub waiting_tokens: u64,
+}
+
+/// KV state of a prefill that a decode has not fetched yet.
+#[derive(Debug, Clone, Copy)]
+struct Reservation {
+    tokens: u64,
+    at: u64,
 }
 
 #[derive(Debug)]
 pub struct Engine {
-    pub make: Make,
+    pub model: EngineModel,
     queue: VecDeque<Work>,
     running: Vec<Running>,
-    /// State of ended reads, by request.
-    held: BTreeMap<String, (u64, u64)>,
-    /// Kept blocks and when they were last used.
-    kept: BTreeMap<u64, u64>,
-    clock: u64,
+    /// By request.
+    reservations: BTreeMap<String, Reservation>,
+    /// Cached blocks and when they were last used.
+    cached_blocks: BTreeMap<u64, u64>,
+    /// Counts uses of the cache.
+    cache_clock: u64,
     pub started: u64,
     pub cold: bool,
     /// Faults: a divisor of its speed, and until when it stands still.
@@ -90,20 +122,20 @@
     pub paused_until: u64,
     pub hangs: bool,
     next_step: Option<u64>,
-    /// Recent times to the end of a read or the first token, µs.
+    /// Recent times to the end of a prefill or the first token, µs.
     pub latency: f64,
-    waited: BTreeMap<u64, u64>,
+    enqueued_at: BTreeMap<u64, u64>,
 }
 
 impl Engine {
-    pub fn new(make: Make, now: u64, cold: bool) -> Self {
+    pub fn new(model: EngineModel, now: u64, cold: bool) -> Self {
         Self {
-            make,
+            model,
             queue: VecDeque::new(),
             running: Vec::new(),
-            held: BTreeMap::new(),
-            kept: BTreeMap::new(),
-            clock: 0,
+            reservations: BTreeMap::new(),
+            cached_blocks: BTreeMap::new(),
+            cache_clock: 0,
             started: now,
             cold,
             slow: 1.0,
@@ -111,7 +143,7 @@
             hangs: false,
             next_step: None,
             latency: 0.0,
-            waited: BTreeMap::new(),
+            enqueued_at: BTreeMap::new(),
         }
     }
 
@@ -125,179 +157,208 @@
     }
 
     fn memory_used(&self) -> u64 {
-        let running: u64 = self.running.iter().map(|r| r.work.prompt + r.written).sum();
-        running + self.held.values().map(|(tokens, _)| tokens).sum::<u64>()
+        let running: u64 = self.running.iter().map(|r| r.work.prompt + r.generated).sum();
+        running + self.reservations.values().map(|r| r.tokens).sum::<u64>()
     }
 
     pub fn is_full(&self) -> bool {
-        self.queue.len() >= self.make.queue
+        self.queue.len() >= self.model.queue
     }
 
-    pub fn load(&self) -> (f64, f64, usize, usize, u64) {
-        let slots = self.running.len() as f64 / self.make.slots.max(1) as f64;
-        let memory = self.memory_used() as f64 / self.make.memory.max(1) as f64;
-        let waiting = self.queue.iter().map(|w| w.prompt).sum::<u64>();
-        (slots.min(1.0), memory.min(1.0), self.running.len() + self.held.len(), self.queue.len(), waiting)
+    pub fn load(&self) -> Load {
+        let slots = self.running.len() as f64 / self.model.slots.max(1) as f64;
+        let memory = self.memory_used() as f64 / self.model.memory.max(1) as f64;
+        Load {
+            slots: slots.min(1.0),
+            memory: memory.min(1.0),
+            in_flight: self.running.len() + self.reservations.len(),
+            queued: self.queue.len(),
+            waiting_tokens: self.queue.iter().map(|w| w.prompt).sum(),
+        }
     }
 
-    /// Of what it can do, the part in use: a reader's time, the slots of one that writes.
+    /// The part of its capacity in use: the time of a prefill engine, the slots of the others.
     pub fn used(&self) -> f64 {
-        match self.make.role {
-            Role::Reader => f64::from(u8::from(!self.running.is_empty())),
-            _ => self.running.len() as f64 / self.make.slots.max(1) as f64,
+        match self.model.role {
+            Role::Prefill => f64::from(u8::from(!self.running.is_empty())),
+            Role::Decode | Role::Combined => self.running.len() as f64 / self.model.slots.max(1) as f64,
         }
     }
 
-    pub fn take(&mut self, now: u64, work: Work) {
-        self.waited.insert(work.no, now);
+    pub fn enqueue(&mut self, now: u64, work: Work) {
+        self.enqueued_at.insert(work.id, now);
         self.queue.push_back(work);
-        self.wake(now);
+        self.schedule_step(now);
     }
 
-    fn wake(&mut self, now: u64) {
+    fn schedule_step(&mut self, now: u64) {
         if self.next_step.is_none() {
-            self.next_step = Some(now + self.make.step_us as u64);
+            self.next_step = Some(now + self.model.step_us as u64);
         }
     }
 
     /// Drops work whose caller is gone.
-    pub fn drop_work(&mut self, no: u64) {
-        self.queue.retain(|w| w.no != no);
-        self.running.retain(|r| r.work.no != no);
-        self.waited.remove(&no);
+    pub fn drop_work(&mut self, id: u64) {
+        self.queue.retain(|w| w.id != id);
+        self.running.retain(|r| r.work.id != id);
+        self.enqueued_at.remove(&id);
     }
 
-    pub fn hold(&mut self, request: &str, tokens: u64, now: u64) {
-        self.held.insert(request.into(), (tokens, now));
+    pub fn reserve(&mut self, request: &str, tokens: u64, now: u64) {
+        self.reservations.insert(request.into(), Reservation { tokens, at: now });
     }
 
-    pub fn free(&mut self, request: &str, now: u64) -> bool {
-        self.wake(now);
-        self.held.remove(request).is_some()
+    /// Releases a request's state; returns whether there was any.
+    pub fn release(&mut self, request: &str, now: u64) -> bool {
+        self.schedule_step(now);
+        self.reservations.remove(request).is_some()
     }
 
-    pub fn holds(&self, request: &str) -> Option<u64> {
-        self.held.get(request).map(|(tokens, _)| *tokens)
+    pub fn has_reserved(&self, request: &str) -> bool {
+        self.reservations.contains_key(request)
     }
 
-    /// Requests whose state has been held since before `since`.
-    pub fn held_since(&self, since: u64) -> Vec<String> {
-        self.held.iter().filter(|(_, (_, at))| *at < since).map(|(r, _)| r.clone()).collect()
+    /// Requests whose state was reserved before this time.
+    pub fn reserved_before(&self, time: u64) -> Vec<String> {
+        let before = self.reservations.iter().filter(|(_, reservation)| reservation.at < time);
+        before.map(|(request, _)| request.clone()).collect()
     }
 
-    pub fn forget_text(&mut self) {
-        self.kept.clear();
+    pub fn flush_cache(&mut self) {
+        self.cached_blocks.clear();
     }
 
     pub fn next_due(&self) -> Option<u64> {
         self.next_step.map(|at| at.max(self.paused_until)).filter(|_| !self.hangs)
     }
 
-    fn found(&mut self, blocks: &[u64]) -> u64 {
-        self.clock += 1;
-        let mut found = 0;
-        for b in blocks {
-            match self.kept.get_mut(b) {
-                Some(used) => *used = self.clock,
+    /// Tokens of a prompt's beginning that are cached.
+    fn cached_prefix(&mut self, blocks: &[u64]) -> u64 {
+        self.cache_clock += 1;
+        let mut cached = 0;
+        for block in blocks {
+            match self.cached_blocks.get_mut(block) {
+                Some(used) => *used = self.cache_clock,
                 None => break,
             }
-            found += BLOCK as u64;
+            cached += BLOCK as u64;
         }
-        found
+        cached
     }
 
-    fn keep(&mut self, blocks: &[u64]) {
-        self.clock += 1;
-        for b in blocks {
-            self.kept.insert(*b, self.clock);
+    fn cache(&mut self, blocks: &[u64]) {
+        self.cache_clock += 1;
+        for block in blocks {
+            self.cached_blocks.insert(*block, self.cache_clock);
         }
-        let most = (self.make.memory as usize / BLOCK).max(16);
-        if self.kept.len() > most {
-            // The older half goes at once, so that this is seldom done.
-            let mut ages: Vec<u64> = self.kept.values().copied().collect();
+        let limit = (self.model.memory as usize / BLOCK).max(MIN_CACHED_BLOCKS);
+        if self.cached_blocks.len() > limit {
+            // The older half is evicted at once, so that this is rarely done.
+            let mut ages: Vec<u64> = self.cached_blocks.values().copied().collect();
             ages.sort_unstable();
-            let cut = ages.get(ages.len() / 2).copied().unwrap_or(0);
-            self.kept.retain(|_, used| *used > cut);
+            let median = ages.get(ages.len() / 2).copied().unwrap_or(0);
+            self.cached_blocks.retain(|_, used| *used > median);
         }
     }
 
     /// One step, if it is due.
     pub fn step(&mut self, now: u64, warmth: f64) -> Vec<Progress> {
-        let mut out = Vec::new();
+        let mut progress = Vec::new();
         if self.next_due().is_none_or(|at| at > now) {
-            return out;
+            return progress;
         }
-        self.admit(now, &mut out);
-        let speed = (warmth / self.slow.max(0.01)).max(0.01);
-        let writing = self.running.iter().filter(|r| r.to_read <= 0.0).count() as f64;
-        let mut length = self.make.step_us + self.make.per_answer_us * writing;
-        // A writer that reads by itself holds up its answers: one chunk a step, first come first.
-        let chunk = self.make.read_per_s * 4.0 * self.make.step_us / 1e6;
+        self.admit(now, &mut progress);
+        let speed = (warmth / self.slow.max(MIN_SPEED)).max(MIN_SPEED);
+        let generating = self.running.iter().filter(|r| r.prefill_left <= 0.0).count() as f64;
+        let mut length = self.model.step_us + self.model.per_answer_us * generating;
+        length += self.prefill_chunk() / self.model.prefill_per_s * 1e6;
+        let done = self.generate(&mut progress);
+        self.measure_latency(now);
+        self.finish(&done);
+        let busy = !self.running.is_empty() || !self.queue.is_empty();
+        self.next_step = busy.then(|| now + (length / speed) as u64);
+        progress
+    }
+
+    /// Prefills one chunk, first come first; returns its tokens. A decode engine that prefills holds up its answers.
+    fn prefill_chunk(&mut self) -> f64 {
+        let chunk = self.model.prefill_per_s * PREFILL_CHUNK_STEPS * self.model.step_us / 1e6;
         let mut budget = chunk;
-        for r in self.running.iter_mut().filter(|r| r.to_read > 0.0) {
-            let read = r.to_read.min(budget);
-            budget -= read;
-            r.to_read -= read;
+        for running in self.running.iter_mut().filter(|r| r.prefill_left > 0.0) {
+            let tokens = running.prefill_left.min(budget);
+            budget -= tokens;
+            running.prefill_left -= tokens;
         }
-        length += (chunk - budget) / self.make.read_per_s * 1e6;
+        chunk - budget
+    }
+
+    /// Generates a token of each answer whose prefill is done; returns the work that is done.
+    fn generate(&mut self, progress: &mut Vec<Progress>) -> Vec<u64> {
         let mut done = Vec::new();
-        for r in self.running.iter_mut().filter(|r| r.to_read <= 0.0) {
-            let no = r.work.no;
-            match r.work.answer {
+        for running in self.running.iter_mut().filter(|r| r.prefill_left <= 0.0) {
+            let id = running.work.id;
+            match running.work.answer {
                 None => {
-                    out.push(Progress::Read { no, kept: r.kept });
-                    done.push(no);
+                    progress.push(Progress::PrefillDone { id, cached: running.cached });
+                    done.push(id);
                 }
                 Some(answer) => {
-                    r.written += 1;
-                    let last = r.written >= answer;
-                    out.push(Progress::Token { no, last });
+                    running.generated += 1;
+                    let last = running.generated >= answer;
+                    progress.push(Progress::Token { id, last });
                     if last {
-                        done.push(no);
+                        done.push(id);
                     }
                 }
             }
         }
-        for r in self.running.iter().filter(|r| r.written <= 1 && r.to_read <= 0.0) {
-            if let Some(since) = self.waited.remove(&r.work.no) {
-                self.latency += 0.2 * ((now - since) as f64 - self.latency);
+        done
+    }
+
+    /// Measures those whose prefill or first token has just ended.
+    fn measure_latency(&mut self, now: u64) {
+        for running in self.running.iter().filter(|r| r.generated <= 1 && r.prefill_left <= 0.0) {
+            if let Some(since) = self.enqueued_at.remove(&running.work.id) {
+                self.latency += LATENCY_GAIN * ((now - since) as f64 - self.latency);
             }
         }
-        let ended: Vec<Vec<u64>> = {
-            let gone = self.running.iter().filter(|r| done.contains(&r.work.no));
-            gone.map(|r| r.work.blocks.clone()).collect()
-        };
-        self.running.retain(|r| !done.contains(&r.work.no));
-        for blocks in ended {
-            self.keep(&blocks);
+    }
+
+    fn finish(&mut self, done: &[u64]) {
+        let is_done = |running: &Running| done.contains(&running.work.id);
+        let prompts: Vec<Vec<u64>> =
+            self.running.iter().filter(|r| is_done(r)).map(|r| r.work.blocks.clone()).collect();
+        self.running.retain(|r| !is_done(r));
+        for blocks in prompts {
+            self.cache(&blocks);
         }
-        let busy = !self.running.is_empty() || !self.queue.is_empty();
-        self.next_step = busy.then(|| now + (length / speed) as u64);
-        out
     }
 
-    fn admit(&mut self, now: u64, out: &mut Vec<Progress>) {
-        while self.running.len() < self.make.slots {
-            let room = self.make.memory.saturating_sub(self.memory_used());
-            let ready = |w: &Work| w.arrives.is_none_or(|at| at <= now) && w.prompt <= room;
-            let Some(at) = self.queue.iter().position(ready) else { return };
-            let Some(work) = self.queue.remove(at) else { return };
-            let kept =
-                if work.arrives.is_some() { work.prompt } else { self.found(&work.blocks).min(work.prompt) };
+    /// Begins queued work while there are slots and memory for it.
+    fn admit(&mut self, now: u64, progress: &mut Vec<Progress>) {
+        while self.running.len() < self.model.slots {
+            let available = self.model.memory.saturating_sub(self.memory_used());
+            let is_ready = |w: &Work| w.state_arrives.is_none_or(|at| at <= now) && w.prompt <= available;
+            let Some(next) = self.queue.iter().position(is_ready) else { return };
+            let Some(work) = self.queue.remove(next) else { return };
+            let cached = match work.state_arrives {
+                Some(_) => work.prompt,
+                None => self.cached_prefix(&work.blocks).min(work.prompt),
+            };
             if work.answer.is_some() {
-                out.push(Progress::Began { no: work.no, kept });
+                progress.push(Progress::Began { id: work.id, cached });
             }
-            let to_read = (work.prompt - kept) as f64;
-            self.running.push(Running { work, kept, to_read, written: 0 });
+            let prefill_left = (work.prompt - cached) as f64;
+            self.running.push(Running { work, cached, prefill_left, generated: 0 });
         }
     }
 }
 
-/// Hashes of a prompt's blocks: two prompts share as many as they have the same beginning.
+/// Hashes of a prompt's blocks: two prompts share as many as they have the same prefix.
 pub fn blocks(prompt: &str) -> Vec<u64> {
     let mut hash = 0;
-    let whole = prompt.as_bytes().chunks_exact(BLOCK * TOKEN_BYTES);
-    whole
+    let complete = prompt.as_bytes().chunks_exact(BLOCK * TOKEN_BYTES);
+    complete
         .map(|block| {
             hash = xxhash_rust::xxh3::xxh3_64_with_seed(block, hash);
             hash
--- a/crates/rehearsal/src/fault_schedule.rs
+++ b/crates/rehearsal/src/fault_schedule.rs
@@ -67,8 +67,8 @@
                     self.clients.volley(fault.size as usize, &mut self.net, &mut self.recorder);
                 }
             }
-            Kind::OriginSlow => self.fleet.links_slow = if begins { fault.size } else { 1.0 },
-            Kind::StaleList => self.fleet.stale = begins,
+            Kind::OriginSlow => self.workers.links_slow = if begins { fault.size } else { 1.0 },
+            Kind::StaleList => self.workers.stale = begins,
             _ => {
                 for engine in fault.on.iter().copied() {
                     self.apply_engine_fault(engine, fault, begins);
@@ -82,7 +82,7 @@
             Kind::BalancerRoll | Kind::HandOver | Kind::Reload => {
                 fault.on.iter().map(|i| format!("r{}", i + 1)).collect()
             }
-            _ => fault.on.iter().map(|i| self.fleet.id(*i)).collect(),
+            _ => fault.on.iter().map(|i| self.workers.id(*i)).collect(),
         };
         let links = fault.links.as_ref().map(|links| links.of);
         self.recorder.add(Event::Fault { name: fault.kind.name().into(), on: on.join(" "), links, begins });
@@ -105,19 +105,19 @@
         match fault.kind {
             Kind::Crash | Kind::MassRestart => {
                 if begins {
-                    self.fleet.crash(engine, false, &mut self.net, &mut self.recorder);
+                    self.workers.crash(engine, false, &mut self.net, &mut self.recorder);
                 } else {
-                    self.fleet.restart(engine, &mut self.net, &mut self.recorder);
+                    self.workers.restart(engine, &mut self.net, &mut self.recorder);
                 }
             }
-            Kind::Drain => self.fleet.drain(engine, begins, &mut self.recorder),
+            Kind::Drain => self.workers.drain(engine, begins, &mut self.recorder),
             Kind::Flush => {
-                if let Some(engine) = self.fleet.engine(engine).filter(|_| begins) {
-                    engine.forget_text();
+                if let Some(engine) = self.workers.engine(engine).filter(|_| begins) {
+                    engine.flush_cache();
                 }
             }
             Kind::Slow | Kind::Hang => {
-                if let Some(engine) = self.fleet.engine(engine) {
+                if let Some(engine) = self.workers.engine(engine) {
                     engine.hangs = begins && fault.kind == Kind::Hang;
                     engine.slow = if begins && fault.kind == Kind::Slow { fault.size } else { 1.0 };
                 }
@@ -129,10 +129,10 @@
     /// Faults that act while an engine handles a call.
     fn apply_call_fault(&mut self, engine: usize, fault: &Fault, begins: bool) {
         let size = if begins { fault.size } else { 0.0 };
-        if let Some(faults) = self.fleet.troubles(engine) {
+        if let Some(faults) = self.workers.faults(engine) {
             match fault.kind {
                 Kind::FastErrors => faults.errors = size,
-                Kind::AnswerLost => faults.lost = size,
+                Kind::AnswerLost => faults.answer_lost = size,
                 Kind::Pauses => faults.pauses = size,
                 Kind::Ageing => faults.ageing = size,
                 Kind::ReportLate => faults.report_late = begins,
@@ -140,7 +140,7 @@
             }
         }
         if fault.kind == Kind::Ageing && !begins {
-            if let Some(engine) = self.fleet.engine(engine) {
+            if let Some(engine) = self.workers.engine(engine) {
                 engine.slow = 1.0;
             }
         }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -12,8 +12,6 @@
 pub mod engine;
 mod fault_schedule;
 #[doc(hidden)]
-pub mod fleet;
-#[doc(hidden)]
 pub mod link_faults;
 #[doc(hidden)]
 pub mod network;
@@ -30,6 +28,8 @@
 pub mod soak;
 #[doc(hidden)]
 pub mod topology;
+#[doc(hidden)]
+pub mod workers;
 
 use std::path::PathBuf;
 
--- a/crates/rehearsal/src/link_faults.rs
+++ b/crates/rehearsal/src/link_faults.rs
@@ -25,7 +25,7 @@
         let peer = match (self.links.of, link.to) {
             (LinkScope::All, _)
             | (LinkScope::Clients, LinkPeer::Clients)
-            | (LinkScope::Register, LinkPeer::Register) => true,
+            | (LinkScope::Discovery, LinkPeer::Discovery) => true,
             (LinkScope::Engines, LinkPeer::Engine(i)) => engine(i),
             _ => false,
         };
--- a/crates/rehearsal/src/network.rs
+++ b/crates/rehearsal/src/network.rs
@@ -35,7 +35,7 @@
     /// The engine at this index of the scenario.
     Engine(usize),
     /// The register.
-    Register,
+    Discovery,
 }
 
 /// A link: all connections between one router and one peer.
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -7,8 +7,8 @@
 
 use self::bench_file::from_bench_file;
 use self::named::{bad_day, S};
-pub use self::named::{base, budgets, make, restart_scenario, Restarts};
-use crate::engine::Make;
+pub use self::named::{base, budgets, model, restart_scenario, Restarts};
+use crate::engine::EngineModel;
 use crate::record::{Class, RuleLimits};
 
 /// An engine of the fleet.
@@ -16,7 +16,7 @@
 pub struct EngineSpec {
     pub id: String,
     pub cell: u64,
-    pub make: Make,
+    pub model: EngineModel,
 }
 
 /// What can go wrong.
@@ -77,8 +77,9 @@
     Clients,
     /// Engines.
     Engines,
-    /// The register.
-    Register,
+    /// Discovery.
+    #[serde(rename = "register")]
+    Discovery,
     /// All of these.
     All,
 }
--- a/crates/rehearsal/src/scenario/named.rs
+++ b/crates/rehearsal/src/scenario/named.rs
@@ -4,40 +4,43 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{BudgetSpec, EngineSpec, Fault, Kind, Scenario, Sharing, TenantSpec};
-use crate::engine::{Make, Role};
+use crate::engine::{EngineModel, Role};
 use crate::record::{Class, RetrySafety, RuleLimits};
 
 pub(super) const S: u64 = 1_000_000;
 
 /// What an engine of a role is like in the kit's days.
-pub fn make(role: Role) -> Make {
+pub fn model(role: Role) -> EngineModel {
     let (slots, queue, memory, capacity_per_s) = match role {
-        Role::Reader => (6, 30, 200_000, 14.0),
-        Role::Writer => (40, 20, 120_000, 25.0),
-        Role::Mixed => (30, 20, 160_000, 10.0),
+        Role::Prefill => (6, 30, 200_000, 14.0),
+        Role::Decode => (40, 20, 120_000, 25.0),
+        Role::Combined => (30, 20, 160_000, 10.0),
     };
-    let (read_per_s, step_us, per_answer_us) = match role {
-        Role::Reader => (16_000.0, 8_000.0, 0.0),
-        Role::Writer => (7_000.0, 14_000.0, 150.0),
-        Role::Mixed => (9_000.0, 14_000.0, 150.0),
+    let (prefill_per_s, step_us, per_answer_us) = match role {
+        Role::Prefill => (16_000.0, 8_000.0, 0.0),
+        Role::Decode => (7_000.0, 14_000.0, 150.0),
+        Role::Combined => (9_000.0, 14_000.0, 150.0),
     };
-    Make { role, slots, queue, memory, read_per_s, step_us, per_answer_us, capacity_per_s }
+    EngineModel { role, slots, queue, memory, prefill_per_s, step_us, per_answer_us, capacity_per_s }
 }
 
 /// A small fleet without faults; `length` in µs.
 pub fn base(name: &str, seed: u64, length: u64) -> Scenario {
     let roles = [
-        ("read-a1", Role::Reader, 1),
-        ("read-a2", Role::Reader, 1),
-        ("read-b1", Role::Reader, 2),
-        ("write-a1", Role::Writer, 1),
-        ("write-a2", Role::Writer, 1),
-        ("write-b1", Role::Writer, 2),
-        ("write-b2", Role::Writer, 2),
-        ("mixed-b1", Role::Mixed, 2),
+        ("read-a1", Role::Prefill, 1),
+        ("read-a2", Role::Prefill, 1),
+        ("read-b1", Role::Prefill, 2),
+        ("write-a1", Role::Decode, 1),
+        ("write-a2", Role::Decode, 1),
+        ("write-b1", Role::Decode, 2),
+        ("write-b2", Role::Decode, 2),
+        ("mixed-b1", Role::Combined, 2),
     ];
-    let engines =
-        roles.iter().map(|(id, role, cell)| EngineSpec { id: (*id).into(), cell: *cell, make: make(*role) });
+    let engines = roles.iter().map(|(id, role, cell)| EngineSpec {
+        id: (*id).into(),
+        cell: *cell,
+        model: model(*role),
+    });
     let class = |name: &str, effect, window, aim, deadline, worth| Class {
         name: name.into(),
         retry_safety: effect,
@@ -134,7 +137,7 @@
     scenario.rate = 60.0;
     scenario.counts_more = 180;
     for e in &mut scenario.engines {
-        (e.make.slots, e.make.queue) = (e.make.slots * 2, e.make.queue * 4);
+        (e.model.slots, e.model.queue) = (e.model.slots * 2, e.model.queue * 4);
     }
     // Somewhat less than each tenant will ask for, so that what strands shows: conversations grow with the day.
     let each = (160 + 5 * seconds).min(330);
@@ -220,9 +223,9 @@
 pub(super) fn strike(kind: Kind, size: f64, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<usize> {
     match kind {
         Kind::MassRestart => {
-            let role = if rng.random_bool(0.5) { Role::Reader } else { Role::Writer };
+            let role = if rng.random_bool(0.5) { Role::Prefill } else { Role::Decode };
             (0..scenario.engines.len())
-                .filter(|i| scenario.engines.get(*i).is_some_and(|e| e.make.role == role))
+                .filter(|i| scenario.engines.get(*i).is_some_and(|e| e.model.role == role))
                 .collect()
         }
         Kind::Flush => (0..scenario.engines.len()).collect(),
--- a/crates/rehearsal/src/topology.rs
+++ b/crates/rehearsal/src/topology.rs
@@ -7,11 +7,11 @@
 
 use crate::clients::Clients;
 use crate::fault_schedule::FaultSchedule;
-use crate::fleet::Fleet;
 use crate::link_faults::FaultyNetwork;
 use crate::network::{Network, NetworkEvent};
 use crate::record::{Event, Recorder};
 use crate::scenario::{Fault, Scenario};
+use crate::workers::FakeWorkers;
 use crate::Error;
 
 /// How long answers are awaited after the last arrival, µs.
@@ -28,7 +28,7 @@
     /// The recorded traffic.
     pub recorder: Recorder,
     /// Fake workers and discovery.
-    pub fleet: Fleet,
+    pub workers: FakeWorkers,
     /// Clients.
     pub clients: Clients,
     /// When faults begin and end.
@@ -56,11 +56,11 @@
         });
         let rng = |n: u64| ChaCha8Rng::seed_from_u64(scenario.seed.wrapping_mul(0x9e37_79b9).wrapping_add(n));
         let mut net = FaultyNetwork::new(net, scenario);
-        let fleet = Fleet::new(scenario, &mut net, &mut recorder, unix, rng(1))?;
-        let (names, routers) = routers(&mut net.inner, &fleet.register)?;
+        let workers = FakeWorkers::new(scenario, &mut net, &mut recorder, unix, rng(1))?;
+        let (names, routers) = routers(&mut net.inner, &workers.discovery)?;
         let clients = Clients::new(scenario, names, rng(2));
         let faults = FaultSchedule::new(&scenario.faults);
-        Ok((Self { scenario, net, recorder, fleet, clients, faults, settled: None }, routers))
+        Ok((Self { scenario, net, recorder, workers, clients, faults, settled: None }, routers))
     }
 
     /// Sets the time, µs since the scenario began.
@@ -73,7 +73,7 @@
     pub fn tick(&mut self) -> bool {
         let events = self.net.tick();
         self.dispatch(events);
-        self.fleet.tick(&mut self.net, &mut self.recorder);
+        self.workers.tick(&mut self.net, &mut self.recorder);
         self.clients.tick(&mut self.net, &mut self.recorder);
         let now = self.recorder.now;
         if now > self.scenario.length && self.clients.is_done() && self.faults.is_over() {
@@ -86,7 +86,7 @@
     /// When [`Topology::tick`] is next needed, µs.
     pub fn next_due(&self) -> u64 {
         let end = self.settled.unwrap_or(u64::MAX);
-        let stand_ins = self.fleet.next_due().min(self.clients.next_due()).min(self.net.next_due());
+        let stand_ins = self.workers.next_due().min(self.clients.next_due()).min(self.net.next_due());
         stand_ins.min(self.faults.next_due()).min(end)
     }
 
@@ -105,7 +105,7 @@
         for event in events {
             match event {
                 NetworkEvent::Accepted(listener, conn) => {
-                    if !self.fleet.accepted(listener, conn, &mut self.recorder) {
+                    if !self.workers.accepted(listener, conn, &mut self.recorder) {
                         self.net.close(conn);
                     }
                 }
@@ -116,11 +116,11 @@
                     self.clients.bytes(conn, &bytes, &mut self.net, &mut self.recorder);
                 }
                 NetworkEvent::Received(conn, bytes) => {
-                    self.fleet.bytes(conn, &bytes, &mut self.net, &mut self.recorder)
+                    self.workers.bytes(conn, &bytes, &mut self.net, &mut self.recorder)
                 }
                 NetworkEvent::Closed(conn) => {
                     self.clients.closed(conn, &mut self.recorder);
-                    self.fleet.gone(conn, &mut self.recorder);
+                    self.workers.gone(conn, &mut self.recorder);
                 }
             }
         }
--- a/crates/rehearsal/src/fleet/register.rs
+++ b/crates/rehearsal/src/workers/discovery.rs
@@ -1,28 +1,28 @@
-//! The stand-in register: snapshots and changes told to routers that watch.
+//! Fake discovery: snapshots and watch events for the routers.
 
 use std::net::SocketAddr;
 
 use chalkyard_proto::{encode, sse, Head, Start};
 
-use super::{router_of, Change, Fleet};
+use super::{router_of, EndpointChange, FakeWorkers};
 use crate::network::{ConnectionId, Network};
 use crate::record::{Event, Recorder};
 
-impl Fleet {
-    /// As this router is told it: its address of an engine may be its own.
+impl FakeWorkers {
+    /// An endpoint as a router is notified of it: each router may have an address of its own for an engine.
     fn entry(&self, i: usize, state: &str, started: u64, router: &str) -> serde_json::Value {
-        let Some(host) = self.hosts.get(i) else { return serde_json::Value::Null };
+        let Some(worker) = self.workers.get(i) else { return serde_json::Value::Null };
         let place = router.trim_start_matches('r').parse::<usize>().unwrap_or(1).saturating_sub(1);
-        let address = host.addresses.get(place).or(host.addresses.first());
+        let address = worker.addresses.get(place).or(worker.addresses.first());
         let address = address.map_or_else(String::new, SocketAddr::to_string);
-        let started = if started > 0 { (self.unix + started) / 1_000 } else { 0 };
+        let started = if started > 0 { (self.epoch_us + started) / 1_000 } else { 0 };
         serde_json::json!({
-            "worker": host.id, "address": address, "zone": "yard", "cell": host.cell,
-            "kind": host.engine.make.role.name(), "state": state, "started_unix_ms": started,
+            "worker": worker.id, "address": address, "zone": "yard", "cell": worker.cell,
+            "kind": worker.engine.model.role.name(), "state": state, "started_unix_ms": started,
         })
     }
 
-    fn told(&self, router: &str, i: usize, state: &str, started: u64) -> Event {
+    fn notification(&self, router: &str, i: usize, state: &str, started: u64) -> Event {
         Event::Notified { router: router.into(), engine: self.id(i), state: state.into(), started }
     }
 
@@ -36,18 +36,18 @@
         let router = router_of(head);
         recorder.add(Event::EndpointsRequested { router: router.clone() });
         let workers: Vec<serde_json::Value> = self
-            .entries
+            .endpoints
             .iter()
             .map(|(i, (state, started))| self.entry(*i, state, *started, &router))
             .collect();
         let list = serde_json::json!({ "version": self.version, "workers": workers }).to_string();
         let streams = matches!(&head.start, Start::Request { target, .. } if target.contains("watch=1"));
-        for (i, (state, started)) in &self.entries {
-            recorder.add(self.told(&router, *i, state, *started));
+        for (i, (state, started)) in &self.endpoints {
+            recorder.add(self.notification(&router, *i, state, *started));
         }
-        // What is not in the list is gone.
-        for i in (0..self.hosts.len()).filter(|i| !self.entries.contains_key(i)) {
-            recorder.add(self.told(&router, i, "out", 0));
+        // What is not in the list is removed.
+        for i in (0..self.workers.len()).filter(|i| !self.endpoints.contains_key(i)) {
+            recorder.add(self.notification(&router, i, "out", 0));
         }
         if !streams {
             return net.send(
@@ -65,12 +65,12 @@
         }
     }
 
-    pub(super) fn publish(&mut self, change: Change, net: &mut dyn Network, recorder: &mut Recorder) {
-        let Change { engine: i, state, started, .. } = change;
+    pub(super) fn publish(&mut self, change: EndpointChange, net: &mut dyn Network, recorder: &mut Recorder) {
+        let EndpointChange { engine: i, state, started, .. } = change;
         if state == "out" {
-            self.entries.remove(&i);
+            self.endpoints.remove(&i);
         } else {
-            self.entries.insert(i, (state, started));
+            self.endpoints.insert(i, (state, started));
         }
         self.version += 1;
         for (conn, (_, router)) in &self.watchers {
@@ -82,7 +82,7 @@
                 let mut bytes = Vec::new();
                 encode::chunk(&mut bytes, &event);
                 net.send(*conn, &bytes);
-                recorder.add(self.told(router, i, state, started));
+                recorder.add(self.notification(router, i, state, started));
             }
         }
     }
--- a/crates/rehearsal/tests/forms.rs
+++ b/crates/rehearsal/tests/forms.rs
@@ -156,7 +156,7 @@
         Event::Router { router: "r1".into(), up: false },
         fault("crash", None, true),
     ]);
-    let links = [LinkScope::Clients, LinkScope::Engines, LinkScope::Register, LinkScope::All];
+    let links = [LinkScope::Clients, LinkScope::Engines, LinkScope::Discovery, LinkScope::All];
     event.extend(links.map(|of| fault("link_cut", Some(of), false)));
     event.into_iter().enumerate().map(|(i, event)| Line { t: i as u64 * 1_000, event }).collect()
 }
