--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod record;
 mod report;
 mod restart_scenario;
+mod router_settings;
 mod routers;
 mod runner;
 #[doc(hidden)]
--- a/crates/rehearsal/src/routers_test.rs
+++ b/crates/rehearsal/src/router_settings_test.rs
@@ -4,9 +4,16 @@
 use crate::scenario::{base, budgets};
 
 fn written(scenario: &Scenario) -> String {
-    let (listen, register) = (SocketAddr::from(([127, 0, 0, 1], 81)), SocketAddr::from(([127, 0, 0, 1], 82)));
     let hashes = ["aa".repeat(32), "bb".repeat(32), "cc".repeat(32)];
-    settings(scenario, "r2", listen, register, "/x/r2.list", &hashes, Path::new("/x"))
+    let router = RouterSpec {
+        name: "r2",
+        listen: SocketAddr::from(([127, 0, 0, 1], 81)),
+        discovery: SocketAddr::from(([127, 0, 0, 1], 82)),
+        list_file: "/x/r2.list",
+        key_hashes: &hashes,
+        folder: Path::new("/x"),
+    };
+    settings(scenario, &router)
 }
 
 #[test]
--- a/crates/rehearsal/src/routers.rs
+++ b/crates/rehearsal/src/routers.rs
@@ -10,25 +10,25 @@
 
 use socket2::{Domain, Socket, Type};
 
-use crate::record::RetrySafety;
-use crate::scenario::{Scenario, Sharing};
+use crate::router_settings::{settings, tenant_keys, RouterSpec};
+use crate::scenario::Scenario;
 
 pub struct Routers {
     exe: PathBuf,
     folder: PathBuf,
     pub names: Vec<(String, SocketAddr)>,
     /// Keep the routers' addresses.
-    _kept: Vec<Socket>,
+    _addresses: Vec<Socket>,
     children: Vec<Option<Child>>,
     settlement: Option<Child>,
-    /// Lives that were taken over from and end what they had taken.
-    ending: Vec<(usize, Child)>,
-    lives: u64,
+    /// Processes that were replaced by successors and finish what they had accepted.
+    draining: Vec<(usize, Child)>,
+    incarnations: u64,
 }
 
-/// An address kept for a router over its lives: bound here and never listened at, so that nobody else gets it, and
+/// An address reserved for a router over its incarnations: bound here and never listened at, so that nobody else gets it, and
 /// shared with the router.
-fn keep_address() -> io::Result<(Socket, SocketAddr)> {
+fn reserve_address() -> io::Result<(Socket, SocketAddr)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
@@ -37,155 +37,62 @@
     Ok((socket, address))
 }
 
-/// The key of the stand-in clients, and its hash under the salt of the settings below.
-const SALT: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
-
-fn settings(
-    scenario: &Scenario,
-    name: &str,
-    listen: SocketAddr,
-    register: SocketAddr,
-    list: &str,
-    key_hashes: &[String],
-    folder: &Path,
-) -> String {
-    let f = &scenario.limits;
-    let mut xml = format!(
-        r#"<chalkyard xmlns="urn:chalkyard:settings:1">
-  <router name="{name}" routers="{}" listen="{listen}" shared-port="true" register="{register}" list-file="{list}" drain="10s" control="{}/{name}.sock"/>
-  <rules release="{}us" fall-multiple="{}" fall-after="{}us" cold-from="{}" cold-for="{}us"
-         answer-slack="{}us" max-attempts="4" reports="in-answers" self-prefill="true"/>
-  <waits stream="5s" slow-client="2s" register="5s"/>
-  <zones><zone name="yard"/></zones>
-  <kinds>
-    <kind name="reader" role="reader" kv-tokens="200000"/>
-    <kind name="writer" role="writer" kv-tokens="120000"/>
-    <kind name="mixed" role="mixed" kv-tokens="160000"/>
-  </kinds>
-"#,
-        scenario.told_routers.map_or(scenario.routers, |n| n as usize),
-        folder.display(),
-        f.release_us,
-        f.fall_multiple,
-        f.fall_us,
-        f.cold_from,
-        f.cold_us,
-        f.slack_us
-    );
-    xml.push_str(&format!(
-        "  <classes default=\"{}\">\n",
-        scenario.classes.first().map_or("", |c| c.name.as_str())
-    ));
-    for c in &scenario.classes {
-        let effect = match c.retry_safety {
-            RetrySafety::Idempotent => "effect=\"free\"".to_owned(),
-            RetrySafety::NonIdempotent => "effect=\"single-shot\"".to_owned(),
-            RetrySafety::Deduplicated => {
-                format!("effect=\"guarded\" group=\"cell\" dedup-window=\"{}us\"", c.deduplication_window_us)
-            }
-        };
-        xml.push_str(&format!(
-            "    <class name=\"{}\" aim=\"{}us\" aim-per-1000-tokens=\"{}us\" deadline=\"{}us\" {effect}/>\n",
-            c.name, c.latency_objective_us, c.latency_objective_per_1000_us, c.deadline_us
-        ));
-    }
-    xml.push_str("  </classes>\n");
-    xml.push_str(&format!("  <tenants salt=\"{SALT}\">\n"));
-    for ((tenant, _), hash) in keys(scenario).iter().zip(key_hashes) {
-        xml.push_str(&format!("    <tenant name=\"{tenant}\"><key hash=\"{hash}\"/></tenant>\n"));
-    }
-    xml.push_str("  </tenants>\n");
-    xml.push_str(&budgets(scenario, name, folder));
-    xml.push_str("</chalkyard>\n");
-    xml
-}
-
-/// Tenants and their keys.
-fn keys(scenario: &Scenario) -> Vec<(&'static str, &'static str)> {
-    match &scenario.budgets {
-        Some(b) => b.tenants.iter().map(|t| (t.name, t.key)).collect(),
-        None => vec![("yard", "rehearsal-key")],
-    }
-}
-
-fn budgets(scenario: &Scenario, name: &str, folder: &Path) -> String {
-    let Some(b) = &scenario.budgets else { return String::new() };
-    let at = folder.display();
-    let grants = match b.sharing {
-        Sharing::Leases => format!("grants=\"{at}/journal/grants/{name}.grant\""),
-        Sharing::Equal => "sharing=\"equal\"".into(),
-        Sharing::Unreserved => "sharing=\"unreserved\"".into(),
-    };
-    let mut xml = format!(
-        "  <budgets zone=\"Europe/Zurich\" ledger=\"{at}/{name}.ledger\" key-file=\"{at}/lease.key\" {grants} \
-         margin=\"0.{:03}\" sync=\"20ms\">\n",
-        b.margin
-    );
-    xml.push_str(&format!(
-        "    <settlement journal=\"{at}/journal\" epoch=\"250ms\" lease=\"3s\" clock-error=\"100ms\">\n"
-    ));
-    for i in 1..=scenario.routers {
-        xml.push_str(&format!("      <ledger router=\"r{i}\" folder=\"{at}/r{i}.ledger\"/>\n"));
-    }
-    xml.push_str("    </settlement>\n");
-    for t in &b.tenants {
-        if let Some(tokens) = t.tokens {
-            let tenant = t.name;
-            xml.push_str(&format!("    <budget tenant=\"{tenant}\" period=\"day\" tokens=\"{tokens}\"/>\n"));
-        }
-    }
-    xml.push_str("  </budgets>\n");
-    xml
-}
-
 impl Routers {
-    pub fn new(scenario: &Scenario, exe: PathBuf, registers: &[SocketAddr]) -> io::Result<Self> {
+    pub fn new(scenario: &Scenario, exe: PathBuf, discovery: &[SocketAddr]) -> io::Result<Self> {
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("chalkyard-{}-{}-{run}", std::process::id(), scenario.seed));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("lease.key"), "5a".repeat(32))?;
-        let (mut names, mut kept) = (Vec::new(), Vec::new());
+        let (mut names, mut addresses) = (Vec::new(), Vec::new());
         for i in 0..scenario.routers {
-            let (socket, address) = keep_address()?;
+            let (socket, address) = reserve_address()?;
             names.push((format!("r{}", i + 1), address));
-            kept.push(socket);
+            addresses.push(socket);
         }
         let routers = Self {
             exe,
             folder,
-            _kept: kept,
+            _addresses: addresses,
             children: names.iter().map(|_| None).collect(),
             names,
             settlement: None,
-            ending: Vec::new(),
-            lives: 0,
+            draining: Vec::new(),
+            incarnations: 0,
         };
-        let first = registers.first().copied().ok_or(io::ErrorKind::InvalidInput)?;
-        let none: Vec<String> = (0..keys(scenario).len()).map(|i| format!("{i:064}")).collect();
-        let bare = settings(scenario, "r0", first, first, "none", &none, &routers.folder);
-        let mut hashes = Vec::new();
-        for (_, key) in keys(scenario) {
-            hashes.push(routers.hash_key(&bare, key)?);
-        }
-        for (i, (name, listen)) in routers.names.iter().enumerate() {
-            let register = registers.get(i).copied().unwrap_or(first);
-            let list = routers.folder.join(format!("{name}.list"));
-            let xml = settings(
-                scenario,
-                name,
-                *listen,
-                register,
-                &list.display().to_string(),
-                &hashes,
-                &routers.folder,
-            );
-            std::fs::write(routers.folder.join(format!("{name}.xml")), xml)?;
-        }
+        routers.write_settings(scenario, discovery)?;
         Ok(routers)
     }
 
+    /// Writes the settings of all routers. Clients' keys are hashed by the program itself, which needs settings for that.
+    fn write_settings(&self, scenario: &Scenario, discovery: &[SocketAddr]) -> io::Result<()> {
+        let first = discovery.first().copied().ok_or(io::ErrorKind::InvalidInput)?;
+        let keys = tenant_keys(scenario);
+        let no_hashes: Vec<String> = (0..keys.len()).map(|i| format!("{i:064}")).collect();
+        let mut spec = RouterSpec {
+            name: "r0",
+            listen: first,
+            discovery: first,
+            list_file: "none",
+            key_hashes: &no_hashes,
+            folder: &self.folder,
+        };
+        let without_hashes = settings(scenario, &spec);
+        let mut hashes = Vec::with_capacity(keys.len());
+        for (_, key) in keys {
+            hashes.push(self.hash_key(&without_hashes, key)?);
+        }
+        spec.key_hashes = &hashes;
+        for (i, (name, listen)) in self.names.iter().enumerate() {
+            let list_file = self.folder.join(format!("{name}.list")).display().to_string();
+            let discovery = discovery.get(i).copied().unwrap_or(first);
+            let spec = RouterSpec { name, listen: *listen, discovery, list_file: &list_file, ..spec };
+            std::fs::write(self.folder.join(format!("{name}.xml")), settings(scenario, &spec))?;
+        }
+        Ok(())
+    }
+
     /// The key's hash, by the program's own command, as an operator would make it.
     fn hash_key(&self, settings: &str, key: &str) -> io::Result<String> {
         let file = self.folder.join("hash.xml");
@@ -210,7 +117,7 @@
     /// Starts a successor that takes over.
     pub fn hand_over(&mut self, i: usize, seed: u64) -> io::Result<()> {
         if let Some(old) = self.children.get_mut(i).and_then(Option::take) {
-            self.ending.push((i, old));
+            self.draining.push((i, old));
             return self.begin(i, seed, &["--take-over"]);
         }
         Ok(())
@@ -226,13 +133,15 @@
 
     fn begin(&mut self, i: usize, seed: u64, extra: &[&str]) -> io::Result<()> {
         let Some((name, _)) = self.names.get(i) else { return Ok(()) };
-        self.lives += 1;
+        self.incarnations += 1;
         let log = File::options().create(true).append(true).open(self.folder.join(format!("{name}.log")))?;
         let mut command = Command::new(&self.exe);
         command.arg("run").arg(self.folder.join(format!("{name}.xml"))).args(extra);
-        command.arg("--seed").arg((seed.wrapping_mul(1_000) + self.lives).to_string());
+        command.arg("--seed").arg((seed.wrapping_mul(1_000) + self.incarnations).to_string());
         if std::env::var_os("CHALKYARD_KEEP").is_some() {
-            command.arg("--decisions").arg(self.folder.join(format!("{name}-{}.decisions", self.lives)));
+            command
+                .arg("--decisions")
+                .arg(self.folder.join(format!("{name}-{}.decisions", self.incarnations)));
         }
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?;
         if let Some(place) = self.children.get_mut(i) {
@@ -254,7 +163,7 @@
     /// Ends all processes.
     pub fn stop(&mut self) {
         self.kill_settlement();
-        for (_, mut child) in std::mem::take(&mut self.ending) {
+        for (_, mut child) in std::mem::take(&mut self.draining) {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -288,7 +197,7 @@
     /// Routers whose process has ended by itself.
     pub fn ended(&mut self) -> Option<String> {
         let mut failed = None;
-        self.ending.retain_mut(|(i, child)| match child.try_wait() {
+        self.draining.retain_mut(|(i, child)| match child.try_wait() {
             Ok(None) => true,
             Ok(Some(status)) if status.success() => false,
             other => {
@@ -332,7 +241,3 @@
         self.stop();
     }
 }
-
-#[cfg(test)]
-#[path = "routers_test.rs"]
-mod tests;
