--- a/crates/rehearsal/src/soak/client.rs
+++ b/crates/rehearsal/src/soak/client.rs
@@ -16,7 +16,7 @@
 use super::messages::Reader;
 use super::plan::SoakPlan;
 use super::process::RouterProcess;
-use super::record::{Record, Seen};
+use super::record::{Event, Record};
 
 /// A client waits so long past its time before it gives the connection up: what comes then is late all the same.
 const PAST_DEADLINE: Duration = Duration::from_millis(1_500);
@@ -32,7 +32,7 @@
     /// Number of the next request of any client.
     pub next: Arc<AtomicU64>,
     /// The router that it asks as a rule.
-    pub home: usize,
+    pub preferred_router: usize,
     pub rng: ChaCha8Rng,
 }
 
@@ -47,7 +47,7 @@
 /// How the wait for an answer ended.
 enum End {
     /// It was whole; the connection may go on.
-    Whole { keep: bool },
+    Complete { keep: bool },
     /// The router ended the connection.
     Lost { begun: bool },
     /// Nothing came, or not enough.
@@ -78,10 +78,10 @@
             return open;
         }
         let takes = |r: &&Arc<RouterProcess>| r.open.load(Ordering::SeqCst);
-        let prefers_home = self.rng.random_bool(0.8);
-        let at_home = self.routers.get(self.home).filter(takes).filter(|_| prefers_home);
+        let uses_preferred = self.rng.random_bool(0.8);
+        let preferred = self.routers.get(self.preferred_router).filter(takes).filter(|_| uses_preferred);
         let all: Vec<_> = self.routers.iter().filter(takes).collect();
-        let router = at_home.or_else(|| all.choose(&mut self.rng).copied())?;
+        let router = preferred.or_else(|| all.choose(&mut self.rng).copied())?;
         let stream = timeout(CONNECT_MOST, TcpStream::connect(router.at)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         Some(Connection { stream, reader: Reader::new(Side::Response), router: router.index, used: false })
@@ -94,7 +94,7 @@
             return None;
         }
         let deadline = Duration::from_millis(plan.deadline_ms);
-        self.record.see(Seen::Asked {
+        self.record.add(Event::Asked {
             id: id.clone(),
             router: connection.router,
             class,
@@ -109,7 +109,7 @@
                 Ok(end) => self.next(connection, &id, end),
                 Err(_) => {
                     drop(connection);
-                    self.record.see(Seen::ClientLeft { id });
+                    self.record.add(Event::ClientLeft { id });
                     None
                 }
             };
@@ -120,12 +120,12 @@
 
     fn next(&self, connection: Connection, id: &str, end: End) -> Option<Connection> {
         match end {
-            End::Whole { keep } => {
-                self.record.see(Seen::AnswerEnded { id: id.to_owned() });
+            End::Complete { keep } => {
+                self.record.add(Event::AnswerEnded { id: id.to_owned() });
                 keep.then_some(Connection { used: true, ..connection })
             }
             End::Lost { begun } => {
-                self.record.see(Seen::AnswerLost { id: id.to_owned(), begun });
+                self.record.add(Event::AnswerLost { id: id.to_owned(), begun });
                 None
             }
             End::InVain => None,
@@ -171,12 +171,12 @@
                     begun = true;
                     keep = head.keep_alive;
                     if let Start::Response { status } = head.start {
-                        self.record.see(Seen::AnswerBegan { id: id.to_owned(), status });
+                        self.record.add(Event::AnswerBegan { id: id.to_owned(), status });
                     }
                     until = Instant::now() + STREAM_MOST;
                 }
                 Ok(Some(Part::Data(_))) => {}
-                Ok(Some(Part::End)) => return End::Whole { keep },
+                Ok(Some(Part::End)) => return End::Complete { keep },
                 Err(_) => return End::Lost { begun },
                 Ok(None) => {
                     let left = until.saturating_duration_since(Instant::now());
--- a/crates/rehearsal/src/soak/discovery.rs
+++ b/crates/rehearsal/src/soak/discovery.rs
@@ -15,7 +15,7 @@
 
 use super::messages::Reader;
 use super::plan::WorkerRole;
-use super::record::{Record, Seen};
+use super::record::{Event, Record};
 
 /// Where a worker's life is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -88,7 +88,7 @@
     }
 
     /// The whole list, or what changed after a revision, and who takes work by it.
-    pub fn told(&self, after: Option<u64>) -> (Value, Vec<(usize, bool)>) {
+    pub fn entries(&self, after: Option<u64>) -> (Value, Vec<(usize, bool)>) {
         let members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         let wanted = |m: &Member| match after {
             Some(after) => m.revision > after,
@@ -116,7 +116,7 @@
     record: Record,
     silent: watch::Sender<u32>,
     /// What its router was told last.
-    told: Mutex<BTreeMap<usize, bool>>,
+    notified: Mutex<BTreeMap<usize, bool>>,
 }
 
 impl Agent {
@@ -125,7 +125,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let at = listener.local_addr()?;
         let silent = watch::Sender::new(0);
-        let agent = Arc::new(Self { at, router, list, record, silent, told: Mutex::default() });
+        let agent = Arc::new(Self { at, router, list, record, silent, notified: Mutex::default() });
         let shared = agent.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -142,12 +142,12 @@
     }
 
     /// Notes what the router was told.
-    pub fn note_told(&self, takes: &[(usize, bool)]) {
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn record_notification(&self, takes: &[(usize, bool)]) {
+        let mut notified = self.notified.lock().unwrap_or_else(PoisonError::into_inner);
         for (worker, takes_work) in takes {
-            if told.insert(*worker, *takes_work) != Some(*takes_work) {
+            if notified.insert(*worker, *takes_work) != Some(*takes_work) {
                 let (router, worker, takes_work) = (self.router, *worker, *takes_work);
-                self.record.see(Seen::Told { router, worker, takes_work });
+                self.record.add(Event::Notified { router, worker, takes_work });
             }
         }
     }
@@ -180,11 +180,11 @@
             if *self.silent.borrow() > 0 {
                 std::future::pending::<()>().await;
             }
-            let (list, takes) = self.list.told(after);
+            let (list, takes) = self.list.entries(after);
             let body = list.to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all(&[head.as_bytes(), body.as_bytes()].concat()).await?;
-            self.note_told(&takes);
+            self.record_notification(&takes);
         }
     }
 }
--- a/crates/rehearsal/src/soak/forms_test.rs
+++ b/crates/rehearsal/src/soak/forms_test.rs
@@ -4,7 +4,8 @@
 use rand::Rng;
 use serde_json::json;
 
-use super::plan::{Answering, Fault, Repeat};
+use super::discovery::Phase;
+use super::plan::{Answering, Fault, FaultKind, Repeat, WorkerRole};
 use super::*;
 
 fn stored(name: &str) -> String {
@@ -12,9 +13,9 @@
 }
 
 /// Each kind of line, with the values that its fields can take.
-fn every_line() -> Vec<(u64, Seen)> {
+fn every_line() -> Vec<(u64, Event)> {
     let id = || "q01-000001".to_owned();
-    let asked = |repeat| Seen::Asked {
+    let asked = |repeat| Event::Asked {
         id: id(),
         router: 1,
         class: 2,
@@ -22,36 +23,37 @@
         deadline_us: 800_000,
         first_on_connection: true,
     };
-    let arrived = |role, told_us| Seen::Arrived { id: id(), worker: 3, role, told_us, was_hung: false };
-    let seen = vec![
+    let arrived =
+        |role, timeout_us| Event::Arrived { id: id(), worker: 3, role, timeout_us, after_hang: false };
+    let event = vec![
         asked(Repeat::Free),
         asked(Repeat::Guarded),
         asked(Repeat::SingleShot),
-        Seen::AnswerBegan { id: id(), status: 200 },
-        Seen::AnswerEnded { id: id() },
-        Seen::AnswerLost { id: id(), begun: true },
-        Seen::ClientLeft { id: id() },
+        Event::AnswerBegan { id: id(), status: 200 },
+        Event::AnswerEnded { id: id() },
+        Event::AnswerLost { id: id(), begun: true },
+        Event::ClientLeft { id: id() },
         arrived(WorkerRole::Reader, None),
         arrived(WorkerRole::Writer, Some(700_000)),
-        Seen::AttemptOver { id: id(), worker: 3 },
-        Seen::Held { id: id(), worker: 3 },
-        Seen::Taken { id: id() },
-        Seen::Released { id: id() },
-        Seen::Ran { id: id(), worker: 3 },
-        Seen::Written { id: id(), worker: 3 },
-        Seen::Told { router: 1, worker: 3, takes_work: false },
-        Seen::RouterStarted { router: 1 },
-        Seen::RouterTold { router: 1 },
-        Seen::RouterEnded { router: 1, killed: true, code: None },
-        Seen::RouterEnded { router: 1, killed: false, code: Some(5) },
-        Seen::RouterStalled { router: 1 },
-        Seen::Violations { router: 1, count: 2 },
-        Seen::ViolationLine { router: 1, line: "{\"change\":\"violation\"}".into() },
-        Seen::Logged { router: 1, line: "x".into() },
-        Seen::Size { router: 1, descriptors: 90, memory_kb: 12_000 },
-        Seen::MachineStalled { for_us: 30_000 },
+        Event::AttemptOver { id: id(), worker: 3 },
+        Event::Reserved { id: id(), worker: 3 },
+        Event::Fetched { id: id() },
+        Event::Released { id: id() },
+        Event::Ran { id: id(), worker: 3 },
+        Event::Written { id: id(), worker: 3 },
+        Event::Notified { router: 1, worker: 3, takes_work: false },
+        Event::RouterStarted { router: 1 },
+        Event::RouterTerminated { router: 1 },
+        Event::RouterEnded { router: 1, killed: true, code: None },
+        Event::RouterEnded { router: 1, killed: false, code: Some(5) },
+        Event::RouterStalled { router: 1 },
+        Event::Violations { router: 1, count: 2 },
+        Event::ViolationLine { router: 1, line: "{\"change\":\"violation\"}".into() },
+        Event::Logged { router: 1, line: "x".into() },
+        Event::Size { router: 1, descriptors: 90, memory_kb: 12_000 },
+        Event::MachineStalled { for_us: 30_000 },
     ];
-    seen.into_iter().enumerate().map(|(i, seen)| (i as u64 * 1_000, seen)).collect()
+    event.into_iter().enumerate().map(|(i, event)| (i as u64 * 1_000, event)).collect()
 }
 
 #[test]
@@ -114,10 +116,10 @@
     Check::Answered,
     Check::Effect,
     Check::Drain,
-    Check::Held,
-    Check::ToldTime,
+    Check::Reservation,
+    Check::PropagatedTimeout,
     Check::Gone,
-    Check::Whole,
+    Check::CompleteStream,
     Check::Crash,
     Check::Violation,
     Check::Size,
@@ -135,7 +137,7 @@
         asked: 1_000,
         served: 900,
         calls: 2_100,
-        held: 700,
+        reserved: 700,
         lost_answers: 3,
         lost_answer_longest_us: 2_500_000,
         machine_stalled_us: 31_000,
@@ -168,13 +170,13 @@
         ("s-01".to_owned(), WorkerRole::Writer, address(92)),
     ];
     let list = List::new(&workers);
-    let (whole, takes) = list.told(None);
+    let (whole, takes) = list.entries(None);
     assert_eq!(whole.to_string() + "\n", stored("soak_list.json"));
     assert_eq!(takes, [(0, true), (1, true)]);
     list.change(1, Phase::Draining);
-    let (change, takes) = list.told(Some(40));
+    let (change, takes) = list.entries(Some(40));
     assert_eq!(change.to_string() + "\n", stored("soak_list_change.json"));
     assert_eq!(takes, [(1, false)]);
     list.change(1, Phase::Removed);
-    assert_eq!(list.told(None).1, [(0, true)]);
+    assert_eq!(list.entries(None).1, [(0, true)]);
 }
--- a/crates/rehearsal/src/soak/process.rs
+++ b/crates/rehearsal/src/soak/process.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 
 use super::plan::SoakPlan;
-use super::record::{Record, Seen};
+use super::record::{Event, Record};
 use crate::shim;
 
 /// Descriptors of a router.
@@ -80,7 +80,7 @@
             let (record, router) = (self.record.clone(), self.index);
             std::thread::Builder::new().spawn(move || read_log(log, &record, router))?;
         }
-        self.record.see(Seen::RouterStarted { router: self.index });
+        self.record.add(Event::RouterStarted { router: self.index });
         *self.child() = Some(child);
         Ok(())
     }
@@ -108,7 +108,7 @@
                 None
             }
         };
-        self.record.see(Seen::RouterEnded { router: self.index, killed: code.is_none(), code });
+        self.record.add(Event::RouterEnded { router: self.index, killed: code.is_none(), code });
     }
 
     /// Whether its process is there; one that has ended by itself is noted.
@@ -118,7 +118,7 @@
         if let Some(status) = ended {
             *child = None;
             let code = Some(status.code().unwrap_or(-1));
-            self.record.see(Seen::RouterEnded { router: self.index, killed: false, code });
+            self.record.add(Event::RouterEnded { router: self.index, killed: false, code });
         }
         child.is_some()
     }
@@ -130,7 +130,7 @@
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         let memory_kb = line.and_then(|l| l.trim().split(' ').next()?.parse().ok()).unwrap_or(0);
-        self.record.see(Seen::Size { router: self.index, descriptors, memory_kb });
+        self.record.add(Event::Size { router: self.index, descriptors, memory_kb });
     }
 }
 
@@ -145,12 +145,12 @@
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         let read: Value = serde_json::from_str(&line).unwrap_or_default();
         if read.get("change").is_some_and(|c| c == "violation") {
-            record.see(Seen::ViolationLine { router, line: line.clone() });
+            record.add(Event::ViolationLine { router, line: line.clone() });
         }
         if let Some(count) = read.get("violations").and_then(Value::as_u64) {
-            record.see(Seen::Violations { router, count });
+            record.add(Event::Violations { router, count });
         }
-        record.see(Seen::Logged { router, line });
+        record.add(Event::Logged { router, line });
     }
 }
 
--- a/crates/rehearsal/src/soak/record.rs
+++ b/crates/rehearsal/src/soak/record.rs
@@ -1,4 +1,4 @@
-//! What was seen on the sockets of one seed, in order of time.
+//! The events on the sockets of one seed, in order of time. Serialized names are older than the ones used here.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
@@ -7,10 +7,10 @@
 
 use super::plan::{Repeat, WorkerRole};
 
-/// Something seen, by one of the stand-ins.
+/// Something that one of the fakes saw.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum Seen {
+pub enum Event {
     /// A client has written the last byte of a request.
     Asked {
         id: String,
@@ -22,32 +22,44 @@
     },
     /// The head of an answer has come.
     AnswerBegan { id: String, status: u16 },
-    /// The answer was whole.
+    /// The answer was complete.
     AnswerEnded { id: String },
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     AnswerLost { id: String, begun: bool },
     /// The client has gone.
     ClientLeft { id: String },
     /// A call's last byte has reached a running worker.
-    Arrived { id: String, worker: usize, role: WorkerRole, told_us: Option<u64>, was_hung: bool },
+    Arrived {
+        id: String,
+        worker: usize,
+        role: WorkerRole,
+        #[serde(rename = "told_us")]
+        timeout_us: Option<u64>,
+        #[serde(rename = "was_hung")]
+        after_hang: bool,
+    },
     /// An attempt is over at its worker, for whatever reason.
     AttemptOver { id: String, worker: usize },
-    /// A read has ended well: its worker holds state.
-    Held { id: String, worker: usize },
-    /// A running writer has taken the state.
-    Taken { id: String },
-    /// A running worker was told to release it.
+    /// A prefill has succeeded: its worker reserves KV state.
+    #[serde(rename = "held")]
+    Reserved { id: String, worker: usize },
+    /// A running decode worker has fetched the state.
+    #[serde(rename = "taken")]
+    Fetched { id: String },
+    /// A running worker got the request to release it.
     Released { id: String },
     /// A request has, or may have, had its effect.
     Ran { id: String, worker: usize },
     /// A worker has written an answer to its end.
     Written { id: String, worker: usize },
-    /// A router was told that a worker takes nothing new, or that it does.
-    Told { router: usize, worker: usize, takes_work: bool },
+    /// A router was notified that a worker takes nothing new, or that it does.
+    #[serde(rename = "told")]
+    Notified { router: usize, worker: usize, takes_work: bool },
     /// A router process began, was told to end, and has ended.
     RouterStarted { router: usize },
     /// See `RouterStarted`.
-    RouterTold { router: usize },
+    #[serde(rename = "router_told")]
+    RouterTerminated { router: usize },
     /// Its process is gone; `killed` by the soak, or by itself with this exit code.
     RouterEnded { router: usize, killed: bool, code: Option<i32> },
     /// A router stood still by the soak's wish.
@@ -64,11 +76,11 @@
     MachineStalled { for_us: u64 },
 }
 
-/// A record that all stand-ins write to.
+/// A record that all fakes write to.
 #[derive(Debug, Clone)]
 pub struct Record {
     begun: Instant,
-    lines: Arc<Mutex<Vec<(u64, Seen)>>>,
+    lines: Arc<Mutex<Vec<(u64, Event)>>>,
 }
 
 impl Record {
@@ -82,15 +94,15 @@
         self.begun.elapsed().as_micros() as u64
     }
 
-    /// Notes something as seen now.
-    pub fn see(&self, seen: Seen) {
+    /// Records an event that happens now.
+    pub fn add(&self, event: Event) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         // Within the lock, so that the order is the order of time.
-        lines.push((self.begun.elapsed().as_micros() as u64, seen));
+        lines.push((self.begun.elapsed().as_micros() as u64, event));
     }
 
     /// All that was seen.
-    pub fn lines(&self) -> Vec<(u64, Seen)> {
+    pub fn lines(&self) -> Vec<(u64, Event)> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
