--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -33,7 +33,8 @@
     let combined = eligible_for_hash(view, request, Role::Combined);
     let prefill = eligible_for_hash(view, request, Role::Prefill);
     let decode = eligible(view, request, |role| role == Role::Decode);
-    let is_disaggregated = !prefill.is_empty() && !(decode.is_empty() && combined.is_empty());
+    let can_decode = !decode.is_empty() || !combined.is_empty();
+    let is_disaggregated = !prefill.is_empty() && can_decode;
     if !is_disaggregated || is_turn_of_combined(view, request, &combined) {
         if let Some(worker) = hashed::choose(view, request, &combined) {
             return Some(Placement::decode(worker));
