--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -1,6 +1,6 @@
 //! Crossings at a router process on the platform: two things that meet in one moment, with their order forced. The
 //! router's process is stopped while bytes, ends and resets arrive, and goes on once the system says that they have.
-//! The rows are those of docs/crossings.md.
+//! The rows are those of docs/notes/crossings.md.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing)]
 
 mod common;
@@ -646,7 +646,7 @@
                     };
                     let _ = s.write_all(&call);
                     // A hundred connections a second each. Without any pause a turn of the loop grows with all that
-                    // comes in it: open, docs/crossings.md.
+                    // comes in it: open, docs/notes/crossings.md.
                     std::thread::sleep(ms(10));
                 }
             })
