--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -141,7 +141,7 @@
         match std::io::BufRead::read_line(&mut std::io::Read::take(&mut before, SETTLED_BYTES), &mut line) {
             Ok(n) if n > 0 => match serde_json::from_str(&line) {
                 Ok(settled) => {
-                    if news.send(News::Inherited(Box::new(settled))).is_err() {
+                    if news.send(News::PredecessorSettled(Box::new(settled))).is_err() {
                         return;
                     }
                 }
@@ -153,7 +153,7 @@
             _ => break,
         }
     }
-    let _ = news.send(News::InheritedAll);
+    let _ = news.send(News::PredecessorEnded);
 }
 
 /// Looks for new grants until the loop is gone.
@@ -167,7 +167,7 @@
         }
         match key.open_grant(&bytes) {
             Ok(grant) => {
-                if news.send(News::Granted(Box::new(grant))).is_err() {
+                if news.send(News::LeaseGranted(Box::new(grant))).is_err() {
                     return;
                 }
             }
@@ -191,7 +191,7 @@
         }
         if self.told != self.writer.is_writable() {
             self.told = self.writer.is_writable();
-            out.push(News::Writable(self.told));
+            out.push(News::LedgerWritable(self.told));
         }
         if again && self.writer.wants_rotation() {
             out.push(News::Checkpoint);
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -87,7 +87,7 @@
             worker = t.worker,
             connection = t.connection,
             rested_us = t.rested_us,
-            unheard_us = t.unheard_us,
+            unheard_us = t.last_reply_us,
             age_us = t.age_us,
             "changed"
         );
@@ -96,7 +96,7 @@
     /// What was done since the start, by cause.
     pub fn counters(&self, counters: &Counters) {
         if tracing::enabled!(target: "counters", tracing::Level::INFO) {
-            let violations = counters.violated();
+            let violations = counters.violation_count();
             let counters = serde_json::to_string(counters).unwrap_or_default();
             info!(target: "counters", violations, counters, "since the start");
         }
--- a/crates/daemon/src/losses.rs
+++ b/crates/daemon/src/losses.rs
@@ -363,8 +363,8 @@
             let _ = writeln!(
                 out,
                 "{:>6} {:>5} {:>6} {:>7} {:>6} {:>5} | {:>6} {:>5} {:>5} {:>5} {:>5} {:>5} {:>5} {:>5} {:>5} {:>5} {:>7} {:>5} {:>5}",
-                at - begin, s.came, s.served, s.refused, s.failed, s.other, t.first, t.pulls, t.again_safe,
-                t.again_ran, t.trials, t.cold, t.connects, t.list_calls, t.list_news, t.releases, t.unheard, t.moved,
+                at - begin, s.came, s.served, s.refused, s.failed, s.other, t.first, t.decodes, t.retries_not_run,
+                t.retries_maybe_run, t.probes, t.slow_starts, t.connects, t.list_calls, t.list_changes, t.releases, t.dropped_clients, t.migrated,
                 t.open
             );
         }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -59,7 +59,7 @@
 impl Sink for Told {
     /// What was served or refused is no news, and what a client leaves is its own: these are counted.
     fn finished(&mut self, record: Finished) {
-        let usual = matches!(record.ended, Ended::Served | Ended::Refused | Ended::ClientGone);
+        let usual = matches!(record.ended, Ended::Served | Ended::Rejected | Ended::ClientGone);
         if self.all || (!usual && self.may_tell()) {
             self.log.finished(&record);
         }
@@ -108,11 +108,11 @@
         let Some(left) = self.rereads.take() else { return Vec::new() };
         match read(&self.file) {
             Ok(started) => {
-                let address = started.config.register;
+                let address = started.config.discovery;
                 if let Some(address) = address {
                     info!(target: "router", discovery = %address, "another configuration");
                 }
-                address.map(Input::Register).into_iter().collect()
+                address.map(Input::DiscoveryMoved).into_iter().collect()
             }
             Err(why) => {
                 self.rereads = left.checked_sub(1);
@@ -144,7 +144,7 @@
     let clock = Clock::new();
     let mut config = started.config;
     config.policy.tick = config.policy.tick.max(granularity());
-    let leave = if config.waits.leaving.is_some() { LEAVE_MOVING } else { LEAVE };
+    let leave = if config.timeouts.migration.is_some() { LEAVE_MOVING } else { LEAVE };
     let address = with_retries(STARTING_TRIES, || ListenAddress::take(started.listen, false));
     let address = address.map_err(|e| could_not(&format!("listening at {}", started.listen), e))?;
     let mut core = Core::new(config, started.seed.unwrap_or(clock.now().0), clock.now());
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 
 use chalkyard_router::shell::News;
-use chalkyard_router::Tuned;
+use chalkyard_router::RuntimeSettings;
 use chalkyard_settings::xml::parse;
 use chalkyard_settings::Settings;
 use roxmltree::Node;
@@ -160,7 +160,7 @@
     }
 
     /// What the loop is told: tenants are those of the start, in their order, as the fresh settings have them.
-    fn tuned(&self, fresh: &Settings) -> Tuned {
+    fn tuned(&self, fresh: &Settings) -> RuntimeSettings {
         let names = fresh.config.tenants.iter().enumerate().map(|(place, t)| (t.name.as_str(), place));
         let fresh_places: BTreeMap<&str, usize> = names.collect();
         let places: Vec<Option<usize>> =
@@ -168,11 +168,11 @@
         let placed = places.iter().enumerate().filter_map(|(own, fresh)| fresh.map(|fresh| (fresh, own)));
         let own_places: BTreeMap<usize, usize> = placed.collect();
         let classes = |place: &Option<usize>| fresh.config.tenants.get((*place)?)?.classes.clone();
-        Tuned {
+        RuntimeSettings {
             keys: fresh.config.keys.owned_by(|owner| own_places.get(&owner).copied()),
             classes: places.iter().map(classes).collect(),
             bounds: fresh.config.bounds,
-            waits: fresh.config.waits,
+            timeouts: fresh.config.timeouts,
         }
     }
 
@@ -195,8 +195,8 @@
             return;
         }
         let tuned = self.tuned(&fresh);
-        let mut news = vec![News::Retune(Box::new(tuned))];
-        news.extend(fresh.budgets.map(|b| News::Replan(Box::new(b.plan))));
+        let mut news = vec![News::Reconfigure(Box::new(tuned))];
+        news.extend(fresh.budgets.map(|b| News::BudgetPlan(Box::new(b.plan))));
         for one in news {
             if self.news.send(one).is_err() {
                 return;
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -11,7 +11,9 @@
 use chalkyard_rehearsal::record::{Effect, Line};
 use chalkyard_rehearsal::scene::Scene;
 use chalkyard_rehearsal::Error;
-use chalkyard_router::{Bounds, ClassEntry, Config, Core, Finished, Input, KindEntry, Output, Tally, Waits};
+use chalkyard_router::{
+    Bounds, ClassConfig, Config, Core, Finished, Input, Output, Tally, Timeouts, WorkerKind,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -70,7 +72,7 @@
         },
         dedup_window: Micros(c.window_us),
     });
-    let kind = |role, tokens| KindEntry { role, kv_tokens: Some(tokens) };
+    let kind = |role, tokens| WorkerKind { role, kv_tokens: Some(tokens) };
     let second = Micros(1_000_000);
     Config {
         name: name.into(),
@@ -95,7 +97,7 @@
             weighted: false,
             reports: p::Reports::InAnswers,
         },
-        classes: day.classes.iter().map(|c| ClassEntry { name: c.name.clone() }).collect(),
+        classes: day.classes.iter().map(|c| ClassConfig { name: c.name.clone() }).collect(),
         default_class: 0,
         tenants: Vec::new(),
         keys: KeyRing::new([0; 32]),
@@ -106,13 +108,13 @@
             (Role::Mixed.name().to_owned(), kind(p::Role::Mixed, 160_000)),
         ]
         .into(),
-        register: Some(register),
+        discovery: Some(register),
         bounds: Bounds::default(),
-        waits: Waits {
+        timeouts: Timeouts {
             stream: Micros(5 * second.0),
             slow_client: Micros(2 * second.0),
-            register: Micros(5 * second.0),
-            ..Waits::default()
+            discovery: Micros(5 * second.0),
+            ..Timeouts::default()
         },
         dialect: None,
     }
--- a/crates/platform/src/beside.rs
+++ b/crates/platform/src/beside.rs
@@ -2,7 +2,7 @@
 
 use chalkyard_adapter::{translate, wire};
 use chalkyard_policy as p;
-use chalkyard_router::dialect::{Beside, Seen};
+use chalkyard_router::dialect::{ResponseObserver, StreamProgress, TokenUsage};
 use serde::Deserialize;
 
 /// Bytes of a line that are kept; what says of tokens or load is shorter.
@@ -18,7 +18,7 @@
     long: bool,
     /// The event that comes holds data.
     data: bool,
-    seen: Seen,
+    progress: StreamProgress,
 }
 
 #[derive(Deserialize)]
@@ -65,8 +65,8 @@
         let line = self.line.strip_suffix(b"\r").unwrap_or(&self.line);
         if line.is_empty() && !self.long {
             if std::mem::take(&mut self.data) {
-                self.seen.begun = true;
-                self.seen.events += 1;
+                self.progress.begun = true;
+                self.progress.events += 1;
             }
         } else if let Some(data) = line.strip_prefix(b"data:") {
             self.data = true;
@@ -74,18 +74,21 @@
             if let Some(usage) =
                 says.then(|| serde_json::from_slice::<Chunk>(data).ok()).flatten().and_then(|c| c.usage)
             {
-                let kept = usage.prompt_tokens_details.cached_tokens;
-                self.seen.usage = Some([usage.prompt_tokens, kept, usage.completion_tokens]);
+                self.progress.usage = Some(TokenUsage {
+                    prompt_tokens: usage.prompt_tokens,
+                    cached_tokens: usage.prompt_tokens_details.cached_tokens,
+                    output_tokens: usage.completion_tokens,
+                });
             }
         } else if let Some(text) = line.strip_prefix(REPORT).filter(|_| !self.long) {
-            self.seen.report = std::str::from_utf8(text).ok().and_then(report).or(self.seen.report);
+            self.progress.report = std::str::from_utf8(text).ok().and_then(report).or(self.progress.report);
         }
         self.line.clear();
         self.long = false;
     }
 }
 
-impl Beside for Lines {
+impl ResponseObserver for Lines {
     fn push(&mut self, bytes: &[u8]) {
         let mut rest = bytes;
         while let Some(end) = rest.iter().position(|b| *b == b'\n') {
@@ -97,8 +100,8 @@
         self.take(rest);
     }
 
-    fn seen(&self) -> Seen {
-        self.seen
+    fn progress(&self) -> StreamProgress {
+        self.progress
     }
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -7,7 +7,7 @@
 use chalkyard_adapter::{translate, wire};
 use chalkyard_api::keys::KeyRing;
 use chalkyard_policy::Micros;
-use chalkyard_router::{Bounds, ClassEntry, Config, TenantEntry, Waits};
+use chalkyard_router::{Bounds, ClassConfig, Config, MigrationWindow, TenantConfig, Timeouts};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -132,14 +132,14 @@
         let ms = |n: u64| Micros(n * 1_000);
         let told = |s: Option<f64>, default: Micros| s.map_or(default, Micros::from_secs_f64);
         let idle = told(params.limits.conn_idle_s, ms(20_000));
-        let waits = Waits {
+        let timeouts = Timeouts {
             head: ms(2_500),
             idle: ms(15_000),
             first: ms(2_500),
             release: ms(150),
             // The process is killed 3.7 s after it is told to end, at the soonest.
-            leaving: policy.resume.then_some((ms(1_800), ms(3_300))),
-            just_come: ms(100),
+            migration: policy.resume.then_some(MigrationWindow { from: ms(1_800), until: ms(3_300) }),
+            drain_grace: ms(100),
             // Well under the told time: a call that crosses the engine's close is lost.
             engine_idle: idle.mul_f64(0.5).min(ms(10_000)),
             connect: told(params.limits.connect_timeout_s, ms(250)),
@@ -147,9 +147,9 @@
             stream: ms(4_000),
             slow_client: ms(5_000),
             // News count as told 2 s after the wait is over.
-            register: ms(WATCH_MS + 1_000),
+            discovery: ms(WATCH_MS + 1_000),
             // An agent on the same machine answers at once; as long as a connection is waited for.
-            register_doubted: told(params.limits.connect_timeout_s, ms(250)),
+            discovery_probe: told(params.limits.connect_timeout_s, ms(250)),
             reply_margin: Micros(0),
             identity: Micros(0),
         };
@@ -158,19 +158,19 @@
         let config = Config {
             name: file.name,
             policy,
-            classes: params.categories.iter().map(|c| ClassEntry { name: c.name.clone() }).collect(),
+            classes: params.categories.iter().map(|c| ClassConfig { name: c.name.clone() }).collect(),
             default_class: 0,
             tenants: params
                 .tenants
                 .iter()
-                .map(|t| TenantEntry { name: t.name.clone(), classes: None })
+                .map(|t| TenantConfig { name: t.name.clone(), classes: None })
                 .collect(),
             keys: KeyRing::new([0; 32]),
             zones: BTreeMap::new(),
             kinds: BTreeMap::new(),
-            register: Some(address("discovery", &file.discovery)?),
+            discovery: Some(address("discovery", &file.discovery)?),
             bounds: file.limits.bounds(open),
-            waits,
+            timeouts,
             dialect: Some(Arc::new(Platform::new(names))),
         };
         Ok(Self {
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -4,7 +4,7 @@
 
 use chalkyard_adapter::translate::Names;
 use chalkyard_policy as p;
-use chalkyard_router::dialect::List;
+use chalkyard_router::dialect::{Endpoint, EndpointList, EndpointListError};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -40,7 +40,7 @@
 /// An address that nothing listens at: a worker that is gone needs none.
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-fn member(names: &Names, text: &str) -> Result<(p::Worker, SocketAddr), String> {
+fn member(names: &Names, text: &str) -> Result<Endpoint, String> {
     let m: Member = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let lifecycle = match m.phase.as_str() {
         "up" => p::Lifecycle::In,
@@ -64,17 +64,18 @@
         weight: m.size.filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0),
         started: Some(p::Micros::from_secs_f64(m.up_since_ms / 1e3)).filter(|at| at.0 > 0),
     };
-    Ok((worker, address))
+    Ok(Endpoint { worker, address })
 }
 
 /// Reads a list. One entry that can't be read does not lose the others.
-pub(crate) fn list(names: &Names, text: &[u8]) -> Result<List, String> {
+pub(crate) fn list(names: &Names, text: &[u8]) -> Result<EndpointList, EndpointListError> {
     let told: Told<'_> = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let mut list = List { version: told.revision, whole: told.complete, ..List::default() };
+    let mut list =
+        EndpointList { version: told.revision, complete: told.complete, ..EndpointList::default() };
     for raw in told.members {
         match member(names, raw.get()) {
-            Ok(worker) => list.workers.push(worker),
-            Err(why) => list.wrong.push(why),
+            Ok(endpoint) => list.endpoints.push(endpoint),
+            Err(reason) => list.invalid.push(reason.into()),
         }
     }
     Ok(list)
--- a/crates/platform/src/speak.rs
+++ b/crates/platform/src/speak.rs
@@ -4,7 +4,10 @@
 use chalkyard_policy as p;
 use chalkyard_policy::{Micros, Outcome};
 use chalkyard_proto::{encode, Head, Start};
-use chalkyard_router::dialect::{Beside, Dialect, Heard, List, Passed, Stage, Told};
+use chalkyard_router::dialect::{
+    Dialect, EndpointList, EndpointListError, ForwardedRequest, ParsedRequest, ReplyHead, ResponseObserver,
+    Stage,
+};
 use serde::Deserialize;
 
 use crate::beside::{self, Lines};
@@ -27,75 +30,86 @@
 }
 
 #[derive(Deserialize)]
-struct Kept {
+struct CachedTokens {
     cached_tokens: u64,
 }
 
+fn invalid(status: u16, reason: String) -> ParsedRequest {
+    ParsedRequest::Invalid { status, reason }
+}
+
 impl Dialect for Platform {
-    fn hear(&self, arrived: Micros, head: &Head, body: Vec<u8>) -> Heard {
+    fn parse_request(&self, arrived_at: Micros, head: &Head, body: Vec<u8>) -> ParsedRequest {
         let Start::Request { method, target } = &head.start else {
-            return Heard::Wrong(400, "not a request".into());
+            return invalid(400, "not a request".into());
         };
         let path = target.split('?').next().unwrap_or_default();
         match (method.as_str(), path) {
-            ("GET", "/up") => return Heard::Ready,
+            ("GET", "/up") => return ParsedRequest::HealthCheck,
             ("POST", "/v1/chat/completions") => {}
-            (_, "/up" | "/v1/chat/completions") => return Heard::Wrong(405, "no such method here".into()),
-            _ => return Heard::Wrong(404, "no such call".into()),
+            (_, "/up" | "/v1/chat/completions") => return invalid(405, "no such method here".into()),
+            _ => return invalid(404, "no such call".into()),
         }
-        let request = head::request(&self.names, arrived, head, body.len() as u64);
+        let request = head::request(&self.names, arrived_at, head, body.len() as u64);
         match request.and_then(|request| Ok((request, head::idempotency_key(head)?))) {
             Ok((request, idempotency_key)) => {
                 let (method, target) = (method.clone(), target.clone());
-                Heard::Call(Box::new(request), Passed { method, target, idempotency_key, body })
+                let forwarded = ForwardedRequest { method, target, idempotency_key, body };
+                ParsedRequest::Inference(Box::new(request), forwarded)
             }
-            Err(why) => Heard::Wrong(400, why),
+            Err(why) => invalid(400, why),
         }
     }
 
-    fn attempt(&self, request: &p::Request, passed: &Passed, host: &str, wait: Micros) -> Vec<u8> {
-        let wait = format!("{}u", wait.0);
+    fn attempt_call(
+        &self,
+        request: &p::Request,
+        forwarded: &ForwardedRequest,
+        host: &str,
+        timeout: Micros,
+    ) -> Vec<u8> {
+        let timeout = format!("{}u", timeout.0);
         let mut fields = vec![
             ("content-type", "application/json"),
             ("X-Request-ID", &*request.id.0),
-            ("X-Timeout", wait.as_str()),
+            ("X-Timeout", timeout.as_str()),
         ];
-        fields.extend(passed.idempotency_key.as_deref().map(|key| (head::IDEMPOTENCY_KEY, key)));
-        encode::request(&passed.method, &passed.target, host, &fields, &passed.body)
+        fields.extend(forwarded.idempotency_key.as_deref().map(|key| (head::IDEMPOTENCY_KEY, key)));
+        encode::request(&forwarded.method, &forwarded.target, host, &fields, &forwarded.body)
     }
 
-    fn told(&self, stage: Stage, head: &Head) -> Told {
-        let Start::Response { status } = head.start else { return Told::Over(Outcome::ServerError) };
+    fn parse_reply(&self, stage: Stage, head: &Head) -> ReplyHead {
+        let Start::Response { status } = head.start else { return ReplyHead::Ended(Outcome::ServerError) };
         // Only this mark proves that nothing ran, whatever the status.
         let not_run = head.count("x-not-processed") == 1 && head.header("x-not-processed") == Some("1");
         let events = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         match (status, stage) {
-            (200, Stage::Write) if events => Told::Stream,
-            (202, Stage::Read) => Told::Read,
-            (410, _) if not_run => Told::Over(Outcome::Refused { no_state: true }),
-            (503 | 504, _) if not_run => Told::Over(Outcome::Refused { no_state: false }),
-            _ => Told::Over(Outcome::ServerError),
+            (200, Stage::Write) if events => ReplyHead::Stream,
+            (202, Stage::Read) => ReplyHead::Prefilled,
+            (410, _) if not_run => ReplyHead::Ended(Outcome::Refused { no_state: true }),
+            (503 | 504, _) if not_run => ReplyHead::Ended(Outcome::Refused { no_state: false }),
+            _ => ReplyHead::Ended(Outcome::ServerError),
         }
     }
 
-    fn report(&self, head: &Head) -> Option<p::Report> {
+    fn load_report(&self, head: &Head) -> Option<p::Report> {
         head.header("x-server-load").and_then(beside::report)
     }
 
-    fn kept(&self, body: &[u8]) -> u64 {
-        serde_json::from_slice::<Kept>(body).map_or(0, |kept| kept.cached_tokens)
+    fn cached_tokens(&self, body: &[u8]) -> u64 {
+        serde_json::from_slice::<CachedTokens>(body).map_or(0, |reply| reply.cached_tokens)
     }
 
-    fn beside(&self) -> Box<dyn Beside> {
+    fn response_observer(&self) -> Box<dyn ResponseObserver> {
         Box::<Lines>::default()
     }
 
-    fn release(&self, id: &p::RequestId, host: &str) -> Vec<u8> {
+    fn release_call(&self, id: &p::RequestId, host: &str) -> Vec<u8> {
         encode::request("DELETE", &format!("/internal/reservations/{}", id.0), host, &[], &[])
     }
 
-    fn watch(&self, after: Option<u64>, waits: bool, host: &str) -> Vec<u8> {
-        let wait = if waits { WATCH_MS } else { 0 };
+    fn list_call(&self, after: Option<u64>, long_poll: bool, host: &str) -> Vec<u8> {
+        let wait = if long_poll { WATCH_MS } else { 0 };
         let target = match after {
             Some(version) => format!("/discovery/hosts?after={version}&wait_ms={wait}"),
             None => "/discovery/hosts".into(),
@@ -103,7 +117,7 @@
         encode::request("GET", &target, host, &[], &[])
     }
 
-    fn list(&self, body: &[u8]) -> Result<List, String> {
+    fn parse_list(&self, body: &[u8]) -> Result<EndpointList, EndpointListError> {
         discovery::list(&self.names, body)
     }
 }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -57,7 +57,7 @@
     let fifth = watch(&mut y);
     assert_eq!((fifth.conn, fifth.target.as_str()), (sixth.conn, "/discovery/hosts?after=6&wait_ms=2000"));
     // Another configuration: the new address at once.
-    y.input(Input::Register(format!("127.0.0.1:{OTHER_AGENT}").parse().unwrap()));
+    y.input(Input::DiscoveryMoved(format!("127.0.0.1:{OTHER_AGENT}").parse().unwrap()));
     assert!(y.closed.contains(&fifth.conn));
     assert_eq!(watch(&mut y).port, OTHER_AGENT);
 }
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -5,7 +5,7 @@
 use chalkyard_platform::{Platform, Started};
 use chalkyard_policy::Micros;
 use chalkyard_proto::{Decoder, Part, Side};
-use chalkyard_router::dialect::{Dialect, Heard};
+use chalkyard_router::dialect::{Dialect, ParsedRequest};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -57,8 +57,8 @@
         assert!(buffers * 2 <= (memory_mb as u64) << 20, "{memory_mb} MB");
     }
     let started = with(|_| {}).unwrap();
-    assert_eq!(started.config.waits.engine_idle, Micros(2_000_000), "well under the told time");
-    assert_eq!((started.config.waits.connect, started.seed), (Micros(300_000), Some(0x1f)));
+    assert_eq!(started.config.timeouts.engine_idle, Micros(2_000_000), "well under the told time");
+    assert_eq!((started.config.timeouts.connect, started.seed), (Micros(300_000), Some(0x1f)));
 }
 
 /// Streams: events with all line ends that the format allows, reports, usage.
@@ -78,16 +78,16 @@
     #[test]
     fn a_stream_is_read_alike_in_any_splitting(bytes in stream(), at in prop::collection::vec(any::<prop::sample::Index>(), 0..6)) {
         let platform = Platform::new(Names::default());
-        let mut whole = platform.beside();
+        let mut whole = platform.response_observer();
         whole.push(&bytes);
         let mut cuts: Vec<usize> = at.iter().map(|i| i.index(bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
-        let mut pieces = platform.beside();
+        let mut pieces = platform.response_observer();
         for pair in cuts.windows(2) {
             pieces.push(&bytes[pair[0]..pair[1]]);
         }
-        prop_assert_eq!(whole.seen(), pieces.seen());
+        prop_assert_eq!(whole.progress(), pieces.progress());
     }
 
     #[test]
@@ -101,19 +101,20 @@
         let mut d = Decoder::new(Side::Request, Default::default());
         d.push(&bytes);
         if let Ok(Some(Part::Head(head))) = d.next_part() {
-            let heard = Platform::new(Names::default()).hear(Micros(0), &head, b"{}".to_vec());
+            let heard = Platform::new(Names::default()).parse_request(Micros(0), &head, b"{}".to_vec());
             // No class is known here: nothing can be taken.
-            prop_assert!(matches!(heard, Heard::Wrong(400, _)));
+            let rejected = matches!(heard, ParsedRequest::Invalid { status: 400, .. });
+            prop_assert!(rejected);
         }
     }
 
     #[test]
     fn no_list_panics(bytes in prop::collection::vec(any::<u8>(), 0..200), phase in "[a-z]{0,9}", address in "[0-9.:a-z]{0,12}") {
         let platform = Platform::new(Names::default());
-        let _ = platform.list(&bytes);
+        let _ = platform.parse_list(&bytes);
         let entry = json!({"id": "a", "host_port": address, "phase": phase, "up_since_ms": -1.5, "size": -1});
-        let list = platform.list(json!({"revision": 1, "members": [entry]}).to_string().as_bytes()).unwrap();
-        prop_assert_eq!(list.workers.len() + list.wrong.len(), 1);
+        let list = platform.parse_list(json!({"revision": 1, "members": [entry]}).to_string().as_bytes()).unwrap();
+        prop_assert_eq!(list.endpoints.len() + list.invalid.len(), 1);
     }
 }
 
@@ -145,13 +146,16 @@
         let mut decoder = Decoder::new(Side::Request, Default::default());
         decoder.push(&bytes);
         let Some(Part::Head(head)) = decoder.next_part().unwrap() else { panic!("no head") };
-        dialect.hear(Micros(5), &head, b"{}".to_vec())
+        dialect.parse_request(Micros(5), &head, b"{}".to_vec())
     };
-    let Heard::Call(request, _) = heard("prefix=5c0f,prompt_len=10,prefix_len=9000,max_out=8") else {
+    let ParsedRequest::Inference(request, _) = heard("prefix=5c0f,prompt_len=10,prefix_len=9000,max_out=8")
+    else {
         panic!("not taken")
     };
     assert_eq!(request.prompt_tokens, 10);
-    let Heard::Call(request, _) = heard("prompt_len=4294967296,max_out=8") else { panic!("not taken") };
+    let ParsedRequest::Inference(request, _) = heard("prompt_len=4294967296,max_out=8") else {
+        panic!("not taken")
+    };
     assert_eq!(request.prompt_tokens, 1 << 32);
-    assert!(matches!(heard("prompt_len=4294967297,max_out=8"), Heard::Wrong(400, _)));
+    assert!(matches!(heard("prompt_len=4294967297,max_out=8"), ParsedRequest::Invalid { status: 400, .. }));
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,4 @@
-//! What a router is told when it starts.
+//! The configuration of a router.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,61 +12,61 @@
 
 /// A class by its name; its place in the list is its [`p::ClassId`].
 #[derive(Debug, Clone)]
-pub struct ClassEntry {
+pub struct ClassConfig {
     /// Its name, as clients give it.
     pub name: String,
 }
 
 /// A tenant by its name; its place in the list is its [`p::TenantId`].
 #[derive(Debug, Clone)]
-pub struct TenantEntry {
+pub struct TenantConfig {
     /// Its name, for the log.
     pub name: String,
     /// Classes that its keys may ask for, by place; none: all.
     pub classes: Option<Vec<usize>>,
 }
 
-/// A kind of engine.
+/// A kind of worker.
 #[derive(Debug, Clone, Copy)]
-pub struct KindEntry {
-    /// What it does.
+pub struct WorkerKind {
+    /// Its role.
     pub role: p::Role,
     /// Its KV memory in tokens, where known.
     pub kv_tokens: Option<u64>,
 }
 
-/// Bounds of a router's buffers and tables. What is past one is refused or waits; each says which.
+/// Bounds of a router's buffers and tables. What is past one is rejected or waits; each says which.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// Of client connections' decoders.
     pub client: chalkyard_proto::Limits,
-    /// Of engine connections' decoders; the body's length is that of one whole stream.
+    /// Of worker connections' decoders; the body's length is that of one complete stream.
     pub engine: chalkyard_proto::Limits,
     /// Of one call.
     pub call: client::Bounds,
-    /// Bytes of one event of an engine's or the register's stream.
+    /// Bytes of one event of a worker's stream.
     pub event_bytes: usize,
-    /// Bytes of one answer's text that is kept for a client that wants it whole.
+    /// Bytes of one answer's text that is collected for a client that wants it in one body.
     pub answer_bytes: usize,
     /// Client connections; one more is answered 503 and closed.
     pub clients: usize,
-    /// At that bound, the client that has said nothing for longest makes room.
+    /// At that bound, the client that has been silent for longest makes room.
     pub evict: bool,
     /// Bytes of request bodies, together, that came and may still have to be sent.
     pub bodies: u64,
-    /// Open requests; one more is refused before the module sees it.
+    /// Open requests; one more is rejected before the policy sees it.
     pub open: usize,
-    /// Connections to one engine; at the bound an attempt ends as `NotSent`.
+    /// Connections to one worker; at the bound an attempt ends as `NotSent`.
     pub engine_connections: usize,
-    /// Connections to all engines; at the bound the oldest idle one makes room.
+    /// Connections to all workers; at the bound the oldest idle one makes room.
     pub links: usize,
-    /// Idle ones of these that are kept.
+    /// Idle connections to one worker.
     pub engine_idle: usize,
-    /// Bytes waiting for a slow client at which its engine is no longer read; half of it starts again.
+    /// Bytes waiting for a slow client at which its worker is no longer read; at half of that it is read again.
     pub client_buffer: usize,
-    /// Entries of the worker list.
+    /// Entries of the endpoint list.
     pub workers: usize,
-    /// Identities remembered; the oldest finished ones go first.
+    /// Idempotency keys remembered.
     pub identities: usize,
 }
 
@@ -93,41 +93,51 @@
     }
 }
 
-/// Bounds of a router's waits.
+/// Timeouts of a router.
 #[derive(Debug, Clone, Copy)]
-pub struct Waits {
+pub struct Timeouts {
     /// From a request's first byte to the end of its body.
     pub head: p::Micros,
-    /// A client connection without a request.
+    /// A client connection between two requests.
     pub idle: p::Micros,
-    /// ... and one that has had none yet, to the end of its first.
+    /// A new client connection, to the end of its first request.
     pub first: p::Micros,
-    /// For the answer to a call to let go.
+    /// The answer to a call that releases a reservation.
     pub release: p::Micros,
-    /// From when to when after it is told to leave a router moves its streams on, evenly, where clients ask for the rest:
-    /// all of them at once, at its end, would jam the others. What it takes while it leaves is answered by then.
-    pub leaving: Option<(p::Micros, p::Micros)>,
-    /// When no new requests are taken any more, a client that has just come still has so long to begin its first.
-    pub just_come: p::Micros,
-    /// An engine connection without one; under the engines' own.
+    /// When streams are migrated during the graceful shutdown; none: never. What is accepted meanwhile is answered by its
+    /// end.
+    pub migration: Option<MigrationWindow>,
+    /// When no new requests are accepted any more, a client that has connected just now has this long to begin its first.
+    pub drain_grace: p::Micros,
+    /// An idle connection to a worker; under the workers' own.
     pub engine_idle: p::Micros,
-    /// Until a connection to an engine or the register stands.
+    /// Until a connection to a worker or to service discovery stands.
     pub connect: p::Micros,
-    /// Between two events of a begun answer.
+    /// Between two events of an answer that has begun.
     pub stream: p::Micros,
     /// A client that takes nothing of what waits for it.
     pub slow_client: p::Micros,
-    /// Without a sign of life from the register.
-    pub register: p::Micros,
-    /// The same for the first sign of a dialect's source after a call to it has failed.
-    pub register_doubted: p::Micros,
-    /// A final answer leaves so long before the client's time is up.
+    /// Service discovery that is silent.
+    pub discovery: p::Micros,
+    /// The same after a call to a dialect's service discovery has failed.
+    pub discovery_probe: p::Micros,
+    /// A final answer leaves this long before the client's deadline.
     pub reply_margin: p::Micros,
-    /// How long identities of finished requests that may have run are remembered.
+    /// How long idempotency keys of finished requests that may have run are remembered.
     pub identity: p::Micros,
 }
 
-impl Default for Waits {
+/// Streams of a stopping router are migrated evenly within this window: all at once, at its end, they would overload the
+/// other routers.
+#[derive(Debug, Clone, Copy)]
+pub struct MigrationWindow {
+    /// From the beginning of the graceful shutdown to the first migration.
+    pub from: p::Micros,
+    /// ... and to the last.
+    pub until: p::Micros,
+}
+
+impl Default for Timeouts {
     fn default() -> Self {
         let ms = |n: u64| p::Micros(n * 1_000);
         Self {
@@ -135,58 +145,58 @@
             idle: ms(60_000),
             first: ms(60_000),
             release: ms(250),
-            leaving: None,
-            just_come: ms(500),
+            migration: None,
+            drain_grace: ms(500),
             engine_idle: ms(10_000),
             connect: ms(250),
             stream: ms(20_000),
             slow_client: ms(10_000),
-            register: ms(15_000),
-            register_doubted: ms(250),
+            discovery: ms(15_000),
+            discovery_probe: ms(250),
             reply_margin: ms(25),
             identity: ms(600_000),
         }
     }
 }
 
-/// What a running core can be told anew. Requests that are open go on as they were taken.
+/// What can be changed in a running core. Open requests go on as they were accepted.
 #[derive(Debug, Clone)]
-pub struct Tuned {
-    /// Keys, by the places of the tenants that the core was started with.
+pub struct RuntimeSettings {
+    /// API keys, by the places of the tenants that the core was started with.
     pub keys: KeyRing,
     /// By those places: the classes that a tenant's keys may ask for; none: all.
     pub classes: Vec<Option<Vec<usize>>>,
-    /// Bounds: of connections, for those that come.
+    /// Bounds; those of connections hold for new ones.
     pub bounds: Bounds,
-    /// Waits: for what begins.
-    pub waits: Waits,
+    /// Timeouts; they hold for what begins.
+    pub timeouts: Timeouts,
 }
 
-/// All that a [`crate::Core`] is told.
+/// All that a [`crate::Core`] is started with.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// This router's name; it must differ from all others' and goes into request ids.
     pub name: String,
-    /// What the module is told.
+    /// The policy's settings.
     pub policy: p::Settings,
     /// Classes, in the order of `policy.classes`.
-    pub classes: Vec<ClassEntry>,
+    pub classes: Vec<ClassConfig>,
     /// The class of calls that name none.
     pub default_class: usize,
     /// Tenants, in the order of `policy.tenants`.
-    pub tenants: Vec<TenantEntry>,
-    /// Their keys. Without tenants, no key is asked for.
+    pub tenants: Vec<TenantConfig>,
+    /// Their API keys. Without tenants, no key is asked for.
     pub keys: KeyRing,
     /// Zones by name.
     pub zones: BTreeMap<String, p::ZoneId>,
-    /// Kinds of engines by name.
-    pub kinds: BTreeMap<String, KindEntry>,
-    /// Where the list of workers comes from; none: only the first list.
-    pub register: Option<SocketAddr>,
+    /// Kinds of workers by name.
+    pub kinds: BTreeMap<String, WorkerKind>,
+    /// Where service discovery listens; none: the stored list is all there is.
+    pub discovery: Option<SocketAddr>,
     /// Bounds.
     pub bounds: Bounds,
-    /// Waits.
-    pub waits: Waits,
-    /// How it speaks; none: the messages call in, the engines' published call out, the register's stream.
+    /// Timeouts.
+    pub timeouts: Timeouts,
+    /// The platform's protocol; none: our own call for clients, the engines' published calls, our own service discovery.
     pub dialect: Option<Arc<dyn Dialect>>,
 }
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -5,21 +5,22 @@
 use chalkyard_policy::obligations::AnswerPermit;
 use chalkyard_policy::{AttemptNo, Event, Micros, Outcome, RequestId};
 
+use super::active_request::{ActiveRequest, ClientCall, FinalAnswer};
+use super::attempt::outcome_name;
 use super::counters::{increment, Violation};
-use super::job::{outcome_name, Answer, Call, Job};
 use super::record::{since, Ended, Finished};
 use super::view::OpenRequest;
 use super::{Core, FinishedLine, Output};
 
 impl Core {
-    pub(super) fn refuse(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::Why) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        job.why = Some(why);
+    /// The policy rejects the request. If an attempt may have run, the client is told of a failure instead.
+    pub(super) fn reject(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::Why) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
-        let permit = job.obligations(&self.config.policy).may_refuse();
-        if let Err(denied) = permit {
-            self.deny(id, denied);
-            return self.give_up(id);
+        if let Err(denied) = request.obligations(&self.config.policy).may_refuse() {
+            self.record_denial(id, denied);
+            return self.answer_given_up(id);
         }
         let error = ErrorBody {
             kind: ErrorKind::Refused,
@@ -28,218 +29,231 @@
             may_have_run: false,
             retry_after: retry_after.map(Micros::as_secs_f64),
         };
-        self.give_error(id, Ended::Refused, 503, error);
+        self.answer_with_error(id, Ended::Rejected, 503, error);
     }
 
-    pub(super) fn fail(&mut self, id: &RequestId, why: p::Why) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        job.why = Some(why);
+    /// The policy gives the request up.
+    pub(super) fn fail_request(&mut self, id: &RequestId, why: p::Why) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
-        self.give_up(id);
+        self.answer_given_up(id);
     }
 
-    fn give_up(&mut self, id: &RequestId) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let last = job.attempts.iter().rev().find_map(|a| a.ended).map(|(o, _)| outcome_name(o));
-        let reason = format!("failed; last attempt: {}", last.unwrap_or("none"));
-        self.give_failure(id, Ended::Failed, 504, reason);
+    fn answer_given_up(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        let last = request.attempts.iter().rev().find_map(|a| a.ended);
+        let last = last.map_or("none", |end| outcome_name(end.outcome));
+        self.answer_failure(id, Ended::Failed, 504, format!("failed; last attempt: {last}"));
     }
 
-    pub(super) fn give_failure(&mut self, id: &RequestId, ended: Ended, status: u16, reason: String) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let may_have_run = job.may_have_run();
-        let error =
-            ErrorBody { kind: ErrorKind::Failed, reason, field: None, may_have_run, retry_after: None };
-        self.give_error(id, ended, status, error);
+    /// Answers that the request has failed, and whether it may have run.
+    pub(super) fn answer_failure(&mut self, id: &RequestId, ended: Ended, status: u16, reason: String) {
+        let Some(request) = self.requests.get(id) else { return };
+        let error = request.failure(reason);
+        self.answer_with_error(id, ended, status, error);
     }
 
-    /// The answer is whole.
-    pub(super) fn serve(&mut self, id: &RequestId) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let Ok(permit) = job.obligations(&self.config.policy).may_answer() else { return };
-        let (client, usage, model) = (job.client, job.usage, job.call.model());
-        let stop = job.stop_reason.clone().unwrap_or_else(|| "stop".into());
-        let (stream, begun, text) =
-            (job.call.stream(), matches!(job.answer, Answer::Begun), std::mem::take(&mut job.text));
-        self.give(permit, id, Ended::Served, String::new());
+    /// The answer is complete.
+    pub(super) fn answer_served(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
+        let (client, usage, model) = (request.client, request.usage, request.call.model());
+        let stop_reason = request.stop_reason.clone().unwrap_or_else(|| "stop".into());
+        let (is_streamed, has_begun) = (request.call.is_streamed(), request.is_streaming());
+        let text = std::mem::take(&mut request.text);
+        self.record_answer(permit, id, Ended::Served, String::new());
         if self.config.dialect.is_some() {
-            return self.end_passing(client);
+            return self.end_forwarded(client);
         }
-        if stream {
-            if !begun {
+        if is_streamed {
+            if !has_begun {
                 self.open_stream(client, id, &model);
             }
-            self.end_stream(client, &ClientEvent::Closed { stop_reason: &stop, usage });
+            self.end_stream(client, &ClientEvent::Closed { stop_reason: &stop_reason, usage });
         } else {
-            let answer = WholeAnswer { id: &id.0, model: &model, content: &text, stop_reason: &stop, usage };
-            self.whole_answer(client, id, &answer);
+            let answer =
+                WholeAnswer { id: &id.0, model: &model, content: &text, stop_reason: &stop_reason, usage };
+            self.write_body_answer(client, id, &answer);
         }
     }
 
-    pub(super) fn give_error(&mut self, id: &RequestId, ended: Ended, status: u16, error: ErrorBody) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let (client, begun) = (job.client, matches!(job.answer, Answer::Begun));
-        let Ok(permit) = job.obligations(&self.config.policy).may_answer() else { return };
-        self.give(permit, id, ended, error.reason.clone());
-        if begun && self.config.dialect.is_some() {
-            // What has begun and can't be ended well ends without its last chunk.
+    fn answer_with_error(&mut self, id: &RequestId, ended: Ended, status: u16, error: ErrorBody) {
+        let Some(request) = self.requests.get(id) else { return };
+        let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
+        let (client, has_begun) = (request.client, request.is_streaming());
+        self.record_answer(permit, id, ended, error.reason.clone());
+        if has_begun && self.config.dialect.is_some() {
+            // A forwarded stream that can't end well ends without its last chunk.
             self.close_answered(client);
-        } else if begun {
+        } else if has_begun {
             self.end_stream(client, &ClientEvent::Broken { error });
         } else {
             self.answer_error(client, status, &error);
         }
-        self.forget_done(id);
+        self.forget_completed(id);
     }
 
-    /// Notes that the final answer is given; the one place that does.
-    fn give(&mut self, _permit: AnswerPermit, id: &RequestId, ended: Ended, reason: String) {
-        let (now, remember) = (self.now, self.config.waits.identity);
+    /// Records that the final answer is given; the only place that does.
+    fn record_answer(&mut self, _permit: AnswerPermit, id: &RequestId, ended: Ended, reason: String) {
+        let remembered_until = self.now + self.config.timeouts.identity;
         self.settle_budget(id, ended);
         increment(&mut self.counters.answers, ended.name());
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let phase = job.phase();
-        let class = self.config.policy.classes.get(job.request.class.0);
-        let once = class.is_none_or(|c| c.effect != p::Effect::Free);
-        let until = (once && job.may_have_run()).then(|| now + remember);
-        job.answer = Answer::Given { ended, phase, reason, at: now };
-        if let Some(identity) = &job.identity {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let phase = request.phase();
+        let class = self.config.policy.classes.get(request.spec.class.0);
+        let must_run_once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let until = (must_run_once && request.may_have_run()).then_some(remembered_until);
+        request.answer = FinalAnswer::Given { ended, phase, reason, at: self.now };
+        if let Some(identity) = &request.identity {
             self.identities.end(identity, until);
         }
     }
 
     /// The client is gone: nothing more is owed, and no work goes on for it.
     pub(super) fn client_left(&mut self, id: &RequestId, ended: Ended) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let Ok(permit) = job.obligations(&self.config.policy).may_answer() else { return };
-        self.give(permit, id, ended, String::new());
+        let Some(request) = self.requests.get(id) else { return };
+        let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
+        self.record_answer(permit, id, ended, String::new());
+        self.abandon(id, Outcome::Cancelled);
+        self.forget_completed(id);
+    }
+
+    /// Nobody waits for an answer any more: the policy is notified, and all attempts end.
+    fn abandon(&mut self, id: &RequestId, outcome: Outcome) {
         self.events.push_back(Event::ClientGone(id.clone()));
-        let attempts = self.jobs.get(id).map_or(0, |j| j.attempts.len() as u32);
+        let attempts = self.requests.get(id).map_or(0, |r| r.attempts.len() as u32);
         for no in 0..attempts {
-            self.end_attempt(id, AttemptNo(no), Outcome::Cancelled, 0);
+            self.end_attempt(id, AttemptNo(no), outcome, 0);
         }
-        self.forget_done(id);
     }
 
-    /// The client closed its side; it may still hear why it gets nothing.
-    pub(super) fn half_closed(&mut self, id: &RequestId) {
-        let Some(job) = self.jobs.get(id).filter(|j| !j.over()) else { return };
-        let (client, begun, may_have_run) =
-            (job.client, matches!(job.answer, Answer::Begun), job.may_have_run());
+    /// The client has closed its side, which is taken as leaving; it may still read why it gets no answer.
+    pub(super) fn client_half_closed(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get(id).filter(|r| !r.is_answered()) else { return };
+        let (client, has_begun) = (request.client, request.is_streaming());
         let reason = "the client closed its side of the connection, which is taken as leaving".into();
-        let error =
-            ErrorBody { kind: ErrorKind::Failed, reason, field: None, may_have_run, retry_after: None };
+        let error = request.failure(reason);
         self.client_left(id, Ended::ClientGone);
-        if begun && self.config.dialect.is_some() {
+        if has_begun && self.config.dialect.is_some() {
             self.close_answered(client);
-        } else if begun {
+        } else if has_begun {
             self.end_stream(client, &ClientEvent::Broken { error });
         } else {
             self.answer_error(client, 400, &error);
         }
     }
 
-    /// Rule 1's backstop: the module owes an answer and the time is up.
-    pub(super) fn overdue(&mut self, id: &RequestId) {
-        let owed = self
-            .jobs
-            .get(id)
-            .is_some_and(|j| matches!(j.answer, Answer::Owed) && (j.winner.is_none() || !j.call.stream()));
-        if !owed {
+    /// The core's own limit: the policy has not ended the request in its time.
+    pub(super) fn answer_overdue(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        let is_on_its_way = request.answering_attempt.is_some() && request.call.is_streamed();
+        if !matches!(request.answer, FinalAnswer::Pending) || is_on_its_way {
             return;
         }
-        self.violated(id, Violation::AnswerOverdue, None);
+        self.record_violation(id, Violation::AnswerOverdue, None);
         self.note("overdue", format!("{} had no final answer from the module in time", id.0));
-        self.give_failure(id, Ended::Overdue, 504, "no answer in time".into());
-        self.events.push_back(Event::ClientGone(id.clone()));
-        let attempts = self.jobs.get(id).map_or(0, |j| j.attempts.len() as u32);
-        for no in 0..attempts {
-            self.end_attempt(id, AttemptNo(no), Outcome::TimedOut, 0);
-        }
+        self.answer_failure(id, Ended::Overdue, 504, "no answer in time".into());
+        self.abandon(id, Outcome::TimedOut);
     }
 
-    /// The router ends now: each open request is told so, with what is known of it. Not a refusal, unless
-    /// nothing can have run, and even then only a failure that says so.
+    /// The process ends now: each open request is answered with a failure that says whether it may have run.
     pub fn answer_all(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.stopping = true;
         let open: Vec<RequestId> =
-            self.jobs.iter().filter(|(_, j)| !j.over()).map(|(id, _)| id.clone()).collect();
+            self.requests.iter().filter(|(_, r)| !r.is_answered()).map(|(id, _)| id.clone()).collect();
         for id in open {
-            let reason = "this router is stopping".to_owned();
-            self.give_failure(&id, Ended::Stopped, 503, reason);
-            self.events.push_back(Event::ClientGone(id.clone()));
-            let attempts = self.jobs.get(&id).map_or(0, |j| j.attempts.len() as u32);
-            for no in 0..attempts {
-                self.end_attempt(&id, AttemptNo(no), Outcome::Cancelled, 0);
-            }
-            self.forget_done(&id);
+            self.answer_failure(&id, Ended::Stopped, 503, "this router is stopping".into());
+            self.abandon(&id, Outcome::Cancelled);
+            self.forget_completed(&id);
         }
         self.pump();
-        out.append(&mut self.out);
+        out.append(&mut self.outputs);
     }
 
-    /// Once nothing is owed, out or held, the request is told of and forgotten.
-    pub(super) fn forget_done(&mut self, id: &RequestId) {
-        let done = self.jobs.get(id).is_some_and(|j| j.over() && !j.out() && j.held.is_none());
-        if !done {
+    /// Forgets a request of which nothing is left to be done, and gives its record out.
+    pub(super) fn forget_completed(&mut self, id: &RequestId) {
+        if !self.requests.get(id).is_some_and(ActiveRequest::is_completed) {
             return;
         }
-        self.drop_body(id);
-        let Some(job) = self.jobs.remove(id) else { return };
-        if let Some(key) = job.backstop {
+        self.drop_request_body(id);
+        let Some(request) = self.requests.remove(id) else { return };
+        if let Some(key) = request.answer_timer {
             self.timers.cancel(key);
         }
-        let attempts = job.told_attempts(self.now);
-        let Answer::Given { ended, phase, reason, at } = job.answer else { return };
-        let name = |i: usize| self.config.tenants.get(i).map(|t| t.name.clone());
-        let finished = Finished {
+        if let Some(record) = self.finished_record(id, request) {
+            self.outputs.push(Output::Finished(Box::new(FinishedLine(record))));
+        }
+    }
+
+    /// The record of a request that was removed just now.
+    fn finished_record(&self, id: &RequestId, request: ActiveRequest) -> Option<Finished> {
+        let attempts = request.attempt_records(self.now);
+        let FinalAnswer::Given { ended, phase, reason, at } = request.answer else { return None };
+        Some(Finished {
             id: id.0.to_string(),
-            class: self.config.classes.get(job.request.class.0).map(|c| c.name.clone()).unwrap_or_default(),
-            came_back: job.request.came_back,
-            tenant: job.request.tenant.and_then(|t| name(t.0)),
-            identity: job.identity.map(|(_, key)| key),
-            session: job.request.session.as_ref().map(|s| s.0.to_string()),
-            prefix: job.request.prefix.as_ref().map(|p| p.0.to_string()),
+            class: self.class_name(request.spec.class),
+            came_back: request.spec.came_back,
+            tenant: self.tenant_name(request.spec.tenant),
+            identity: request.identity.map(|identity| identity.key),
+            session: request.spec.session.as_ref().map(|s| s.0.to_string()),
+            prefix: request.spec.prefix.as_ref().map(|p| p.0.to_string()),
             ended,
-            why: job.why,
-            list_age_us: self.list_changed.map(|t| since(at, t)),
-            open: self.jobs.len() + 1,
+            why: request.why,
+            list_age_us: self.discovery.changed_at.map(|changed_at| since(at, changed_at)),
+            open: self.requests.len() + 1,
             phase,
             reason,
             attempts,
-            arrived_us: job.arrived.0,
-            first_token_us: job.first_token.map(|t| since(t, job.arrived)),
-            total_us: since(at, job.arrived),
-            estimated_tokens: job.request.prompt_tokens,
-            prompt_tokens: job.usage.prompt_tokens,
-            kept_tokens: job.usage.kept_tokens,
-            output_tokens: job.usage.output_tokens,
-        };
-        self.out.push(Output::Finished(Box::new(FinishedLine(finished))));
+            arrived_us: request.arrived_at.0,
+            first_token_us: request.first_token_at.map(|first| since(first, request.arrived_at)),
+            total_us: since(at, request.arrived_at),
+            estimated_tokens: request.spec.prompt_tokens,
+            prompt_tokens: request.usage.prompt_tokens,
+            kept_tokens: request.usage.kept_tokens,
+            output_tokens: request.usage.output_tokens,
+        })
     }
 
-    pub(super) fn drop_body(&mut self, id: &RequestId) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        self.bodies = self.bodies.saturating_sub(job.body_bytes());
-        if let Call::Passed(passed) = &mut job.call {
-            passed.body = Vec::new();
+    /// No further attempt can follow: the body is not needed any more.
+    pub(super) fn drop_request_body(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        self.body_bytes = self.body_bytes.saturating_sub(request.body_bytes());
+        if let ClientCall::Forwarded(forwarded) = &mut request.call {
+            forwarded.body = Vec::new();
         }
     }
 
     /// An open request as operators see it.
-    pub(super) fn seen(&self, id: &RequestId, job: &Job) -> OpenRequest {
+    pub(super) fn describe_open(&self, id: &RequestId, request: &ActiveRequest) -> OpenRequest {
         OpenRequest {
             id: id.0.to_string(),
-            class: self.config.classes.get(job.request.class.0).map(|c| c.name.clone()).unwrap_or_default(),
-            tenant: job.request.tenant.and_then(|t| self.config.tenants.get(t.0)).map(|t| t.name.clone()),
-            phase: if job.over() { "answered" } else { job.phase() },
-            age_us: since(self.now, job.arrived),
-            left_us: since(job.request.deadline, self.now),
-            prompt_tokens: job.request.prompt_tokens,
-            pieces: job.pieces,
-            may_have_run: job.may_have_run(),
-            attempts: job.told_attempts(self.now),
+            class: self.class_name(request.spec.class),
+            tenant: self.tenant_name(request.spec.tenant),
+            phase: if request.is_answered() { "answered" } else { request.phase() },
+            age_us: since(self.now, request.arrived_at),
+            left_us: since(request.spec.deadline, self.now),
+            prompt_tokens: request.spec.prompt_tokens,
+            pieces: request.pieces,
+            may_have_run: request.may_have_run(),
+            attempts: request.attempt_records(self.now),
         }
     }
+
+    fn class_name(&self, class: p::ClassId) -> String {
+        self.config.classes.get(class.0).map(|c| c.name.clone()).unwrap_or_default()
+    }
+
+    fn tenant_name(&self, tenant: Option<p::TenantId>) -> Option<String> {
+        tenant.and_then(|t| self.config.tenants.get(t.0)).map(|t| t.name.clone())
+    }
+}
+
+impl ActiveRequest {
+    /// The error that says that the request has failed, and whether it may have run.
+    fn failure(&self, reason: String) -> ErrorBody {
+        let may_have_run = self.may_have_run();
+        ErrorBody { kind: ErrorKind::Failed, reason, field: None, may_have_run, retry_after: None }
+    }
 }
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -1,143 +1,153 @@
-//! Attempts at engines: begun as the module says, ended once, with its verdict.
+//! Attempts at workers: begun as the policy says, ended once, with their outcome for the policy.
 
-use chalkyard_api::engine::{self, Stage};
+use chalkyard_api::engine;
 use chalkyard_policy as p;
 use chalkyard_policy::obligations::{proves_arrival, AttemptFacts, Denied, SendPermit, Target};
 use chalkyard_policy::{AttemptNo, Event, Micros, Outcome, RequestId, WorkerId};
 use chalkyard_proto::encode;
 
+use super::active_request::{ActiveRequest, ClientCall, Reservation};
+use super::attempt::{outcome_name, Attempt, AttemptEnd, AttemptStage, ReplyState};
 use super::counters::{increment, Violation};
-use super::job::{outcome_name, At, Attempt, Call, HeldState, Job, Reply};
 use super::record::Ended;
-use super::transitions::{About, Change};
-use super::worker_connection::{Engine, Payload, Task};
-use super::{ConnId, Core, Due};
+use super::reservations::DeferredEvent;
+use super::transitions::{Change, Subject};
+use super::worker_connection::{Payload, Task, WorkerEndpoint};
+use super::{ConnId, Core, TimerEvent};
 
 /// A worker that is not known any more.
-const GONE: Target =
+const REMOVED: Target =
     Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Out };
 
-/// How long an attempt may take, as the module says; none: as long as its request, or as connections usually may.
+/// How long an attempt may take, as the policy says; none: as long as its request, or as connections usually may.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptLimits {
     /// Until it is given up.
-    pub(super) give_up: Option<Micros>,
+    pub(super) timeout: Option<Micros>,
     /// Until its connection stands.
-    pub(super) connect: Option<Micros>,
+    pub(super) connect_timeout: Option<Micros>,
 }
 
 /// What is known of an attempt as it ends.
 struct EndedAttempt {
     worker: WorkerId,
-    at: At,
+    stage: AttemptStage,
     conn: Option<ConnId>,
     elapsed: Micros,
     report: Option<p::Report>,
-    kept: u64,
+    cached_tokens: u64,
     /// Its answer was the one that went to the client.
-    won: bool,
+    was_answering: bool,
 }
 
 impl Core {
     /// Begins an attempt, if the request's obligations permit it; it is given up in any case at the request's deadline.
-    pub(super) fn send(&mut self, id: &RequestId, worker: WorkerId, limits: AttemptLimits, care: p::Care) {
-        let target = self.engines.get(&worker).map_or(GONE, Engine::target);
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let permit = job.obligations(&self.config.policy).may_send(self.now, &target);
-        let at = job.next_stage(&target);
-        let call = job.next_call(at);
-        let no = AttemptNo(job.attempts.len() as u32);
-        let deadline = job.request.deadline;
-        let due = limits.give_up.map_or(deadline, |give_up| (self.now + give_up).min(deadline));
-        job.attempts.push(Attempt {
+    pub(super) fn start_attempt(
+        &mut self,
+        id: &RequestId,
+        worker: WorkerId,
+        limits: AttemptLimits,
+        care: p::Care,
+    ) {
+        let target = self.workers.get(&worker).map_or(REMOVED, WorkerEndpoint::target);
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let permit = request.obligations(&self.config.policy).may_send(self.now, &target);
+        let stage = request.next_stage(&target);
+        let call = request.next_call(stage);
+        let no = AttemptNo(request.attempts.len() as u32);
+        let latest = request.spec.deadline;
+        let deadline = limits.timeout.map_or(latest, |timeout| (self.now + timeout).min(latest));
+        request.attempts.push(Attempt {
             worker,
-            at,
-            sent: self.now,
-            facts: AttemptFacts::new(at.stage(), self.now, target),
-            due,
-            connect: limits.connect,
+            stage,
+            sent_at: self.now,
+            facts: AttemptFacts::new(stage.obligation(), self.now, target),
+            deadline,
+            connect_timeout: limits.connect_timeout,
             care,
             conn: None,
             timer: None,
             report: None,
-            kept: 0,
+            cached_tokens: 0,
             stream_timer: None,
             ended: None,
         });
         if let Some(tally) = &mut self.tally {
-            tally.sent(call, care);
+            tally.count_attempt(call, care);
         }
         match permit {
-            Ok(permit) => self.dial_first(permit, id, no),
+            Ok(permit) => self.place_first_call(permit, id, no),
             Err(denied) => {
-                self.deny(id, denied);
+                self.record_denial(id, denied);
                 return self.end_attempt(id, no, Outcome::NotSent, 0);
             }
         }
-        self.arm_attempt(id, no, due);
+        self.arm_attempt(id, no, deadline);
     }
 
     /// Ends the attempt at its time, unless it has ended already for want of a connection.
-    fn arm_attempt(&mut self, id: &RequestId, no: AttemptNo, due: Micros) {
+    fn arm_attempt(&mut self, id: &RequestId, no: AttemptNo, deadline: Micros) {
         if self.attempt_mut(id, no).is_none_or(|a| a.conn.is_none()) {
             return;
         }
-        let timer = self.timers.set(due, Due::Attempt(id.clone(), no));
+        let timer = self.timers.set(deadline, TimerEvent::Attempt(id.clone(), no));
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.timer = Some(timer);
         }
     }
 
-    /// What was asked for is not done.
-    pub(super) fn deny(&mut self, id: &RequestId, denied: Denied) {
+    /// Something that the policy asked for is not done.
+    pub(super) fn record_denial(&mut self, id: &RequestId, denied: Denied) {
         increment(&mut self.counters.denied, denied.name());
-        self.tell(id, Change::Denied, denied.name(), About::default());
+        self.record_transition(id, Change::Denied, denied.name(), Subject::default());
         if denied == Denied::MayHaveRun {
-            self.violated(id, Violation::EffectUnproven, None);
+            self.record_violation(id, Violation::EffectUnproven, None);
         }
     }
 
-    /// The first call of an attempt, with leave to send it.
-    fn dial_first(&mut self, _permit: SendPermit, id: &RequestId, no: AttemptNo) {
-        self.dial(id, no);
+    /// Places the first call of an attempt, which needs a permit. A call that is placed again belongs to the same attempt.
+    fn place_first_call(&mut self, _permit: SendPermit, id: &RequestId, no: AttemptNo) {
+        self.place_call(id, no);
     }
 
-    /// Has an attempt's call written on a kept connection, or on a new one.
-    pub(super) fn dial(&mut self, id: &RequestId, no: AttemptNo) {
-        let attempt = self.attempt_mut(id, no).filter(|a| a.ended.is_none());
-        let Some((worker, connect)) = attempt.map(|a| (a.worker.clone(), a.connect)) else { return };
-        let listed = self.engines.get(&worker).is_some_and(|e| e.listed);
-        let task = Task::Attempt(id.clone(), no, Reply::None);
-        let conn = listed.then(|| self.call(&worker, task, Payload::AttemptCall, 0)).flatten();
-        // Our own bound: it says nothing of the engine.
+    /// Has an attempt's call written on an idle connection, or on a new one.
+    pub(super) fn place_call(&mut self, id: &RequestId, no: AttemptNo) {
+        let Some(attempt) = self.attempt_mut(id, no).filter(|a| a.ended.is_none()) else { return };
+        let (worker, connect_timeout) = (attempt.worker.clone(), attempt.connect_timeout);
+        let is_listed = self.workers.get(&worker).is_some_and(|e| e.listed);
+        let task = Task::Attempt(id.clone(), no, ReplyState::AwaitingHead);
+        let conn = is_listed.then(|| self.start_call(&worker, task, Payload::AttemptCall, 0)).flatten();
+        // Our own bound: it says nothing of the worker.
         let Some(conn) = conn else { return self.end_attempt(id, no, Outcome::NotSent, 0) };
-        if let Some(span) = connect {
-            self.connect_within(conn, span);
+        if let Some(timeout) = connect_timeout {
+            self.limit_connect(conn, timeout);
         }
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.conn = Some(conn);
         }
     }
 
-    /// An attempt's call as it is written.
-    pub(super) fn attempt_bytes(&self, id: &RequestId, no: AttemptNo) -> Option<Vec<u8>> {
-        let job = self.jobs.get(id)?;
-        let attempt = job.attempts.get(no.0 as usize)?;
-        let (at, host) = (attempt.at, self.host(&attempt.worker));
-        let call = match (&job.call, &self.config.dialect) {
-            (Call::Messages(call), _) => call,
-            (Call::Passed(passed), dialect) => {
-                let left = attempt.due - self.now;
-                return dialect.as_ref().map(|d| d.attempt(&job.request, passed, &host, left));
+    /// An attempt's call as it is written now.
+    pub(super) fn encode_attempt(&self, id: &RequestId, no: AttemptNo) -> Option<Vec<u8>> {
+        let request = self.requests.get(id)?;
+        let attempt = request.attempts.get(no.0 as usize)?;
+        let host = self.host_header(&attempt.worker);
+        let call = match (&request.call, &self.config.dialect) {
+            (ClientCall::Messages(call), _) => call,
+            (ClientCall::Forwarded(forwarded), dialect) => {
+                let timeout = attempt.deadline - self.now;
+                return dialect.as_ref().map(|d| d.attempt_call(&request.spec, forwarded, &host, timeout));
             }
         };
-        let stage = match (at, &job.held) {
-            (At::Read, _) => Stage::Read,
-            (At::Pull, Some(HeldState { params: Some(params), .. })) => Stage::Pull(params),
-            _ => Stage::Whole,
+        let stage = match (attempt.stage, &request.reservation) {
+            (AttemptStage::Prefill, _) => engine::Stage::Read,
+            (AttemptStage::Decode, Some(Reservation { transfer_params: Some(params), .. })) => {
+                engine::Stage::Pull(params)
+            }
+            _ => engine::Stage::Whole,
         };
         let body = engine::completion(call, stage);
-        let class = self.config.classes.get(job.request.class.0).map_or("", |c| c.name.as_str());
+        let class = self.config.classes.get(request.spec.class.0).map_or("", |c| c.name.as_str());
         let number = no.0.to_string();
         let mut fields = vec![
             ("content-type", "application/json"),
@@ -146,9 +156,11 @@
             ("x-class", class),
             (engine::ATTEMPT, &number),
         ];
-        let tenant = job.identity.as_ref().map(|(t, key)| (t.map_or("-".into(), |t| t.to_string()), key));
-        // One tenant's key is no other's: engines know them together.
-        let key = tenant.map(|(t, key)| format!("\"{t}/{key}\""));
+        // Workers know the keys of all tenants together, so the tenant is a part of the key.
+        let key = request.identity.as_ref().map(|identity| {
+            let tenant = identity.tenant.map_or("-".into(), |t| t.to_string());
+            format!("\"{tenant}/{}\"", identity.key)
+        });
         if let Some(key) = &key {
             fields.push(("idempotency-key", key));
         }
@@ -156,52 +168,62 @@
     }
 
     pub(super) fn attempt_mut(&mut self, id: &RequestId, no: AttemptNo) -> Option<&mut Attempt> {
-        self.jobs.get_mut(id)?.attempts.get_mut(no.0 as usize)
+        self.requests.get_mut(id)?.attempts.get_mut(no.0 as usize)
     }
 
-    pub(super) fn cancel(&mut self, id: &RequestId, no: AttemptNo) {
-        let streaming = self.jobs.get(id).is_some_and(|j| j.winner == Some(no.0 as usize));
-        if !streaming {
-            self.doubt_pool(id, no);
+    /// Cancels an attempt, unless its answer goes to the client already.
+    pub(super) fn cancel_attempt(&mut self, id: &RequestId, no: AttemptNo) {
+        let is_answering = self.requests.get(id).is_some_and(|r| r.answering_attempt == Some(no.0 as usize));
+        if !is_answering {
+            self.close_idle_beside(id, no);
             self.end_attempt(id, no, Outcome::Cancelled, 0);
         }
     }
 
+    /// Cancels all attempts but one.
     pub(super) fn cancel_others(&mut self, id: &RequestId, no: AttemptNo) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let others: Vec<u32> = (0..job.attempts.len() as u32).filter(|n| *n != no.0).collect();
+        let Some(request) = self.requests.get(id) else { return };
+        let others: Vec<u32> = (0..request.attempts.len() as u32).filter(|n| *n != no.0).collect();
         for other in others {
             self.end_attempt(id, AttemptNo(other), Outcome::Cancelled, 0);
         }
     }
 
-    /// An attempt ends for want of any answer: what swallowed its call may swallow the next.
-    pub(super) fn doubt_pool(&mut self, id: &RequestId, no: AttemptNo) {
-        let out = self.attempt_mut(id, no).filter(|a| a.ended.is_none());
-        if let Some(worker) = out.map(|a| a.worker.clone()) {
+    /// An attempt ends without any answer: whatever has lost its call would lose the next on an idle connection too.
+    fn close_idle_beside(&mut self, id: &RequestId, no: AttemptNo) {
+        let attempt = self.attempt_mut(id, no).filter(|a| a.ended.is_none());
+        if let Some(worker) = attempt.map(|a| a.worker.clone()) {
             self.close_idle(&worker);
         }
     }
 
-    /// Ends an attempt, once: its connection, its time-outs, and the module's verdict.
-    pub(super) fn end_attempt(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, kept: u64) {
-        let Some(mut ended) = self.mark_ended(id, no, outcome, kept) else { return };
+    /// Ends an attempt, once: its connection, its timers, its reservation, and its outcome for client and policy.
+    pub(super) fn end_attempt(
+        &mut self,
+        id: &RequestId,
+        no: AttemptNo,
+        outcome: Outcome,
+        cached_tokens: u64,
+    ) {
+        let Some(mut ended) = self.mark_ended(id, no, outcome, cached_tokens) else { return };
         self.record_end(id, no, outcome, &ended);
+        let is_decode = ended.stage == AttemptStage::Decode;
         if outcome == (Outcome::Refused { no_state: true }) {
-            self.take_held(id);
-        } else if ended.at == At::Pull && proves_arrival(outcome) {
-            self.restart_held(id);
+            self.take_reservation(id);
+        } else if is_decode && proves_arrival(outcome) {
+            self.renew_reservation(id);
         }
         if let Some(conn) = ended.conn.take() {
-            self.abort_link(conn);
+            self.abort_connection(conn);
         }
-        let took = ended.won || matches!(outcome, Outcome::Served | Outcome::Refused { no_state: true });
-        if ended.at == At::Pull && !took {
-            self.release_again(id);
+        let has_pulled =
+            ended.was_answering || matches!(outcome, Outcome::Served | Outcome::Refused { no_state: true });
+        if is_decode && !has_pulled {
+            self.repeat_release(id);
         }
-        self.answer_ended(id, outcome, ended.won);
-        self.report_end(id, no, outcome, ended);
-        self.forget_done(id);
+        self.answer_ended_attempt(id, outcome, ended.was_answering);
+        self.notify_outcome(id, no, outcome, ended);
+        self.forget_completed(id);
     }
 
     /// Marks an open attempt as ended and cancels its timers; none if it has ended before.
@@ -210,108 +232,113 @@
         id: &RequestId,
         no: AttemptNo,
         outcome: Outcome,
-        kept: u64,
+        cached_tokens: u64,
     ) -> Option<EndedAttempt> {
         let index = no.0 as usize;
-        let job = self.jobs.get_mut(id)?;
-        let won = job.winner == Some(index);
-        let attempt = job.attempts.get_mut(index).filter(|a| a.ended.is_none())?;
-        attempt.ended = Some((outcome, self.now));
+        let request = self.requests.get_mut(id)?;
+        let was_answering = request.answering_attempt == Some(index);
+        let attempt = request.attempts.get_mut(index).filter(|a| a.ended.is_none())?;
+        attempt.ended = Some(AttemptEnd { outcome, at: self.now });
         attempt.facts.end(outcome);
         for key in attempt.timer.take().into_iter().chain(attempt.stream_timer.take()) {
             self.timers.cancel(key);
         }
-        attempt.kept = if outcome == Outcome::Served { job.usage.kept_tokens } else { kept };
-        if let (Outcome::Served, At::Pull, Some(kept)) = (outcome, attempt.at, job.kept_at_reader) {
-            job.usage.kept_tokens = kept;
+        attempt.cached_tokens =
+            if outcome == Outcome::Served { request.usage.kept_tokens } else { cached_tokens };
+        if outcome == Outcome::Served && attempt.stage == AttemptStage::Decode {
+            if let Some(cached_tokens) = request.cached_at_prefill {
+                request.usage.kept_tokens = cached_tokens;
+            }
         }
         Some(EndedAttempt {
             worker: attempt.worker.clone(),
-            at: attempt.at,
+            stage: attempt.stage,
             conn: attempt.conn.take(),
-            elapsed: self.now - attempt.sent,
+            elapsed: self.now - attempt.sent_at,
             report: attempt.report,
-            kept: attempt.kept,
-            won,
+            cached_tokens: attempt.cached_tokens,
+            was_answering,
         })
     }
 
-    /// Counts an attempt's end, and tells one that is out of the ordinary.
+    /// Counts an attempt's end, and records one that is out of the ordinary.
     fn record_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: &EndedAttempt) {
         let name = outcome_name(outcome);
-        increment(self.counters.attempts(ended.at), name);
+        increment(self.counters.attempts(ended.stage), name);
         if matches!(outcome, Outcome::Served | Outcome::Parsed) {
             return;
         }
-        let about =
-            About { attempt: Some(no.0), worker: Some(&ended.worker), connection: ended.conn, since: None };
-        self.tell(id, Change::AttemptEnded, name, about);
+        let subject =
+            Subject { attempt: Some(no.0), worker: Some(&ended.worker), connection: ended.conn, since: None };
+        self.record_transition(id, Change::AttemptEnded, name, subject);
     }
 
-    /// What the client is answered at an attempt's end, if that is for the core to say.
-    fn answer_ended(&mut self, id: &RequestId, outcome: Outcome, won: bool) {
+    /// What the client is answered at an attempt's end, where that is for the core to say.
+    fn answer_ended_attempt(&mut self, id: &RequestId, outcome: Outcome, was_answering: bool) {
         if outcome == Outcome::Served {
-            return self.serve(id);
+            return self.answer_served(id);
         }
-        let Some(job) = self.jobs.get_mut(id).filter(|_| won) else { return };
-        if job.call.stream() {
-            // Of a stream that was begun nothing can be taken back.
+        let Some(request) = self.requests.get_mut(id).filter(|_| was_answering) else { return };
+        if request.call.is_streamed() {
+            // What was streamed can't be taken back.
             let reason = format!("the answer broke off: {}", outcome_name(outcome));
-            return self.give_failure(id, Ended::Broken, 502, reason);
+            return self.answer_failure(id, Ended::Broken, 502, reason);
         }
-        // Nothing of a whole answer has reached the client: the module may try again.
-        job.winner = None;
-        job.pieces = 0;
-        job.text.clear();
+        // Nothing has reached the client: the policy may retry.
+        request.answering_attempt = None;
+        request.pieces = 0;
+        request.text.clear();
     }
 
-    /// Tells the module of an attempt's end; what a read that ended badly may have left behind is released.
-    fn report_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: EndedAttempt) {
-        let EndedAttempt { worker, at, elapsed, report, kept, .. } = ended;
-        let over = self.jobs.get(id).is_none_or(Job::over);
-        let verdict = Event::Verdict { id: id.clone(), attempt: no, outcome, elapsed, over, kept, report };
-        // A read that ended otherwise may have left state behind; a client's leaving is no reason to hold it.
-        let state_left = matches!(
+    /// Notifies the policy of an attempt's end. State that a failed prefill may have left behind is released.
+    fn notify_outcome(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: EndedAttempt) {
+        let EndedAttempt { worker, stage, elapsed, report, cached_tokens: kept, .. } = ended;
+        let over = self.requests.get(id).is_none_or(ActiveRequest::is_answered);
+        let event = Event::Verdict { id: id.clone(), attempt: no, outcome, elapsed, over, kept, report };
+        let may_leave_state = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Cancelled | Outcome::ConnectionLost | Outcome::ServerError
         );
-        if at != At::Read || !state_left {
-            self.events.push_back(verdict);
+        if stage != AttemptStage::Prefill || !may_leave_state {
+            self.events.push_back(event);
             return;
         }
         match self.release_awaited_until(id) {
-            Some(by) => self.release(id.clone(), worker, None, Some((verdict, by))),
+            Some(until) => {
+                self.start_release(id.clone(), worker, None, Some(DeferredEvent { event, until }));
+            }
             None => {
-                self.events.push_back(verdict);
-                self.release(id.clone(), worker, None, None);
+                self.events.push_back(event);
+                self.start_release(id.clone(), worker, None, None);
             }
         }
     }
 
-    /// A read can end well just as it is given up, and the state stays. Where nothing may run twice the next attempt comes
-    /// after it is released, or at this time, once a connection would have been waited for in vain; none: it does not wait.
+    /// A prefill can complete just as it is given up, and its state stays. Where a request must not run twice, its next attempt
+    /// comes after the release, or at this time, when a connection would have timed out. None: it does not wait.
     fn release_awaited_until(&self, id: &RequestId) -> Option<Micros> {
-        let job = self.jobs.get(id).filter(|j| !j.over() && self.config.dialect.is_some())?;
-        let class = self.config.policy.classes.get(job.request.class.0);
-        let once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let request = self.requests.get(id).filter(|r| !r.is_answered() && self.config.dialect.is_some())?;
+        let class = self.config.policy.classes.get(request.spec.class.0);
+        let must_run_once = class.is_none_or(|c| c.effect != p::Effect::Free);
         let tick = self.config.policy.tick;
-        let by = (self.now + self.config.waits.connect).min(job.request.deadline - tick - tick - tick);
-        (once && by > self.now).then_some(by)
+        let latest = request.spec.deadline - tick - tick - tick;
+        let until = (self.now + self.config.timeouts.connect).min(latest);
+        (must_run_once && until > self.now).then_some(until)
     }
 
-    pub(super) fn attempt_due(&mut self, id: &RequestId, no: AttemptNo) {
+    pub(super) fn attempt_timed_out(&mut self, id: &RequestId, no: AttemptNo) {
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.timer = None;
         }
-        self.doubt_pool(id, no);
+        self.close_idle_beside(id, no);
         self.end_attempt(id, no, Outcome::TimedOut, 0);
     }
 
-    pub(super) fn stream_due(&mut self, id: &RequestId, no: AttemptNo) {
-        // A stream that is not read since its client is slow is the client's to end.
-        if self.jobs.get(id).is_some_and(|j| j.paused) {
-            let wait = self.config.waits.stream;
-            let timer = self.timers.set(self.now + wait, Due::Stream(id.clone(), no));
+    pub(super) fn stream_timed_out(&mut self, id: &RequestId, no: AttemptNo) {
+        // While a slow client keeps its worker from being read, the client's own timeout counts.
+        if self.requests.get(id).is_some_and(|r| r.worker_paused) {
+            let timeout = self.now + self.config.timeouts.stream;
+            let timer = self.timers.set(timeout, TimerEvent::Stream(id.clone(), no));
             if let Some(attempt) = self.attempt_mut(id, no) {
                 attempt.stream_timer = Some(timer);
             }
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets in the flow: a reservation at a request's beginning, its settlement at the one final answer.
+//! Tenants' budgets: reserved when a request is accepted, settled at its one final answer.
 
 use std::collections::BTreeMap;
 
@@ -6,60 +6,62 @@
 use chalkyard_budget::{Ask, Ending, Figures, Grant, Keeper, Plan, Settled, Time, Usage, Why};
 use chalkyard_policy as p;
 
-use super::job::Job;
+use super::active_request::ActiveRequest;
 use super::record::Ended;
-use super::requests::Rejection;
+use super::request_intake::Rejection;
 use super::{Core, Output};
+use crate::identity::RequestIdentity;
 
 impl Core {
-    /// Has budgets kept from now on; before the start. Identities that may have run in an earlier life and must not
-    /// run twice are known from its ledger.
+    /// Enforces budgets from now on; to be called before the start. Requests that may have run in an earlier process and
+    /// must not run twice are known from its ledger.
     pub fn keep_budgets(&mut self, keeper: Keeper) {
-        let (now, wait) = (self.now, self.config.waits.identity);
+        let (now, wait) = (self.now, self.config.timeouts.identity);
         for ran in &keeper.state().ran {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
             let class = self.config.classes.iter().position(|c| *c.name == *ran.class);
             let class = class.and_then(|c| self.config.policy.classes.get(c));
             let until = p::Micros(ran.at.0) + wait;
             // A class that is gone may have been one that must not run twice.
-            let once = class.is_none_or(|c| c.effect != p::Effect::Free);
-            if once && until > now && (tenant.is_some() || ran.tenant.is_empty()) {
-                self.identities.restore(&(tenant, ran.identity.to_string()), until);
+            let must_run_once = class.is_none_or(|c| c.effect != p::Effect::Free);
+            if must_run_once && until > now && (tenant.is_some() || ran.tenant.is_empty()) {
+                let identity = RequestIdentity { tenant, key: ran.identity.to_string() };
+                self.identities.restore(&identity, until);
             }
         }
-        self.keeper = Some(keeper);
+        self.budgets = Some(keeper);
     }
 
     /// Tenants' budget figures, for metrics.
     pub fn budget_figures(&self) -> BTreeMap<Box<str>, Figures> {
-        self.keeper.as_ref().map(|k| k.figures(self.time())).unwrap_or_default()
+        self.budgets.as_ref().map(|k| k.figures(self.time())).unwrap_or_default()
     }
 
     fn time(&self) -> Time {
         Time(self.now.0)
     }
 
-    /// Gives out the keeper's records: what follows in the outputs follows them.
+    /// Gives the ledger's records out. Outputs that follow must not overtake them.
     pub(super) fn write_records(&mut self) {
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(keeper) = &mut self.budgets else { return };
         let records = keeper.take_records();
-        self.out.extend(records.map(|(number, record)| Output::Record(number, Box::new(record))));
+        self.outputs.extend(records.map(|(number, record)| Output::Record(number, Box::new(record))));
     }
 
-    /// Reserves for a request, and cuts or lowers it where that is agreed; or refuses it.
-    pub(super) fn reserve(&mut self, job: &mut Job) -> Result<(), Rejection> {
+    /// Reserves a request's budget, with a shorter answer or a lower class where that is agreed; or rejects it.
+    pub(super) fn reserve_budget(&mut self, request: &mut ActiveRequest) -> Result<(), Rejection> {
         let now = self.time();
-        let Self { keeper: Some(keeper), config, .. } = self else { return Ok(()) };
-        let tenant = job.request.tenant.and_then(|t| config.tenants.get(t.0));
-        let class = config.classes.get(job.request.class.0).map_or("", |c| c.name.as_str());
-        let id = job.request.id.0.clone();
+        let Self { budgets: Some(keeper), config, .. } = self else { return Ok(()) };
+        let tenant = request.spec.tenant.and_then(|t| config.tenants.get(t.0));
+        let class = config.classes.get(request.spec.class.0).map_or("", |c| c.name.as_str());
+        let id = request.spec.id.0.clone();
         let ask = Ask {
             id: &id,
             tenant: tenant.map_or("", |t| t.name.as_str()),
             class,
-            identity: job.identity_key(),
-            prompt: job.request.prompt_tokens,
-            output: job.request.max_output,
+            identity: request.idempotency_key(),
+            prompt: request.spec.prompt_tokens,
+            output: request.spec.max_output,
         };
         let admission = keeper.admit(now, ask).map_err(|refusal| {
             let status = if refusal.why == Why::Ledger { 503 } else { 429 };
@@ -69,10 +71,10 @@
                 ErrorBody { kind: ErrorKind::Refused, reason, field: None, may_have_run: false, retry_after };
             Rejection { status, body }
         })?;
-        job.cut_answer(admission.output);
+        request.limit_output(admission.output);
         if let Some(lower) = admission.lower_to {
             let place = self.config.classes.iter().position(|c| *c.name == *lower);
-            job.request.class = place.map_or(job.request.class, p::ClassId);
+            request.spec.class = place.map_or(request.spec.class, p::ClassId);
         }
         for (account, mark) in admission.marks {
             let part = f64::from(mark) / 10.0;
@@ -82,27 +84,29 @@
         Ok(())
     }
 
-    /// The final answer is given: what the request cost is known.
+    /// The final answer is given: what the request has cost is known.
     pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: Ended) {
         let now = self.time();
-        let Some((keeper, job)) = self.keeper.as_mut().zip(self.jobs.get(id)) else { return };
-        let begun = job.has_begun();
+        let Some((keeper, request)) = self.budgets.as_mut().zip(self.requests.get(id)) else { return };
+        let begun = request.is_streaming();
         let ending = match ended {
             Ended::Served => Ending::Served,
-            Ended::Refused | Ended::Turned => Ending::Refused,
+            Ended::Rejected | Ended::RejectedAtIntake => Ending::Refused,
             Ended::Failed | Ended::Overdue | Ended::Stopped if !begun => Ending::Failed,
-            Ended::Failed | Ended::Overdue | Ended::Stopped | Ended::Broken | Ended::Moved => Ending::Broken,
+            Ended::Failed | Ended::Overdue | Ended::Stopped | Ended::Broken | Ended::Migrated => {
+                Ending::Broken
+            }
             Ended::ClientGone | Ended::ClientSlow if begun => Ending::Left,
             Ended::ClientGone | Ended::ClientSlow => Ending::LeftEarly,
         };
-        let usage: Usage = job.counted(ending == Ending::Left);
-        keeper.settle(now, &id.0, ending, usage, job.billed_attempts(), job.may_have_run());
+        let usage: Usage = request.billed_tokens(ending == Ending::Left);
+        keeper.settle(now, &id.0, ending, usage, request.billed_attempts(), request.may_have_run());
         self.write_records();
     }
 
-    pub(super) fn granted(&mut self, grant: &Grant) {
+    pub(super) fn lease_granted(&mut self, grant: &Grant) {
         let now = self.time();
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(keeper) = &mut self.budgets else { return };
         match keeper.adopt(now, grant) {
             Ok(()) => self.write_records(),
             // The file is read again and again: an old one is no news.
@@ -111,8 +115,8 @@
         }
     }
 
-    pub(super) fn writable(&mut self, writable: bool) {
-        if let Some(keeper) = &mut self.keeper {
+    pub(super) fn ledger_writable(&mut self, writable: bool) {
+        if let Some(keeper) = &mut self.budgets {
             keeper.set_writable(writable);
             let what =
                 if writable { "can be written again" } else { "can't be written: nothing new is taken" };
@@ -121,30 +125,30 @@
     }
 
     pub(super) fn checkpoint(&mut self) {
-        if let Some(keeper) = &mut self.keeper {
+        if let Some(keeper) = &mut self.budgets {
             keeper.checkpoint();
             self.write_records();
         }
     }
 
-    pub(super) fn inherited(&mut self, settled: &Settled) {
+    pub(super) fn settled_by_predecessor(&mut self, settled: &Settled) {
         let now = self.time();
-        if let Some(keeper) = &mut self.keeper {
+        if let Some(keeper) = &mut self.budgets {
             keeper.inherit(now, settled);
             self.write_records();
         }
     }
 
-    pub(super) fn inherited_all(&mut self) {
+    pub(super) fn predecessor_finished(&mut self) {
         let now = self.time();
-        if let Some(keeper) = &mut self.keeper {
+        if let Some(keeper) = &mut self.budgets {
             keeper.inherited_all(now);
             self.write_records();
         }
     }
 
-    pub(super) fn replan(&mut self, plan: Plan) {
-        if let Some(keeper) = &mut self.keeper {
+    pub(super) fn replace_budget_plan(&mut self, plan: Plan) {
+        if let Some(keeper) = &mut self.budgets {
             keeper.replan(plan);
             self.note("budget", "other budgets hold from now on; what is spent stays".into());
         }
--- a/crates/router/src/core/client_answers.rs
+++ b/crates/router/src/core/client_answers.rs
@@ -1,4 +1,4 @@
-//! What is written to a client: errors, whole answers, streams of our own events and streams passed on.
+//! What is written to a client: errors, answers in one body, streams of our own events and forwarded streams.
 
 use chalkyard_api::client::{self, ErrorBody, ErrorKind};
 use chalkyard_policy as p;
@@ -15,53 +15,54 @@
 }
 
 impl Core {
-    /// Whether a connection goes on after the present answer. While draining it does if more of its client's requests was
-    /// read already: what was read is answered.
-    pub(super) fn keeps(&self, conn: ConnId) -> bool {
+    /// Whether a connection goes on after the present answer. While draining it does if some of its next request was read
+    /// already: what was read is answered.
+    pub(super) fn is_kept_alive(&self, conn: ConnId) -> bool {
         let Some(client) = self.clients.get(&conn) else { return false };
-        !client.last && (!self.draining || !client.decoder.is_idle())
+        !client.close_after_answer && (!self.draining || !client.decoder.is_idle())
     }
 
     pub(super) fn answer_error(&mut self, conn: ConnId, status: u16, body: &ErrorBody) {
-        let keep = self.says_keep(conn);
-        // Decimal seconds where a dialect knows them, else whole ones.
+        let keep_alive = self.announce_keep_alive(conn);
+        // Decimal seconds where a dialect knows them, else rounded up.
         let decimal = self.config.dialect.is_some();
         let after =
             body.retry_after.map(|s| if decimal { format!("{s:.3}") } else { format!("{}", s.ceil()) });
-        // Only what may be tried again without harm is worded so.
+        // Only a rejection says that a retry does no harm.
         let refused = body.kind == ErrorKind::Refused || !decimal;
         let status = if refused || !matches!(status, 429 | 503) { status } else { 500 };
         let mut fields = vec![JSON];
         if let Some(after) = &after {
             fields.push(("retry-after", after));
         }
-        self.write_client(conn, encode::response(status, &fields, &body.json(), keep));
+        self.write_client(conn, encode::response(status, &fields, &body.json(), keep_alive));
         self.answered(conn);
     }
 
     /// The present request has its answer: on to the next, or to the end.
     pub(super) fn answered(&mut self, conn: ConnId) {
-        let keep = self.keeps(conn);
+        let keep_alive = self.is_kept_alive(conn);
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.next_request(self.now);
-        if client.last {
+        if client.close_after_answer {
             return self.close_answered(conn);
         }
-        if !keep {
+        if !keep_alive {
             // It was told that it may go on.
             return self.close_if_quiet(conn);
         }
-        let wait = if client.decoder.is_idle() { self.config.waits.idle } else { self.config.waits.head };
-        self.arm_client(conn, wait);
-        self.ready.push_back(conn);
+        let timeouts = &self.config.timeouts;
+        let timeout = if client.decoder.is_idle() { timeouts.idle } else { timeouts.head };
+        self.arm_client(conn, timeout);
+        self.pending_clients.push_back(conn);
     }
 
     /// Writes the head of a stream and its first event.
     pub(super) fn open_stream(&mut self, conn: ConnId, id: &p::RequestId, model: &str) {
         let fields =
             [("content-type", "text/event-stream"), ("cache-control", "no-store"), ("x-request-id", &*id.0)];
-        let keep = self.says_keep(conn);
-        let mut bytes = encode::chunked_head(200, &fields, keep);
+        let keep_alive = self.announce_keep_alive(conn);
+        let mut bytes = encode::chunked_head(200, &fields, keep_alive);
         push_event(&mut bytes, &client::Event::Opened { id: &id.0, model });
         self.write_client(conn, bytes);
     }
@@ -82,26 +83,31 @@
     }
 
     /// Bytes of a stream as they came, after a head if it begins.
-    pub(super) fn pass_on(&mut self, conn: ConnId, first: bool, data: &[u8]) {
+    pub(super) fn write_forwarded(&mut self, conn: ConnId, first: bool, data: &[u8]) {
         let mut bytes = Vec::with_capacity(data.len() + 192);
         if first {
             let fields = [("content-type", "text/event-stream"), ("cache-control", "no-store")];
-            bytes = encode::chunked_head(200, &fields, self.says_keep(conn));
+            bytes = encode::chunked_head(200, &fields, self.announce_keep_alive(conn));
         }
         encode::chunk(&mut bytes, data);
         self.write_client(conn, bytes);
     }
 
     /// The stream that was passed on has ended well.
-    pub(super) fn end_passing(&mut self, conn: ConnId) {
+    pub(super) fn end_forwarded(&mut self, conn: ConnId) {
         self.write_client(conn, encode::LAST_CHUNK.to_vec());
         self.answered(conn);
     }
 
-    pub(super) fn whole_answer(&mut self, conn: ConnId, id: &p::RequestId, answer: &client::WholeAnswer<'_>) {
+    pub(super) fn write_body_answer(
+        &mut self,
+        conn: ConnId,
+        id: &p::RequestId,
+        answer: &client::WholeAnswer<'_>,
+    ) {
         let body = serde_json::to_vec(answer).unwrap_or_default();
-        let keep = self.says_keep(conn);
-        self.write_client(conn, encode::response(200, &[JSON, ("x-request-id", &*id.0)], &body, keep));
+        let keep_alive = self.announce_keep_alive(conn);
+        self.write_client(conn, encode::response(200, &[JSON, ("x-request-id", &*id.0)], &body, keep_alive));
         self.answered(conn);
     }
 }
--- a/crates/router/src/core/client_connection.rs
+++ b/crates/router/src/core/client_connection.rs
@@ -4,86 +4,92 @@
 use chalkyard_policy::Micros;
 use chalkyard_proto::{Decoder, Head};
 
-use crate::timers::Key;
+use crate::timers::TimerKey;
 
+/// What a client's connection is doing.
 #[derive(Debug)]
-pub(super) enum Phase {
-    /// Between requests, or within a head.
-    Head,
-    Body(Box<Head>, Vec<u8>),
+pub(super) enum ClientPhase {
+    /// Nothing, or the head of a request is being read.
+    ReadingHead,
+    /// The body of a request is being read.
+    ReadingBody(Box<Head>, Vec<u8>),
+    /// A request has been accepted and not been answered. What follows waits in the decoder.
     Serving(p::RequestId),
 }
 
-/// A client's connection.
+/// A connection with a client.
 #[derive(Debug)]
-pub(super) struct Client {
+pub(super) struct ClientConnection {
     pub(super) decoder: Decoder,
-    pub(super) phase: Phase,
-    pub(super) timer: Option<Key>,
-    /// Bytes given to the shell and not yet taken by the system, and since when none was.
-    pub(super) pending: u64,
-    pub(super) stuck_since: Micros,
-    /// Closed after the answer being given: by its wish, or as it was told.
-    pub(super) last: bool,
-    /// It was told that the connection ends with the answer being given.
-    pub(super) told_last: bool,
-    /// So much waits for it that nothing more is read from it.
-    pub(super) held_up: bool,
-    /// So much has come behind its open request that nothing more is read from it.
-    pub(super) crowded: bool,
-    /// Nothing is read from it, for one of these reasons.
+    pub(super) phase: ClientPhase,
+    pub(super) timer: Option<TimerKey>,
+    /// Bytes given to the shell and not yet taken by the system.
+    pub(super) unsent_bytes: u64,
+    /// Since when the system has taken none of them.
+    pub(super) blocked_since: Micros,
+    /// Closed after the present answer: by the client's wish, or as it was told.
+    pub(super) close_after_answer: bool,
+    /// The client was told that the connection ends with the present answer.
+    pub(super) close_announced: bool,
+    /// Too much waits to be sent: nothing more is read.
+    pub(super) output_full: bool,
+    /// Too much waits behind the open request: nothing more is read.
+    pub(super) pipeline_full: bool,
+    /// Nothing is read, for one of these reasons.
     pub(super) paused: bool,
-    /// It is closed unless it has said something that was not read yet.
-    pub(super) closing: bool,
-    /// It has had an answer: it may be closed between two requests, as it knows.
-    pub(super) used: bool,
-    /// When it came, its last request ended, or its present one began.
-    pub(super) since: Micros,
-    /// When the first byte came of what waits behind its open request: its client's time runs from then.
-    pub(super) waiting_since: Micros,
+    /// Closed, unless bytes have come that were not read yet.
+    pub(super) closing_if_quiet: bool,
+    /// It has had an answer: its client knows that it may be closed between two requests.
+    pub(super) has_been_answered: bool,
+    /// When it was accepted, its last request ended, or its present one began.
+    pub(super) phase_since: Micros,
+    /// When the first byte came of what waits behind its open request: the client's time runs from then.
+    pub(super) next_request_since: Micros,
     /// Nothing was read from then on: what is read next may have come as early.
     pub(super) unread_since: Option<Micros>,
 }
 
-impl Client {
+impl ClientConnection {
     pub(super) fn new(decoder: Decoder, now: Micros) -> Self {
         Self {
             decoder,
-            phase: Phase::Head,
+            phase: ClientPhase::ReadingHead,
             timer: None,
-            pending: 0,
-            stuck_since: now,
-            last: false,
-            told_last: false,
-            held_up: false,
-            crowded: false,
+            unsent_bytes: 0,
+            blocked_since: now,
+            close_after_answer: false,
+            close_announced: false,
+            output_full: false,
+            pipeline_full: false,
             paused: false,
-            closing: false,
-            used: false,
-            since: now,
-            waiting_since: now,
+            closing_if_quiet: false,
+            has_been_answered: false,
+            phase_since: now,
+            next_request_since: now,
             unread_since: None,
         }
     }
 
+    /// Whether no byte of a request has come.
     pub(super) fn is_idle(&self) -> bool {
-        matches!(self.phase, Phase::Head) && self.decoder.is_idle()
+        matches!(self.phase, ClientPhase::ReadingHead) && self.decoder.is_idle()
     }
 
-    /// Its request has its answer: the time of the next one runs, if that is in hand.
+    /// Its request was answered: the time of the next one runs, if some of that has come.
     pub(super) fn next_request(&mut self, now: Micros) {
-        self.phase = Phase::Head;
-        self.used = true;
-        self.since = if self.decoder.is_idle() { now } else { self.waiting_since };
+        self.phase = ClientPhase::ReadingHead;
+        self.has_been_answered = true;
+        self.phase_since = if self.decoder.is_idle() { now } else { self.next_request_since };
     }
 
-    /// Whether it may be closed for want of room: no whole request of its may be in hand.
+    /// Whether it may be closed to make room: none of its requests is complete.
     pub(super) fn is_dispensable(&self) -> bool {
-        !matches!(self.phase, Phase::Serving(_)) && !self.held_up && !self.closing
+        !matches!(self.phase, ClientPhase::Serving(_)) && !self.output_full && !self.closing_if_quiet
     }
 
-    pub(super) fn wrote(&mut self, now: Micros, bytes: u64) {
-        self.pending = self.pending.saturating_sub(bytes);
-        self.stuck_since = now;
+    /// The system has taken bytes to be sent.
+    pub(super) fn sent(&mut self, now: Micros, bytes: u64) {
+        self.unsent_bytes = self.unsent_bytes.saturating_sub(bytes);
+        self.blocked_since = now;
     }
 }
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -1,114 +1,127 @@
-//! Connections with clients: taken, bounded, timed, paused and closed.
+//! Connections with clients: accepted, bounded, timed, paused and closed.
+//!
+//! `Core::clients` is written here and where requests are read and answered. It is bounded by [`crate::Bounds::clients`];
+//! after a crash clients connect again.
 
 use chalkyard_api::client::ErrorKind;
 use chalkyard_policy::Micros;
 use chalkyard_proto::{encode, Decoder, Side};
 
 use super::client_answers::{error, JSON};
-use super::client_connection::{Client, Phase};
+use super::client_connection::{ClientConnection, ClientPhase};
 use super::record::Ended;
-use super::{ConnId, Core, Due, Output};
+use super::{ConnId, Core, Output, TimerEvent};
 
 impl Core {
-    pub(super) fn accepted(&mut self, conn: ConnId) {
-        let full = self.clients.len() >= self.config.bounds.clients && !self.evict_client();
-        if full || (self.draining && self.config.dialect.is_none()) {
-            let why = if self.draining { "draining" } else { "too many connections" };
-            let body = error(ErrorKind::Refused, why).json();
-            self.count(|t| t.unheard += 1);
-            self.out.push(Output::Write(conn, encode::response(503, &[JSON], &body, false)));
-            self.out.push(Output::Close(conn));
+    pub(super) fn client_connected(&mut self, conn: ConnId) {
+        let is_full = self.clients.len() >= self.config.bounds.clients && !self.evict_client();
+        if is_full || (self.draining && self.config.dialect.is_none()) {
+            let reason = if self.draining { "draining" } else { "too many connections" };
+            let body = error(ErrorKind::Refused, reason).json();
+            self.count(|t| t.dropped_clients += 1);
+            self.outputs.push(Output::Write(conn, encode::response(503, &[JSON], &body, false)));
+            self.outputs.push(Output::Close(conn));
             return;
         }
-        let client = Client::new(Decoder::new(Side::Request, self.config.bounds.client), self.now);
-        self.clients.insert(conn, client);
-        self.arm_client(conn, self.config.waits.first);
+        let decoder = Decoder::new(Side::Request, self.config.bounds.client);
+        self.clients.insert(conn, ClientConnection::new(decoder, self.now));
+        self.arm_client(conn, self.config.timeouts.first);
     }
 
-    /// Makes room for a client: of those that have no request open the one that has said nothing for longest goes,
-    /// first of those that never asked. A usual client asks soon after it has come. One whose request has come in and
-    /// was not read yet stays, and another goes for it.
+    /// Makes room for a client: of those without an open request the one that has been silent for longest is closed, first
+    /// of those that never asked, since a usual client asks soon after it has connected. If a request of it has come that
+    /// was not read yet, it stays, and another is closed.
     fn evict_client(&mut self) -> bool {
         if !self.config.bounds.evict {
             return false;
         }
         let dispensable = self.clients.iter().filter(|(_, c)| c.is_dispensable());
-        let first = dispensable.min_by_key(|(_, c)| (!c.is_idle(), c.used, c.since)).map(|(id, _)| *id);
-        let Some(conn) = first else { return false };
-        self.count(|t| t.unheard += 1);
+        let first = dispensable.min_by_key(|(_, c)| (!c.is_idle(), c.has_been_answered, c.phase_since));
+        let Some(conn) = first.map(|(conn, _)| *conn) else { return false };
+        self.count(|t| t.dropped_clients += 1);
         self.close_if_quiet(conn);
         true
     }
 
-    /// Closes a client that has no request open, unless it has said something that was not read yet.
+    /// Closes a client without an open request, unless bytes have come that were not read yet.
     pub(super) fn close_if_quiet(&mut self, conn: ConnId) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.closing = true;
-            self.out.push(Output::CloseIfQuiet(conn));
+            client.closing_if_quiet = true;
+            self.outputs.push(Output::CloseIfQuiet(conn));
         }
     }
 
-    /// A client that was to be closed has said something: it stays, and if it had to make room, another does.
-    pub(super) fn stays(&mut self, conn: ConnId) {
-        if !self.clients.get(&conn).is_some_and(|c| c.closing) {
+    /// Bytes have come from a client that was to be closed: it stays, and if it had to make room, another does.
+    pub(super) fn cancel_close_if_quiet(&mut self, conn: ConnId) {
+        if !self.clients.get(&conn).is_some_and(|c| c.closing_if_quiet) {
             return;
         }
-        let others = self.clients.iter().filter(|(id, c)| **id == conn || !c.closing).count();
-        if others > self.config.bounds.clients {
+        let staying = self.clients.iter().filter(|(id, c)| **id == conn || !c.closing_if_quiet).count();
+        if staying > self.config.bounds.clients {
             self.evict_client();
         }
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.closing = false;
+            client.closing_if_quiet = false;
         }
     }
 
-    /// Idle clients are closed; one that has just come is about to ask, and is heard first.
+    /// Closes idle clients. One that has connected just now is about to ask, and gets a short time for it.
     pub(super) fn close_idle_clients(&mut self) {
-        let idle: Vec<(ConnId, bool)> =
-            self.clients.iter().filter(|(_, c)| c.is_idle()).map(|(id, c)| (*id, c.used)).collect();
-        for (conn, used) in idle {
-            if used {
+        let idle: Vec<(ConnId, bool)> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| client.is_idle())
+            .map(|(conn, client)| (*conn, client.has_been_answered))
+            .collect();
+        for (conn, has_been_answered) in idle {
+            if has_been_answered {
                 self.close_if_quiet(conn);
             } else {
-                self.arm_client(conn, self.config.waits.just_come);
+                self.arm_client(conn, self.config.timeouts.drain_grace);
             }
         }
     }
 
-    /// Whether the connection goes on after the answer that is about to begin; if not, its client is told so, and what it
-    /// says from now on is left unread.
-    pub(super) fn says_keep(&mut self, conn: ConnId) -> bool {
-        let keeps = self.keeps(conn);
-        if let Some(client) = self.clients.get_mut(&conn).filter(|_| !keeps) {
-            client.told_last = true;
-            client.last = true;
+    /// Whether the connection goes on after the answer that is about to begin. If not, that answer says so, and what the
+    /// client sends from now on is left unread.
+    pub(super) fn announce_keep_alive(&mut self, conn: ConnId) -> bool {
+        let is_kept_alive = self.is_kept_alive(conn);
+        if let Some(client) = self.clients.get_mut(&conn).filter(|_| !is_kept_alive) {
+            client.close_announced = true;
+            client.close_after_answer = true;
         }
         self.update_reading(conn);
-        keeps
+        is_kept_alive
     }
 
-    /// Has a client read, or not, as it stands now.
+    /// Pauses or resumes reading of a client, as it stands now.
     pub(super) fn update_reading(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        let pauses = client.held_up || client.crowded || client.told_last;
-        if std::mem::replace(&mut client.paused, pauses) != pauses {
-            client.unread_since = Some(self.now).filter(|_| pauses).or(client.unread_since);
-            self.out.push(if pauses { Output::Pause(conn) } else { Output::Resume(conn) });
+        let pause = client.output_full || client.pipeline_full || client.close_announced;
+        if std::mem::replace(&mut client.paused, pause) != pause {
+            client.unread_since = Some(self.now).filter(|_| pause).or(client.unread_since);
+            self.outputs.push(if pause { Output::Pause(conn) } else { Output::Resume(conn) });
         }
     }
 
-    pub(super) fn arm_client(&mut self, conn: ConnId, wait: Micros) {
+    /// Sets the one timer of a client's connection.
+    pub(super) fn arm_client(&mut self, conn: ConnId, span: Micros) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if let Some(key) = client.timer.take() {
             self.timers.cancel(key);
         }
-        client.timer = Some(self.timers.set(self.now + wait, Due::Client(conn)));
+        client.timer = Some(self.timers.set(self.now + span, TimerEvent::Client(conn)));
     }
 
-    pub(super) fn drop_client(&mut self, conn: ConnId) -> Option<Client> {
+    /// Watches the client of a paused stream.
+    pub(super) fn arm_slow_client(&mut self, conn: ConnId) {
+        self.arm_client(conn, self.config.timeouts.slow_client);
+    }
+
+    fn forget_client(&mut self, conn: ConnId) -> Option<ClientConnection> {
         let client = self.clients.remove(&conn)?;
-        if let Phase::Body(_, body) = &client.phase {
-            self.bodies = self.bodies.saturating_sub(body.len() as u64);
+        if let ClientPhase::ReadingBody(_, body) = &client.phase {
+            self.body_bytes = self.body_bytes.saturating_sub(body.len() as u64);
         }
         if let Some(key) = client.timer {
             self.timers.cancel(key);
@@ -118,77 +131,76 @@
 
     pub(super) fn write_client(&mut self, conn: ConnId, bytes: Vec<u8>) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            if client.pending == 0 {
-                client.stuck_since = self.now;
+            if client.unsent_bytes == 0 {
+                client.blocked_since = self.now;
             }
-            client.pending += bytes.len() as u64;
-            self.out.push(Output::Write(conn, bytes));
+            client.unsent_bytes += bytes.len() as u64;
+            self.outputs.push(Output::Write(conn, bytes));
         }
     }
 
-    /// Closes a client that was answered though its request was not whole.
+    /// Closes a client that was answered though its request was not complete.
     pub(super) fn close_client(&mut self, conn: ConnId) {
-        if self.drop_client(conn).is_some() {
-            self.out.push(Output::Close(conn));
+        if self.forget_client(conn).is_some() {
+            self.outputs.push(Output::Close(conn));
         }
     }
 
     /// Closes a client all of whose requests are answered.
     pub(super) fn close_answered(&mut self, conn: ConnId) {
-        if self.drop_client(conn).is_some() {
-            self.out.push(Output::CloseAnswered(conn));
+        if self.forget_client(conn).is_some() {
+            self.outputs.push(Output::CloseAnswered(conn));
         }
     }
 
-    /// Whether so much waits for this client that its engine should not be read.
+    /// Whether so much waits for this client that its worker should not be read.
     pub(super) fn is_full(&self, conn: ConnId) -> bool {
-        self.clients.get(&conn).is_some_and(|c| c.pending > self.config.bounds.client_buffer as u64)
+        self.clients.get(&conn).is_some_and(|c| c.unsent_bytes > self.config.bounds.client_buffer as u64)
     }
 
-    /// Bytes were taken: a paused engine may be read again.
-    pub(super) fn client_drained(&mut self, conn: ConnId) {
+    /// The system has taken bytes for a client: a paused worker may be read again.
+    pub(super) fn client_bytes_sent(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        let low = client.pending <= self.config.bounds.client_buffer as u64 / 2;
-        if low && std::mem::take(&mut client.held_up) {
+        if client.unsent_bytes > self.config.bounds.client_buffer as u64 / 2 {
+            return;
+        }
+        if std::mem::take(&mut client.output_full) {
             self.update_reading(conn);
-            self.arm_client(conn, self.config.waits.head);
-            return self.ready.push_back(conn);
+            self.arm_client(conn, self.config.timeouts.head);
+            return self.pending_clients.push_back(conn);
         }
-        if let (Phase::Serving(id), true) = (&client.phase, low) {
+        if let ClientPhase::Serving(id) = &client.phase {
             let id = id.clone();
-            self.resume_engine(&id);
+            self.resume_worker(&id);
         }
     }
 
-    /// The client of a paused stream is watched.
-    pub(super) fn watch_slow(&mut self, conn: ConnId) {
-        self.arm_client(conn, self.config.waits.slow_client);
-    }
-
-    pub(super) fn client_due(&mut self, conn: ConnId) {
-        let (wait, margin) = (self.config.waits.slow_client, self.is_full(conn));
+    /// The timer of a client's connection is due.
+    pub(super) fn client_timed_out(&mut self, conn: ConnId) {
+        let (slow_client, is_full) = (self.config.timeouts.slow_client, self.is_full(conn));
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.timer = None;
-        if client.held_up {
-            if client.stuck_since + wait > self.now {
-                return self.watch_slow(conn);
+        let is_blocked = client.blocked_since + slow_client <= self.now;
+        if client.output_full {
+            if !is_blocked {
+                return self.arm_slow_client(conn);
             }
-            self.drop_client(conn);
-            return self.out.push(Output::Abort(conn));
+            self.forget_client(conn);
+            return self.outputs.push(Output::Abort(conn));
         }
         match &client.phase {
-            Phase::Serving(id) => {
-                let (id, stuck) = (id.clone(), client.stuck_since + wait <= self.now);
-                if margin && stuck {
-                    self.drop_client(conn);
-                    self.out.push(Output::Abort(conn));
+            ClientPhase::Serving(id) => {
+                let id = id.clone();
+                if is_full && is_blocked {
+                    self.forget_client(conn);
+                    self.outputs.push(Output::Abort(conn));
                     self.client_left(&id, Ended::ClientSlow);
-                } else if margin {
-                    self.watch_slow(conn);
+                } else if is_full {
+                    self.arm_slow_client(conn);
                 }
             }
-            Phase::Head if client.decoder.is_idle() => self.close_if_quiet(conn),
-            Phase::Head | Phase::Body(..) => {
+            ClientPhase::ReadingHead if client.decoder.is_idle() => self.close_if_quiet(conn),
+            ClientPhase::ReadingHead | ClientPhase::ReadingBody(..) => {
                 let body = error(ErrorKind::Invalid, "the request took too long to come").json();
                 self.write_client(conn, encode::response(408, &[JSON], &body, false));
                 self.close_client(conn);
@@ -197,8 +209,8 @@
     }
 
     pub(super) fn client_lost(&mut self, conn: ConnId) {
-        let Some(client) = self.drop_client(conn) else { return };
-        if let Phase::Serving(id) = client.phase {
+        let Some(client) = self.forget_client(conn) else { return };
+        if let ClientPhase::Serving(id) = client.phase {
             self.client_left(&id, Ended::ClientGone);
         }
     }
--- a/crates/router/src/core/connection_events.rs
+++ b/crates/router/src/core/connection_events.rs
@@ -1,97 +1,101 @@
-//! What happens on connections to engines and the register: bytes, their end, their loss.
+//! What happens on connections to workers and to service discovery: bytes, their end, their loss.
 
-use chalkyard_policy::{Outcome, WorkerId};
+use chalkyard_policy::Outcome;
+use chalkyard_proto::Reason;
 
 use super::worker_connection::Task;
 use super::{ConnId, Core, Output};
 
 impl Core {
-    pub(super) fn link_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
-        let Some(link) = self.links.get_mut(&conn) else { return };
-        match &mut link.task {
-            // Nobody asked: a second reply. What came first may be trusted, the connection may not.
+    pub(super) fn worker_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        match &mut connection.task {
+            // A second reply to one call: the first may be trusted, the connection may not.
             Task::Idle => {
                 self.note("engine", "bytes that nobody asked for; connection closed".into());
-                self.abort_link(conn);
+                self.abort_connection(conn);
             }
-            // The same where a call was about to follow: what came before a byte of it was written is no answer to it.
-            _ if link.wrote == 0 => {
+            // The same on a connection that is about to carry a call: what came before its first byte is no reply to it.
+            _ if connection.written == 0 => {
                 self.note("engine", "bytes ahead of any call; connection closed".into());
-                self.out.push(Output::Abort(conn));
-                self.link_lost(conn);
+                self.outputs.push(Output::Abort(conn));
+                self.connection_lost(conn);
             }
             _ => {
-                link.decoder.push(bytes);
-                self.drive_link(conn);
+                connection.decoder.push(bytes);
+                self.read_replies(conn);
             }
         }
     }
 
-    pub(super) fn link_eof(&mut self, conn: ConnId) {
-        let Some(link) = self.links.get_mut(&conn) else { return };
-        if matches!(link.task, Task::Idle) {
-            return self.abort_link(conn);
+    pub(super) fn worker_eof(&mut self, conn: ConnId) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        if matches!(connection.task, Task::Idle) {
+            return self.abort_connection(conn);
         }
-        link.decoder.close();
-        self.drive_link(conn);
-        // If it still has a task, its answer will not come any more.
-        if self.links.contains_key(&conn) {
-            self.out.push(Output::Abort(conn));
-            self.link_lost(conn);
+        connection.decoder.close();
+        self.read_replies(conn);
+        // If it still has a task, the rest of the reply will not come.
+        if self.connections.contains_key(&conn) {
+            self.outputs.push(Output::Abort(conn));
+            self.connection_lost(conn);
         }
     }
 
     /// A reply that can't be read further: cut short, or malformed.
-    pub(super) fn reply_wrong(&mut self, conn: ConnId, cut: bool) {
-        if cut {
-            self.out.push(Output::Abort(conn));
-            return self.link_lost(conn);
+    pub(super) fn reply_unreadable(&mut self, conn: ConnId, reason: Reason) {
+        if reason == Reason::Truncated {
+            self.outputs.push(Output::Abort(conn));
+            return self.connection_lost(conn);
         }
-        let Some(link) = self.forget_link(conn) else { return };
-        self.out.push(Output::Abort(conn));
-        match link.task {
+        let Some(connection) = self.forget_connection(conn) else { return };
+        self.outputs.push(Output::Abort(conn));
+        match connection.task {
             Task::Attempt(id, no, _) => self.end_attempt(&id, no, Outcome::ServerError, 0),
-            other => self.task_lost(other, link.worker),
+            other => self.call_lost(other),
         }
     }
 
-    /// A connection is gone. What it carried may have run if a byte of it was taken to be sent; in a dialect, whose
-    /// engines begin with the last byte, if that was. Its idle siblings are as old: a dead engine's pool would eat
-    /// an attempt each.
-    pub(super) fn link_lost(&mut self, conn: ConnId) {
-        let Some(link) = self.forget_link(conn) else { return };
-        self.learn_idle_timeout(&link);
-        if let Some(worker) = &link.worker {
+    /// A connection is gone. What it carried may have run if the system had taken a byte of it; in a dialect, whose workers
+    /// begin with the last byte, if it had taken that. Idle connections to the same worker are closed too: they are as old,
+    /// and each could cost an attempt if the worker is gone.
+    pub(super) fn connection_lost(&mut self, conn: ConnId) {
+        let Some(connection) = self.forget_connection(conn) else { return };
+        self.learn_idle_timeout(&connection);
+        if let Some(worker) = &connection.worker {
             self.close_idle(worker);
         }
-        let needed = if self.config.dialect.is_some() { link.size } else { 1 };
-        let sent = link.waiting.is_none() && link.wrote >= needed;
-        match link.task {
-            // One kept from an earlier call that had ended before a byte of this one was written: the engine may close
-            // what rests, and it tells nothing of whether anybody listens there. The attempt has not begun yet.
-            Task::Attempt(id, no, _) if link.rested.is_some() && link.wrote == 0 => self.dial(&id, no),
+        let needed = if self.config.dialect.is_some() { connection.call_size } else { 1 };
+        let may_have_arrived = connection.pending_call.is_none() && connection.written >= needed;
+        match connection.task {
+            // A reused connection that ended before a byte of this call was written: workers may close idle connections,
+            // which says nothing about whether the worker runs. The call is placed again, as part of the same attempt.
+            Task::Attempt(id, no, _) if connection.reused.is_some() && connection.written == 0 => {
+                self.place_call(&id, no);
+            }
             Task::Attempt(id, no, _) => {
-                let outcome = if sent { Outcome::ConnectionLost } else { Outcome::NoConnection };
+                let outcome = if may_have_arrived { Outcome::ConnectionLost } else { Outcome::NoConnection };
                 self.end_attempt(&id, no, outcome, 0);
             }
-            other => self.task_lost(other, link.worker),
+            other => self.call_lost(other),
         }
     }
 
-    /// No connection could be begun for want of descriptors or ports of our own.
-    pub(super) fn unconnected(&mut self, conn: ConnId) {
-        let Some(link) = self.forget_link(conn) else { return };
-        match link.task {
+    /// A connection could not be begun for want of descriptors or ports of this process.
+    pub(super) fn connection_not_started(&mut self, conn: ConnId) {
+        let Some(connection) = self.forget_connection(conn) else { return };
+        match connection.task {
             Task::Attempt(id, no, _) => self.end_attempt(&id, no, Outcome::NotSent, 0),
-            other => self.task_lost(other, link.worker),
+            other => self.call_lost(other),
         }
     }
 
-    pub(super) fn task_lost(&mut self, task: Task, worker: Option<WorkerId>) {
-        match (task, worker) {
-            (Task::Release(no), _) => self.release_failed(no),
-            (Task::Watch(_) | Task::Poll(_), _) => self.register_lost(),
-            _ => {}
+    /// A call that is no attempt has failed.
+    fn call_lost(&mut self, task: Task) {
+        match task {
+            Task::Release(release) => self.release_failed(release),
+            Task::WatchEndpoints(_) | Task::PollEndpoints(_) => self.discovery_lost(),
+            Task::Idle | Task::Attempt(..) | Task::DrainReply => {}
         }
     }
 }
--- a/crates/router/src/core/counters.rs
+++ b/crates/router/src/core/counters.rs
@@ -1,15 +1,15 @@
-//! What a router has done since its start, by cause, and each obligation that ran out. Nothing is decided by it.
+//! Counters since the start, by cause, and violated obligations. Nothing is decided by them.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use super::job::At;
+use super::attempt::AttemptStage;
 
 /// Counts by a name from a fixed set.
 pub type ByCause = BTreeMap<&'static str, u64>;
 
-/// An obligation that was not met.
+/// An obligation that was violated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Violation {
@@ -17,8 +17,9 @@
     AnswerOverdue,
     /// A call was about to be sent, or a refusal given, though an earlier attempt may have run.
     EffectUnproven,
-    /// State was held past its time with no proof that a worker took or released it.
-    HeldOverdue,
+    /// State was reserved past its time with no proof that a worker pulled or released it.
+    #[serde(rename = "held_overdue")]
+    ReservationOverdue,
 }
 
 impl Violation {
@@ -27,7 +28,7 @@
         match self {
             Self::AnswerOverdue => "answer_overdue",
             Self::EffectUnproven => "effect_unproven",
-            Self::HeldOverdue => "held_overdue",
+            Self::ReservationOverdue => "held_overdue",
         }
     }
 }
@@ -35,38 +36,41 @@
 /// Counts since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Requests taken.
+    /// Requests accepted.
     pub requests: u64,
     /// Final answers, by who ended the request.
     pub answers: ByCause,
-    /// Requests that the module refused or gave up, by its condition.
+    /// Requests that the policy rejected or gave up, by its reason.
     pub given_up: ByCause,
-    /// Ends of reads, of pulls and of whole attempts, by outcome.
-    pub reads: ByCause,
-    /// See `reads`.
-    pub pulls: ByCause,
-    /// See `reads`.
-    pub wholes: ByCause,
-    /// Releases of held state: begun, calls made, proven by an answer, given up unproven, by `release_*`.
+    /// Ends of prefill attempts, by outcome.
+    #[serde(rename = "reads")]
+    pub prefills: ByCause,
+    /// Ends of decode attempts, by outcome.
+    #[serde(rename = "pulls")]
+    pub decodes: ByCause,
+    /// Ends of attempts that prefill and decode, by outcome.
+    #[serde(rename = "wholes")]
+    pub combined: ByCause,
+    /// Releases of reservations: begun, during an open attempt, calls made, proven by an answer, given up unproven.
     pub releases: ByCause,
-    /// What was asked for and not done, by reason.
+    /// What the policy asked for and was not done, by reason.
     pub denied: ByCause,
-    /// Obligations that ran out.
+    /// Violated obligations.
     pub violations: ByCause,
 }
 
 impl Counters {
-    /// Ends of attempts of this kind.
-    pub(super) fn attempts(&mut self, at: At) -> &mut ByCause {
-        match at {
-            At::Read => &mut self.reads,
-            At::Pull => &mut self.pulls,
-            At::Whole => &mut self.wholes,
+    /// Ends of attempts of this stage.
+    pub(super) fn attempts(&mut self, stage: AttemptStage) -> &mut ByCause {
+        match stage {
+            AttemptStage::Prefill => &mut self.prefills,
+            AttemptStage::Decode => &mut self.decodes,
+            AttemptStage::Combined => &mut self.combined,
         }
     }
 
-    /// Obligations that ran out, of all kinds.
-    pub fn violated(&self) -> u64 {
+    /// Violated obligations of all kinds.
+    pub fn violation_count(&self) -> u64 {
         self.violations.values().sum()
     }
 }
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -1,162 +1,200 @@
-//! The register: what is said and heard of the list of workers.
+//! Service discovery: calls for the endpoint list, and what is learned from their answers.
+//!
+//! Our own service discovery is watched: one call, whose answer is a stream of events. A dialect's is polled: one call after
+//! the other, each answered once there is a change.
+
+use std::net::SocketAddr;
 
-use chalkyard_api::engine;
 use chalkyard_policy as p;
-use chalkyard_policy::Event;
+use chalkyard_policy::{Event, Micros};
 use chalkyard_proto::{encode, sse, Part, Start};
 
-use super::worker_connection::{Engine, Link, Payload, Task};
-use super::{ConnId, Core, Due, Output};
-use crate::dialect::List;
-use crate::register::{Named, Wrong};
+use super::worker_connection::{Payload, Task, WorkerConnection, WorkerEndpoint};
+use super::{ConnId, Core, Output, TimerEvent};
+use crate::dialect::{Endpoint, EndpointList};
+use crate::discovery::{EndpointUpdateError, KnownEndpoints};
 
-/// Bytes of a list.
+/// Bytes of an endpoint list.
 const LIST_BYTES: usize = 16 * 1024 * 1024;
-/// The list's source is asked again so long after a call to it failed.
-const ASK_PAUSE: p::Micros = p::Micros(100_000);
+/// Service discovery is polled again so long after a call to it has failed.
+const POLL_PAUSE: Micros = Micros(100_000);
 
-pub(super) fn report(header: Option<&str>) -> Option<p::Report> {
-    let load = engine::load(header?)?;
-    let named = load.named_metrics;
-    Some(p::Report {
-        queued: named.queue_depth,
-        slots_used: load.cpu_utilization,
-        kv_used: load.mem_utilization,
-        waiting_tokens: named.waiting_tokens,
-    })
+/// What is known of the endpoint list and of its source. Written by this module and at the start, read by views and records.
+/// The list is bounded by [`crate::Bounds::workers`]; after a crash the stored list is read again.
+#[derive(Debug)]
+pub(super) struct DiscoveryState {
+    /// The list in the form in which it is stored; empty where a dialect reads it.
+    pub(super) endpoints: KnownEndpoints,
+    /// The connection to service discovery.
+    pub(super) connection: Option<ConnId>,
+    /// The newest version of the list, where a dialect reads it. None: the complete list is asked for.
+    pub(super) version: Option<u64>,
+    /// When the last poll was sent.
+    polled_at: Micros,
+    /// Whether that poll may wait for a change.
+    long_poll: bool,
+    /// The last call has failed, or the address has changed since.
+    suspect: bool,
+    /// When the list last changed.
+    pub(super) changed_at: Option<Micros>,
+    /// When an event was last found to be lost.
+    last_gap_at: Option<Micros>,
+    /// A list is known, be it an old one.
+    pub(super) has_list: bool,
+}
+
+impl Default for DiscoveryState {
+    fn default() -> Self {
+        Self {
+            endpoints: KnownEndpoints::default(),
+            connection: None,
+            version: None,
+            polled_at: Micros(0),
+            long_poll: true,
+            suspect: false,
+            changed_at: None,
+            last_gap_at: None,
+            has_list: false,
+        }
+    }
 }
 
 impl Core {
-    /// Notes where workers are; gives what the module is told.
-    pub(super) fn learn(&mut self, named: Vec<Named>, whole: bool) -> Vec<p::Worker> {
-        if !named.is_empty() {
-            self.count(|t| t.list_news += 1);
-            self.list_changed = Some(self.now);
+    /// Takes over where workers are; gives what the policy is notified of.
+    pub(super) fn apply_endpoints(&mut self, endpoints: Vec<Endpoint>, is_complete: bool) -> Vec<p::Worker> {
+        if !endpoints.is_empty() {
+            self.count(|t| t.list_changes += 1);
+            self.discovery.changed_at = Some(self.now);
         }
-        if whole {
-            for engine in self.engines.values_mut() {
-                (engine.listed, engine.leaving) = (false, true);
+        if is_complete {
+            for known in self.workers.values_mut() {
+                (known.listed, known.draining) = (false, true);
             }
         }
         let mut moved = Vec::new();
-        for (worker, address) in &named {
-            let listed = worker.lifecycle != p::Lifecycle::Out;
-            let leaving = worker.lifecycle != p::Lifecycle::In;
-            let host = address.to_string().into();
-            let fresh = Engine {
-                address: *address,
-                host,
-                role: worker.role,
-                zone: worker.zone,
-                cell: worker.cell,
-                listed,
-                leaving,
-                idle: Vec::new(),
-                open: 0,
-                heard: p::Micros(0),
-            };
-            let engine = self.engines.entry(worker.id.clone()).or_insert(fresh);
-            (engine.role, engine.zone, engine.cell) = (worker.role, worker.zone, worker.cell);
-            (engine.listed, engine.leaving) = (listed, leaving);
-            if engine.address != *address {
-                engine.address = *address;
-                engine.host = address.to_string().into();
+        for Endpoint { worker, address } in &endpoints {
+            let known =
+                self.workers.entry(worker.id.clone()).or_insert_with(|| new_endpoint(worker, *address));
+            (known.role, known.zone, known.cell) = (worker.role, worker.zone, worker.cell);
+            known.listed = worker.lifecycle != p::Lifecycle::Out;
+            known.draining = worker.lifecycle != p::Lifecycle::In;
+            if known.address != *address {
+                known.address = *address;
+                known.host = address.to_string().into();
                 moved.push(worker.id.clone());
             }
         }
-        let unlisted = self.engines.iter().filter(|(_, e)| !e.listed).map(|(id, _)| id.clone());
+        let unlisted = self.workers.iter().filter(|(_, e)| !e.listed).map(|(id, _)| id.clone());
         for id in unlisted.chain(moved).collect::<Vec<_>>() {
             self.close_idle(&id);
-            self.forget_engine(&id);
+            self.forget_worker(&id);
         }
-        named.into_iter().map(|(worker, _)| worker).collect()
+        endpoints.into_iter().map(|endpoint| endpoint.worker).collect()
     }
 
-    /// What the module is told of workers; then attempts that still wait for a connection to one that leaves are over:
-    /// nothing of them was sent, and by the time it stands it may be too late.
-    fn tell_workers(&mut self, kind: p::ListKind, workers: Vec<p::Worker>) {
+    /// Notifies the policy, then ends attempts that still wait for a connection to a draining worker: nothing of them was
+    /// sent, and by the time that the connection stands it may be too late.
+    fn notify_policy(&mut self, kind: p::ListKind, workers: Vec<p::Worker>) {
         self.events.push_back(Event::Workers { kind, workers });
-        let leaves = |w: &p::WorkerId| self.engines.get(w).is_some_and(|e| e.leaving);
-        let waits = |l: &&Link| l.waiting.is_some() && l.worker.as_ref().is_some_and(leaves);
-        let attempt = |l: &Link| match &l.task {
+        let is_draining = |w: &p::WorkerId| self.workers.get(w).is_some_and(|e| e.draining);
+        let waits =
+            |c: &&WorkerConnection| c.pending_call.is_some() && c.worker.as_ref().is_some_and(is_draining);
+        let attempt = |c: &WorkerConnection| match &c.task {
             Task::Attempt(id, no, _) => Some((id.clone(), *no)),
             _ => None,
         };
-        let waiting: Vec<_> = self.links.values().filter(waits).filter_map(attempt).collect();
+        let waiting: Vec<_> = self.connections.values().filter(waits).filter_map(attempt).collect();
         for (id, no) in waiting {
             self.end_attempt(&id, no, p::Outcome::NotSent, 0);
         }
     }
 
-    fn register_call(&mut self, target: &str, task: Task) -> Option<ConnId> {
-        let address = self.config.register?;
+    /// Begins to watch, or to poll, service discovery.
+    pub(super) fn watch_discovery(&mut self) {
+        if self.config.dialect.is_some() {
+            return self.poll_discovery();
+        }
+        if let Some(old) = self.discovery.connection.take() {
+            self.abort_connection(old);
+        }
+        let Some(address) = self.config.discovery else { return };
         self.count(|t| t.list_calls += 1);
-        let bytes = encode::request("GET", target, &address.to_string(), &[("via", &self.via)], &[]);
-        Some(self.connect(None, address, task, Payload::Bytes(bytes)))
+        let host = address.to_string();
+        let call = encode::request("GET", "/v1/workers?watch=1", &host, &[("via", &self.via)], &[]);
+        let task = Task::WatchEndpoints(Box::new(sse::Reader::new(LIST_BYTES)));
+        self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
 
-    pub(super) fn watch_register(&mut self) {
-        if let Some(dialect) = self.config.dialect.clone() {
-            let Some(address) = self.config.register.filter(|_| self.register.is_none()) else { return };
-            (self.asked, self.waits) = (self.now, !self.list_doubted);
-            let bytes = dialect.watch(self.version, self.waits, &address.to_string());
-            self.count(|t| t.list_calls += 1);
-            self.register = Some(self.connect(None, address, Task::Poll(Vec::new()), Payload::Bytes(bytes)));
+    /// Sends the first poll on a new connection, unless there is one already.
+    fn poll_discovery(&mut self) {
+        let Some(dialect) = self.config.dialect.clone() else { return };
+        let Some(address) = self.config.discovery else { return };
+        if self.discovery.connection.is_some() {
             return;
         }
-        if let Some(old) = self.register.take() {
-            self.abort_link(old);
-        }
-        let reader = Box::new(sse::Reader::new(LIST_BYTES));
-        self.register = self.register_call("/v1/workers?watch=1", Task::Watch(reader));
+        self.discovery.polled_at = self.now;
+        self.discovery.long_poll = !self.discovery.suspect;
+        let call = dialect.list_call(self.discovery.version, self.discovery.long_poll, &address.to_string());
+        self.count(|t| t.list_calls += 1);
+        let task = Task::PollEndpoints(Vec::new());
+        self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
 
-    /// The list's source has moved.
-    pub(super) fn move_register(&mut self, address: std::net::SocketAddr) {
-        self.config.register = Some(address);
-        if let Some(old) = self.register.take() {
-            self.abort_link(old);
+    /// Service discovery is at another address from now on.
+    pub(super) fn move_discovery(&mut self, address: SocketAddr) {
+        self.config.discovery = Some(address);
+        if let Some(old) = self.discovery.connection.take() {
+            self.abort_connection(old);
         }
-        self.list_doubted = true;
-        self.watch_register();
+        self.discovery.suspect = true;
+        self.watch_discovery();
     }
 
-    /// Notes what a dialect has read; gives what the module is told.
-    pub(super) fn read_list(&mut self, list: List) -> (Vec<p::Worker>, p::ListKind) {
-        for wrong in &list.wrong {
-            self.note("list", format!("an entry is left out: {wrong}"));
+    /// Takes over a list that a dialect has read; gives what the policy is notified of.
+    fn apply_list(&mut self, list: EndpointList) -> (Vec<p::Worker>, p::ListKind) {
+        for error in &list.invalid {
+            self.note("list", format!("an entry is left out: {error}"));
         }
-        self.has_list = true;
-        // What could not be read is asked for once more, with the whole list; what is wrong again is left out.
-        let again = !list.wrong.is_empty() && self.version.is_some();
-        self.version = (!again).then_some(list.version);
-        let kind = if list.whole { p::ListKind::Full } else { p::ListKind::Changes };
-        // Past the bound new workers are left out; what is told of those that are held, above all drains, is taken.
-        let held = if list.whole { 0 } else { self.engines.len() };
-        let mut room = self.config.bounds.workers.saturating_sub(held);
-        let (mut workers, named) = (Vec::new(), list.workers.len());
-        for (worker, address) in list.workers {
-            let known = worker.lifecycle == p::Lifecycle::Out || self.engines.contains_key(&worker.id);
-            if known || room > 0 {
-                room -= usize::from(!known);
-                workers.push((worker, address));
+        self.discovery.has_list = true;
+        // After an invalid entry the complete list is asked for, once; what is invalid again is left out.
+        let ask_again = !list.invalid.is_empty() && self.discovery.version.is_some();
+        self.discovery.version = (!ask_again).then_some(list.version);
+        let kind = if list.complete { p::ListKind::Full } else { p::ListKind::Changes };
+        let is_complete = list.complete;
+        let endpoints = self.within_bound(list);
+        (self.apply_endpoints(endpoints, is_complete), kind)
+    }
+
+    /// The entries of a list that fit. New workers past the bound are left out; what is said of known ones, above all that
+    /// they drain, is not.
+    fn within_bound(&mut self, list: EndpointList) -> Vec<Endpoint> {
+        let known = if list.complete { 0 } else { self.workers.len() };
+        let mut capacity = self.config.bounds.workers.saturating_sub(known);
+        let named = list.endpoints.len();
+        let mut fitting = Vec::new();
+        for endpoint in list.endpoints {
+            let worker = &endpoint.worker;
+            let is_known = worker.lifecycle == p::Lifecycle::Out || self.workers.contains_key(&worker.id);
+            if is_known || capacity > 0 {
+                capacity -= usize::from(!is_known);
+                fitting.push(endpoint);
             }
         }
-        if workers.len() < named {
-            self.note("list", format!("{} workers past the bound are left out", named - workers.len()));
+        if fitting.len() < named {
+            self.note("list", format!("{} workers past the bound are left out", named - fitting.len()));
         }
-        (self.learn(workers, list.whole), kind)
+        fitting
     }
 
-    /// A part of the answer to a call for news; true: it goes on.
-    pub(super) fn poll_part(&mut self, conn: ConnId, part: Part) -> bool {
-        let Some(link) = self.links.get_mut(&conn) else { return false };
-        let Task::Poll(body) = &mut link.task else { return false };
+    /// A part of the answer to a poll; true: go on reading.
+    pub(super) fn poll_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
+        let Some(connection) = self.connections.get_mut(&conn) else { return false };
+        let Task::PollEndpoints(body) = &mut connection.task else { return false };
         match part {
             Part::Head(head) if head.start == (Start::Response { status: 200 }) => {
-                // It answers again; a long list may take longer.
-                if std::mem::take(&mut self.list_doubted) {
-                    self.alive(conn);
+                // It answers again; a long list may take longer than its first bytes.
+                if std::mem::take(&mut self.discovery.suspect) {
+                    self.arm_discovery_timeout(conn);
                 }
                 true
             }
@@ -164,101 +202,104 @@
                 body.extend(data);
                 true
             }
-            Part::Head(_) | Part::Data(_) => self.source_failed(conn),
+            Part::Head(_) | Part::Data(_) => self.close_discovery(conn),
             Part::End => {
-                let (body, last) = (std::mem::take(body), link.last);
-                self.poll_answered(conn, &body, last)
+                let body = std::mem::take(body);
+                let close_after_reply = connection.close_after_reply;
+                self.poll_complete(conn, &body, close_after_reply)
             }
         }
     }
 
-    /// A source's answer is whole; true: the next call was made on the same connection.
-    fn poll_answered(&mut self, conn: ConnId, body: &[u8], last: bool) -> bool {
+    /// The answer to a poll is complete; true: the next poll was sent on the same connection.
+    fn poll_complete(&mut self, conn: ConnId, body: &[u8], close_after_reply: bool) -> bool {
         let Some(dialect) = self.config.dialect.clone() else { return false };
-        let before = self.version;
-        let list = match dialect.list(body) {
+        let before = self.discovery.version;
+        let list = match dialect.parse_list(body) {
             Ok(list) => list,
-            Err(why) => {
-                self.note("list", format!("not taken: {why}"));
-                return self.source_failed(conn);
+            Err(error) => {
+                self.note("list", format!("not taken: {error}"));
+                return self.close_discovery(conn);
             }
         };
-        let (workers, kind) = self.read_list(list);
+        let (workers, kind) = self.apply_list(list);
         if kind == p::ListKind::Full || !workers.is_empty() {
-            self.tell_workers(kind, workers);
+            self.notify_policy(kind, workers);
         }
-        // A source that has nothing new and does not wait is not asked in a hot loop; it is there, though.
-        if self.version == before && self.waits && self.now < self.asked + ASK_PAUSE {
-            self.abort_link(conn);
-            self.register = None;
-            self.timers.set(self.now + ASK_PAUSE, Due::Watch);
+        // An answer without a change that came at once, though it might have waited: polling on would be a busy loop.
+        let came_at_once = self.discovery.long_poll && self.now < self.discovery.polled_at + POLL_PAUSE;
+        if self.discovery.version == before && came_at_once {
+            self.abort_connection(conn);
+            self.discovery.connection = None;
+            self.timers.set(self.now + POLL_PAUSE, TimerEvent::DiscoveryRetry);
             return false;
         }
-        // The next call follows at once: a gap would begin another watch.
-        if last {
-            self.abort_link(conn);
-            self.register = None;
-            self.watch_register();
+        if close_after_reply {
+            self.abort_connection(conn);
+            self.discovery.connection = None;
+            self.watch_discovery();
             return false;
         }
-        let host = self.config.register.map(|a| a.to_string()).unwrap_or_default();
-        let bytes = dialect.watch(self.version, true, &host);
-        (self.asked, self.waits) = (self.now, true);
+        // The next poll follows at once: service discovery counts a pause as another watcher.
+        let host = self.config.discovery.map(|a| a.to_string()).unwrap_or_default();
+        let call = dialect.list_call(self.discovery.version, true, &host);
+        self.discovery.polled_at = self.now;
+        self.discovery.long_poll = true;
         self.count(|t| t.list_calls += 1);
-        self.out.push(Output::Write(conn, bytes));
-        self.alive(conn);
+        self.outputs.push(Output::Write(conn, call));
+        self.arm_discovery_timeout(conn);
         true
     }
 
-    /// What a source says can't be used: its connection is closed. Always false: nothing more is read from it.
-    fn source_failed(&mut self, conn: ConnId) -> bool {
-        self.abort_link(conn);
-        self.register_lost();
+    /// Closes a connection whose answer can't be used. Always false: nothing more is read from it.
+    fn close_discovery(&mut self, conn: ConnId) -> bool {
+        self.abort_connection(conn);
+        self.discovery_lost();
         false
     }
 
-    /// The register is lost: the module says when it is asked again, or, of a dialect's source, the core.
-    pub(super) fn register_lost(&mut self) {
-        self.register = None;
+    /// Service discovery can't be reached. The policy says when it is called again or, of a dialect's, the core.
+    pub(super) fn discovery_lost(&mut self) {
+        self.discovery.connection = None;
         if self.config.dialect.is_some() {
-            self.list_doubted = true;
-            self.timers.set(self.now + ASK_PAUSE, Due::Watch);
+            self.discovery.suspect = true;
+            self.timers.set(self.now + POLL_PAUSE, TimerEvent::DiscoveryRetry);
             return;
         }
         self.events.push_back(Event::Workers { kind: p::ListKind::Failed, workers: Vec::new() });
         self.note("register", "lost or not reached; the list held stays".into());
     }
 
-    pub(super) fn register_due(&mut self, conn: ConnId) {
-        if self.links.contains_key(&conn) {
-            self.abort_link(conn);
-            self.register_lost();
+    pub(super) fn discovery_timed_out(&mut self, conn: ConnId) {
+        if self.connections.contains_key(&conn) {
+            self.close_discovery(conn);
         }
     }
 
-    /// The source has so long for its answer: where the last call failed none waits for news, and one that is silent
-    /// may be a source that is down, whose return counts at once.
-    pub(super) fn alive(&mut self, conn: ConnId) {
-        let waits = &self.config.waits;
-        let wait = if self.list_doubted { waits.register_doubted } else { waits.register };
-        let timer = self.timers.set(self.now + wait, Due::Register(conn));
-        if let Some(link) = self.links.get_mut(&conn) {
-            if let Some(old) = link.timer.replace(timer) {
+    /// Bounds the wait for the next bytes of service discovery. After a failure it is short: that poll does not wait for a
+    /// change, and a source that comes back is to be found soon.
+    pub(super) fn arm_discovery_timeout(&mut self, conn: ConnId) {
+        let timeouts = &self.config.timeouts;
+        let timeout = if self.discovery.suspect { timeouts.discovery_probe } else { timeouts.discovery };
+        let timer = self.timers.set(self.now + timeout, TimerEvent::DiscoveryReply(conn));
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            if let Some(old) = connection.timer.replace(timer) {
                 self.timers.cancel(old);
             }
         }
     }
 
-    /// A part of the watch's answer; true: it goes on.
-    pub(super) fn watch_part(&mut self, conn: ConnId, part: Part) -> bool {
+    /// A part of the answer to a watch; true: go on reading.
+    pub(super) fn watch_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let data = match part {
             Part::Head(head) if head.start == (Start::Response { status: 200 }) => return true,
             Part::Data(data) => data,
-            Part::Head(_) | Part::End => return self.source_failed(conn),
+            Part::Head(_) | Part::End => return self.close_discovery(conn),
         };
-        self.alive(conn);
+        self.arm_discovery_timeout(conn);
         let mut events = Vec::new();
-        let Some(Task::Watch(reader)) = self.links.get_mut(&conn).map(|l| &mut l.task) else { return false };
+        let Some(connection) = self.connections.get_mut(&conn) else { return false };
+        let Task::WatchEndpoints(reader) = &mut connection.task else { return false };
         let read = reader.push(&data, &mut events);
         for event in events {
             if !self.watch_event(conn, &event) {
@@ -267,51 +308,80 @@
         }
         if let Err(error) = read {
             self.note("register", error.to_string());
-            return self.source_failed(conn);
+            return self.close_discovery(conn);
         }
         true
     }
 
-    /// An event of the watch; true: it goes on.
+    /// Applies an event of the watch; true: go on reading.
     fn watch_event(&mut self, conn: ConnId, event: &sse::Event) -> bool {
-        let news = match event.name.as_str() {
-            "snapshot" => self.held.snapshot(&event.data, &self.config).map(|n| (n, p::ListKind::Full)),
-            "change" => self.held.change(&event.data, &self.config).map(|(named, left_out)| {
-                if left_out > 0 {
-                    let most = self.config.bounds.workers;
-                    self.note("register", format!("more than {most} workers: {left_out} left out"));
-                }
-                (named, p::ListKind::Changes)
-            }),
+        let applied = match event.name.as_str() {
+            "snapshot" => self.apply_snapshot(&event.data),
+            "change" => self.apply_delta(&event.data),
             _ => return true,
         };
-        match news {
-            Ok((named, kind)) => self.news(named, kind),
-            Err(Wrong::Gap) => {
-                self.change_lost(conn);
-                return false;
+        match applied {
+            Ok(()) => true,
+            Err(EndpointUpdateError::VersionGap) => {
+                self.version_gap(conn);
+                false
+            }
+            Err(EndpointUpdateError::Malformed(reason)) => {
+                self.note("register", format!("list not taken: {reason}"));
+                true
             }
-            Err(Wrong::Malformed(why)) => self.note("register", format!("list not taken: {why}")),
         }
-        true
     }
 
-    /// What was lost comes again with a snapshot, which each new watch begins with: at once, but if gaps come again and
-    /// again, as the module says.
-    fn change_lost(&mut self, conn: ConnId) {
+    fn apply_snapshot(&mut self, text: &str) -> Result<(), EndpointUpdateError> {
+        let endpoints = self.discovery.endpoints.apply_snapshot(text, &self.config)?;
+        self.endpoints_changed(endpoints, p::ListKind::Full);
+        Ok(())
+    }
+
+    fn apply_delta(&mut self, text: &str) -> Result<(), EndpointUpdateError> {
+        let delta = self.discovery.endpoints.apply_delta(text, &self.config)?;
+        if delta.left_out > 0 {
+            let bound = self.config.bounds.workers;
+            self.note("register", format!("more than {bound} workers: {} left out", delta.left_out));
+        }
+        self.endpoints_changed(delta.endpoints, p::ListKind::Changes);
+        Ok(())
+    }
+
+    /// An event of the watch was applied: the list is stored, and the policy notified.
+    fn endpoints_changed(&mut self, endpoints: Vec<Endpoint>, kind: p::ListKind) {
+        self.discovery.has_list = true;
+        let workers = self.apply_endpoints(endpoints, kind == p::ListKind::Full);
+        self.outputs.push(Output::StoreEndpointList(self.discovery.endpoints.to_text()));
+        self.notify_policy(kind, workers);
+    }
+
+    /// An event was lost. A new watch begins with a snapshot: it is begun at once or, where gaps come again and again, when
+    /// the policy says so.
+    fn version_gap(&mut self, conn: ConnId) {
         self.note("register", "a change was lost; asking for a snapshot".into());
-        let last = self.gap.replace(self.now);
-        if last.is_some_and(|at| self.now < at + self.config.waits.register) {
-            self.source_failed(conn);
+        let last = self.discovery.last_gap_at.replace(self.now);
+        if last.is_some_and(|at| self.now < at + self.config.timeouts.discovery) {
+            self.close_discovery(conn);
         } else {
-            self.watch_register();
+            self.watch_discovery();
         }
     }
+}
 
-    fn news(&mut self, named: Vec<Named>, kind: p::ListKind) {
-        self.has_list = true;
-        let workers = self.learn(named, kind == p::ListKind::Full);
-        self.out.push(Output::KeepList(self.held.text()));
-        self.tell_workers(kind, workers);
+/// A worker that was not known before.
+fn new_endpoint(worker: &p::Worker, address: SocketAddr) -> WorkerEndpoint {
+    WorkerEndpoint {
+        address,
+        host: address.to_string().into(),
+        role: worker.role,
+        zone: worker.zone,
+        cell: worker.cell,
+        listed: false,
+        draining: false,
+        idle: Vec::new(),
+        open: 0,
+        last_reply_at: Micros(0),
     }
 }
--- /dev/null
+++ b/crates/router/src/core/load_report.rs
@@ -0,0 +1,16 @@
+//! Load reports in the heads of engines' replies.
+
+use chalkyard_api::engine;
+use chalkyard_policy as p;
+
+/// Reads a load report; none if there is none or it can't be read.
+pub(super) fn load_report(header: Option<&str>) -> Option<p::Report> {
+    let load = engine::load(header?)?;
+    let named = load.named_metrics;
+    Some(p::Report {
+        queued: named.queue_depth,
+        slots_used: load.cpu_utilization,
+        kv_used: load.mem_utilization,
+        waiting_tokens: named.waiting_tokens,
+    })
+}
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -1,6 +1,12 @@
 //! The sans-IO core: inputs to outputs.
+//!
+//! [`Core`] owns all state of one router except the policy's own. Each map has one module that says who writes it and what
+//! bounds it. A request's way: [`client_reading`], [`request_intake`], the policy, [`attempts`], [`connection_pool`],
+//! [`replies`], [`relay`], [`answers`].
 
+mod active_request;
 mod answers;
+mod attempt;
 mod attempts;
 mod budgets;
 mod client_answers;
@@ -8,17 +14,17 @@
 mod client_reading;
 mod clients;
 mod connection_events;
+mod connection_pool;
 pub(crate) mod counters;
 mod discovery;
-mod job;
+mod load_report;
 mod messages;
-mod moves;
-mod pool;
+mod migration;
 pub(crate) mod record;
 mod relay;
-mod releases;
 mod replies;
-mod requests;
+mod request_intake;
+mod reservations;
 pub(crate) mod tally;
 pub(crate) mod transitions;
 pub(crate) mod view;
@@ -31,215 +37,210 @@
 use chalkyard_policy as p;
 use chalkyard_policy::{Action, Event, Micros};
 
-use crate::config::{Config, Tuned};
-use crate::identity::Identities;
-use crate::register;
+use crate::config::{Config, RuntimeSettings};
+use crate::dialect::Endpoint;
+use crate::discovery::EndpointUpdateError;
+use crate::identity::IdentityTable;
 use crate::timers::Timers;
+use active_request::ActiveRequest;
 use attempts::AttemptLimits;
-use client_connection::Client;
+use client_connection::ClientConnection;
 use counters::Counters;
-use job::Job;
+use discovery::DiscoveryState;
 pub use messages::{ConnId, FinishedLine, Input, Output};
-use releases::Release;
+use reservations::Release;
 use tally::Tally;
-use worker_connection::{Engine, IdleTimeout, Link, ReleaseNo};
+use worker_connection::{IdleTimeout, ReleaseId, WorkerConnection, WorkerEndpoint};
 
+/// What a timer of the core is for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Due {
-    Module(p::TimerId),
+enum TimerEvent {
+    /// A timer of the policy.
+    Policy(p::TimerId),
+    /// A client's connection has been silent, or has taken nothing, for its time.
     Client(ConnId),
-    Connect(ConnId),
-    EngineIdle(ConnId),
+    /// A connection to a worker does not stand, or its call was neither written nor answered, in time.
+    Connection(ConnId),
+    /// An idle connection to a worker is closed before the worker closes it.
+    IdleConnection(ConnId),
+    /// An attempt's time is up.
     Attempt(p::RequestId, p::AttemptNo),
+    /// A stream has been silent for its time.
     Stream(p::RequestId, p::AttemptNo),
-    Overdue(p::RequestId),
-    Release(ReleaseNo),
-    Held(p::RequestId),
-    HeldProof(ReleaseNo),
-    Register(ConnId),
-    Watch,
-    Leaving,
+    /// The policy has not ended the request in time.
+    Answer(p::RequestId),
+    /// A release is called again.
+    ReleaseRetry(ReleaseId),
+    /// A reservation's time is up.
+    Reservation(p::RequestId),
+    /// A worker's answer to a release is overdue.
+    ReleaseProof(ReleaseId),
+    /// Service discovery is silent.
+    DiscoveryReply(ConnId),
+    /// Service discovery is called again.
+    DiscoveryRetry,
+    /// The next streams of a stopping router are migrated.
+    Migration,
 }
 
-/// Called with each event given to the module and the actions that came back.
+/// Called with each event for the policy and the actions that came back.
 pub type Observer = Box<dyn FnMut(Micros, &Event, &[Action]) + Send>;
 
-/// One router's flow. All maps are ordered; the same inputs give the same outputs.
+/// One router. All maps are ordered; the same inputs give the same outputs.
 pub struct Core {
     config: Config,
-    /// How this router names itself to engines and the register.
+    /// How this router names itself to workers and service discovery.
     via: Arc<str>,
-    module: p::Router,
+    policy: p::Router,
     now: Micros,
-    out: Vec<Output>,
-    /// Events for the module that wait: its actions can cause further ones.
+    outputs: Vec<Output>,
+    /// Events that wait for the policy: its actions can cause further ones.
     events: VecDeque<Event>,
-    timers: Timers<Due>,
-    clients: BTreeMap<ConnId, Client>,
-    /// Clients whose next request can be looked for.
-    ready: VecDeque<ConnId>,
-    links: BTreeMap<ConnId, Link>,
+    timers: Timers<TimerEvent>,
+    clients: BTreeMap<ConnId, ClientConnection>,
+    /// Clients whose next request may have come already.
+    pending_clients: VecDeque<ConnId>,
+    /// Connections to workers and service discovery.
+    connections: BTreeMap<ConnId, WorkerConnection>,
     idle_timeout: IdleTimeout,
-    engines: BTreeMap<p::WorkerId, Engine>,
-    jobs: BTreeMap<p::RequestId, Job>,
-    /// What is being let go of, until an engine has said so or its time is over.
-    releases: BTreeMap<ReleaseNo, Release>,
-    identities: Identities,
-    keeper: Option<Keeper>,
-    held: register::Held,
-    register: Option<ConnId>,
-    /// The newest version of the list, where a dialect reads it.
-    version: Option<u64>,
-    /// When a dialect's source was last asked, and whether it may wait for news.
-    asked: Micros,
-    waits: bool,
-    /// Its last call failed, or it has moved since.
-    list_doubted: bool,
-    /// When the list last changed.
-    list_changed: Option<Micros>,
-    /// Bytes of request bodies that came and may still have to be sent.
-    bodies: u64,
-    /// When a change was last found to be lost.
-    gap: Option<Micros>,
-    next_link: u64,
+    workers: BTreeMap<p::WorkerId, WorkerEndpoint>,
+    requests: BTreeMap<p::RequestId, ActiveRequest>,
+    /// Releases that no worker has answered yet.
+    releases: BTreeMap<ReleaseId, Release>,
+    identities: IdentityTable,
+    budgets: Option<Keeper>,
+    discovery: DiscoveryState,
+    /// Bytes of request bodies that have come and may still have to be sent.
+    body_bytes: u64,
+    next_connection: u64,
     next_request: u64,
-    next_release: ReleaseNo,
+    next_release: ReleaseId,
+    /// No new requests are accepted.
     draining: bool,
-    /// All that was open was answered since the process ends: nothing more is begun.
+    /// All open requests were answered since the process ends: nothing more is begun.
     stopping: bool,
-    /// Told to leave, and when.
-    left: Option<Micros>,
-    /// A list of engines is known.
-    has_list: bool,
+    /// When the graceful shutdown began.
+    leaving_since: Option<Micros>,
     observer: Option<Observer>,
-    /// What is done in the present second; none: nobody wants to know.
+    /// What is done in the present second; none: nobody reads it.
     tally: Option<Tally>,
     counters: Counters,
 }
 
 impl Core {
     /// A core at its start. `now` is in µs since 1970, measured by a monotonic clock from then on: ids of
-    /// requests and the starts of workers are told by it.
+    /// requests and the start times of workers depend on it.
     pub fn new(config: Config, seed: u64, now: Micros) -> Self {
-        let module = p::Router::new(config.policy.clone(), seed);
-        let identities = Identities::new(config.bounds.identities);
+        let policy = p::Router::new(config.policy.clone(), seed);
+        let identities = IdentityTable::new(config.bounds.identities);
         let via = format!("1.1 {}", config.name).into();
         Self {
             config,
             via,
-            module,
+            policy,
             now,
-            out: Vec::new(),
+            outputs: Vec::new(),
             events: VecDeque::new(),
             timers: Timers::default(),
             clients: BTreeMap::new(),
-            ready: VecDeque::new(),
-            links: BTreeMap::new(),
+            pending_clients: VecDeque::new(),
+            connections: BTreeMap::new(),
             idle_timeout: IdleTimeout::default(),
-            engines: BTreeMap::new(),
-            jobs: BTreeMap::new(),
+            workers: BTreeMap::new(),
+            requests: BTreeMap::new(),
             releases: BTreeMap::new(),
             identities,
-            keeper: None,
-            held: register::Held::default(),
-            register: None,
-            version: None,
-            asked: Micros(0),
-            waits: true,
-            list_doubted: false,
-            list_changed: None,
-            bodies: 0,
-            gap: None,
-            next_link: 1,
+            budgets: None,
+            discovery: DiscoveryState::default(),
+            body_bytes: 0,
+            next_connection: 1,
             next_request: 0,
-            next_release: ReleaseNo::default(),
+            next_release: ReleaseId::default(),
             draining: false,
             stopping: false,
-            left: None,
-            has_list: false,
+            leaving_since: None,
             observer: None,
             tally: None,
             counters: Counters::default(),
         }
     }
 
-    /// Has told with [`Output::Tally`] what was done in each second in which anything was.
+    /// Has an [`Output::Tally`] given out for each second in which anything was done.
     pub fn count_seconds(&mut self) {
         self.tally = Some(Tally::default());
     }
 
-    /// Has each event and the module's actions on it told to `observer`.
+    /// Has `observer` called with each event for the policy and its actions.
     pub fn observe(&mut self, observer: Observer) {
         self.observer = Some(observer);
     }
 
-    /// Starts: the list of the last life, if any, is told as stale, and the register is asked.
-    pub fn start(&mut self, now: Micros, last_list: Option<&str>, out: &mut Vec<Output>) {
+    /// Starts with the stored endpoint list, if there is one, and calls service discovery.
+    pub fn start(&mut self, now: Micros, stored_list: Option<&str>, out: &mut Vec<Output>) {
         self.now = now;
-        let dialect = self.config.dialect.clone();
-        let stale = last_list.map(|text| match &dialect {
-            Some(dialect) => {
-                let list = dialect.list(text.as_bytes()).map_err(register::Wrong::Malformed);
-                list.map(|list| {
-                    // What could not be read of it is asked for with the whole list.
-                    self.version = list.wrong.is_empty().then_some(list.version);
-                    list.workers
-                })
+        let workers = match stored_list.map(|text| self.read_stored_list(text)) {
+            Some(Ok(endpoints)) => {
+                self.discovery.has_list = true;
+                self.apply_endpoints(endpoints, true)
             }
-            None => self.held.snapshot(text, &self.config),
-        });
-        let workers = match stale {
-            Some(Ok(named)) => {
-                self.has_list = true;
-                self.learn(named, true)
-            }
-            Some(Err(wrong)) => {
-                self.note("list", format!("the kept list can't be read, starting without: {wrong:?}"));
+            Some(Err(error)) => {
+                self.note("list", format!("the kept list can't be read, starting without: {error:?}"));
                 Vec::new()
             }
             None => Vec::new(),
         };
-        // Without a register the list given is all there is, and current.
-        let kind = if self.config.register.is_some() { p::ListKind::Stale } else { p::ListKind::Full };
+        // Without service discovery the stored list names all there is, and is current.
+        let kind = if self.config.discovery.is_some() { p::ListKind::Stale } else { p::ListKind::Full };
         self.events.push_back(Event::Workers { kind, workers });
         if self.config.policy.discovery == p::Discovery::Push {
-            self.watch_register();
+            self.watch_discovery();
         }
         self.pump();
-        out.append(&mut self.out);
+        out.append(&mut self.outputs);
+    }
+
+    fn read_stored_list(&mut self, text: &str) -> Result<Vec<Endpoint>, EndpointUpdateError> {
+        let Some(dialect) = &self.config.dialect else {
+            return self.discovery.endpoints.apply_snapshot(text, &self.config);
+        };
+        let list = dialect.parse_list(text.as_bytes());
+        let list = list.map_err(|error| EndpointUpdateError::Malformed(error.reason))?;
+        // If an entry is invalid the complete list is asked for.
+        self.discovery.version = list.invalid.is_empty().then_some(list.version);
+        Ok(list.endpoints)
     }
 
     /// Takes one input and appends what is to be done.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.tell_tally();
+        self.report_tally();
         match input {
-            Input::Accepted(conn) => self.accepted(conn),
-            Input::Connected(conn) => self.connected(conn),
+            Input::Accepted(conn) => self.client_connected(conn),
+            Input::Connected(conn) => self.connection_established(conn),
             Input::Lost(conn) if self.clients.contains_key(&conn) => self.client_lost(conn),
-            Input::Lost(conn) => self.link_lost(conn),
-            Input::Unconnected(conn) => self.unconnected(conn),
+            Input::Lost(conn) => self.connection_lost(conn),
+            Input::NotStarted(conn) => self.connection_not_started(conn),
             Input::Bytes(conn, bytes) if self.clients.contains_key(&conn) => self.client_bytes(conn, bytes),
-            Input::Bytes(conn, bytes) => self.link_bytes(conn, bytes),
+            Input::Bytes(conn, bytes) => self.worker_bytes(conn, bytes),
             Input::Eof(conn) if self.clients.contains_key(&conn) => self.client_eof(conn),
-            Input::Eof(conn) => self.link_eof(conn),
-            Input::Wrote(conn, bytes) => self.wrote(conn, bytes),
+            Input::Eof(conn) => self.worker_eof(conn),
+            Input::Wrote(conn, bytes) => self.bytes_written(conn, bytes),
             Input::Tick => {}
-            Input::Granted(grant) => self.granted(&grant),
-            Input::Writable(writable) => self.writable(writable),
+            Input::LeaseGranted(grant) => self.lease_granted(&grant),
+            Input::LedgerWritable(writable) => self.ledger_writable(writable),
             Input::Checkpoint => self.checkpoint(),
-            Input::Replan(plan) => self.replan(*plan),
-            Input::Retune(tuned) => self.retune(*tuned),
-            Input::Inherited(settled) => self.inherited(&settled),
-            Input::Register(address) => self.move_register(address),
-            Input::InheritedAll => self.inherited_all(),
+            Input::BudgetPlan(plan) => self.replace_budget_plan(*plan),
+            Input::Reconfigure(settings) => self.reconfigure(*settings),
+            Input::PredecessorSettled(settled) => self.settled_by_predecessor(&settled),
+            Input::DiscoveryMoved(address) => self.move_discovery(address),
+            Input::PredecessorEnded => self.predecessor_finished(),
         }
         while let Some(due) = self.timers.pop(self.now) {
-            self.due(due);
+            self.timer_due(due);
             self.pump();
         }
         self.pump();
-        out.append(&mut self.out);
+        out.append(&mut self.outputs);
     }
 
     /// When [`Input::Tick`] is next needed.
@@ -247,45 +248,46 @@
         self.timers.next_due()
     }
 
-    /// Is not ready any more, but goes on taking what still comes: others hear of it only by and by.
+    /// Begins the graceful shutdown: health checks fail, but requests are still accepted until clients have learned of it.
     pub fn leave(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        self.left = Some(self.now);
-        if let Some((from, _)) = self.config.waits.leaving {
-            self.timers.set(self.now + from, Due::Leaving);
+        self.leaving_since = Some(self.now);
+        if let Some(migration) = self.config.timeouts.migration {
+            self.timers.set(self.now + migration.from, TimerEvent::Migration);
         }
     }
 
-    /// Takes no new requests; what is open goes on. Idle clients are closed, those that have just come are heard first.
+    /// Accepts no new requests; what is open goes on. Idle clients are closed, those that have connected just now after a
+    /// short time.
     pub fn drain(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.draining = true;
         self.close_idle_clients();
         self.pump();
-        out.append(&mut self.out);
+        out.append(&mut self.outputs);
     }
 
-    fn retune(&mut self, tuned: Tuned) {
-        let Tuned { keys, classes, bounds, waits } = tuned;
-        for (tenant, may) in self.config.tenants.iter_mut().zip(classes) {
-            tenant.classes = may;
+    fn reconfigure(&mut self, settings: RuntimeSettings) {
+        let RuntimeSettings { keys, classes, bounds, timeouts } = settings;
+        for (tenant, allowed) in self.config.tenants.iter_mut().zip(classes) {
+            tenant.classes = allowed;
         }
         self.config.keys = keys;
         self.config.bounds = bounds;
-        self.config.waits = waits;
+        self.config.timeouts = timeouts;
     }
 
-    /// Takes requests again.
+    /// Accepts requests again.
     pub fn undrain(&mut self) {
         self.draining = false;
     }
 
-    /// Requests without a final answer or with something still out or held.
+    /// Requests without a final answer, or with an open attempt or a reservation.
     pub fn open_requests(&self) -> usize {
-        self.jobs.len()
+        self.requests.len()
     }
 
-    /// What engines have not said yet that they let go of, within the told release time.
+    /// Releases that no worker has answered yet.
     pub fn open_releases(&self) -> usize {
         self.releases.len()
     }
@@ -296,69 +298,70 @@
     }
 
     fn note(&mut self, what: &'static str, text: String) {
-        self.out.push(Output::Note(what, text));
+        self.outputs.push(Output::Note(what, text));
     }
 
-    /// Feeds the module and looks for clients' next requests until nothing is left to do.
+    /// Gives events to the policy and reads clients' next requests until nothing is left to do.
     fn pump(&mut self) {
         loop {
             while let Some(event) = self.events.pop_front() {
                 let mut actions = Vec::new();
                 let seen = self.observer.is_some().then(|| event.clone());
-                self.module.handle(self.now, event, &mut actions);
+                self.policy.handle(self.now, event, &mut actions);
                 if let Some((observer, event)) = self.observer.as_mut().zip(seen) {
                     observer(self.now, &event, &actions);
                 }
                 for action in actions {
-                    self.act(action);
+                    self.perform(action);
                 }
             }
-            let Some(conn) = self.ready.pop_front() else { return };
-            self.drive_client(conn);
+            let Some(conn) = self.pending_clients.pop_front() else { return };
+            self.read_requests(conn);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send { id, worker, give_up, connect, care } => {
-                self.send(&id, worker, AttemptLimits { give_up, connect }, care);
+                let limits = AttemptLimits { timeout: give_up, connect_timeout: connect };
+                self.start_attempt(&id, worker, limits, care);
             }
-            Action::Cancel { id, attempt } => self.cancel(&id, attempt),
-            Action::Refuse { id, retry_after, why } => self.refuse(&id, retry_after, why),
-            Action::Fail { id, why } => self.fail(&id, why),
-            Action::Move(id) => self.move_on(&id),
-            Action::LetGo(id) => self.let_go(&id),
+            Action::Cancel { id, attempt } => self.cancel_attempt(&id, attempt),
+            Action::Refuse { id, retry_after, why } => self.reject(&id, retry_after, why),
+            Action::Fail { id, why } => self.fail_request(&id, why),
+            Action::Move(id) => self.migrate(&id),
+            Action::LetGo(id) => self.release_reservation(&id),
             Action::SetTimer { timer, after } => {
-                self.timers.set(self.now + after, Due::Module(timer));
+                self.timers.set(self.now + after, TimerEvent::Policy(timer));
             }
-            Action::Subscribe => self.watch_register(),
+            Action::Subscribe => self.watch_discovery(),
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn timer_due(&mut self, due: TimerEvent) {
         match due {
-            Due::Module(timer) => self.events.push_back(Event::Timer(timer)),
-            Due::Client(conn) => self.client_due(conn),
-            Due::Connect(conn) => self.connect_due(conn),
-            Due::EngineIdle(conn) => self.idle_due(conn),
-            Due::Attempt(id, no) => self.attempt_due(&id, no),
-            Due::Stream(id, no) => self.stream_due(&id, no),
-            Due::Overdue(id) => self.overdue(&id),
-            Due::Release(no) => self.release_due(no),
-            Due::Held(id) => self.held_due(&id),
-            Due::HeldProof(no) => self.held_proof_due(no),
-            Due::Register(conn) => self.register_due(conn),
-            Due::Watch => self.watch_register(),
-            Due::Leaving => self.leaving_due(),
+            TimerEvent::Policy(timer) => self.events.push_back(Event::Timer(timer)),
+            TimerEvent::Client(conn) => self.client_timed_out(conn),
+            TimerEvent::Connection(conn) => self.connection_timed_out(conn),
+            TimerEvent::IdleConnection(conn) => self.close_idle_connection(conn),
+            TimerEvent::Attempt(id, no) => self.attempt_timed_out(&id, no),
+            TimerEvent::Stream(id, no) => self.stream_timed_out(&id, no),
+            TimerEvent::Answer(id) => self.answer_overdue(&id),
+            TimerEvent::ReleaseRetry(release) => self.retry_release(release),
+            TimerEvent::Reservation(id) => self.release_reservation(&id),
+            TimerEvent::ReleaseProof(release) => self.release_proof_due(release),
+            TimerEvent::DiscoveryReply(conn) => self.discovery_timed_out(conn),
+            TimerEvent::DiscoveryRetry => self.watch_discovery(),
+            TimerEvent::Migration => self.migrate_next_streams(),
         }
     }
 
-    fn wrote(&mut self, conn: ConnId, bytes: usize) {
+    fn bytes_written(&mut self, conn: ConnId, bytes: usize) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.wrote(self.now, bytes as u64);
-            self.client_drained(conn);
+            client.sent(self.now, bytes as u64);
+            self.client_bytes_sent(conn);
         } else {
-            self.link_wrote(conn, bytes as u64);
+            self.call_bytes_written(conn, bytes as u64);
         }
     }
 }
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -1,4 +1,4 @@
-//! What is told of a finished request: enough to find a cause.
+//! The record of a finished request: enough to find a cause.
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
@@ -8,25 +8,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ended {
-    /// An engine answered to the end.
+    /// A worker answered to the end.
     Served,
-    /// The module refused it.
-    Refused,
-    /// The module gave it up.
+    /// The policy rejected it.
+    #[serde(rename = "refused")]
+    Rejected,
+    /// The policy gave it up.
     Failed,
-    /// The engine's stream broke after it had begun.
+    /// The worker's stream broke off.
     Broken,
     /// The client left.
     ClientGone,
     /// The client took nothing for too long.
     ClientSlow,
-    /// The router had to end before it.
+    /// The process had to end before it.
     Stopped,
-    /// The module moved the stream on.
-    Moved,
-    /// Turned away by a bound or check of the router, before the module heard of it.
-    Turned,
-    /// No final answer came from the module in time: the router's own backstop. An error of ours.
+    /// The policy had the stream migrated.
+    #[serde(rename = "moved")]
+    Migrated,
+    /// Rejected by a bound or check of the router, before the policy was asked.
+    #[serde(rename = "turned")]
+    RejectedAtIntake,
+    /// The policy did not end it in time, so the router did: a fault of ours.
     Overdue,
 }
 
@@ -35,14 +38,14 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Served => "served",
-            Self::Refused => "refused",
+            Self::Rejected => "refused",
             Self::Failed => "failed",
             Self::Broken => "broken",
             Self::ClientGone => "client_gone",
             Self::ClientSlow => "client_slow",
             Self::Stopped => "stopped",
-            Self::Moved => "moved",
-            Self::Turned => "turned",
+            Self::Migrated => "moved",
+            Self::RejectedAtIntake => "turned",
             Self::Overdue => "overdue",
         }
     }
@@ -57,13 +60,13 @@
     pub stage: &'static str,
     /// How it ended.
     pub outcome: &'static str,
-    /// What the module knew of the worker.
+    /// What the policy knew of the worker.
     pub care: p::Care,
     /// From the request's arrival to its sending, µs.
     pub sent_us: u64,
     /// From its sending to its end, µs.
     pub took_us: u64,
-    /// Prompt tokens that the worker found in its cache; 0 where it did not say.
+    /// Prompt tokens that the worker found in its cache; 0 where it named none.
     pub kept_tokens: u64,
     /// The load that the worker reported with its answer.
     pub report: Option<p::Report>,
@@ -80,19 +83,19 @@
     pub came_back: bool,
     /// Tenant.
     pub tenant: Option<String>,
-    /// The client's identity for it.
+    /// The client's idempotency key.
     pub identity: Option<String>,
     /// The conversation that it belongs to.
     pub session: Option<String>,
-    /// The shared beginning of its prompt.
+    /// The shared prefix of its prompt.
     pub prefix: Option<String>,
     /// Who ended it.
     pub ended: Ended,
-    /// The module's condition, where it ended it.
+    /// The policy's reason, where it ended it.
     pub why: Option<p::Why>,
     /// In which phase: `waiting`, `reading`, `held`, `pulling`, `writing`, `streaming`.
     pub phase: &'static str,
-    /// Since the list of workers last changed, µs; none: it has not in this life.
+    /// Since the endpoint list last changed, µs; none: it has not since the start.
     pub list_age_us: Option<u64>,
     /// Requests that were open here when it was answered, this one included.
     pub open: usize,
@@ -108,17 +111,17 @@
     pub total_us: u64,
     /// Prompt tokens by our estimate.
     pub estimated_tokens: u64,
-    /// By the engine's count; 0 where it was not told.
+    /// By the worker's count; 0 where it named none.
     pub prompt_tokens: u64,
-    /// Of these, kept.
+    /// Of these, cached.
     pub kept_tokens: u64,
     /// Tokens of the answer.
     pub output_tokens: u64,
 }
 
 impl Finished {
-    /// One that never reached the module.
-    pub(crate) fn turned(id: String, now: Micros, reason: String) -> Self {
+    /// A request that the policy was never asked about.
+    pub(super) fn rejected_at_intake(id: String, now: Micros, reason: String) -> Self {
         Self {
             id,
             class: String::new(),
@@ -127,7 +130,7 @@
             identity: None,
             session: None,
             prefix: None,
-            ended: Ended::Turned,
+            ended: Ended::RejectedAtIntake,
             why: None,
             phase: "unheard",
             list_age_us: None,
@@ -145,6 +148,7 @@
     }
 }
 
-pub(crate) fn since(later: Micros, earlier: Micros) -> u64 {
+/// Microseconds from one time to a later one.
+pub(super) fn since(later: Micros, earlier: Micros) -> u64 {
     (later - earlier).0
 }
