--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -1,115 +1,112 @@
-//! Replies of engines, read part by part.
+//! Replies of workers, read part by part.
 
 use chalkyard_api::engine::{self, StreamItem};
 use chalkyard_policy::{AttemptNo, Outcome, RequestId};
 use chalkyard_proto::{sse, Head, Part, Start};
 
-use super::discovery::report;
-use super::job::{At, Reply};
+use super::attempt::{AttemptStage, ReplyState};
+use super::load_report::load_report;
 use super::worker_connection::Task;
 use super::{ConnId, Core};
-use crate::dialect::{self, Told};
+use crate::dialect::ReplyHead;
 
-/// Bytes of an engine's error answer that are read.
+/// Bytes of a worker's error answer that are read.
 const ERROR_BYTES: usize = 64 * 1024;
 
 impl Core {
-    pub(super) fn drive_link(&mut self, conn: ConnId) {
+    /// Reads on until the reply is complete or more bytes are needed.
+    pub(super) fn read_replies(&mut self, conn: ConnId) {
         loop {
-            let Some(link) = self.links.get_mut(&conn) else { return };
-            let part = match link.decoder.next_part() {
+            let Some(connection) = self.connections.get_mut(&conn) else { return };
+            let part = match connection.decoder.next_part() {
                 Ok(Some(part)) => part,
                 Ok(None) => return,
-                Err(e) => return self.reply_wrong(conn, e.reason == chalkyard_proto::Reason::Truncated),
+                Err(error) => return self.reply_unreadable(conn, error.reason),
             };
             if let Part::Head(head) = &part {
-                link.last = !head.keep_alive;
-                if let Some(engine) = link.worker.as_ref().and_then(|w| self.engines.get_mut(w)) {
-                    engine.heard = self.now;
+                connection.close_after_reply = !head.keep_alive;
+                if let Some(endpoint) = connection.worker.as_ref().and_then(|w| self.workers.get_mut(w)) {
+                    endpoint.last_reply_at = self.now;
                 }
             }
-            let more = match &link.task {
-                Task::Attempt(..) => self.attempt_part(conn, part),
-                Task::Watch(_) => self.watch_part(conn, part),
-                Task::Poll(_) => self.poll_part(conn, part),
-                Task::Release(..) => self.release_part(conn, part),
-                Task::Rest => {
-                    if part == Part::End {
-                        self.park(conn);
-                        false
-                    } else {
-                        true
-                    }
+            let read_on = match &connection.task {
+                Task::Attempt(..) => self.attempt_reply_part(conn, part),
+                Task::WatchEndpoints(_) => self.watch_reply_part(conn, part),
+                Task::PollEndpoints(_) => self.poll_reply_part(conn, part),
+                Task::Release(..) => self.release_reply_part(conn, part),
+                Task::DrainReply if part == Part::End => {
+                    self.return_to_pool(conn);
+                    false
                 }
+                Task::DrainReply => true,
                 Task::Idle => false,
             };
-            if !more {
+            if !read_on {
                 return;
             }
         }
     }
 
     /// A part of the reply to an attempt; true: go on reading.
-    fn attempt_part(&mut self, conn: ConnId, part: Part) -> bool {
-        let Some(link) = self.links.get_mut(&conn) else { return false };
-        let Task::Attempt(id, no, reply) = &mut link.task else { return false };
+    fn attempt_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
+        let Some(connection) = self.connections.get_mut(&conn) else { return false };
+        let Task::Attempt(id, no, reply) = &mut connection.task else { return false };
         let (id, no) = (id.clone(), *no);
-        if self.jobs.get(&id).is_none_or(|j| j.attempts.len() <= no.0 as usize) {
-            self.abort_link(conn);
+        if self.requests.get(&id).is_none_or(|r| r.attempts.len() <= no.0 as usize) {
+            self.abort_connection(conn);
             return false;
         }
         match (part, reply) {
             (Part::Head(head), _) if self.config.dialect.is_some() => self.dialect_head(conn, &id, no, &head),
             (Part::Head(head), _) => self.engine_head(conn, &id, no, &head),
-            (Part::Data(data), Reply::Passing(..)) => self.pass(conn, &id, no, data),
-            (Part::Data(data), Reply::Stream(reader)) => {
+            (Part::Data(data), ReplyState::Forwarding { .. }) => self.forward_bytes(conn, &id, no, data),
+            (Part::Data(data), ReplyState::Events(reader)) => {
                 let mut events = Vec::new();
-                let whole = reader.push(&data, &mut events).is_ok();
-                self.relay_events(conn, &id, no, &events, whole)
+                let is_well_formed = reader.push(&data, &mut events).is_ok();
+                self.relay_events(conn, &id, no, &events, is_well_formed)
             }
-            (Part::Data(data), Reply::Whole { body, .. }) => {
+            (Part::Data(data), ReplyState::Body { body, .. }) => {
                 if body.len() + data.len() <= ERROR_BYTES + engine::PARAMS_BYTES {
                     body.extend(data);
                     return true;
                 }
-                self.finish_reply(conn, &id, no, Outcome::ServerError, 0, true);
+                self.fail_reply(conn, &id, no, Outcome::ServerError);
                 false
             }
-            (Part::End, Reply::Passing(beside, _)) => {
-                let outcome = if beside.seen().begun { Outcome::Served } else { Outcome::ServerError };
-                self.park_attempt(conn, &id, no);
+            (Part::End, ReplyState::Forwarding { observer, .. }) => {
+                let has_begun = observer.progress().begun;
+                let outcome = if has_begun { Outcome::Served } else { Outcome::ServerError };
+                self.finish_connection(conn, &id, no);
                 self.end_attempt(&id, no, outcome, 0);
                 false
             }
-            // The reply ended and its end marker never came: what was written may not be all.
-            (Part::End, Reply::Stream(_)) => {
-                self.finish_reply(conn, &id, no, Outcome::ConnectionLost, 0, true);
+            // The reply has ended without its end marker: what was written may not be all.
+            (Part::End, ReplyState::Events(_)) => {
+                self.fail_reply(conn, &id, no, Outcome::ConnectionLost);
                 false
             }
-            (Part::End, Reply::Whole { status, body }) => {
+            (Part::End, ReplyState::Body { status, body }) => {
                 let (status, body) = (*status, std::mem::take(body));
-                self.end_whole_reply(conn, &id, no, status, &body);
+                self.body_complete(conn, &id, no, status, &body);
                 false
             }
-            (Part::Data(_) | Part::End, Reply::None) => false,
+            (Part::Data(_) | Part::End, ReplyState::AwaitingHead) => false,
         }
     }
 
-    /// The head of a reply, read by a dialect; true: go on reading.
+    /// The head of a reply in a dialect; true: go on reading.
     fn dialect_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let Some(dialect) = self.config.dialect.clone() else { return false };
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
-        attempt.report = dialect.report(head);
-        let stage = if attempt.at == At::Read { dialect::Stage::Read } else { dialect::Stage::Write };
-        let reply = match dialect.told(stage, head) {
-            Told::Stream => Reply::Passing(dialect.beside(), Vec::new()),
-            Told::Read => Reply::Whole { status: 202, body: Vec::new() },
-            Told::Over(outcome) => {
-                self.finish_reply(conn, id, no, outcome, 0, false);
-                return self.links.contains_key(&conn);
+        attempt.report = dialect.load_report(head);
+        let reply = match dialect.parse_reply(attempt.stage.obligation(), head) {
+            ReplyHead::Stream => {
+                ReplyState::Forwarding { observer: dialect.response_observer(), buffered: Vec::new() }
             }
+            ReplyHead::Prefilled => ReplyState::Body { status: 202, body: Vec::new() },
+            ReplyHead::Ended(outcome) => return self.end_before_reply(conn, id, no, outcome),
         };
-        self.expect(conn, reply);
+        self.expect_reply(conn, reply);
         true
     }
 
@@ -117,128 +114,137 @@
     fn engine_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let event_bytes = self.config.bounds.event_bytes;
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
-        attempt.report = report(head.header(engine::LOAD));
+        attempt.report = load_report(head.header(engine::LOAD));
         let Start::Response { status } = head.start else { return false };
-        let events = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
-        let reply = match (status, attempt.at, events) {
-            (200, At::Pull | At::Whole, true) => Reply::Stream(Box::new(sse::Reader::new(event_bytes))),
-            (200, At::Pull | At::Whole, false) => Reply::Whole { status: 500, body: Vec::new() },
-            _ => Reply::Whole { status, body: Vec::new() },
+        let is_event_stream = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
+        let reply = match (status, attempt.stage) {
+            (200, AttemptStage::Decode | AttemptStage::Combined) if is_event_stream => {
+                ReplyState::Events(Box::new(sse::Reader::new(event_bytes)))
+            }
+            (200, AttemptStage::Decode | AttemptStage::Combined) => {
+                ReplyState::Body { status: 500, body: Vec::new() }
+            }
+            _ => ReplyState::Body { status, body: Vec::new() },
         };
-        self.expect(conn, reply);
+        self.expect_reply(conn, reply);
         true
     }
 
     /// What follows on a connection after the head of its reply.
-    fn expect(&mut self, conn: ConnId, reply: Reply) {
-        if let Some(Task::Attempt(_, _, expected)) = self.links.get_mut(&conn).map(|l| &mut l.task) {
+    fn expect_reply(&mut self, conn: ConnId, reply: ReplyState) {
+        let task = self.connections.get_mut(&conn).map(|c| &mut c.task);
+        if let Some(Task::Attempt(_, _, expected)) = task {
             *expected = reply;
         }
     }
 
-    /// Relays events of a stream, the last of which may be followed by what is no event; true: go on reading.
+    /// Relays events of a stream. After them may come what is no event: then it is not well-formed. True: go on reading.
     fn relay_events(
         &mut self,
         conn: ConnId,
         id: &RequestId,
         no: AttemptNo,
         events: &[sse::Event],
-        whole: bool,
+        is_well_formed: bool,
     ) -> bool {
         for event in events {
             match engine::stream_item(&event.data) {
-                Ok(StreamItem::Chunk(chunk)) => self.chunk(id, no, chunk),
-                Ok(StreamItem::Done) => {
-                    self.finish_reply(conn, id, no, Outcome::Served, 0, false);
-                    return self.links.contains_key(&conn);
-                }
+                Ok(StreamItem::Chunk(chunk)) => self.relay_chunk(id, no, chunk),
+                Ok(StreamItem::Done) => return self.end_before_reply(conn, id, no, Outcome::Served),
                 Err(_) => {
-                    self.finish_reply(conn, id, no, Outcome::ServerError, 0, true);
+                    self.fail_reply(conn, id, no, Outcome::ServerError);
                     return false;
                 }
             }
-            // The chunk can have ended the request and with it this connection.
-            if !self.links.contains_key(&conn) {
+            // The chunk can have ended the request, and with it this connection.
+            if !self.connections.contains_key(&conn) {
                 return false;
             }
         }
-        if !whole {
-            self.finish_reply(conn, id, no, Outcome::ServerError, 0, true);
+        if !is_well_formed {
+            self.fail_reply(conn, id, no, Outcome::ServerError);
         }
-        whole
+        is_well_formed
     }
 
-    /// A reply with a body that is read whole has ended.
-    fn end_whole_reply(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, status: u16, body: &[u8]) {
-        let Some(at) = self.attempt_mut(id, no).map(|a| a.at) else { return };
-        let (outcome, kept) = match (status, at) {
-            (202, At::Read) if self.config.dialect.is_some() => self.dialect_read(id, no, body),
-            (200, At::Read) => self.engine_read(id, no, body),
+    /// A reply with a body that is collected has ended.
+    fn body_complete(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, status: u16, body: &[u8]) {
+        let Some(stage) = self.attempt_mut(id, no).map(|a| a.stage) else { return };
+        let (outcome, cached_tokens) = match (status, stage) {
+            (202, AttemptStage::Prefill) if self.config.dialect.is_some() => {
+                self.dialect_prefilled(id, no, body)
+            }
+            (200, AttemptStage::Prefill) => self.engine_prefilled(id, no, body),
             (429, _) => (Outcome::Refused { no_state: false }, 0),
-            (409, At::Pull) if engine::says_no_state(body) => (Outcome::Refused { no_state: true }, 0),
+            (409, AttemptStage::Decode) if engine::says_no_state(body) => {
+                (Outcome::Refused { no_state: true }, 0)
+            }
             _ => (Outcome::ServerError, 0),
         };
-        self.park_attempt(conn, id, no);
+        self.finish_connection(conn, id, no);
         if outcome == Outcome::Parsed {
-            self.keep_held(id);
+            self.withdraw_releases(id);
         }
-        self.end_attempt(id, no, outcome, kept);
+        self.end_attempt(id, no, outcome, cached_tokens);
     }
 
-    /// A reader has read the prompt, as a dialect says: its outcome, and the prompt tokens that it found kept.
-    fn dialect_read(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
-        let kept = self.config.dialect.as_ref().map_or(0, |d| d.kept(body));
+    /// A prefill is complete, as a dialect says: its outcome, and the number of cached tokens.
+    fn dialect_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
+        let cached_tokens = self.config.dialect.as_ref().map_or(0, |d| d.cached_tokens(body));
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.kept_at_reader = Some(kept);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.cached_at_prefill = Some(cached_tokens);
         }
         if let Some(worker) = worker {
-            self.hold(id, worker, None);
+            self.reserve(id, worker, None);
         }
-        (Outcome::Parsed, kept)
+        (Outcome::Parsed, cached_tokens)
     }
 
-    /// A reader has read the prompt, if its answer can be read: its outcome, and the prompt tokens that it found kept.
-    fn engine_read(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
-        let Ok((usage, params)) = engine::read_answer(body) else { return (Outcome::ServerError, 0) };
+    /// A prefill is complete, if its answer can be read: its outcome, and the number of cached tokens.
+    fn engine_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
+        let Ok((usage, transfer_params)) = engine::read_answer(body) else {
+            return (Outcome::ServerError, 0);
+        };
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.usage = usage;
-            job.kept_at_reader = Some(usage.kept_tokens);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.usage = usage;
+            request.cached_at_prefill = Some(usage.kept_tokens);
         }
         if let Some(worker) = worker {
-            self.hold(id, worker, Some(params));
+            self.reserve(id, worker, Some(transfer_params));
         }
         (Outcome::Parsed, usage.kept_tokens)
     }
 
-    /// The reply to an attempt has ended well: its connection may be used again.
-    fn park_attempt(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo) {
-        self.park(conn);
+    /// The reply to an attempt has ended well: its connection may be reused.
+    fn finish_connection(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo) {
+        self.return_to_pool(conn);
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.conn = None;
         }
     }
 
-    /// The attempt's end is known; the connection is closed, or read to the reply's end and used again.
-    pub(super) fn finish_reply(
-        &mut self,
-        conn: ConnId,
-        id: &RequestId,
-        no: AttemptNo,
-        outcome: Outcome,
-        kept: u64,
-        close: bool,
-    ) {
+    /// The attempt's end is known before its reply's: the rest is read so that the connection can be reused. True: go on
+    /// reading.
+    fn end_before_reply(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, outcome: Outcome) -> bool {
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.conn = None;
         }
-        if close {
-            self.abort_link(conn);
-        } else if let Some(link) = self.links.get_mut(&conn) {
-            link.task = Task::Rest;
-            self.limit(conn);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.task = Task::DrainReply;
+            self.limit_reply(conn);
+        }
+        self.end_attempt(id, no, outcome, 0);
+        self.connections.contains_key(&conn)
+    }
+
+    /// The reply to an attempt can't be used: its connection is closed.
+    pub(super) fn fail_reply(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, outcome: Outcome) {
+        if let Some(attempt) = self.attempt_mut(id, no) {
+            attempt.conn = None;
         }
-        self.end_attempt(id, no, outcome, kept);
+        self.abort_connection(conn);
+        self.end_attempt(id, no, outcome, 0);
     }
 }
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -1,19 +1,20 @@
-//! A client's whole request: checked, and made a job or answered before anything has run.
+//! A client's complete request: checked, and accepted or answered before anything has run.
 
 use chalkyard_api::client::{self, ErrorBody, ErrorKind, MessagesRequest, Refusal};
+use chalkyard_api::engine;
 use chalkyard_policy as p;
 use chalkyard_policy::{Event, Micros};
 use chalkyard_proto::{encode, Head, Start};
 
+use super::active_request::{ActiveRequest, ClientCall};
 use super::client_answers::error;
-use super::client_connection::Phase;
-use super::job::{Call, Job};
+use super::client_connection::ClientPhase;
 use super::record::Finished;
-use super::{ConnId, Core, Due, FinishedLine, Output};
-use crate::dialect::Heard;
-use crate::identity::{Identity, Repeat};
+use super::{ConnId, Core, FinishedLine, Output, TimerEvent};
+use crate::dialect::ParsedRequest;
+use crate::identity::{IdentityError, RequestIdentity};
 
-/// What a client is answered whose request is not taken: nothing of it has run.
+/// The answer to a request that is not accepted: nothing of it has run.
 #[derive(Debug)]
 pub(super) struct Rejection {
     pub(super) status: u16,
@@ -24,6 +25,14 @@
     fn new(status: u16, kind: ErrorKind, reason: impl Into<String>) -> Self {
         Self { status, body: error(kind, reason) }
     }
+
+    fn stopping() -> Self {
+        Self::new(503, ErrorKind::Refused, "this router is stopping")
+    }
+
+    fn too_many_open() -> Self {
+        Self::new(503, ErrorKind::Refused, "too many open requests")
+    }
 }
 
 /// A field of the request is invalid.
@@ -34,19 +43,15 @@
     }
 }
 
-/// The request's identity is known already, or can't be remembered.
-impl From<Repeat> for Rejection {
-    fn from(repeat: Repeat) -> Self {
-        let duplicate = |reason: &str| {
-            let body = ErrorBody { may_have_run: true, ..error(ErrorKind::Duplicate, reason) };
-            Self { status: 409, body }
-        };
-        match repeat {
-            Repeat::Open => {
-                duplicate("a request under this Idempotency-Key is open here; wait for its answer")
+/// The request's idempotency key is known already, or can't be remembered.
+impl From<IdentityError> for Rejection {
+    fn from(cause: IdentityError) -> Self {
+        match cause {
+            IdentityError::StillOpen | IdentityError::MayHaveRun => {
+                let body = ErrorBody { may_have_run: true, ..error(ErrorKind::Duplicate, cause.to_string()) };
+                Self { status: 409, body }
             }
-            Repeat::Ran => duplicate("a request under this Idempotency-Key may have run; look it up"),
-            Repeat::Full => Self::new(503, ErrorKind::Refused, "too many identities are remembered"),
+            IdentityError::TableFull => Self::new(503, ErrorKind::Refused, cause.to_string()),
         }
     }
 }
@@ -81,79 +86,91 @@
 }
 
 impl Core {
-    /// Takes a whole request, or refuses it before anything has run.
-    pub(super) fn begin(&mut self, conn: ConnId, head: &Head, body: Vec<u8>) {
-        self.bodies = self.bodies.saturating_sub(body.len() as u64);
+    /// Accepts a complete request, or answers it before anything has run.
+    pub(super) fn request_received(&mut self, conn: ConnId, head: &Head, body: Vec<u8>) {
+        self.body_bytes = self.body_bytes.saturating_sub(body.len() as u64);
         let checked = match self.config.dialect.clone() {
             Some(dialect) => {
-                let arrived = self.clients.get(&conn).map_or(self.now, |c| c.since);
-                let heard = dialect.hear(arrived, head, body);
-                self.check_heard(conn, heard)
+                let arrived_at = self.clients.get(&conn).map_or(self.now, |c| c.phase_since);
+                let parsed = dialect.parse_request(arrived_at, head, body);
+                self.check_parsed(conn, parsed)
             }
-            None => self.check(conn, head, &body),
+            None => self.check_messages_call(conn, head, &body),
         };
         match checked {
-            Ok(Some(job)) => self.take(conn, job),
+            Ok(Some(request)) => self.accept_request(conn, request),
             Ok(None) => {
-                let keep = self.says_keep(conn);
-                self.write_client(conn, encode::response(200, &[], b"ok\n", keep));
+                let keep_alive = self.announce_keep_alive(conn);
+                self.write_client(conn, encode::response(200, &[], b"ok\n", keep_alive));
                 self.answered(conn);
             }
             Err(Rejection { status, body }) => {
-                let id = head.header(chalkyard_api::engine::REQUEST_ID).unwrap_or_default().to_owned();
-                let turned = Finished::turned(id, self.now, body.reason.clone());
-                self.out.push(Output::Finished(Box::new(FinishedLine(turned))));
+                let id = head.header(engine::REQUEST_ID).unwrap_or_default().to_owned();
+                let record = Finished::rejected_at_intake(id, self.now, body.reason.clone());
+                self.outputs.push(Output::Finished(Box::new(FinishedLine(record))));
                 self.answer_error(conn, status, &body);
             }
         }
     }
 
-    fn take(&mut self, conn: ConnId, mut job: Job) {
-        let id = job.request.id.clone();
-        let request = job.request.clone();
+    /// From here on the request is owed exactly one final answer.
+    fn accept_request(&mut self, conn: ConnId, mut request: ActiveRequest) {
+        let spec = request.spec.clone();
+        let id = spec.id.clone();
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.phase = Phase::Serving(id.clone());
+            client.phase = ClientPhase::Serving(id.clone());
             if let Some(key) = client.timer.take() {
                 self.timers.cancel(key);
             }
         }
         self.counters.requests += 1;
-        self.bodies += job.body_bytes();
-        let last_call = job.request.deadline + self.config.policy.answer_slack;
-        job.backstop = Some(self.timers.set(last_call, Due::Overdue(id.clone())));
-        self.jobs.insert(id, job);
-        self.events.push_back(Event::Request(request));
+        self.body_bytes += request.body_bytes();
+        let overdue = spec.deadline + self.config.policy.answer_slack;
+        request.answer_timer = Some(self.timers.set(overdue, TimerEvent::Answer(id.clone())));
+        self.requests.insert(id, request);
+        self.events.push_back(Event::Request(spec));
     }
 
-    /// What a dialect heard, and what only the core knows: ids that are open, and bounds. None: a health check.
-    fn check_heard(&mut self, conn: ConnId, heard: Heard) -> Result<Option<Job>, Rejection> {
-        let (mut request, passed) = match heard {
-            Heard::Ready if self.draining || self.left.is_some() => {
-                return Err(Rejection::new(503, ErrorKind::Refused, "this router is stopping"))
+    /// Checks what only the core knows of a dialect's request: ids that are open, and bounds. None: a health check.
+    fn check_parsed(
+        &mut self,
+        conn: ConnId,
+        parsed: ParsedRequest,
+    ) -> Result<Option<ActiveRequest>, Rejection> {
+        let (mut spec, forwarded) = match parsed {
+            ParsedRequest::HealthCheck if self.draining || self.leaving_since.is_some() => {
+                return Err(Rejection::stopping())
+            }
+            ParsedRequest::HealthCheck => return Ok(None),
+            ParsedRequest::Invalid { status, reason } => {
+                return Err(Rejection::new(status, ErrorKind::Invalid, reason))
             }
-            Heard::Ready => return Ok(None),
-            Heard::Wrong(status, why) => return Err(Rejection::new(status, ErrorKind::Invalid, why)),
-            Heard::Call(request, passed) => (*request, passed),
+            ParsedRequest::Inference(spec, forwarded) => (*spec, forwarded),
         };
         if self.stopping {
-            return Err(Rejection::new(503, ErrorKind::Refused, "this router is stopping"));
+            return Err(Rejection::stopping());
         }
-        // What a leaving router takes has its answer before the process ends.
-        if let Some((left, (_, until))) = self.left.zip(self.config.waits.leaving) {
-            request.deadline = request.deadline.min(left + until);
+        // What is accepted during the graceful shutdown is answered before the process ends.
+        if let Some((since, migration)) = self.leaving_since.zip(self.config.timeouts.migration) {
+            spec.deadline = spec.deadline.min(since + migration.until);
         }
-        if self.jobs.contains_key(&request.id) {
+        if self.requests.contains_key(&spec.id) {
             let reason = "a request under this id is open here";
             return Err(Rejection::new(409, ErrorKind::Duplicate, reason));
         }
-        if self.jobs.len() >= self.config.bounds.open {
-            return Err(Rejection::new(503, ErrorKind::Refused, "too many open requests"));
+        if self.requests.len() >= self.config.bounds.open {
+            return Err(Rejection::too_many_open());
         }
-        Ok(Some(Job::new(conn, request, Call::Passed(passed), None, self.now)))
+        Ok(Some(ActiveRequest::new(conn, spec, ClientCall::Forwarded(forwarded), None, self.now)))
     }
 
-    /// Checks a request; an error names the field and the reason. None: a health check.
-    fn check(&mut self, conn: ConnId, head: &Head, body: &[u8]) -> Result<Option<Job>, Rejection> {
+    /// Checks a request of our own call; an error names the field and the reason. None: a health check.
+    fn check_messages_call(
+        &mut self,
+        conn: ConnId,
+        head: &Head,
+        body: &[u8],
+    ) -> Result<Option<ActiveRequest>, Rejection> {
         if is_health_check(head)? {
             return Ok(None);
         }
@@ -165,24 +182,25 @@
         if self.draining || self.stopping {
             return Err(Rejection::new(503, ErrorKind::Refused, "this router is draining"));
         }
-        if self.jobs.len() >= self.config.bounds.open {
-            return Err(Rejection::new(503, ErrorKind::Refused, "too many open requests"));
+        if self.requests.len() >= self.config.bounds.open {
+            return Err(Rejection::too_many_open());
         }
-        let identity: Option<Identity> = key.map(|key| (tenant, key));
+        let identity = key.map(|key| RequestIdentity { tenant, key });
         if let Some(identity) = &identity {
             self.identities.begin(self.now, identity)?;
         }
-        let mut job = self.job(conn, call, class, tenant, identity.clone());
-        if let Err(rejection) = self.reserve(&mut job) {
-            // Nothing ran: the identity may come again.
+        let mut request = self.new_request(conn, call, class, tenant, identity.clone());
+        if let Err(rejection) = self.reserve_budget(&mut request) {
+            // Nothing ran: the key may be used again.
             if let Some(identity) = &identity {
                 self.identities.end(identity, None);
             }
             return Err(rejection);
         }
-        Ok(Some(job))
+        Ok(Some(request))
     }
 
+    /// The tenant whose API key the request carries; none where there are no tenants.
     fn tenant(&self, head: &Head) -> Result<Option<usize>, Rejection> {
         if self.config.tenants.is_empty() {
             return Ok(None);
@@ -200,6 +218,7 @@
         }
     }
 
+    /// The class that the request names, if the tenant's keys allow it.
     fn class(&self, call: &MessagesRequest, tenant: Option<usize>) -> Result<usize, Refusal> {
         let class = match &call.class {
             None => self.config.default_class,
@@ -216,20 +235,21 @@
         Ok(class)
     }
 
-    fn job(
+    fn new_request(
         &mut self,
         conn: ConnId,
         call: MessagesRequest,
         class: usize,
         tenant: Option<usize>,
-        identity: Option<Identity>,
-    ) -> Job {
-        // The start time keeps ids apart over lives, the name over routers.
+        identity: Option<RequestIdentity>,
+    ) -> ActiveRequest {
+        // The start time keeps ids of successive processes apart, the name ids of different routers.
         let id = format!("{}-{:x}-{:x}", self.config.name, self.now.0, self.next_request);
         self.next_request += 1;
-        let told = self.config.policy.classes.get(class).map(|c| c.deadline).unwrap_or_default();
-        let asked = call.deadline_ms.map_or(told, |ms| Micros(ms.saturating_mul(1_000)).min(told));
-        let request = p::Request {
+        let longest = self.config.policy.classes.get(class).map(|c| c.deadline).unwrap_or_default();
+        let timeout = call.deadline_ms.map_or(longest, |ms| Micros(ms.saturating_mul(1_000)).min(longest));
+        let margin = self.config.timeouts.reply_margin.min(timeout.mul_f64(0.5));
+        let spec = p::Request {
             id: id.as_str().into(),
             class: p::ClassId(class),
             tenant: tenant.map(p::TenantId),
@@ -240,9 +260,9 @@
             prefix: call.prefix.as_ref().map(|(hash, _)| hash.as_str().into()),
             prompt_tokens: call.prompt_tokens,
             max_output: call.max_tokens,
-            deadline: self.now + (asked - self.config.waits.reply_margin.min(asked.mul_f64(0.5))),
+            deadline: self.now + (timeout - margin),
             came_back: call.came_back,
         };
-        Job::new(conn, request, Call::Messages(Box::new(call)), identity, self.now)
+        ActiveRequest::new(conn, spec, ClientCall::Messages(Box::new(call)), identity, self.now)
     }
 }
--- a/crates/router/src/core/tally.rs
+++ b/crates/router/src/core/tally.rs
@@ -1,4 +1,4 @@
-//! What a router does in each second that adds up over a fleet. Nothing is decided by it.
+//! What a router does in each second, in numbers that add up over a fleet. Nothing is decided by them.
 
 use chalkyard_policy::{Care, Micros};
 use serde::{Deserialize, Serialize};
@@ -10,69 +10,77 @@
 pub struct Tally {
     /// The second, since 1970.
     pub second: u64,
-    /// Calls to engines for requests that had none before.
+    /// First attempts of requests.
     pub first: u64,
-    /// Calls to pull and answer what was read.
-    pub pulls: u64,
-    /// Calls after one that is proven not to have run, reads included.
-    pub again_safe: u64,
-    /// Calls after one that may have run.
-    pub again_ran: u64,
-    /// Calls to workers that have failed, or been silent, lately.
-    pub trials: u64,
-    /// Calls to workers that may be cold.
-    pub cold: u64,
-    /// Connections to engines that were asked for, calls of whatever kind.
+    /// Decode attempts right after a prefill.
+    #[serde(rename = "pulls")]
+    pub decodes: u64,
+    /// Retries after an attempt that is proven not to have run, prefills included.
+    #[serde(rename = "again_safe")]
+    pub retries_not_run: u64,
+    /// Retries after an attempt that may have run.
+    #[serde(rename = "again_ran")]
+    pub retries_maybe_run: u64,
+    /// Attempts at workers that have failed, or been silent, lately.
+    #[serde(rename = "trials")]
+    pub probes: u64,
+    /// Attempts at workers that may be warming up.
+    #[serde(rename = "cold")]
+    pub slow_starts: u64,
+    /// Connections to workers that were asked for, for calls of whatever kind.
     pub connects: u64,
-    /// Calls for the list of workers.
+    /// Calls for the endpoint list.
     pub list_calls: u64,
-    /// Changes of the list that were told.
-    pub list_news: u64,
-    /// Calls to let go of held state.
+    /// Changes of the endpoint list.
+    #[serde(rename = "list_news")]
+    pub list_changes: u64,
+    /// Calls to release reservations.
     pub releases: u64,
-    /// Clients' connections that were closed, or turned away, unheard for want of room.
-    pub unheard: u64,
-    /// Streams that were moved on, since this router leaves.
-    pub moved: u64,
+    /// Clients' connections that were closed, or rejected, unread for want of capacity.
+    #[serde(rename = "unheard")]
+    pub dropped_clients: u64,
+    /// Streams that were migrated, since this router stops.
+    #[serde(rename = "moved")]
+    pub migrated: u64,
     /// Requests that were open at its end, those that stream included.
     pub open: u64,
 }
 
-/// What a call is to its request.
+/// What an attempt is to its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Call {
+pub(super) enum CallKind {
     First,
-    Pull,
-    Again { ran: bool },
+    Decode,
+    Retry { may_have_run: bool },
 }
 
 impl Tally {
-    pub(super) fn sent(&mut self, call: Call, care: Care) {
+    pub(super) fn count_attempt(&mut self, call: CallKind, care: Care) {
         match call {
-            Call::First => self.first += 1,
-            Call::Pull => self.pulls += 1,
-            Call::Again { ran: false } => self.again_safe += 1,
-            Call::Again { ran: true } => self.again_ran += 1,
+            CallKind::First => self.first += 1,
+            CallKind::Decode => self.decodes += 1,
+            CallKind::Retry { may_have_run: false } => self.retries_not_run += 1,
+            CallKind::Retry { may_have_run: true } => self.retries_maybe_run += 1,
         }
-        self.trials += u64::from(care == Care::Trial);
-        self.cold += u64::from(care == Care::Cold);
+        self.probes += u64::from(care == Care::Trial);
+        self.slow_starts += u64::from(care == Care::Cold);
     }
 
     /// Adds another router's counts of a second.
     pub fn add(&mut self, other: Self) {
         self.second = other.second;
         self.first += other.first;
-        self.pulls += other.pulls;
-        self.again_safe += other.again_safe;
-        self.again_ran += other.again_ran;
-        self.trials += other.trials;
-        self.cold += other.cold;
+        self.decodes += other.decodes;
+        self.retries_not_run += other.retries_not_run;
+        self.retries_maybe_run += other.retries_maybe_run;
+        self.probes += other.probes;
+        self.slow_starts += other.slow_starts;
         self.connects += other.connects;
         self.list_calls += other.list_calls;
-        self.list_news += other.list_news;
+        self.list_changes += other.list_changes;
         self.releases += other.releases;
-        self.unheard += other.unheard;
-        self.moved += other.moved;
+        self.dropped_clients += other.dropped_clients;
+        self.migrated += other.migrated;
         self.open += other.open;
     }
 
@@ -82,21 +90,22 @@
 }
 
 impl Core {
-    /// Counts, where anybody wants to know.
+    /// Counts, if anybody reads the tally.
     pub(super) fn count(&mut self, count: impl FnOnce(&mut Tally)) {
         if let Some(tally) = &mut self.tally {
             count(tally);
         }
     }
 
-    /// Tells of a second that is over.
-    pub(super) fn tell_tally(&mut self) {
+    /// Gives the tally of a second out that is over.
+    pub(super) fn report_tally(&mut self) {
         let second = self.now.0 / Micros::from_secs_f64(1.0).0;
-        let open = self.jobs.len() as u64;
+        let open = self.requests.len() as u64;
         let Some(tally) = self.tally.as_mut().filter(|t| t.second != second) else { return };
-        let told = Tally { open, ..std::mem::replace(tally, Tally { second, ..Tally::default() }) };
-        if !told.is_empty() {
-            self.out.push(Output::Tally(Box::new(told)));
+        let counted = std::mem::replace(tally, Tally { second, ..Tally::default() });
+        let finished = Tally { open, ..counted };
+        if !finished.is_empty() {
+            self.outputs.push(Output::Tally(Box::new(finished)));
         }
     }
 }
--- a/crates/router/src/core/transitions.rs
+++ b/crates/router/src/core/transitions.rs
@@ -1,4 +1,4 @@
-//! Changes of a request's state that are out of the ordinary, told one by one with their cause, and counts of all of them.
+//! Transitions of a request's state that are out of the ordinary, each with its cause, and violated obligations.
 
 use chalkyard_policy::{Micros, RequestId, WorkerId};
 use serde::Serialize;
@@ -13,21 +13,22 @@
 pub enum Change {
     /// An attempt ended without an answer, or with an error.
     AttemptEnded,
-    /// Held state is released while its pull is open: nothing has proven that the pull arrived.
-    ReleasedBesideAttempt,
-    /// A release is called once more, at another worker.
+    /// A reservation is released while a decode attempt is open: nothing has proven that its call arrived.
+    #[serde(rename = "released_beside_attempt")]
+    ReleasedDuringAttempt,
+    /// A release is called once more.
     ReleaseRepeated,
     /// A worker has answered a release that was called more than once.
     ReleaseProven,
     /// No worker has answered a release in its time.
     ReleaseUnproven,
-    /// Something that was asked for is not done.
+    /// Something that the policy asked for is not done.
     Denied,
-    /// An obligation ran out.
+    /// An obligation was violated.
     Violation,
 }
 
-/// One change of one request, with what is known of the connection that it is about.
+/// One transition of one request, with what is known of the connection that it is about.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Transition {
     /// The request.
@@ -42,51 +43,58 @@
     pub worker: Option<String>,
     /// The connection.
     pub connection: Option<u64>,
-    /// How long the connection had rested before this call; none: it was new.
+    /// How long the connection had been idle before this call; none: it was new.
     pub rested_us: Option<u64>,
-    /// Since the worker last began an answer to this router; none: it never has.
-    pub unheard_us: Option<u64>,
-    /// Since the request came; since the release began, of one whose request is over.
+    /// Since the head of the worker's last reply to this router; none: there was none.
+    #[serde(rename = "unheard_us")]
+    pub last_reply_us: Option<u64>,
+    /// Since the request came; since the release began, where its request is over.
     pub age_us: u64,
 }
 
-/// What a change is about.
+/// What a transition is about.
 #[derive(Debug, Default)]
-pub(super) struct About<'a> {
-    pub attempt: Option<u32>,
-    pub worker: Option<&'a WorkerId>,
-    pub connection: Option<ConnId>,
+pub(super) struct Subject<'a> {
+    pub(super) attempt: Option<u32>,
+    pub(super) worker: Option<&'a WorkerId>,
+    pub(super) connection: Option<ConnId>,
     /// From when its age counts, where the request is over.
-    pub since: Option<Micros>,
+    pub(super) since: Option<Micros>,
 }
 
 impl Core {
-    /// Tells one change.
-    pub(super) fn tell(&mut self, id: &RequestId, change: Change, cause: &'static str, about: About<'_>) {
-        let link = about.connection.and_then(|conn| self.links.get(&conn));
-        let rested = link.and_then(|l| l.rested).map(|(rested, _)| rested.0);
-        let engine = about.worker.and_then(|w| self.engines.get(w));
-        let heard = engine.map(|e| e.heard).filter(|heard| heard.0 > 0);
-        let began = self.jobs.get(id).map(|j| j.arrived).or(about.since).unwrap_or(self.now);
+    /// Gives a transition out.
+    pub(super) fn record_transition(
+        &mut self,
+        id: &RequestId,
+        change: Change,
+        cause: &'static str,
+        subject: Subject<'_>,
+    ) {
+        let connection = subject.connection.and_then(|conn| self.connections.get(&conn));
+        let idle = connection.and_then(|c| c.reused).map(|reuse| reuse.idle.0);
+        let endpoint = subject.worker.and_then(|w| self.workers.get(w));
+        let last_reply_at = endpoint.map(|e| e.last_reply_at).filter(|at| at.0 > 0);
+        let began = self.requests.get(id).map(|r| r.arrived_at).or(subject.since).unwrap_or(self.now);
         let transition = Transition {
             id: id.0.to_string(),
             change,
             cause,
-            attempt: about.attempt,
-            worker: about.worker.map(|w| w.0.to_string()),
-            connection: about.connection.map(|c| c.0),
-            rested_us: rested,
-            unheard_us: heard.map(|at| since(self.now, at)),
+            attempt: subject.attempt,
+            worker: subject.worker.map(|w| w.0.to_string()),
+            connection: subject.connection.map(|c| c.0),
+            rested_us: idle,
+            last_reply_us: last_reply_at.map(|at| since(self.now, at)),
             age_us: since(self.now, began),
         };
-        self.out.push(Output::Transition(Box::new(transition)));
+        self.outputs.push(Output::Transition(Box::new(transition)));
     }
 
-    /// An obligation of a request has run out.
-    pub(super) fn violated(&mut self, id: &RequestId, violation: Violation, since: Option<Micros>) {
+    /// An obligation of a request was violated.
+    pub(super) fn record_violation(&mut self, id: &RequestId, violation: Violation, since: Option<Micros>) {
         increment(&mut self.counters.violations, violation.name());
-        let about = About { since, ..About::default() };
-        self.tell(id, Change::Violation, violation.name(), about);
+        let subject = Subject { since, ..Subject::default() };
+        self.record_transition(id, Change::Violation, violation.name(), subject);
     }
 
     /// What has been done since the start.
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -4,10 +4,11 @@
 use serde::Serialize;
 
 use super::record::AttemptRecord;
+use super::worker_connection::WorkerEndpoint;
 use super::Core;
 
-/// The most requests or engines that one view holds; `more` says how many were left out.
-const MOST: usize = 1_000;
+/// The most requests or workers that one view holds; `more` says how many were left out.
+const MAX_ITEMS: usize = 1_000;
 
 /// A request that is open, or whose attempts or state are.
 #[derive(Debug, Clone, Serialize)]
@@ -34,43 +35,43 @@
     pub attempts: Vec<AttemptRecord>,
 }
 
-/// An engine as the router knows it.
+/// A worker as the router knows it.
 #[derive(Debug, Clone, Serialize)]
-pub struct EngineView {
+pub struct WorkerView {
     /// Its id.
     pub id: String,
     /// Address.
     pub address: String,
     /// `reader`, `writer` or `mixed`.
     pub role: &'static str,
-    /// In the newest list.
+    /// In the newest endpoint list.
     pub listed: bool,
     /// Connections, idle ones included.
     pub connections: usize,
     /// Idle ones.
     pub idle: usize,
-    /// Attempts that are out there.
+    /// Connections in use.
     pub attempts: usize,
 }
 
 /// Counts of a running core.
 #[derive(Debug, Clone, Serialize)]
 pub struct Counts {
-    /// Requests without a final answer, or with something out or held.
+    /// Requests without a final answer, or with an open attempt or a reservation.
     pub open_requests: usize,
     /// Client connections.
     pub clients: usize,
-    /// Engines in the newest list.
+    /// Workers in the newest endpoint list.
     pub engines: usize,
-    /// Connections to engines and register.
+    /// Connections to workers and service discovery.
     pub connections: usize,
-    /// Takes no new requests.
+    /// Accepts no new requests.
     pub draining: bool,
-    /// A list of engines is known.
+    /// An endpoint list is known.
     pub has_list: bool,
-    /// The register's stream stands.
+    /// The connection to service discovery stands.
     pub register: bool,
-    /// Identities that are remembered.
+    /// Idempotency keys that are remembered.
     pub identities: usize,
     /// Newest lease of budgets, and µs until its end; none without budgets.
     pub lease: Option<(u64, u64)>,
@@ -88,46 +89,50 @@
 impl Core {
     /// Counts.
     pub fn counts(&self) -> Counts {
-        let lease = self.keeper.as_ref().map(|k| k.state().lease);
+        let lease = self.budgets.as_ref().map(|k| k.state().lease);
         Counts {
-            open_requests: self.jobs.len(),
+            open_requests: self.requests.len(),
             clients: self.clients.len(),
-            engines: self.engines.values().filter(|e| e.listed).count(),
-            connections: self.links.len(),
+            engines: self.workers.values().filter(|e| e.listed).count(),
+            connections: self.connections.len(),
             draining: self.draining,
-            has_list: self.has_list,
-            register: self.register.is_some(),
+            has_list: self.discovery.has_list,
+            register: self.discovery.connection.is_some(),
             identities: self.identities.len(),
             lease: lease.map(|(number, until)| (number, until.0.saturating_sub(self.now.0))),
         }
     }
 
-    /// Whether any list of engines is known, be it an old one.
+    /// Whether any endpoint list is known, be it an old one.
     pub fn has_list(&self) -> bool {
-        self.has_list
+        self.discovery.has_list
     }
 
     /// Open requests, the first in order of their ids.
     pub fn open_view(&self) -> Listed<OpenRequest> {
-        let items: Vec<OpenRequest> =
-            self.jobs.iter().take(MOST).map(|(id, job)| self.seen(id, job)).collect();
-        Listed { more: self.jobs.len() - items.len(), items }
+        let items: Vec<OpenRequest> = self
+            .requests
+            .iter()
+            .take(MAX_ITEMS)
+            .map(|(id, request)| self.describe_open(id, request))
+            .collect();
+        Listed { more: self.requests.len() - items.len(), items }
     }
 
     /// One open request.
     pub fn open_one(&self, id: &str) -> Option<OpenRequest> {
         let id: p::RequestId = id.into();
-        self.jobs.get(&id).map(|job| self.seen(&id, job))
+        self.requests.get(&id).map(|request| self.describe_open(&id, request))
     }
 
-    /// Engines.
-    pub fn engine_view(&self) -> Listed<EngineView> {
+    /// Workers, the first in order of their ids.
+    pub fn worker_view(&self) -> Listed<WorkerView> {
         let role = |role| match role {
             p::Role::Reader => "reader",
             p::Role::Writer => "writer",
             p::Role::Mixed => "mixed",
         };
-        let view = |(id, e): (&p::WorkerId, &super::worker_connection::Engine)| EngineView {
+        let view = |(id, e): (&p::WorkerId, &WorkerEndpoint)| WorkerView {
             id: id.0.to_string(),
             address: e.address.to_string(),
             role: role(e.role),
@@ -136,7 +141,7 @@
             idle: e.idle.len(),
             attempts: e.open.saturating_sub(e.idle.len()),
         };
-        let items: Vec<EngineView> = self.engines.iter().take(MOST).map(view).collect();
-        Listed { more: self.engines.len() - items.len(), items }
+        let items: Vec<WorkerView> = self.workers.iter().take(MAX_ITEMS).map(view).collect();
+        Listed { more: self.workers.len() - items.len(), items }
     }
 }
--- a/crates/router/src/core/worker_connection.rs
+++ b/crates/router/src/core/worker_connection.rs
@@ -1,4 +1,4 @@
-//! An engine, our connections to it, and what each of these carries.
+//! A worker's endpoint, the router's connections to it, and what each of these carries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,63 +6,75 @@
 use chalkyard_policy as p;
 use chalkyard_policy::obligations::Target;
 use chalkyard_policy::Micros;
-use chalkyard_proto::Decoder;
+use chalkyard_proto::{sse, Decoder};
 
-use super::job::Reply;
+use super::attempt::ReplyState;
 use super::ConnId;
-use crate::timers::Key;
+use crate::timers::TimerKey;
 
-/// A call that is lost this soon on a connection that had rested, with nothing heard of it, met a connection that the
-/// engine had given up in silence.
+/// A call that is lost this soon on a reused connection, with nothing read of its reply, met a connection that the worker
+/// had given up without closing it.
 const STALE_WITHIN: Micros = Micros(20_000);
-/// One that had rested for less was lost for another reason.
+/// A connection that was idle for less was lost for another reason.
 const STALE_LEAST: Micros = Micros(50_000);
-/// What was learnt of that is doubled so often, until it is as told again.
+/// A learned idle timeout doubles after each such span, up to the configured one.
 const STALE_DOUBLES: Micros = Micros(3_000_000);
 
-/// How long a connection may rest and still be used again: as told, or as calls that were lost have taught. The told time
-/// is the latest at which engines give a connection up, and each loss may be one that must not be sent again.
+/// How long a connection may be idle and still be reused: as configured, or less where lost calls have shown that workers
+/// close idle connections sooner. Each such loss may be a call that must not be repeated.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct IdleTimeout(Option<(Micros, Micros)>);
+pub(super) struct IdleTimeout {
+    learned: Option<LearnedTimeout>,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct LearnedTimeout {
+    timeout: Micros,
+    learned_at: Micros,
+}
 
 impl IdleTimeout {
-    pub(super) fn most(&self, now: Micros, told: Micros) -> Micros {
-        let Some((most, learnt)) = self.0 else { return told };
-        let doublings = ((now - learnt).0 / STALE_DOUBLES.0).min(30);
-        Micros(most.0.saturating_mul(1 << doublings)).min(told)
+    /// The timeout as it stands.
+    pub(super) fn current(&self, now: Micros, configured: Micros) -> Micros {
+        let Some(learned) = self.learned else { return configured };
+        let doublings = ((now - learned.learned_at).0 / STALE_DOUBLES.0).min(30);
+        Micros(learned.timeout.0.saturating_mul(1 << doublings)).min(configured)
     }
 
-    /// A call was lost so soon, on a connection that had rested for so long.
-    pub(super) fn lost(&mut self, now: Micros, told: Micros, rested: Micros, after: Micros) {
-        if after <= STALE_WITHIN && rested >= STALE_LEAST {
-            self.0 = Some((self.most(now, told).min(rested.mul_f64(0.5)), now));
+    /// A call was lost so soon, on a connection that had been idle for so long.
+    pub(super) fn learn(&mut self, now: Micros, configured: Micros, idle: Micros, lost_after: Micros) {
+        if lost_after <= STALE_WITHIN && idle >= STALE_LEAST {
+            let timeout = self.current(now, configured).min(idle.mul_f64(0.5));
+            self.learned = Some(LearnedTimeout { timeout, learned_at: now });
         }
     }
 }
 
-/// An engine and our connections to it.
+/// A worker's endpoint and the router's connections to it.
 #[derive(Debug)]
-pub(super) struct Engine {
+pub(super) struct WorkerEndpoint {
     pub(super) address: SocketAddr,
     /// The address as the Host of calls.
     pub(super) host: Arc<str>,
     pub(super) role: p::Role,
     pub(super) zone: Option<p::ZoneId>,
     pub(super) cell: p::CellId,
+    /// In the newest endpoint list.
     pub(super) listed: bool,
-    /// Wants nothing new: what has not reached it yet is placed again.
-    pub(super) leaving: bool,
-    /// Last used last: the most recent one is the least likely to be closed by the engine.
+    /// Takes no new calls: an attempt whose call was not written yet is placed elsewhere.
+    pub(super) draining: bool,
+    /// Idle connections, the one used last at the end: it is the least likely to be closed by the worker.
     pub(super) idle: Vec<ConnId>,
+    /// All connections, idle ones included.
     pub(super) open: usize,
-    /// When it last began an answer.
-    pub(super) heard: Micros,
+    /// When the head of a reply came last; 0: never.
+    pub(super) last_reply_at: Micros,
 }
 
-impl Engine {
-    /// As the rules on calls see it.
+impl WorkerEndpoint {
+    /// The worker as the rules on calls see it.
     pub(super) fn target(&self) -> Target {
-        let lifecycle = match (self.listed, self.leaving) {
+        let lifecycle = match (self.listed, self.draining) {
             (false, _) => p::Lifecycle::Out,
             (true, true) => p::Lifecycle::Draining,
             (true, false) => p::Lifecycle::In,
@@ -71,25 +83,25 @@
     }
 }
 
-/// One release: never given twice in a core's life.
+/// Identifies a release, which goes on over several calls. Never reused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ReleaseNo(pub(super) u64);
+pub(super) struct ReleaseId(pub(super) u64);
 
-/// What a connection of ours is doing.
+/// What a connection carries.
 #[derive(Debug)]
 pub(super) enum Task {
-    /// Nothing; it may be used.
+    /// Nothing: it may be reused.
     Idle,
-    /// Carries an attempt.
-    Attempt(p::RequestId, p::AttemptNo, Reply),
-    /// Carries a call to let go of what is held for a request.
-    Release(ReleaseNo),
-    /// Its attempt is over; the rest of the reply is read so that it can be used again.
-    Rest,
-    /// Watches the register.
-    Watch(Box<chalkyard_proto::sse::Reader>),
-    /// Asks for news of the list again and again; the answer so far.
-    Poll(Vec<u8>),
+    /// An attempt, and its reply so far.
+    Attempt(p::RequestId, p::AttemptNo, ReplyState),
+    /// A call that releases a reservation.
+    Release(ReleaseId),
+    /// Nothing any more, but the rest of a reply has to be read before the connection can be reused.
+    DrainReply,
+    /// The watch of the endpoint list.
+    WatchEndpoints(Box<sse::Reader>),
+    /// Polls of the endpoint list, one after the other; the present answer so far.
+    PollEndpoints(Vec<u8>),
 }
 
 /// What is written on a connection.
@@ -97,33 +109,67 @@
 pub(super) enum Payload {
     /// These bytes.
     Bytes(Vec<u8>),
-    /// The call of the attempt that the connection carries, made as it is written: what it tells of time is true then.
+    /// The call of the attempt that the connection carries. It is encoded as it is written, since it names the time left.
     AttemptCall,
 }
 
-/// A connection of ours.
+/// How an idle connection was reused.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Reuse {
+    /// For how long it had been idle.
+    pub(super) idle: Micros,
+    /// When it was reused.
+    pub(super) at: Micros,
+}
+
+/// A connection to a worker or to service discovery.
 #[derive(Debug)]
-pub(super) struct Link {
+pub(super) struct WorkerConnection {
+    /// None: service discovery.
     pub(super) worker: Option<p::WorkerId>,
     pub(super) decoder: Decoder,
     pub(super) task: Task,
-    /// What is to be written once it stands.
-    pub(super) waiting: Option<Payload>,
-    /// Bytes of the present call that the system has taken; none means that it was not sent.
-    pub(super) wrote: u64,
+    /// What is written once the connection stands.
+    pub(super) pending_call: Option<Payload>,
+    /// Bytes of the present call that the system has taken; 0 means that it was not sent.
+    pub(super) written: u64,
     /// Bytes of the present call in all.
-    pub(super) size: u64,
-    /// When it last became idle; how long it had been when it was used again, and when that was.
-    pub(super) parked: Micros,
-    pub(super) rested: Option<(Micros, Micros)>,
-    /// The engine closes after the present reply.
-    pub(super) last: bool,
-    pub(super) timer: Option<Key>,
+    pub(super) call_size: u64,
+    /// When it last became idle.
+    pub(super) idle_since: Micros,
+    /// Its last reuse; none: it carries its first call.
+    pub(super) reused: Option<Reuse>,
+    /// The worker closes it after the present reply.
+    pub(super) close_after_reply: bool,
+    pub(super) timer: Option<TimerKey>,
 }
 
-impl Link {
-    /// Whether another call may follow: the reply was whole and alone, and all of the call was taken by the system.
+impl WorkerConnection {
+    /// A connection that is about to be opened.
+    pub(super) fn new(
+        worker: Option<p::WorkerId>,
+        decoder: Decoder,
+        task: Task,
+        call: Payload,
+        timer: TimerKey,
+    ) -> Self {
+        Self {
+            worker,
+            decoder,
+            task,
+            pending_call: Some(call),
+            written: 0,
+            call_size: 0,
+            idle_since: Micros(0),
+            reused: None,
+            close_after_reply: false,
+            timer: Some(timer),
+        }
+    }
+
+    /// Whether another call may follow: the reply was complete, nothing came after it, and the system has taken the
+    /// complete call.
     pub(super) fn is_reusable(&self) -> bool {
-        self.decoder.is_idle() && !self.last && self.wrote >= self.size
+        self.decoder.is_idle() && !self.close_after_reply && self.written >= self.call_size
     }
 }
--- a/crates/router/src/dialect.rs
+++ b/crates/router/src/dialect.rs
@@ -1,111 +1,150 @@
-//! The seam to other ways in and out than the messages call: what a protocol must say so that [`crate::Core`] can
-//! speak it. Connections, attempts, timers, releases and deadlines stay in the core, choices in the module.
+//! The protocol of one platform, as far as [`crate::Core`] needs it. A dialect turns bytes into what the policy decides by
+//! and back; connections, attempts, timers, reservations and deadlines stay in the core.
 //!
-//! A dialect passes requests and streams on as they are: it reads what the module has to know beside them.
+//! A dialect forwards requests and streams unchanged. It only reads what the policy has to know about them.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use chalkyard_policy as p;
+pub use chalkyard_policy::obligations::Stage;
 use chalkyard_policy::{Micros, Outcome};
 use chalkyard_proto::Head;
+use thiserror::Error;
 
-/// A client's request as it came, to be passed on unchanged.
+/// A client's request as it came, to be forwarded unchanged.
 #[derive(Debug, Clone, Default)]
-pub struct Passed {
+pub struct ForwardedRequest {
     /// Method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// The client's idempotency key, by which engines discard repeats of a guarded class.
+    /// The client's idempotency key, by which workers discard repeats of requests that may be deduplicated.
     pub idempotency_key: Option<String>,
-    /// Body, byte for byte. Dropped once nothing can be sent any more.
+    /// Body, byte for byte. Dropped once no attempt can follow.
     pub body: Vec<u8>,
 }
 
-/// What a client's whole request is.
+/// What a client asks for.
 #[derive(Debug)]
-pub enum Heard {
-    /// Asks whether this router is ready.
-    Ready,
-    /// One to be served.
-    Call(Box<p::Request>, Passed),
-    /// One that is not, before anything was sent on for it: status and reason.
-    Wrong(u16, String),
+pub enum ParsedRequest {
+    /// Whether this router is ready.
+    HealthCheck,
+    /// An answer of a worker.
+    Inference(Box<p::Request>, ForwardedRequest),
+    /// Nothing that this router serves. Nothing was sent to a worker.
+    Invalid {
+        /// HTTP status of the answer.
+        status: u16,
+        /// What is wrong with it.
+        reason: String,
+    },
 }
 
-/// What an attempt is for.
+/// What the head of a worker's reply says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
-    /// Reading the prompt.
-    Read,
-    /// Writing the answer.
-    Write,
-}
-
-/// What the head of an engine's reply says.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum ReplyHead {
     /// The answer's stream follows.
     Stream,
-    /// The prompt was read; what was found kept follows.
-    Read,
+    /// The prefill is complete; the number of cached tokens follows.
+    Prefilled,
     /// The attempt is over.
-    Over(Outcome),
+    Ended(Outcome),
 }
 
-/// What a stream says of itself, as far as it has come.
+/// Tokens of one request, as a worker counts them.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct TokenUsage {
+    /// Tokens of the prompt.
+    pub prompt_tokens: u64,
+    /// Of these, tokens that were found in the worker's cache.
+    pub cached_tokens: u64,
+    /// Tokens of the answer.
+    pub output_tokens: u64,
+}
+
+/// What a stream has said of itself so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Seen {
-    /// A whole event has come.
+pub struct StreamProgress {
+    /// A complete event has come.
     pub begun: bool,
-    /// Events so far.
+    /// Complete events so far.
     pub events: u64,
-    /// Tokens of the prompt, of those found kept, and of the answer.
-    pub usage: Option<[u64; 3]>,
-    /// The engine's load.
+    /// Tokens, once the stream has named them.
+    pub usage: Option<TokenUsage>,
+    /// The worker's load.
     pub report: Option<p::Report>,
 }
 
-/// Reads a stream beside its being passed on. Whatever the bytes, it never fails and holds little.
-pub trait Beside: fmt::Debug + Send {
+/// Reads a stream while it is forwarded. It accepts any bytes and holds a bounded part of them.
+pub trait ResponseObserver: fmt::Debug + Send {
     /// Takes the stream's next bytes.
     fn push(&mut self, bytes: &[u8]);
     /// What is known by now.
-    fn seen(&self) -> Seen;
+    fn progress(&self) -> StreamProgress;
 }
 
-/// A list of workers, or its changes.
+/// A worker and where it listens.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Endpoint {
+    /// The worker, as the policy knows it.
+    pub worker: p::Worker,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+/// The endpoint list, or what has changed in it.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
     pub version: u64,
-    /// All there is, not changes alone.
-    pub whole: bool,
-    /// Its entries that can be read.
-    pub workers: Vec<(p::Worker, SocketAddr)>,
-    /// What is wrong with the others.
-    pub wrong: Vec<String>,
+    /// It names all endpoints, not only those that have changed.
+    pub complete: bool,
+    /// Its entries that could be read.
+    pub endpoints: Vec<Endpoint>,
+    /// Why the others could not be.
+    pub invalid: Vec<EndpointListError>,
+}
+
+/// An endpoint list, or one of its entries, that can't be read.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("{reason}")]
+pub struct EndpointListError {
+    /// What is wrong, with the entry or the place in the text where there is one.
+    pub reason: String,
+}
+
+impl From<String> for EndpointListError {
+    fn from(reason: String) -> Self {
+        Self { reason }
+    }
 }
 
-/// How a router speaks.
+/// A platform's protocol.
 pub trait Dialect: fmt::Debug + Send + Sync {
-    /// A client's whole request, whose first byte came at `arrived`.
-    fn hear(&self, arrived: Micros, head: &Head, body: Vec<u8>) -> Heard;
-    /// The bytes of an attempt that is waited for so long.
-    fn attempt(&self, request: &p::Request, passed: &Passed, host: &str, wait: Micros) -> Vec<u8>;
-    /// Reads the head of a reply.
-    fn told(&self, stage: Stage, head: &Head) -> Told;
-    /// The load report in a reply's head.
-    fn report(&self, head: &Head) -> Option<p::Report>;
-    /// What a reader found kept.
-    fn kept(&self, body: &[u8]) -> u64;
+    /// Reads a client's complete request, whose first byte came at `arrived_at`.
+    fn parse_request(&self, arrived_at: Micros, head: &Head, body: Vec<u8>) -> ParsedRequest;
+    /// The bytes of a call that forwards a request to a worker and waits for `timeout`.
+    fn attempt_call(
+        &self,
+        request: &p::Request,
+        forwarded: &ForwardedRequest,
+        host: &str,
+        timeout: Micros,
+    ) -> Vec<u8>;
+    /// Reads the head of a worker's reply.
+    fn parse_reply(&self, stage: Stage, head: &Head) -> ReplyHead;
+    /// The load report in the head of a worker's reply.
+    fn load_report(&self, head: &Head) -> Option<p::Report>;
+    /// The number of cached tokens in the body of a reply to a prefill.
+    fn cached_tokens(&self, body: &[u8]) -> u64;
     /// A reader for a stream that begins.
-    fn beside(&self) -> Box<dyn Beside>;
-    /// The call that releases all that is held for a request, at whatever worker.
-    fn release(&self, id: &p::RequestId, host: &str) -> Vec<u8>;
-    /// The call for news of the list: it is answered at once or, with `waits`, once there is news.
-    fn watch(&self, after: Option<u64>, waits: bool, host: &str) -> Vec<u8>;
-    /// Reads the answer to it.
-    fn list(&self, body: &[u8]) -> Result<List, String>;
+    fn response_observer(&self) -> Box<dyn ResponseObserver>;
+    /// The bytes of a call that releases all that is reserved for a request, whichever worker gets it.
+    fn release_call(&self, id: &p::RequestId, host: &str) -> Vec<u8>;
+    /// The bytes of a call for changes of the endpoint list after a version. It is answered at once or, with `long_poll`,
+    /// once there is a change.
+    fn list_call(&self, after: Option<u64>, long_poll: bool, host: &str) -> Vec<u8>;
+    /// Reads the answer to [`Dialect::list_call`].
+    fn parse_list(&self, body: &[u8]) -> Result<EndpointList, EndpointListError>;
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,22 +1,24 @@
-//! The flow of a request between a client, the engines and the decision module.
+//! The way of a request between a client, the workers and the policy.
 //!
 //! [`Core`] is sans-IO: `core.handle(now, input, &mut outputs)`, where an input is bytes on a connection, a
-//! connection's fate or the time, and an output is bytes to write, a connection to open or close, or a
+//! connection's state or the time, and an output is bytes to write, a connection to open or close, or a
 //! record for the log. [`shell`] drives it with mio; tests drive it by hand. Every decision about
-//! workers, repeats and refusals for load is the module's ([`chalkyard_policy`]).
+//! workers, retries and load shedding is the policy's ([`chalkyard_policy`]).
 
 mod config;
 mod core;
 pub mod dialect;
+mod discovery;
 mod identity;
-mod register;
 pub mod shell;
 mod timers;
 
-pub use crate::config::{Bounds, ClassEntry, Config, KindEntry, TenantEntry, Tuned, Waits};
+pub use crate::config::{
+    Bounds, ClassConfig, Config, MigrationWindow, RuntimeSettings, TenantConfig, Timeouts, WorkerKind,
+};
 pub use crate::core::counters::{ByCause, Counters, Violation};
 pub use crate::core::record::{AttemptRecord, Ended, Finished};
 pub use crate::core::tally::Tally;
 pub use crate::core::transitions::{Change, Transition};
-pub use crate::core::view::{Counts, EngineView, Listed, OpenRequest};
+pub use crate::core::view::{Counts, Listed, OpenRequest, WorkerView};
 pub use crate::core::{ConnId, Core, Input, Output};
--- a/crates/router/src/shell/connect.rs
+++ b/crates/router/src/shell/connect.rs
@@ -65,7 +65,7 @@
         }
         // Said of the way to the peer, or for want of something here.
         let unreached = refused || is_of_the_way(&error);
-        let input = if unreached { Input::Lost(id) } else { Input::Unconnected(id) };
+        let input = if unreached { Input::Lost(id) } else { Input::NotStarted(id) };
         self.core.handle(self.clock.now(), input, &mut self.outputs);
     }
 }
--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -118,7 +118,7 @@
 
     /// Whether what waits to be written to this connection begins a call to an engine.
     pub(super) fn begins_call(&self, key: usize) -> bool {
-        self.socks.get(key).is_some_and(|s| s.fresh && s.id.is_link() && s.state == State::Open)
+        self.socks.get(key).is_some_and(|s| s.fresh && s.id.is_to_worker() && s.state == State::Open)
     }
 
     /// Of more than so many that linger, those that were told all give way, the oldest first. True: no more are left.
@@ -201,7 +201,7 @@
             return self.read_closing(key);
         }
         let id = sock.id;
-        if sock.paused && sock.ended && !id.is_link() {
+        if sock.paused && sock.ended && !id.is_to_worker() {
             self.notice_departure(key);
             return false;
         }
--- a/crates/router/src/shell/life.rs
+++ b/crates/router/src/shell/life.rs
@@ -116,7 +116,7 @@
                 }
                 counts
             }),
-            Question::Engines => serde_json::to_value(self.core.engine_view()),
+            Question::Engines => serde_json::to_value(self.core.worker_view()),
             Question::Requests => serde_json::to_value(self.core.open_view()),
             Question::Trace(id) => match self.core.open_one(id) {
                 Some(open) => serde_json::to_value(open),
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -219,7 +219,7 @@
 
     fn writable(&mut self, now: bool) {
         if std::mem::replace(&mut self.is_writable, now) != now {
-            self.core.handle(self.clock.now(), Input::Writable(now), &mut self.outputs);
+            self.core.handle(self.clock.now(), Input::LedgerWritable(now), &mut self.outputs);
         }
     }
 
@@ -228,7 +228,7 @@
         self.housekeep_at = Instant::now() + period;
         for news in self.sink.housekeep() {
             match news {
-                Input::Writable(now) => self.writable(now),
+                Input::LedgerWritable(now) => self.writable(now),
                 other => self.feed(other),
             }
         }
@@ -298,7 +298,7 @@
             }
             Output::Pause(id) => self.pause(id, true),
             Output::Resume(id) => self.pause(id, false),
-            Output::KeepList(text) => self.sink.keep_list(&text),
+            Output::StoreEndpointList(text) => self.sink.keep_list(&text),
             Output::Record(number, record) => {
                 self.sink.record(number, &record);
                 self.unflushed = true;
--- a/crates/router/src/shell/sock.rs
+++ b/crates/router/src/shell/sock.rs
@@ -60,7 +60,7 @@
     /// it was last read: the call would be eaten, or answered by what is not its answer. Nothing of it is written yet.
     pub(super) fn told_more(&self) -> bool {
         let begins = self.fresh && self.state == State::Open;
-        begins && self.id.is_link() && self.peek().is_ok()
+        begins && self.id.is_to_worker() && self.peek().is_ok()
     }
 
     /// Looks for a byte without taking it; an interrupted look is made again.
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -186,7 +186,7 @@
 fn without_a_ledger_nothing_new_is_taken_and_what_is_open_ends() {
     let mut yard = yard_with(plan(100_000, AtHard::Refuse));
     let client = yard.ask("help");
-    yard.input(Input::Writable(false));
+    yard.input(Input::LedgerWritable(false));
     let second = yard.ask("help");
     assert_eq!(yard.error(second), (503, "refused".into(), false));
     let read = yard.call();
@@ -196,7 +196,7 @@
     yard.token(write.conn, "a");
     yard.end_stream(write.conn);
     assert_eq!(yard.answer(client).0, 200);
-    yard.input(Input::Writable(true));
+    yard.input(Input::LedgerWritable(true));
     yard.ask("help");
     assert!(yard.has_call());
 }
@@ -207,7 +207,7 @@
     yard.ask("help");
     let refused = yard.ask("help");
     assert_eq!(yard.error(refused).0, 429);
-    yard.input(Input::Replan(Box::new(plan(9_000, AtHard::Refuse))));
+    yard.input(Input::BudgetPlan(Box::new(plan(9_000, AtHard::Refuse))));
     yard.ask("help");
     assert_eq!(used(&yard), 2 * WORST, "what was reserved stays");
     let refused = yard.ask("help");
--- a/crates/router/tests/common/day.rs
+++ b/crates/router/tests/common/day.rs
@@ -96,7 +96,7 @@
         register: bool,
     ) -> Self {
         if register {
-            config.register = Some(REGISTER.parse().unwrap());
+            config.discovery = Some(REGISTER.parse().unwrap());
         }
         let mut y = Yard::new(config, workers);
         let mut watch = None;
@@ -338,7 +338,7 @@
         let ids: BTreeSet<&str> = self.y.finished.iter().map(|f| f.id.as_str()).collect();
         assert_eq!(ids.len(), self.asked.len());
         for f in &self.y.finished {
-            let given_up = matches!(f.ended, Ended::Refused | Ended::Failed);
+            let given_up = matches!(f.ended, Ended::Rejected | Ended::Failed);
             assert_eq!(given_up, f.why.is_some(), "{f:?}");
         }
         let heard = self.y.heard.lock().unwrap();
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -35,7 +35,7 @@
         effect,
         dedup_window: ms(3_000),
     };
-    let kind = |role| KindEntry { role, kv_tokens: Some(100_000) };
+    let kind = |role| WorkerKind { role, kv_tokens: Some(100_000) };
     Config {
         name: "r1".into(),
         policy: p::Settings {
@@ -59,7 +59,7 @@
             weighted: false,
             reports: p::Reports::InAnswers,
         },
-        classes: vec![ClassEntry { name: "help".into() }, ClassEntry { name: "report".into() }],
+        classes: vec![ClassConfig { name: "help".into() }, ClassConfig { name: "report".into() }],
         default_class: 0,
         tenants: vec![],
         keys: KeyRing::new([0; 32]),
@@ -67,9 +67,9 @@
         kinds: [("reader", p::Role::Reader), ("writer", p::Role::Writer), ("mixed", p::Role::Mixed)]
             .map(|(n, r)| (n.to_owned(), kind(r)))
             .into(),
-        register: None,
+        discovery: None,
         bounds: Bounds::default(),
-        waits: Waits::default(),
+        timeouts: Timeouts::default(),
         dialect: None,
     }
 }
@@ -193,7 +193,7 @@
                 Output::Connect(conn, address) => {
                     self.ports.insert(conn, address.port());
                     if self.unconnected {
-                        self.input(Input::Unconnected(conn));
+                        self.input(Input::NotStarted(conn));
                     } else if self.refused_ports.contains(&address.port()) {
                         self.input(Input::Lost(conn));
                     } else if !self.stuck.contains(&conn) {
@@ -223,7 +223,7 @@
                 }
                 Output::Pause(conn) => assert!(self.paused.insert(conn)),
                 Output::Resume(conn) => assert!(self.paused.remove(&conn)),
-                Output::KeepList(text) => self.kept_list = Some(text),
+                Output::StoreEndpointList(text) => self.kept_list = Some(text),
                 Output::Finished(line) => self.finished.push(line.0),
                 Output::Tally(tally) => self.tallies.push(*tally),
                 Output::Transition(transition) => self.transitions.push(*transition),
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -269,7 +269,7 @@
         assert_eq!(y.releases().len(), 1, "told to let go, {read_ends_after}: {:?}", y.notes);
         y.advance(ms(5_000));
         assert_eq!(y.core.counts().connections, 1, "and forgotten then");
-        assert_eq!(y.core.engine_view().items.len(), 2);
+        assert_eq!(y.core.worker_view().items.len(), 2);
     }
 }
 
@@ -293,7 +293,7 @@
     y.advance(ms(3_995));
     let (_, kind, ran) = y.error(waits);
     assert_eq!((kind.as_str(), ran), ("refused", false), "nothing ran: trying again is harmless");
-    assert_eq!(y.core.engine_view().items.iter().map(|e| e.connections).max(), Some(2));
+    assert_eq!(y.core.worker_view().items.iter().map(|e| e.connections).max(), Some(2));
 }
 
 #[test]
@@ -306,7 +306,7 @@
     }
     let reads: Vec<Call> = (0..5).map(|_| y.call()).collect();
     reads.iter().for_each(|r| y.parsed(r));
-    let reader = y.core.engine_view().items[0].clone();
+    let reader = y.core.worker_view().items[0].clone();
     assert_eq!((reader.id.as_str(), reader.connections, reader.idle), ("read", 1, 1));
 }
 
@@ -408,7 +408,7 @@
 
 fn watched() -> (Yard, ConnId) {
     let mut config = config();
-    config.register = Some(REGISTER.parse().unwrap());
+    config.discovery = Some(REGISTER.parse().unwrap());
     config.bounds.workers = 4;
     let mut y = Yard::new(config, &usual());
     let watch = y.calls.remove(0);
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -245,7 +245,7 @@
 #[test]
 fn a_list_change_during_a_send_stops_new_work_and_not_what_runs() {
     let mut config = config();
-    config.register = Some(REGISTER.parse().unwrap());
+    config.discovery = Some(REGISTER.parse().unwrap());
     let mut y = Yard::new(config, &usual());
     let watch = y.calls.remove(0);
     assert_eq!(watch.target, "/v1/workers?watch=1");
@@ -276,7 +276,7 @@
 #[test]
 fn a_register_that_is_down_from_the_start_is_asked_again_and_the_last_list_serves() {
     let mut config = config();
-    config.register = Some(REGISTER.parse().unwrap());
+    config.discovery = Some(REGISTER.parse().unwrap());
     let mut y = Yard::new(config, &usual());
     let watch = y.calls.remove(0);
     y.input(Input::Lost(watch.conn));
--- a/crates/router/tests/outputs.rs
+++ b/crates/router/tests/outputs.rs
@@ -36,7 +36,7 @@
 
     fn views(&mut self) {
         let (counts, open, engines) =
-            (self.y.core.counts(), self.y.core.open_view(), self.y.core.engine_view());
+            (self.y.core.counts(), self.y.core.open_view(), self.y.core.worker_view());
         self.line("counts", &counts);
         self.line("open", &open);
         self.line("engines", &engines);
@@ -233,7 +233,7 @@
 /// News of the register: taken, past a gap, malformed; and its loss.
 fn discovered() -> String {
     let mut config = config();
-    config.register = Some(REGISTER.parse().unwrap());
+    config.discovery = Some(REGISTER.parse().unwrap());
     config.bounds.workers = 3;
     let mut r = Recorder::new("discovered", config);
     let watch = r.y.calls.remove(0);
@@ -280,14 +280,14 @@
 fn labels_of_outputs_match_the_recorded_names() {
     let ended = [
         Ended::Served,
-        Ended::Refused,
+        Ended::Rejected,
         Ended::Failed,
         Ended::Broken,
         Ended::ClientGone,
         Ended::ClientSlow,
         Ended::Stopped,
-        Ended::Moved,
-        Ended::Turned,
+        Ended::Migrated,
+        Ended::RejectedAtIntake,
         Ended::Overdue,
     ];
     let names = [
@@ -308,7 +308,7 @@
     }
     let changes = [
         (Change::AttemptEnded, "attempt_ended"),
-        (Change::ReleasedBesideAttempt, "released_beside_attempt"),
+        (Change::ReleasedDuringAttempt, "released_beside_attempt"),
         (Change::ReleaseRepeated, "release_repeated"),
         (Change::ReleaseProven, "release_proven"),
         (Change::ReleaseUnproven, "release_unproven"),
@@ -321,7 +321,7 @@
     let violations = [
         (Violation::AnswerOverdue, "answer_overdue"),
         (Violation::EffectUnproven, "effect_unproven"),
-        (Violation::HeldOverdue, "held_overdue"),
+        (Violation::ReservationOverdue, "held_overdue"),
     ];
     for (violation, name) in violations {
         assert_eq!(violation.name(), name);
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -2,7 +2,7 @@
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
-use chalkyard_router::ClassEntry;
+use chalkyard_router::ClassConfig;
 
 use crate::values::{EffectKind, EffectWord, GroupWord, Name, Span, UniqueNames};
 use crate::xml::{Element, Errors};
@@ -10,7 +10,7 @@
 /// The classes by position, for the router and for the decision module.
 #[derive(Debug, Default)]
 pub struct Classes {
-    pub entries: Vec<ClassEntry>,
+    pub entries: Vec<ClassConfig>,
     pub policies: Vec<p::Class>,
     /// The class of requests that name none.
     pub default: Option<usize>,
@@ -29,7 +29,7 @@
     for mut element in list.children(&["class"], errors) {
         let (name, class) = class(&mut element, errors);
         names.add(&name, &element, "name", errors);
-        classes.entries.push(ClassEntry { name });
+        classes.entries.push(ClassConfig { name });
         classes.policies.push(class);
     }
     if classes.entries.is_empty() {
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -7,12 +7,12 @@
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
-use chalkyard_router::{Bounds, Config, Waits};
+use chalkyard_router::{Bounds, Config, Timeouts};
 
 use crate::budgets::{self, Budgets};
 use crate::classes::{classes, Classes};
 use crate::fleet::{engines, kinds, zones, Kinds, Zones};
-use crate::limits::{bounds, waits};
+use crate::limits::{bounds, timeouts};
 use crate::rules::policy;
 use crate::tenants::{tenants, Tenants};
 use crate::values::{Name, Span, Text};
@@ -77,7 +77,7 @@
     budgets: Option<Budgets>,
     engines: Option<String>,
     bounds: Bounds,
-    waits: Waits,
+    timeouts: Timeouts,
 }
 
 fn shared(parts: &mut Parts<'_, '_>, router: &mut Element<'_, '_>, errors: &mut Errors) -> Shared {
@@ -99,8 +99,9 @@
     });
     let engines = parts.remove("engines").map(|list| engines(&list, &zones, &kinds, errors));
     let bounds = parts.remove("bounds").map_or_else(Bounds::default, |mut part| bounds(&mut part, errors));
-    let waits = parts.remove("waits").map_or_else(Waits::default, |mut part| waits(&mut part, errors));
-    Shared { policy, zones, kinds, classes, tenants, budgets, engines, bounds, waits }
+    let timeouts =
+        parts.remove("waits").map_or_else(Timeouts::default, |mut part| timeouts(&mut part, errors));
+    Shared { policy, zones, kinds, classes, tenants, budgets, engines, bounds, timeouts }
 }
 
 fn settings(router: &mut Element<'_, '_>, shared: Shared, errors: &mut Errors) -> Settings {
@@ -126,9 +127,9 @@
             keys: shared.tenants.keys,
             zones: shared.zones,
             kinds: shared.kinds,
-            register,
+            discovery: register,
             bounds: shared.bounds,
-            waits: shared.waits,
+            timeouts: shared.timeouts,
             dialect: None,
         },
     };
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use chalkyard_policy as p;
-use chalkyard_router::KindEntry;
+use chalkyard_router::WorkerKind;
 
 use crate::values::{Name, Positive, RoleWord, UniqueNames};
 use crate::xml::{Element, Errors};
@@ -12,7 +12,7 @@
 /// Zones by name.
 pub type Zones = BTreeMap<String, p::ZoneId>;
 /// Kinds of engines by name.
-pub type Kinds = BTreeMap<String, KindEntry>;
+pub type Kinds = BTreeMap<String, WorkerKind>;
 
 /// Reads `<zones>`.
 pub fn zones(list: &Element<'_, '_>, errors: &mut Errors) -> Zones {
@@ -36,7 +36,7 @@
         let kv_tokens = kind.maybe::<u64>("kv-tokens", errors);
         kind.done(errors);
         names.add(&name, &kind, "name", errors);
-        kinds.insert(name, KindEntry { role, kv_tokens });
+        kinds.insert(name, WorkerKind { role, kv_tokens });
     }
     list.done(errors);
     kinds
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,7 +1,7 @@
 //! `<bounds>` and `<waits>`: how much is held, and for how long.
 
 use chalkyard_policy::Micros;
-use chalkyard_router::{Bounds, Waits};
+use chalkyard_router::{Bounds, Timeouts};
 
 use crate::values::Span;
 use crate::xml::{Element, Errors};
@@ -39,8 +39,8 @@
 }
 
 /// Reads `<waits>`.
-pub fn waits(e: &mut Element<'_, '_>, errors: &mut Errors) -> Waits {
-    let mut w = Waits::default();
+pub fn timeouts(e: &mut Element<'_, '_>, errors: &mut Errors) -> Timeouts {
+    let mut w = Timeouts::default();
     let mut span = |name: &'static str, value: &mut Micros| {
         *value = e.or(name, Span(*value), errors).0;
         if *value < Micros(1_000) {
@@ -53,7 +53,7 @@
     span("connect", &mut w.connect);
     span("stream", &mut w.stream);
     span("slow-client", &mut w.slow_client);
-    span("register", &mut w.register);
+    span("register", &mut w.discovery);
     span("reply-margin", &mut w.reply_margin);
     span("identity", &mut w.identity);
     // One span for a client that has not asked and one that has; small calls are answered as fast as connections stand.
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -2,7 +2,7 @@
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_policy as p;
-use chalkyard_router::TenantEntry;
+use chalkyard_router::TenantConfig;
 
 use crate::classes::Classes;
 use crate::values::{Name, Positive, Text, UniqueNames};
@@ -11,7 +11,7 @@
 /// The tenants by position, and their keys.
 #[derive(Debug)]
 pub struct Tenants {
-    pub entries: Vec<TenantEntry>,
+    pub entries: Vec<TenantConfig>,
     pub policies: Vec<p::Tenant>,
     pub keys: KeyRing,
 }
@@ -60,7 +60,7 @@
         child.done(errors);
     }
     element.done(errors);
-    tenants.entries.push(TenantEntry { name, classes: allowed });
+    tenants.entries.push(TenantConfig { name, classes: allowed });
     tenants.policies.push(p::Tenant { allowance_per_s });
 }
 
