--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chalkyard_router::shell::{Handle, Heritage, Question};
+use chalkyard_router::shell::{AdminQuery, Handle, Handover};
 use chalkyard_state::Event;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -137,11 +137,11 @@
     let patient = Patient { stream, until: Instant::now() + WAIT };
     BufReader::new(patient.take(LINE_BYTES)).read_line(&mut line)?;
     let answer = match serde_json::from_str(&line) {
-        Ok(Call::TakeOver {}) => match handle.succeed(WAIT) {
-            Some(heritage) => {
+        Ok(Call::TakeOver {}) => match handle.hand_over(WAIT) {
+            Some(handover) => {
                 handed.store(true, Ordering::SeqCst);
                 info!(target: "control", "another process takes over");
-                return give(stream, heritage);
+                return give(stream, handover);
             }
             None => json!({"error": "this router has nothing to give: it is not ready"}).to_string(),
         },
@@ -172,11 +172,11 @@
 }
 
 /// Gives the listening socket with one line, then a line for each settlement until the life ends.
-fn give(mut stream: &UnixStream, heritage: Heritage) -> std::io::Result<()> {
-    let line = json!({"ledger": heritage.settled.is_some()}).to_string() + "\n";
+fn give(mut stream: &UnixStream, handover: Handover) -> std::io::Result<()> {
+    let line = json!({"ledger": handover.settled.is_some()}).to_string() + "\n";
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
-    let fds = [heritage.listener.as_fd()];
+    let fds = [handover.listener.as_fd()];
     if !control.push(SendAncillaryMessage::ScmRights(&fds)) {
         return Err(std::io::Error::other("no room for the listening socket"));
     }
@@ -184,8 +184,8 @@
     if sent != line.len() {
         return Err(std::io::Error::other("cut short"));
     }
-    drop(heritage.listener);
-    for settled in heritage.settled.into_iter().flatten() {
+    drop(handover.listener);
+    for settled in handover.settled.into_iter().flatten() {
         stream.write_all((serde_json::to_string(&settled).unwrap_or_default() + "\n").as_bytes())?;
     }
     Ok(())
@@ -237,20 +237,20 @@
 
 fn answer(call: Call, handle: &Handle, reloader: &Reloader) -> String {
     let late = || json!({"error": "the router's loop did not answer in time"}).to_string();
-    let ask = |question| handle.ask(question, WAIT).unwrap_or_else(late);
+    let ask = |question| handle.query(question, WAIT).unwrap_or_else(late);
     let tell = |event, what: &str| {
         info!(target: "control", "told to {what}");
-        match handle.tell(event) {
+        match handle.notify(event) {
             // What became of it, as the loop sees it.
-            true => ask(Question::Status),
+            true => ask(AdminQuery::Status),
             false => late(),
         }
     };
     match call {
-        Call::Status {} => ask(Question::Status),
-        Call::Engines {} => ask(Question::Engines),
-        Call::Requests {} => ask(Question::Requests),
-        Call::Trace { id } => ask(Question::Trace(id)),
+        Call::Status {} => ask(AdminQuery::Status),
+        Call::Engines {} => ask(AdminQuery::Engines),
+        Call::Requests {} => ask(AdminQuery::Requests),
+        Call::Trace { id } => ask(AdminQuery::Trace(id)),
         Call::Drain {} => tell(Event::Drain, "drain"),
         Call::Undrain {} => tell(Event::Undrain, "undrain"),
         // What it changes is told at once; the loop takes it whole, or nothing of it.
--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -10,7 +10,7 @@
 
 use chalkyard_budget::{Figures, Grant, Keeper, Key, Record, Settled, State, Time};
 use chalkyard_ledger::{Folder, Limits, Writer};
-use chalkyard_router::shell::{News, Sink};
+use chalkyard_router::shell::{Sink, SinkEvent};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
 use chalkyard_state::Act;
 use tracing::{info, warn};
@@ -85,7 +85,7 @@
     router: &str,
     now: Time,
     before: Option<Before>,
-    news: &SyncSender<News>,
+    news: &SyncSender<SinkEvent>,
 ) -> Result<Recovered, Trouble> {
     let at = budgets.ledger.display();
     let folder = Folder::writer(&budgets.ledger).map_err(|e| match e.kind() {
@@ -134,14 +134,14 @@
 }
 
 /// Gives the loop what the life before settles, until it is over.
-fn inherit(mut before: Before, news: &SyncSender<News>) {
+fn inherit(mut before: Before, news: &SyncSender<SinkEvent>) {
     let mut line = String::new();
     loop {
         line.clear();
         match std::io::BufRead::read_line(&mut std::io::Read::take(&mut before, SETTLED_BYTES), &mut line) {
             Ok(n) if n > 0 => match serde_json::from_str(&line) {
                 Ok(settled) => {
-                    if news.send(News::PredecessorSettled(Box::new(settled))).is_err() {
+                    if news.send(SinkEvent::PredecessorSettled(Box::new(settled))).is_err() {
                         return;
                     }
                 }
@@ -153,11 +153,11 @@
             _ => break,
         }
     }
-    let _ = news.send(News::PredecessorEnded);
+    let _ = news.send(SinkEvent::PredecessorEnded);
 }
 
 /// Looks for new grants until the loop is gone.
-fn watch(file: &Path, key: &Key, news: &SyncSender<News>) {
+fn watch(file: &Path, key: &Key, news: &SyncSender<SinkEvent>) {
     let mut last = Vec::new();
     loop {
         std::thread::sleep(LOOK);
@@ -167,7 +167,7 @@
         }
         match key.open_grant(&bytes) {
             Ok(grant) => {
-                if news.send(News::LeaseGranted(Box::new(grant))).is_err() {
+                if news.send(SinkEvent::LeaseGranted(Box::new(grant))).is_err() {
                     return;
                 }
             }
@@ -178,7 +178,7 @@
 }
 
 impl Ledger {
-    fn housekeep(&mut self) -> Vec<News> {
+    fn housekeep(&mut self) -> Vec<SinkEvent> {
         let mut out = Vec::new();
         if let Err(e) = self.writer.sync() {
             warn!(target: "ledger", "syncing: {e}");
@@ -191,10 +191,10 @@
         }
         if self.told != self.writer.is_writable() {
             self.told = self.writer.is_writable();
-            out.push(News::LedgerWritable(self.told));
+            out.push(SinkEvent::LedgerWritable(self.told));
         }
         if again && self.writer.wants_rotation() {
-            out.push(News::Checkpoint);
+            out.push(SinkEvent::Checkpoint);
         }
         out
     }
@@ -246,7 +246,7 @@
     /// Reads the settings again.
     pub reloader: Arc<Reloader>,
     /// What other threads have for the loop.
-    pub news: Receiver<News>,
+    pub news: Receiver<SinkEvent>,
 }
 
 impl Sink for Keeping {
@@ -272,12 +272,12 @@
         self.log.tally(tally);
     }
 
-    fn recent(&self, id: &str) -> Option<String> {
+    fn recent_request(&self, id: &str) -> Option<String> {
         let record = self.recent.iter().rev().find(|r| r.id == id)?;
         serde_json::to_string(record).ok()
     }
 
-    fn say(&mut self, act: Act, at: Option<SocketAddr>) {
+    fn lifecycle_action(&mut self, act: Act, at: Option<SocketAddr>) {
         match act {
             Act::SayReady => {
                 notify::say("READY=1\n");
@@ -296,7 +296,7 @@
         }
     }
 
-    fn give_up_ledger(&mut self) -> Option<Receiver<Settled>> {
+    fn hand_over_ledger(&mut self) -> Option<Receiver<Settled>> {
         let mut ledger = self.ledger.take()?;
         // What can't be written now is lost to the successor: it settles it as orphaned.
         ledger.flush();
@@ -318,7 +318,7 @@
         self.log.note(what, text);
     }
 
-    fn keep_list(&mut self, text: &str) {
+    fn store_endpoint_list(&mut self, text: &str) {
         self.log.keep_list(text);
     }
 
@@ -338,8 +338,8 @@
         Some(self.ledger.as_ref().map_or(PERIOD, |l| l.sync))
     }
 
-    fn housekeep(&mut self) -> Vec<News> {
-        let mut out: Vec<News> = self.news.try_iter().take(WAITING).collect();
+    fn housekeep(&mut self) -> Vec<SinkEvent> {
+        let mut out: Vec<SinkEvent> = self.news.try_iter().take(WAITING).collect();
         out.extend(self.ledger.as_mut().map(Ledger::housekeep).unwrap_or_default());
         out
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 
 use chalkyard_platform::Started;
-use chalkyard_router::shell::retry::{with_retries, STARTING_TRIES};
-use chalkyard_router::shell::{granularity, Clock, ListenAddress, News, Shell, Sink};
+use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
+use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell, Sink, SinkEvent};
 use chalkyard_router::{Change, Core, Counters, Ended, Finished, Input, Tally, Transition};
 use chalkyard_state::{Act, Event, Terms};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -83,9 +83,9 @@
         self.log.note(what, text);
     }
 
-    fn keep_list(&mut self, _text: &str) {}
+    fn store_endpoint_list(&mut self, _text: &str) {}
 
-    fn say(&mut self, act: Act, _at: Option<std::net::SocketAddr>) {
+    fn lifecycle_action(&mut self, act: Act, _at: Option<std::net::SocketAddr>) {
         match act {
             Act::SayReady => info!(target: "router", "ready"),
             Act::Leave => info!(target: "router", "told to end; takes what still comes"),
@@ -104,7 +104,7 @@
     }
 
     /// A file that can't be read leaves the old settings. Small, so read in the loop.
-    fn housekeep(&mut self) -> Vec<News> {
+    fn housekeep(&mut self) -> Vec<SinkEvent> {
         let Some(left) = self.rereads.take() else { return Vec::new() };
         match read(&self.file) {
             Ok(started) => {
@@ -136,7 +136,7 @@
     logs::start("info");
     let could_not = |what: &str, e: std::io::Error| Trouble::CouldNotRun(format!("{what}: {e}"));
     // Before anything slow: until then a signal ends the process. What comes before the loop runs waits for it.
-    let signals = with_retries(STARTING_TRIES, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
+    let signals = with_retries(STARTUP_ATTEMPTS, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
     let mut signals = signals.map_err(|e| could_not("signals", e))?;
     let none = || Trouble::BadInput(format!("{FILE} names no configuration; give its file"));
     let file = file.or_else(|| std::env::var_os(FILE).map(PathBuf::from)).ok_or_else(none)?;
@@ -145,7 +145,7 @@
     let mut config = started.config;
     config.policy.tick = config.policy.tick.max(granularity());
     let leave = if config.timeouts.migration.is_some() { LEAVE_MOVING } else { LEAVE };
-    let address = with_retries(STARTING_TRIES, || ListenAddress::take(started.listen, false));
+    let address = with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(started.listen, false));
     let address = address.map_err(|e| could_not(&format!("listening at {}", started.listen), e))?;
     let mut core = Core::new(config, started.seed.unwrap_or(clock.now().0), clock.now());
     let all = std::env::var_os(logs::LEVEL_NAME).is_some();
@@ -161,7 +161,7 @@
     let wait_for_signals = move || {
         for signal in signals.forever() {
             let event = if signal == SIGHUP { Event::Reload } else { Event::Terminate };
-            if !handle.tell(event) {
+            if !handle.notify(event) {
                 warn!(target: "router", signal, "the loop does not listen");
             }
         }
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::SyncSender;
 use std::sync::Mutex;
 
-use chalkyard_router::shell::News;
+use chalkyard_router::shell::SinkEvent;
 use chalkyard_router::RuntimeSettings;
 use chalkyard_settings::xml::parse;
 use chalkyard_settings::Settings;
@@ -138,7 +138,7 @@
     /// Tenants of the start, in the order in which the module knows them.
     pub tenants: Vec<String>,
     /// Where what changes is put for the loop.
-    pub news: SyncSender<News>,
+    pub news: SyncSender<SinkEvent>,
 }
 
 impl Reloader {
@@ -195,8 +195,8 @@
             return;
         }
         let tuned = self.tuned(&fresh);
-        let mut news = vec![News::Reconfigure(Box::new(tuned))];
-        news.extend(fresh.budgets.map(|b| News::BudgetPlan(Box::new(b.plan))));
+        let mut news = vec![SinkEvent::Reconfigure(Box::new(tuned))];
+        news.extend(fresh.budgets.map(|b| SinkEvent::BudgetPlan(Box::new(b.plan))));
         for one in news {
             if self.news.send(one).is_err() {
                 return;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 use chalkyard_budget::Time;
-use chalkyard_router::shell::retry::{with_retries, STARTING_TRIES};
+use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
 use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell};
 use chalkyard_router::Core;
 use chalkyard_state::{Event, Terms};
@@ -59,7 +59,7 @@
     let began = std::time::Instant::now();
     let could_not = |what: &str, e: std::io::Error| Trouble::CouldNotRun(format!("{what}: {e}"));
     // Before anything slow: until then a signal ends the process. What comes before the loop runs waits for it.
-    let signals = with_retries(STARTING_TRIES, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
+    let signals = with_retries(STARTUP_ATTEMPTS, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
     let mut signals = signals.map_err(|e| could_not("signals", e))?;
     let text = crate::read(file)?;
     let settings = crate::load_text(file, &text)?;
@@ -73,9 +73,9 @@
         let none = || Trouble::BadInput(format!("{}: <router> names no `control`", file.display()));
         let taken = control::take_over(settings.control.as_ref().ok_or_else(none)?)?;
         before = taken.before.map(|b| Box::new(b) as keeping::Before);
-        ListenAddress::inherited(taken.listener, settings.shared_port)
+        ListenAddress::adopt(taken.listener, settings.shared_port)
     } else {
-        with_retries(STARTING_TRIES, || ListenAddress::take(settings.listen, settings.shared_port))
+        with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(settings.listen, settings.shared_port))
     };
     let address = address.map_err(|e| could_not(&format!("listening at {}", settings.listen), e))?;
     let started = Started { settings: config.policy.clone(), seed };
@@ -132,7 +132,7 @@
         for signal in signals.forever() {
             let event = if signal == SIGHUP { Event::Reload } else { Event::Terminate };
             info!(target: "router", signal, "told to {}", if signal == SIGHUP { "reload" } else { "end" });
-            if !handle.tell(event) {
+            if !handle.notify(event) {
                 warn!(target: "router", signal, "the loop does not listen");
             }
         }
--- a/crates/daemon/tests/common/shell_router.rs
+++ b/crates/daemon/tests/common/shell_router.rs
@@ -35,7 +35,7 @@
 
     fn note(&mut self, _what: &str, _text: &str) {}
 
-    fn keep_list(&mut self, _text: &str) {}
+    fn store_endpoint_list(&mut self, _text: &str) {}
 }
 
 /// A router in a thread.
@@ -52,7 +52,7 @@
         let clock = Clock::new();
         let core = Core::new(started.config, 7, clock.now());
         let terms = Terms { start: 3_000_000, leave: 0, drain: 5_000_000, farewell: 200_000 };
-        let address = ListenAddress::take(at, false).unwrap();
+        let address = ListenAddress::bind(at, false).unwrap();
         let mut shell = Shell::new(core, StallingSink, clock, address, terms).unwrap();
         shell.bound_lingering(started.lingering);
         let (handle, known) = (shell.handle(), started.known);
@@ -72,15 +72,15 @@
     }
 
     pub fn terminate(&self) {
-        assert!(self.handle.tell(Event::Terminate));
+        assert!(self.handle.notify(Event::Terminate));
     }
 }
 
 impl Drop for ShellRouter {
     fn drop(&mut self) {
         // Told twice, it ends at once.
-        self.handle.tell(Event::Terminate);
-        self.handle.tell(Event::Terminate);
+        self.handle.notify(Event::Terminate);
+        self.handle.notify(Event::Terminate);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/router/src/core/client_reading.rs
+++ b/crates/router/src/core/client_reading.rs
@@ -1,7 +1,7 @@
 //! Bytes of clients, read until their requests are complete.
 
 use chalkyard_api::client::ErrorKind;
-use chalkyard_proto::{encode, Part};
+use chalkyard_proto::{encode, Part, Reason};
 
 use super::client_answers::{error, JSON};
 use super::client_connection::ClientPhase;
@@ -71,11 +71,7 @@
                     }
                 }
                 Ok(None) => break,
-                Err(e) => {
-                    let body = error(ErrorKind::Invalid, e.reason.text()).json();
-                    self.write_client(conn, encode::response(e.reason.status(), &[JSON], &body, false));
-                    return self.close_client(conn);
-                }
+                Err(error) => return self.reject_malformed(conn, error.reason),
             }
         }
         // All that had come was read: there is room for more.
@@ -85,6 +81,12 @@
         self.update_reading(conn);
     }
 
+    fn reject_malformed(&mut self, conn: ConnId, reason: Reason) {
+        let body = error(ErrorKind::Invalid, reason.text()).json();
+        self.write_client(conn, encode::response(reason.status(), &[JSON], &body, false));
+        self.close_client(conn);
+    }
+
     /// All bodies together are longer than may wait: the one that is being read is dropped, and its client answered.
     fn reject_body(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
--- a/crates/router/src/core/relay.rs
+++ b/crates/router/src/core/relay.rs
@@ -9,6 +9,7 @@
 use super::record::Ended;
 use super::worker_connection::Task;
 use super::{ConnId, Core, Output, TimerEvent};
+use crate::dialect::StreamProgress;
 
 impl Core {
     /// Forwards bytes of a stream unchanged, from the end of its first event on; true: go on reading.
@@ -41,7 +42,28 @@
             return true;
         }
         let Some(is_first) = self.advance_answer(id, no) else { return self.connections.contains_key(&conn) };
-        let Some(request) = self.requests.get_mut(id) else { return false };
+        let Some(client) = self.record_progress(id, no, &progress) else { return false };
+        if is_first {
+            // No further attempt can follow.
+            self.drop_request_body(id);
+        }
+        self.write_forwarded(client, is_first, &data);
+        if is_first {
+            self.cancel_others(id, no);
+        }
+        self.pause_if_full(id, no, client);
+        self.connections.contains_key(&conn)
+    }
+
+    /// Records what a forwarded stream has said of itself; gives its client.
+    fn record_progress(
+        &mut self,
+        id: &RequestId,
+        no: AttemptNo,
+        progress: &StreamProgress,
+    ) -> Option<ConnId> {
+        let request = self.requests.get_mut(id)?;
+        request.answer = FinalAnswer::Streaming;
         request.pieces = progress.events;
         if let Some(usage) = progress.usage {
             request.usage = Usage {
@@ -53,18 +75,7 @@
         if let Some(attempt) = request.attempts.get_mut(no.0 as usize) {
             attempt.report = progress.report.or(attempt.report);
         }
-        let client = request.client;
-        if is_first {
-            request.answer = FinalAnswer::Streaming;
-            // No further attempt can follow.
-            self.drop_request_body(id);
-        }
-        self.write_forwarded(client, is_first, &data);
-        if is_first {
-            self.cancel_others(id, no);
-        }
-        self.pause_if_full(id, no, client);
-        self.connections.contains_key(&conn)
+        Some(request.client)
     }
 
     /// An answer goes on, or begins (true). None: another attempt answers, and this one was cancelled.
--- a/crates/router/src/shell/connect.rs
+++ b/crates/router/src/shell/connect.rs
@@ -6,29 +6,29 @@
 
 use mio::net::TcpStream;
 
-use super::sock::State;
+use super::connection::ConnectionState;
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
 /// A connection that could not be begun is tried so often in all, with this pause: less than any wait for connections, after
 /// which the core gives it up by itself.
-const TRIES: u32 = 10;
+const CONNECT_ATTEMPTS: u32 = 10;
 const PAUSE: Duration = Duration::from_millis(8);
 
 #[derive(Debug)]
-struct Retry {
+struct ConnectRetry {
     at: Instant,
     id: ConnId,
     address: SocketAddr,
     /// Tries so far.
-    tries: u32,
+    attempts: u32,
 }
 
 /// Connections that wait for their next try: no more than the core has asked for and not given up.
 #[derive(Debug, Default)]
-pub(super) struct Retries(Vec<Retry>);
+pub(super) struct ConnectRetries(Vec<ConnectRetry>);
 
-impl Retries {
+impl ConnectRetries {
     pub(super) fn next_due(&self) -> Option<Instant> {
         self.0.iter().map(|r| r.at).min()
     }
@@ -38,29 +38,29 @@
         self.0.retain(|r| r.id != id);
     }
 
-    fn take_due(&mut self, now: Instant) -> Vec<Retry> {
+    fn take_due(&mut self, now: Instant) -> Vec<ConnectRetry> {
         self.0.extract_if(.., |r| r.at <= now).collect()
     }
 }
 
 impl<S: Sink> Shell<S> {
     pub(super) fn connect(&mut self, id: ConnId, address: SocketAddr) {
-        self.try_connect(id, address, 1);
+        self.attempt_connect(id, address, 1);
     }
 
     /// Tries again what is due.
     pub(super) fn retry_connects(&mut self) {
-        for Retry { id, address, tries, .. } in self.retries.take_due(Instant::now()) {
-            self.try_connect(id, address, tries + 1);
+        for ConnectRetry { id, address, attempts, .. } in self.connect_retries.take_due(Instant::now()) {
+            self.attempt_connect(id, address, attempts + 1);
         }
     }
 
-    fn try_connect(&mut self, id: ConnId, address: SocketAddr, tries: u32) {
-        let begun = TcpStream::connect(address).and_then(|s| self.add(id, s, State::Connecting));
+    fn attempt_connect(&mut self, id: ConnId, address: SocketAddr, attempts: u32) {
+        let begun = TcpStream::connect(address).and_then(|s| self.add(id, s, ConnectionState::Connecting));
         let Err(error) = begun else { return };
         let refused = error.kind() == io::ErrorKind::ConnectionRefused;
-        if !refused && tries < TRIES {
-            self.retries.0.push(Retry { at: Instant::now() + PAUSE, id, address, tries });
+        if !refused && attempts < CONNECT_ATTEMPTS {
+            self.connect_retries.0.push(ConnectRetry { at: Instant::now() + PAUSE, id, address, attempts });
             return;
         }
         // Said of the way to the peer, or for want of something here.
--- a/crates/router/src/shell/sock.rs
+++ b/crates/router/src/shell/connection.rs
@@ -9,7 +9,7 @@
 use crate::ConnId;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum State {
+pub(super) enum ConnectionState {
     Connecting,
     Open,
     /// To be closed once all is written.
@@ -26,28 +26,28 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Sock {
+pub(super) struct Connection {
     pub(super) id: ConnId,
     pub(super) stream: TcpStream,
     /// Bytes to write, of which the first `done` are written: what is said in one turn goes out at once.
-    pub(super) out: Vec<u8>,
-    pub(super) done: usize,
+    pub(super) unsent: Vec<u8>,
+    pub(super) written: usize,
     /// Nothing of what is to be written was yet.
-    pub(super) fresh: bool,
-    pub(super) state: State,
+    pub(super) is_unwritten: bool,
+    pub(super) state: ConnectionState,
     pub(super) paused: bool,
     /// Readable since the last time that reading had to wait.
     pub(super) readable: bool,
     /// The peer has closed its side, or reset the connection; what it said before may not have been read yet.
-    pub(super) ended: bool,
+    pub(super) end_pending: bool,
     /// The same, and it stays so once it was heard.
     pub(super) peer_closed: bool,
-    pub(super) shut: bool,
+    pub(super) write_shut: bool,
     /// Of one that is closing.
     pub(super) after_close: AfterClose,
     /// Closing: when that began, and whether the peer has taken anything since it was last looked at.
-    pub(super) closed: Option<Instant>,
-    pub(super) takes: bool,
+    pub(super) closing_since: Option<Instant>,
+    pub(super) took_bytes: bool,
 }
 
 /// The token of a connection: its own number, so that an event meant for one that is gone meets no other.
@@ -55,11 +55,11 @@
     Token(usize::try_from(id.0).map_or(usize::MAX, |n| n.saturating_add(1)))
 }
 
-impl Sock {
+impl Connection {
     /// Whether an engine's connection that is about to carry a call has closed, or brought what nobody asked for, since
     /// it was last read: the call would be eaten, or answered by what is not its answer. Nothing of it is written yet.
-    pub(super) fn told_more(&self) -> bool {
-        let begins = self.fresh && self.state == State::Open;
+    pub(super) fn has_unexpected_bytes(&self) -> bool {
+        let begins = self.is_unwritten && self.state == ConnectionState::Open;
         begins && self.id.is_to_worker() && self.peek().is_ok()
     }
 
@@ -75,6 +75,6 @@
 
     /// Whether it has written all, closed its side, and knows that the peer has closed its own: nothing is left to do.
     pub(super) fn is_over(&self) -> bool {
-        self.state == State::Closing && self.shut && self.peer_closed
+        self.state == ConnectionState::Closing && self.write_shut && self.peer_closed
     }
 }
--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -7,8 +7,8 @@
 use mio::net::TcpStream;
 use mio::Interest;
 
+use super::connection::{token, AfterClose, Connection, ConnectionState};
 use super::ready_queue::Readiness;
-use super::sock::{token, AfterClose, Sock, State};
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
@@ -35,47 +35,52 @@
 }
 
 impl<S: Sink> Shell<S> {
-    pub(super) fn add(&mut self, id: ConnId, mut stream: TcpStream, state: State) -> io::Result<usize> {
+    pub(super) fn add(
+        &mut self,
+        id: ConnId,
+        mut stream: TcpStream,
+        state: ConnectionState,
+    ) -> io::Result<usize> {
         let _ = stream.set_nodelay(true);
-        let entry = self.socks.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let key = entry.key();
         let both = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, token(id), both)?;
-        entry.insert(Sock {
+        entry.insert(Connection {
             id,
             stream,
-            out: Vec::new(),
-            done: 0,
-            fresh: false,
+            unsent: Vec::new(),
+            written: 0,
+            is_unwritten: false,
             state,
             paused: false,
             readable: false,
-            ended: false,
+            end_pending: false,
             peer_closed: false,
-            shut: false,
+            write_shut: false,
             after_close: AfterClose::Drop,
-            closed: None,
-            takes: false,
+            closing_since: None,
+            took_bytes: false,
         });
         self.by_id.insert(id, key);
         Ok(key)
     }
 
     pub(super) fn remove(&mut self, key: usize) -> Option<ConnId> {
-        let mut sock = self.socks.try_remove(key)?;
-        let _ = self.poll.registry().deregister(&mut sock.stream);
-        self.dirty.remove(&key);
-        self.by_id.remove(&sock.id);
-        self.ready.forget(token(sock.id));
-        if sock.state == State::Closing {
+        let mut connection = self.connections.try_remove(key)?;
+        let _ = self.poll.registry().deregister(&mut connection.stream);
+        self.to_write.remove(&key);
+        self.by_id.remove(&connection.id);
+        self.ready.forget(token(connection.id));
+        if connection.state == ConnectionState::Closing {
             self.lingering -= 1;
         }
-        Some(sock.id)
+        Some(connection.id)
     }
 
     /// The connection failed: the core hears of it unless it has closed it itself.
     pub(super) fn lost(&mut self, key: usize) {
-        let closing = self.socks.get(key).is_some_and(|s| s.state == State::Closing);
+        let closing = self.connections.get(key).is_some_and(|s| s.state == ConnectionState::Closing);
         if let Some(id) = self.remove(key) {
             if !closing {
                 self.core.handle(self.clock.now(), Input::Lost(id), &mut self.outputs);
@@ -87,17 +92,17 @@
         let Some(key) = self.by_id.get(&id).copied() else { return };
         // What still has something to be told stays, beyond the bound: its descriptor was a client's, and no other
         // client is taken meanwhile.
-        self.bound_told(self.may_linger.saturating_sub(1));
-        if let Some(sock) = self.socks.get_mut(key) {
+        self.drop_finished_lingering(self.max_lingering.saturating_sub(1));
+        if let Some(connection) = self.connections.get_mut(key) {
             let now = Instant::now();
-            sock.state = State::Closing;
-            sock.after_close = after_close;
-            (sock.closed, sock.takes) = (Some(now), false);
-            self.cuts.push_back((now + LINGER, key, id));
-            sock.paused = false;
+            connection.state = ConnectionState::Closing;
+            connection.after_close = after_close;
+            (connection.closing_since, connection.took_bytes) = (Some(now), false);
+            self.linger_deadlines.push_back((now + LINGER, key, id));
+            connection.paused = false;
             self.lingering += 1;
-            self.dirty.insert(key);
-            self.again.push_back(key);
+            self.to_write.insert(key);
+            self.to_read.push_back(key);
         }
     }
 
@@ -105,29 +110,31 @@
     /// is heard instead.
     pub(super) fn close_if_quiet(&mut self, id: ConnId) {
         let Some(key) = self.by_id.get(&id).copied() else { return };
-        let Some(sock) = self.socks.get_mut(key) else { return };
-        let quiet = matches!(sock.peek(), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        let quiet = matches!(connection.peek(), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         if quiet {
             self.close(id, AfterClose::LeaveUnread);
             self.core.handle(self.clock.now(), Input::Lost(id), &mut self.outputs);
         } else {
-            sock.readable = true;
-            self.again.push_back(key);
+            connection.readable = true;
+            self.to_read.push_back(key);
         }
     }
 
     /// Whether what waits to be written to this connection begins a call to an engine.
     pub(super) fn begins_call(&self, key: usize) -> bool {
-        self.socks.get(key).is_some_and(|s| s.fresh && s.id.is_to_worker() && s.state == State::Open)
+        self.connections
+            .get(key)
+            .is_some_and(|s| s.is_unwritten && s.id.is_to_worker() && s.state == ConnectionState::Open)
     }
 
     /// Of more than so many that linger, those that were told all give way, the oldest first. True: no more are left.
-    pub(super) fn bound_told(&mut self, most: usize) -> bool {
-        let mut cuts = self.cuts.iter();
+    pub(super) fn drop_finished_lingering(&mut self, most: usize) -> bool {
+        let mut cuts = self.linger_deadlines.iter();
         let mut told = Vec::new();
         while self.lingering - told.len() > most {
             let Some((_, key, id)) = cuts.next() else { break };
-            if self.socks.get(*key).is_some_and(|s| s.id == *id && s.shut) {
+            if self.connections.get(*key).is_some_and(|s| s.id == *id && s.write_shut) {
                 told.push(*key);
             }
         }
@@ -139,42 +146,42 @@
 
     pub(super) fn pause(&mut self, id: ConnId, paused: bool) {
         let Some(key) = self.by_id.get(&id).copied() else { return };
-        let Some(sock) = self.socks.get_mut(key) else { return };
-        sock.paused = paused;
-        if !paused && sock.readable {
-            self.again.push_back(key);
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        connection.paused = paused;
+        if !paused && connection.readable {
+            self.to_read.push_back(key);
         }
     }
 
     pub(super) fn ready_socket(&mut self, key: usize, readiness: Readiness) {
         let Readiness { readable, writable, ended, .. } = readiness;
-        let Some(sock) = self.socks.get_mut(key) else { return };
-        if sock.state == State::Connecting {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if connection.state == ConnectionState::Connecting {
             if !writable && !readable {
                 return;
             }
-            let error = sock.stream.take_error();
-            match (error, sock.stream.peer_addr()) {
+            let error = connection.stream.take_error();
+            match (error, connection.stream.peer_addr()) {
                 (Ok(None), Ok(_)) => {
-                    sock.state = State::Open;
-                    let id = sock.id;
+                    connection.state = ConnectionState::Open;
+                    let id = connection.id;
                     self.feed(Input::Connected(id));
                 }
                 (Ok(None), Err(e)) if e.kind() == io::ErrorKind::NotConnected => return,
                 _ => {
                     self.lost(key);
-                    return self.settle();
+                    return self.carry_out_all();
                 }
             }
         } else if writable {
-            self.dirty.insert(key);
-            self.settle();
+            self.to_write.insert(key);
+            self.carry_out_all();
         }
         if readable {
-            if let Some(sock) = self.socks.get_mut(key) {
-                sock.readable = true;
-                sock.ended |= ended;
-                sock.peer_closed |= ended;
+            if let Some(connection) = self.connections.get_mut(key) {
+                connection.readable = true;
+                connection.end_pending |= ended;
+                connection.peer_closed |= ended;
             }
             self.read(key);
         }
@@ -191,30 +198,30 @@
                 return;
             }
         }
-        self.again.push_back(key);
+        self.to_read.push_back(key);
     }
 
     /// One read of a connection, if it is to be read at all; true: more may be there.
     fn read_once(&mut self, key: usize) -> bool {
-        let Some(sock) = self.socks.get_mut(key) else { return false };
-        if sock.state == State::Closing {
+        let Some(connection) = self.connections.get_mut(key) else { return false };
+        if connection.state == ConnectionState::Closing {
             return self.read_closing(key);
         }
-        let id = sock.id;
-        if sock.paused && sock.ended && !id.is_to_worker() {
+        let id = connection.id;
+        if connection.paused && connection.end_pending && !id.is_to_worker() {
             self.notice_departure(key);
             return false;
         }
-        if sock.paused || sock.state == State::Connecting {
+        if connection.paused || connection.state == ConnectionState::Connecting {
             return false;
         }
-        match sock.stream.read(&mut self.buffer) {
+        match connection.stream.read(&mut self.buffer) {
             Ok(0) => {
-                sock.readable = false;
-                sock.ended = false;
-                sock.peer_closed = true;
+                connection.readable = false;
+                connection.end_pending = false;
+                connection.peer_closed = true;
                 // Nothing more can come; writing goes on.
-                sock.paused = true;
+                connection.paused = true;
                 self.feed(Input::Eof(id));
                 false
             }
@@ -230,24 +237,24 @@
 
     /// One read of a connection that is being closed: what comes is dropped or left unread; true: more may be there.
     fn read_closing(&mut self, key: usize) -> bool {
-        let Some(sock) = self.socks.get_mut(key) else { return false };
-        if sock.after_close == AfterClose::LeaveUnread {
-            sock.readable = false;
-            if sock.is_over() {
+        let Some(connection) = self.connections.get_mut(key) else { return false };
+        if connection.after_close == AfterClose::LeaveUnread {
+            connection.readable = false;
+            if connection.is_over() {
                 self.remove(key);
             }
             return false;
         }
-        if sock.paused {
+        if connection.paused {
             return false;
         }
-        match sock.stream.read(&mut self.buffer) {
+        match connection.stream.read(&mut self.buffer) {
             Ok(0) => {
-                if sock.out.is_empty() {
+                if connection.unsent.is_empty() {
                     self.remove(key);
                 } else {
-                    sock.readable = false;
-                    sock.paused = true;
+                    connection.readable = false;
+                    connection.paused = true;
                 }
                 false
             }
@@ -261,13 +268,13 @@
         match error.kind() {
             io::ErrorKind::Interrupted => return true,
             io::ErrorKind::WouldBlock => {
-                if let Some(sock) = self.socks.get_mut(key) {
-                    sock.readable = false;
+                if let Some(connection) = self.connections.get_mut(key) {
+                    connection.readable = false;
                 }
             }
             _ => {
                 self.lost(key);
-                self.settle();
+                self.carry_out_all();
             }
         }
         false
@@ -275,23 +282,23 @@
 
     /// A client that is not read has gone all the same, and what it said ahead with it.
     fn notice_departure(&mut self, key: usize) {
-        let Some(sock) = self.socks.get_mut(key) else { return };
-        sock.ended = false;
-        if let Ok(None) = sock.stream.take_error() {
-            let id = sock.id;
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        connection.end_pending = false;
+        if let Ok(None) = connection.stream.take_error() {
+            let id = connection.id;
             return self.feed(Input::Eof(id));
         }
         self.lost(key);
-        self.settle();
+        self.carry_out_all();
     }
 
     pub(super) fn write(&mut self, key: usize) {
-        let Some(sock) = self.socks.get_mut(key) else { return };
-        let (id, before) = (sock.id, sock.done);
-        let mut failed = sock.told_more();
-        while !failed && sock.done < sock.out.len() {
-            match sock.stream.write(sock.out.get(sock.done..).unwrap_or_default()) {
-                Ok(n) => sock.done += n,
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        let (id, before) = (connection.id, connection.written);
+        let mut failed = connection.has_unexpected_bytes();
+        while !failed && connection.written < connection.unsent.len() {
+            match connection.stream.write(connection.unsent.get(connection.written..).unwrap_or_default()) {
+                Ok(n) => connection.written += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
@@ -300,24 +307,24 @@
                 }
             }
         }
-        let wrote = sock.done - before;
-        sock.fresh &= wrote == 0;
-        sock.takes |= wrote > 0;
-        if sock.done >= sock.out.len() {
+        let wrote = connection.written - before;
+        connection.is_unwritten &= wrote == 0;
+        connection.took_bytes |= wrote > 0;
+        if connection.written >= connection.unsent.len() {
             // An idle connection keeps no buffer.
-            sock.out = Vec::new();
-            sock.done = 0;
-        } else if sock.done > COMPACT_BYTES {
-            sock.out.drain(..sock.done);
-            sock.done = 0;
+            connection.unsent = Vec::new();
+            connection.written = 0;
+        } else if connection.written > COMPACT_BYTES {
+            connection.unsent.drain(..connection.written);
+            connection.written = 0;
         }
-        let (written, closing) = (sock.out.is_empty(), sock.state == State::Closing);
-        if written && closing && !sock.shut {
-            sock.shut = true;
-            let _ = sock.stream.shutdown(Shutdown::Write);
+        let (written, closing) = (connection.unsent.is_empty(), connection.state == ConnectionState::Closing);
+        if written && closing && !connection.write_shut {
+            connection.write_shut = true;
+            let _ = connection.stream.shutdown(Shutdown::Write);
             // The peer may have closed before: then nothing more will be told of it.
-            sock.paused = false;
-            self.again.push_back(key);
+            connection.paused = false;
+            self.to_read.push_back(key);
         }
         if wrote > 0 && !closing {
             self.core.handle(self.clock.now(), Input::Wrote(id, wrote), &mut self.outputs);
@@ -330,17 +337,17 @@
     /// Cuts connections that linger past their time.
     pub(super) fn sweep(&mut self) {
         let now = Instant::now();
-        while let Some((_, key, id)) = self.cuts.pop_front_if(|(at, ..)| *at <= now) {
+        while let Some((_, key, id)) = self.linger_deadlines.pop_front_if(|(at, ..)| *at <= now) {
             if self.by_id.get(&id) != Some(&key) {
                 continue;
             }
-            let told = self.socks.get(key).is_some_and(|s| s.shut);
+            let told = self.connections.get(key).is_some_and(|s| s.write_shut);
             // The system tells of room only once there is much of it: a slow peer has taken something before.
             self.write(key);
-            let Some(sock) = self.socks.get_mut(key).filter(|s| s.id == id) else { continue };
-            let may = sock.closed.is_some_and(|at| now < at + LINGER_MOST);
-            if may && !told && std::mem::take(&mut sock.takes) {
-                self.cuts.push_back((now + LINGER, key, id));
+            let Some(connection) = self.connections.get_mut(key).filter(|s| s.id == id) else { continue };
+            let may = connection.closing_since.is_some_and(|at| now < at + LINGER_MOST);
+            if may && !told && std::mem::take(&mut connection.took_bytes) {
+                self.linger_deadlines.push_back((now + LINGER, key, id));
             } else {
                 self.remove(key);
             }
@@ -352,7 +359,7 @@
         self.accept_at = None;
         let mut failures = 0;
         for _ in 0..ACCEPTS_A_TURN {
-            if !self.bound_told(self.may_linger) {
+            if !self.drop_finished_lingering(self.max_lingering) {
                 self.accept_at = Some(Instant::now() + ACCEPT_PAUSE);
                 return false;
             }
@@ -361,7 +368,7 @@
                 Ok((stream, _)) => {
                     let id = ConnId(self.next_client);
                     self.next_client += 2;
-                    if self.add(id, stream, State::Open).is_ok() {
+                    if self.add(id, stream, ConnectionState::Open).is_ok() {
                         self.feed(Input::Accepted(id));
                     }
                 }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use chalkyard_state::Event as LifeEvent;
+use chalkyard_state::Event as LifecycleEvent;
 use mio::Waker;
 
-use super::Heritage;
+use super::Handover;
 
 /// What an operator asks of a running router.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Question {
+pub enum AdminQuery {
     /// Where it stands.
     Status,
     /// Its engines.
@@ -26,10 +26,10 @@
 
 #[derive(Debug)]
 pub(super) enum Command {
-    Life(LifeEvent),
-    Ask(Question, SyncSender<String>),
+    Lifecycle(LifecycleEvent),
+    Query(AdminQuery, SyncSender<String>),
     /// With who was first: the loop, which gives, or the asker, who has stopped waiting.
-    Succeed(SyncSender<Heritage>, Arc<AtomicBool>),
+    HandOver(SyncSender<Handover>, Arc<AtomicBool>),
 }
 
 /// Commands from other threads that wait for the loop; one more is not taken.
@@ -53,22 +53,22 @@
     }
 
     /// Tells the router's life of something: a signal, or an operator's wish. False: it can't be told now.
-    pub fn tell(&self, event: LifeEvent) -> bool {
-        self.put(Command::Life(event))
+    pub fn notify(&self, event: LifecycleEvent) -> bool {
+        self.put(Command::Lifecycle(event))
     }
 
     /// Asks; none if there is no answer within the time.
-    pub fn ask(&self, question: Question, within: Duration) -> Option<String> {
+    pub fn query(&self, query: AdminQuery, within: Duration) -> Option<String> {
         let (answer, got) = sync_channel(1);
-        self.put(Command::Ask(question, answer)).then(|| got.recv_timeout(within).ok()).flatten()
+        self.put(Command::Query(query, answer)).then(|| got.recv_timeout(within).ok()).flatten()
     }
 
     /// Has the router give its listening socket, and its ledger, to a successor; none if it has none to give, or
     /// does not answer in time.
-    pub fn succeed(&self, within: Duration) -> Option<Heritage> {
+    pub fn hand_over(&self, within: Duration) -> Option<Handover> {
         let (answer, got) = sync_channel(1);
         let decided = Arc::new(AtomicBool::new(false));
-        if !self.put(Command::Succeed(answer, decided.clone())) {
+        if !self.put(Command::HandOver(answer, decided.clone())) {
             return None;
         }
         match got.recv_timeout(within) {
--- a/crates/router/src/shell/life.rs
+++ b/crates/router/src/shell/lifecycle.rs
@@ -3,59 +3,60 @@
 use std::os::fd::AsFd;
 use std::sync::mpsc::SyncSender;
 
-use chalkyard_state::{Act, Event as LifeEvent, Phase};
+use chalkyard_state::{Act, Event as LifecycleEvent, Phase};
 use mio::Interest;
 
 use super::connections::ACCEPTS_A_TURN;
 use super::listen::BACKLOG;
-use super::retry::{with_retries, RUNNING_TRIES, STARTING_TRIES};
-use super::{Heritage, Question, Shell, Sink, LISTENER};
+use super::retry::{with_retries, RUNTIME_ATTEMPTS, STARTUP_ATTEMPTS};
+use super::{AdminQuery, Handover, Shell, Sink, LISTENER};
 
 impl<S: Sink> Shell<S> {
     /// What the loop itself can tell the router's life.
-    pub(super) fn watch_life(&mut self) {
-        match self.life.phase() {
-            Phase::Starting if self.core.has_list() => self.live(LifeEvent::Listed),
+    pub(super) fn check_lifecycle(&mut self) {
+        match self.lifecycle.phase() {
+            Phase::Starting if self.core.has_list() => self.lifecycle_event(LifecycleEvent::Listed),
             Phase::Ending | Phase::Farewell => {
                 let open = self.core.open_requests() + self.core.open_clients() + self.core.open_releases();
                 if open == 0 && self.lingering == 0 {
-                    self.live(LifeEvent::Idle);
+                    self.lifecycle_event(LifecycleEvent::Idle);
                 }
             }
             _ => {}
         }
-        self.live(LifeEvent::Tick);
+        self.lifecycle_event(LifecycleEvent::Tick);
     }
 
     /// Connections that were not taken yet wait in the socket for the successor: none is refused or reset.
-    pub(super) fn succeed(&mut self, answer: &SyncSender<Heritage>) {
-        let ready = matches!(self.life.phase(), Phase::Ready);
+    pub(super) fn hand_over(&mut self, answer: &SyncSender<Handover>) {
+        let ready = matches!(self.lifecycle.phase(), Phase::Ready);
         let Some(listener) = self.listener.as_ref().filter(|_| ready) else { return };
         match listener.as_fd().try_clone_to_owned() {
             Ok(listener) => {
                 // All that was taken until now is in the ledger before it is given up.
-                self.live(LifeEvent::Succeeded);
-                self.finish();
-                let settled = self.sink.give_up_ledger();
-                let _ = answer.try_send(Heritage { listener, settled });
+                self.lifecycle_event(LifecycleEvent::Succeeded);
+                self.flush();
+                let settled = self.sink.hand_over_ledger();
+                let _ = answer.try_send(Handover { listener, settled });
             }
             Err(e) => self.sink.note("succession", &format!("the listening socket can't be given: {e}")),
         }
     }
 
-    pub(super) fn live(&mut self, event: LifeEvent) {
+    pub(super) fn lifecycle_event(&mut self, event: LifecycleEvent) {
         let mut acts = Vec::new();
-        self.life.handle(self.clock.now().0, event, &mut acts);
+        self.lifecycle.handle(self.clock.now().0, event, &mut acts);
         for act in acts {
-            self.act(act);
+            self.perform(act);
         }
     }
 
-    pub(super) fn act(&mut self, act: Act) {
+    pub(super) fn perform(&mut self, act: Act) {
         match act {
             Act::Listen => {
-                let event = if self.listen() { LifeEvent::Listening } else { LifeEvent::ListenFailed };
-                self.live(event);
+                let event =
+                    if self.listen() { LifecycleEvent::Listening } else { LifecycleEvent::ListenFailed };
+                self.lifecycle_event(event);
             }
             Act::Leave => {
                 self.core.leave(self.clock.now());
@@ -77,50 +78,51 @@
                     self.core.undrain();
                 } else {
                     // As it was: the operator is told, and may try again.
-                    self.live(LifeEvent::Drain);
+                    self.lifecycle_event(LifecycleEvent::Drain);
                 }
             }
             Act::Reload => self.sink.reload(),
             Act::AnswerAll => self.core.answer_all(self.clock.now(), &mut self.outputs),
-            Act::Exit(stop) => self.ended = Some(stop),
+            Act::Exit(stop) => self.stop = Some(stop),
             Act::SayReady | Act::SayReloading | Act::SayStopping => {}
         }
-        self.sink.say(act, Some(self.address.at()));
+        self.sink.lifecycle_action(act, Some(self.listen_address.at()));
     }
 
     /// Begins to listen. A call that fails for a moment is made again; at the start for longer, since nothing else is
     /// done meanwhile and a router that does not listen ends.
     pub(super) fn listen(&mut self) -> bool {
-        let tries = if self.life.phase() == Phase::Opening { STARTING_TRIES } else { RUNNING_TRIES };
-        let listening = with_retries(tries, || {
-            let mut listener = self.address.listen()?;
+        let attempts =
+            if self.lifecycle.phase() == Phase::Opening { STARTUP_ATTEMPTS } else { RUNTIME_ATTEMPTS };
+        let listening = with_retries(attempts, || {
+            let mut listener = self.listen_address.listen()?;
             self.poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
             Ok(listener)
         });
         match listening {
             Ok(listener) => self.listener = Some(listener),
-            Err(e) => self.sink.note("listen", &format!("can't listen at {}: {e}", self.address.at())),
+            Err(e) => self.sink.note("listen", &format!("can't listen at {}: {e}", self.listen_address.at())),
         }
         self.listener.is_some()
     }
 
     /// Answers as one JSON object.
-    pub(super) fn answer(&self, question: &Question) -> String {
-        let json = match question {
-            Question::Status => serde_json::to_value(self.core.counts()).map(|mut counts| {
+    pub(super) fn answer(&self, query: &AdminQuery) -> String {
+        let json = match query {
+            AdminQuery::Status => serde_json::to_value(self.core.counts()).map(|mut counts| {
                 if let Some(object) = counts.as_object_mut() {
-                    object.insert("phase".into(), serde_json::json!(self.life.phase()));
-                    object.insert("at".into(), serde_json::json!(self.address.at().to_string()));
-                    object.insert("sockets".into(), serde_json::json!(self.socks.len()));
+                    object.insert("phase".into(), serde_json::json!(self.lifecycle.phase()));
+                    object.insert("at".into(), serde_json::json!(self.listen_address.at().to_string()));
+                    object.insert("sockets".into(), serde_json::json!(self.connections.len()));
                     object.insert("since_start".into(), serde_json::json!(self.core.counters()));
                 }
                 counts
             }),
-            Question::Engines => serde_json::to_value(self.core.worker_view()),
-            Question::Requests => serde_json::to_value(self.core.open_view()),
-            Question::Trace(id) => match self.core.open_one(id) {
+            AdminQuery::Engines => serde_json::to_value(self.core.worker_view()),
+            AdminQuery::Requests => serde_json::to_value(self.core.open_view()),
+            AdminQuery::Trace(id) => match self.core.open_one(id) {
                 Some(open) => serde_json::to_value(open),
-                None => match self.sink.recent(id) {
+                None => match self.sink.recent_request(id) {
                     Some(ended) => return ended,
                     None => {
                         Ok(serde_json::json!({"error": format!("no request {id} is open or ended lately")}))
--- a/crates/router/src/shell/listen.rs
+++ b/crates/router/src/shell/listen.rs
@@ -19,14 +19,14 @@
 
 impl ListenAddress {
     /// Takes an address; with `shared`, several processes may listen on it (`SO_REUSEPORT`).
-    pub fn take(address: SocketAddr, shared: bool) -> io::Result<Self> {
+    pub fn bind(address: SocketAddr, shared: bool) -> io::Result<Self> {
         let socket = bind(address, shared)?;
         let at = socket.local_addr()?.as_socket().unwrap_or(address);
         Ok(Self { at, shared, bound: Some(socket) })
     }
 
     /// A socket that another process listened at.
-    pub fn inherited(listener: OwnedFd, shared: bool) -> io::Result<Self> {
+    pub fn adopt(listener: OwnedFd, shared: bool) -> io::Result<Self> {
         let socket = socket2::Socket::from(listener);
         let at = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::InvalidInput)?;
         socket.set_nonblocking(true)?;
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -2,14 +2,14 @@
 
 mod clock;
 mod connect;
+mod connection;
 mod connections;
 mod handle;
-mod life;
+mod lifecycle;
 mod listen;
 mod ready_queue;
 pub mod retry;
 mod sink;
-mod sock;
 mod turn;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -24,15 +24,15 @@
 use slab::Slab;
 
 pub use self::clock::{granularity, Clock};
-use self::connect::Retries;
+use self::connect::ConnectRetries;
+use self::connection::{AfterClose, Connection, ConnectionState};
 use self::connections::READ_BYTES;
 use self::handle::Command;
-pub use self::handle::{Handle, Question};
+pub use self::handle::{AdminQuery, Handle};
 pub use self::listen::ListenAddress;
 use self::ready_queue::ReadyQueue;
-use self::retry::{with_retries, STARTING_TRIES};
-pub use self::sink::{Heritage, News, Sink};
-use self::sock::{AfterClose, Sock, State};
+use self::retry::{with_retries, STARTUP_ATTEMPTS};
+pub use self::sink::{Handover, Sink, SinkEvent};
 use crate::{ConnId, Core, Input, Output};
 
 const LISTENER: Token = Token(0);
@@ -55,35 +55,35 @@
     /// What it has told and was not handled yet.
     ready: ReadyQueue,
     /// When it was last asked, and when the present turn of the loop is over.
-    polled: Instant,
+    polled_at: Instant,
     turn_until: Instant,
     core: Core,
     sink: S,
     clock: Clock,
-    life: Life,
+    lifecycle: Life,
     /// Where it listens, or will.
-    address: ListenAddress,
+    listen_address: ListenAddress,
     listener: Option<TcpListener>,
     handle: Handle,
-    socks: Slab<Sock>,
+    connections: Slab<Connection>,
     by_id: BTreeMap<ConnId, usize>,
     /// Connections with bytes to write, and with bytes to read on.
-    dirty: BTreeSet<usize>,
-    again: VecDeque<usize>,
+    to_write: BTreeSet<usize>,
+    to_read: VecDeque<usize>,
     lingering: usize,
-    may_linger: usize,
+    max_lingering: usize,
     /// When lingering ones are cut, in order: all linger for the same span.
-    cuts: VecDeque<(Instant, usize, ConnId)>,
+    linger_deadlines: VecDeque<(Instant, usize, ConnId)>,
     accept_at: Option<Instant>,
     /// Connections of ours that could not be begun, and are tried again.
-    retries: Retries,
+    connect_retries: ConnectRetries,
     next_client: u64,
-    ended: Option<Stop>,
+    stop: Option<Stop>,
     outputs: Vec<Output>,
     buffer: Vec<u8>,
     /// Records wait for the ledger, and whether it could be written last.
-    unflushed: bool,
-    is_writable: bool,
+    records_pending: bool,
+    ledger_writable: bool,
     housekeep_at: Instant,
     figures_at: Instant,
 }
@@ -99,36 +99,36 @@
 impl<S: Sink> Shell<S> {
     /// A shell around a core, at the beginning of its life.
     pub fn new(core: Core, sink: S, clock: Clock, address: ListenAddress, terms: Terms) -> io::Result<Self> {
-        let poll = with_retries(STARTING_TRIES, Poll::new)?;
-        let waker = Arc::new(with_retries(STARTING_TRIES, || Waker::new(poll.registry(), WAKER))?);
+        let poll = with_retries(STARTUP_ATTEMPTS, Poll::new)?;
+        let waker = Arc::new(with_retries(STARTUP_ATTEMPTS, || Waker::new(poll.registry(), WAKER))?);
         Ok(Self {
             poll,
             events: Events::with_capacity(EVENTS),
             ready: ReadyQueue::default(),
-            polled: Instant::now(),
+            polled_at: Instant::now(),
             turn_until: Instant::now(),
             core,
             sink,
             clock,
-            life: Life::new(terms, clock.now().0),
-            address,
+            lifecycle: Life::new(terms, clock.now().0),
+            listen_address: address,
             listener: None,
             handle: Handle { waker, commands: Arc::default() },
-            socks: Slab::new(),
+            connections: Slab::new(),
             by_id: BTreeMap::new(),
-            dirty: BTreeSet::new(),
-            again: VecDeque::new(),
+            to_write: BTreeSet::new(),
+            to_read: VecDeque::new(),
             lingering: 0,
-            may_linger: LINGERING,
-            cuts: VecDeque::new(),
+            max_lingering: LINGERING,
+            linger_deadlines: VecDeque::new(),
             accept_at: None,
-            retries: Retries::default(),
+            connect_retries: ConnectRetries::default(),
             next_client: 2,
-            ended: None,
+            stop: None,
             outputs: Vec::new(),
             buffer: vec![0; READ_BYTES],
-            unflushed: false,
-            is_writable: true,
+            records_pending: false,
+            ledger_writable: true,
             housekeep_at: Instant::now(),
             figures_at: Instant::now() + FIGURES,
         })
@@ -136,7 +136,7 @@
 
     /// Bounds the connections that linger.
     pub fn bound_lingering(&mut self, most: usize) {
-        self.may_linger = most;
+        self.max_lingering = most;
     }
 
     /// A handle to speak to the loop.
@@ -147,7 +147,7 @@
     /// Runs until the router's life is over. Tells why, and how many requests were still open.
     pub fn run(&mut self, last_list: Option<&str>) -> io::Result<(Stop, usize)> {
         self.core.start(self.clock.now(), last_list, &mut self.outputs);
-        self.finish();
+        self.flush();
         let mut woke = Instant::now();
         loop {
             let (waits, wait) = (Instant::now(), self.wait());
@@ -161,18 +161,18 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => self.events.clear(),
                 other => other?,
             }
-            self.polled = Instant::now();
+            self.polled_at = Instant::now();
             self.queue_events();
             self.take_turn();
             self.retry_connects();
             self.feed(Input::Tick);
-            self.obey();
+            self.run_commands();
             self.housekeep();
-            self.finish();
+            self.flush();
             self.sweep();
-            self.watch_life();
-            self.finish();
-            if let Some(stop) = self.ended {
+            self.check_lifecycle();
+            self.flush();
+            if let Some(stop) = self.stop {
                 self.sink.counters(self.core.counters());
                 return Ok((stop, self.core.open_requests()));
             }
@@ -180,15 +180,15 @@
     }
 
     /// Carries out what other threads have asked for.
-    fn obey(&mut self) {
+    fn run_commands(&mut self) {
         for command in self.handle.take() {
             match command {
-                Command::Life(event) => self.live(event),
+                Command::Lifecycle(event) => self.lifecycle_event(event),
                 // Nobody may be waiting any more.
-                Command::Ask(question, answer) => drop(answer.try_send(self.answer(&question))),
-                Command::Succeed(answer, decided) => {
+                Command::Query(query, answer) => drop(answer.try_send(self.answer(&query))),
+                Command::HandOver(answer, decided) => {
                     if !decided.swap(true, Ordering::SeqCst) {
-                        self.succeed(&answer);
+                        self.hand_over(&answer);
                     }
                 }
             }
@@ -196,7 +196,7 @@
     }
 
     fn wait(&self) -> Option<Duration> {
-        if !self.again.is_empty() || !self.ready.is_empty() {
+        if !self.to_read.is_empty() || !self.ready.is_empty() {
             return Some(Duration::ZERO);
         }
         let now = self.clock.now();
@@ -205,20 +205,20 @@
         let from = Instant::now();
         let accept = self.accept_at.map(|at| at.saturating_duration_since(from));
         let linger = (self.lingering > 0).then_some(Duration::from_millis(100));
-        let life = self.life.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
+        let life = self.lifecycle.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
         let house = self.sink.period().map(|_| self.housekeep_at.saturating_duration_since(from));
-        let retry = self.retries.next_due().map(|at| at.saturating_duration_since(from));
+        let retry = self.connect_retries.next_due().map(|at| at.saturating_duration_since(from));
         [core, accept, linger, life, house, retry].into_iter().flatten().min()
     }
 
     fn feed(&mut self, input: Input<'_>) {
         let now = self.clock.now();
         self.core.handle(now, input, &mut self.outputs);
-        self.settle();
+        self.carry_out_all();
     }
 
     fn writable(&mut self, now: bool) {
-        if std::mem::replace(&mut self.is_writable, now) != now {
+        if std::mem::replace(&mut self.ledger_writable, now) != now {
             self.core.handle(self.clock.now(), Input::LedgerWritable(now), &mut self.outputs);
         }
     }
@@ -226,8 +226,8 @@
     fn housekeep(&mut self) {
         let Some(period) = self.sink.period().filter(|_| self.housekeep_at <= Instant::now()) else { return };
         self.housekeep_at = Instant::now() + period;
-        for news in self.sink.housekeep() {
-            match news {
+        for event in self.sink.housekeep() {
+            match event {
                 Input::LedgerWritable(now) => self.writable(now),
                 other => self.feed(other),
             }
@@ -237,11 +237,11 @@
             self.sink.figures(&self.core.budget_figures());
             self.sink.counters(self.core.counters());
         }
-        self.settle();
+        self.carry_out_all();
     }
 
     /// Carries out outputs; bytes wait for the group's end.
-    fn settle(&mut self) {
+    fn carry_out_all(&mut self) {
         while !self.outputs.is_empty() {
             for output in std::mem::take(&mut self.outputs) {
                 self.carry_out(output);
@@ -251,18 +251,18 @@
 
     /// Ends a group of events: all its records are given to the ledger in one write, then its bytes to sockets,
     /// until nothing is left that writing causes.
-    fn finish(&mut self) {
+    fn flush(&mut self) {
         loop {
-            self.settle();
-            if std::mem::take(&mut self.unflushed) {
+            self.carry_out_all();
+            if std::mem::take(&mut self.records_pending) {
                 let written = self.sink.flush();
                 self.writable(written);
                 continue;
             }
-            let Some(key) = self.dirty.pop_first() else { return };
-            if self.begins_call(key) && self.hear_departures() {
+            let Some(key) = self.to_write.pop_first() else { return };
+            if self.begins_call(key) && self.poll_departures() {
                 // A client has gone: what was to be written may not be wanted any more.
-                self.dirty.insert(key);
+                self.to_write.insert(key);
                 continue;
             }
             self.write(key);
@@ -274,15 +274,15 @@
             Output::Connect(id, address) => self.connect(id, address),
             Output::Write(id, bytes) => {
                 if let Some(key) = self.by_id.get(&id).copied() {
-                    if let Some(sock) = self.socks.get_mut(key) {
-                        if sock.out.is_empty() {
-                            sock.fresh = true;
-                            sock.out = bytes;
+                    if let Some(connection) = self.connections.get_mut(key) {
+                        if connection.unsent.is_empty() {
+                            connection.is_unwritten = true;
+                            connection.unsent = bytes;
                         } else {
-                            sock.out.extend_from_slice(&bytes);
+                            connection.unsent.extend_from_slice(&bytes);
                         }
-                        if sock.state != State::Connecting {
-                            self.dirty.insert(key);
+                        if connection.state != ConnectionState::Connecting {
+                            self.to_write.insert(key);
                         }
                     }
                 }
@@ -291,17 +291,17 @@
             Output::CloseAnswered(id) => self.close(id, AfterClose::LeaveUnread),
             Output::CloseIfQuiet(id) => self.close_if_quiet(id),
             Output::Abort(id) => {
-                self.retries.forget(id);
+                self.connect_retries.forget(id);
                 if let Some(key) = self.by_id.get(&id).copied() {
                     self.remove(key);
                 }
             }
             Output::Pause(id) => self.pause(id, true),
             Output::Resume(id) => self.pause(id, false),
-            Output::StoreEndpointList(text) => self.sink.keep_list(&text),
+            Output::StoreEndpointList(text) => self.sink.store_endpoint_list(&text),
             Output::Record(number, record) => {
                 self.sink.record(number, &record);
-                self.unflushed = true;
+                self.records_pending = true;
             }
             Output::Finished(line) => self.sink.finished(line.0),
             Output::Tally(tally) => self.sink.tally(&tally),
--- a/crates/router/src/shell/retry.rs
+++ b/crates/router/src/shell/retry.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 /// Tries of a call without which a router can't start: for a second.
-pub const STARTING_TRIES: u32 = 50;
+pub const STARTUP_ATTEMPTS: u32 = 50;
 /// Tries of a call that the running loop waits for.
-pub const RUNNING_TRIES: u32 = 4;
+pub const RUNTIME_ATTEMPTS: u32 = 4;
 /// Between two tries.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// Makes a call until it succeeds, `tries` times at most; the last error is given back. An address in use stays so: its
+/// Makes a call until it succeeds, `attempts` times at most; the last error is given back. An address in use stays so: its
 /// owner has it, and a router that waits for it hides the mistake.
-pub fn with_retries<T>(tries: u32, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..tries {
+pub fn with_retries<T>(attempts: u32, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    for _ in 1..attempts {
         match call() {
             Err(e) if passes(&e) => std::thread::sleep(PAUSE),
             other => return other,
--- a/crates/router/src/shell/sink.rs
+++ b/crates/router/src/shell/sink.rs
@@ -24,7 +24,7 @@
     /// Something happened that an operator may want to know.
     fn note(&mut self, what: &str, text: &str);
     /// The list of workers to keep for the next start.
-    fn keep_list(&mut self, text: &str);
+    fn store_endpoint_list(&mut self, text: &str);
     /// A record for the ledger.
     fn record(&mut self, _number: u64, _record: &Record) {}
     /// Nothing more leaves before all records are written; false: they could not be.
@@ -36,19 +36,19 @@
         None
     }
     /// What happened beside the loop.
-    fn housekeep(&mut self) -> Vec<News> {
+    fn housekeep(&mut self) -> Vec<SinkEvent> {
         Vec::new()
     }
     /// The router's life goes on to this phase; what a supervisor is told of it.
-    fn say(&mut self, _word: Act, _at: Option<SocketAddr>) {}
+    fn lifecycle_action(&mut self, _word: Act, _at: Option<SocketAddr>) {}
     /// Gives the ledger up whole, for a successor; what is settled from then on goes there.
-    fn give_up_ledger(&mut self) -> Option<Receiver<Settled>> {
+    fn hand_over_ledger(&mut self) -> Option<Receiver<Settled>> {
         None
     }
     /// Settings are to be read again; what comes of it is told by [`Sink::housekeep`].
     fn reload(&mut self) {}
     /// A request that ended lately.
-    fn recent(&self, _id: &str) -> Option<String> {
+    fn recent_request(&self, _id: &str) -> Option<String> {
         None
     }
     /// Budget figures, at times.
@@ -56,11 +56,11 @@
 }
 
 /// What a [`Sink`] has for the core.
-pub type News = Input<'static>;
+pub type SinkEvent = Input<'static>;
 
 /// What a successor gets.
 #[derive(Debug)]
-pub struct Heritage {
+pub struct Handover {
     /// The listening socket.
     pub listener: OwnedFd,
     /// What is settled from now on by the life that ends; none where no ledger is kept.
--- a/crates/router/src/shell/turn.rs
+++ b/crates/router/src/shell/turn.rs
@@ -37,7 +37,7 @@
             self.handle_ready(readiness);
             handled += 1;
             if handled % EVENTS_A_GROUP == 0 {
-                self.finish();
+                self.flush();
             }
             if self.is_turn_over() {
                 break;
@@ -46,8 +46,8 @@
         if self.accept_at.is_some_and(|at| at <= Instant::now()) {
             self.accept();
         }
-        for _ in 0..self.again.len() {
-            if let Some(key) = self.again.pop_front() {
+        for _ in 0..self.to_read.len() {
+            if let Some(key) = self.to_read.pop_front() {
                 self.read(key);
             }
             if self.is_turn_over() {
@@ -72,15 +72,15 @@
 
     /// Asks the system once more, unless it was asked just now, and hears of clients that have gone; true if there were
     /// any. The rest of what it tells waits in the queue.
-    pub(super) fn hear_departures(&mut self) -> bool {
-        if self.polled.elapsed() < LOOK {
+    pub(super) fn poll_departures(&mut self) -> bool {
+        if self.polled_at.elapsed() < LOOK {
             return false;
         }
         // An interrupted or failed look finds nothing; the loop's own poll tells of a failure.
         if self.poll.poll(&mut self.events, Some(Duration::ZERO)).is_ok() {
             self.queue_events();
         }
-        self.polled = Instant::now();
+        self.polled_at = Instant::now();
         self.take_departures()
     }
 
