--- a/crates/budget/src/keeper.rs
+++ b/crates/budget/src/budget_enforcer.rs
@@ -6,12 +6,12 @@
 use crate::grant::Grant;
 use crate::plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan};
 use crate::rate::Bucket;
-use crate::record::{Adopted, Charge, Ending, Held, Open, Place, Record, Settled, State};
+use crate::record::{AccountUsage, Adopted, Charge, Ending, Open, Place, Record, Settled, State};
 use crate::units::{Time, Units, Usage};
 
 /// A request that wants to be taken.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct ReservationRequest<'a> {
     /// The router's id of it.
     pub id: &'a str,
     /// Tenant; empty: none.
@@ -39,38 +39,38 @@
 
 /// Why it is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum DenialReason {
     /// The period's budget is used up.
-    Budget,
+    BudgetExhausted,
     /// This router's part of it is; more may be granted soon.
-    Part,
+    RouterShareExhausted,
     /// No lease holds here.
-    Lease,
+    NoLease,
     /// Too many tokens a second.
-    Rate,
+    RateLimited,
     /// The ledger can't be written.
-    Ledger,
+    LedgerUnavailable,
 }
 
 /// A request that is not taken. Nothing has run, and asking again does no harm.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Denial {
     /// Why.
-    pub why: Why,
-    /// Which budget; none for [`Why::Rate`] and [`Why::Ledger`].
+    pub reason: DenialReason,
+    /// Which budget; none for [`DenialReason::RateLimited`] and [`DenialReason::LedgerUnavailable`].
     pub account: Option<AccountKey>,
     /// Come back after so many µs.
     pub retry_after: u64,
 }
 
-impl std::fmt::Display for Refusal {
+impl std::fmt::Display for Denial {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let what = match self.why {
-            Why::Budget => "the token budget of this period is used up",
-            Why::Part => "this router's part of the token budget is used up for now",
-            Why::Lease => "this router holds no current lease of the token budget",
-            Why::Rate => "too many tokens a second",
-            Why::Ledger => "usage can't be recorded here now",
+        let what = match self.reason {
+            DenialReason::BudgetExhausted => "the token budget of this period is used up",
+            DenialReason::RouterShareExhausted => "this router's part of the token budget is used up for now",
+            DenialReason::NoLease => "this router holds no current lease of the token budget",
+            DenialReason::RateLimited => "too many tokens a second",
+            DenialReason::LedgerUnavailable => "usage can't be recorded here now",
         };
         f.write_str(what)?;
         if let Some(account) = &self.account {
@@ -82,7 +82,7 @@
 
 /// Why a grant is not taken. The lease that there is stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotAdopted {
+pub enum AdoptLeaseError {
     /// For another router.
     NotOurs,
     /// Not newer than the newest seen.
@@ -113,7 +113,7 @@
 
 /// A tenant at this router.
 #[derive(Debug, Clone, Default)]
-struct Book {
+struct TenantAccount {
     limits: Vec<(AccountKey, Limit)>,
     /// By account and period: the limit that the newest grant named, and what was used elsewhere.
     told: BTreeMap<Place, (Units, Units)>,
@@ -125,39 +125,39 @@
 
 /// The decisions of one router. Same events, same answers.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct BudgetEnforcer {
     router: Box<str>,
     plan: Plan,
     state: State,
     /// Spans as the calendar gave them last.
     spans: BTreeMap<Kind, Span>,
-    books: BTreeMap<Box<str>, Book>,
+    tenants: BTreeMap<Box<str>, TenantAccount>,
     writable: bool,
     /// Requests that the life before has taken and still ends.
     inherited: BTreeSet<Box<str>>,
     out: Vec<(u64, Record)>,
 }
 
-impl Keeper {
+impl BudgetEnforcer {
     /// From the sums that recovery gave. What was open belongs to a life that is over: it is settled here,
     /// at no cost, since its client was cut off.
     pub fn new(router: &str, plan: Plan, state: State, now: Time) -> Self {
-        let mut keeper = Self::begin(router, plan, state);
-        let now = keeper.time(now);
-        keeper.write(Record::Started(now));
-        let orphans: Vec<Box<str>> = keeper.state.open.keys().cloned().collect();
-        keeper.orphan(now, &orphans);
-        keeper
+        let mut enforcer = Self::begin(router, plan, state);
+        let now = enforcer.time(now);
+        enforcer.write(Record::Started(now));
+        let orphans: Vec<Box<str>> = enforcer.state.open.keys().cloned().collect();
+        enforcer.orphan(now, &orphans);
+        enforcer
     }
 
     /// Takes over from a life that has given up its ledger whole and takes nothing new, but still ends what it
-    /// had taken: its settlements come by [`Keeper::inherit`], until [`Keeper::inherited_all`].
+    /// had taken: its settlements come by [`BudgetEnforcer::inherit`], until [`BudgetEnforcer::inherited_all`].
     pub fn succeed(router: &str, plan: Plan, state: State, now: Time) -> Self {
-        let mut keeper = Self::begin(router, plan, state);
-        keeper.inherited = keeper.state.open.keys().cloned().collect();
-        let now = keeper.time(now);
-        keeper.write(Record::Succeeded(now));
-        keeper
+        let mut enforcer = Self::begin(router, plan, state);
+        enforcer.inherited = enforcer.state.open.keys().cloned().collect();
+        let now = enforcer.time(now);
+        enforcer.write(Record::Succeeded(now));
+        enforcer
     }
 
     /// A settlement of the life before.
@@ -181,7 +181,7 @@
     fn begin(router: &str, plan: Plan, state: State) -> Self {
         Self {
             router: router.into(),
-            books: by_tenant(&plan),
+            tenants: by_tenant(&plan),
             plan,
             state,
             spans: BTreeMap::new(),
@@ -209,19 +209,19 @@
     /// Other budgets, rates and prices; what is spent and reserved stays, as do streams of tenants that the
     /// new plan does not know.
     pub fn replan(&mut self, plan: Plan) {
-        let mut books = by_tenant(&plan);
+        let mut tenants = by_tenant(&plan);
         self.spans.clear();
         let parts = parts(plan.mode);
-        for (tenant, old) in std::mem::take(&mut self.books) {
-            let limits = books.get_mut(&tenant).map(|fresh| std::mem::take(&mut fresh.limits));
+        for (tenant, old) in std::mem::take(&mut self.tenants) {
+            let limits = tenants.get_mut(&tenant).map(|fresh| std::mem::take(&mut fresh.limits));
             let rate = plan.rates.get(&tenant);
             let mut bucket = old.bucket.filter(|_| rate.is_some());
             if let (Some(bucket), Some(rate)) = (&mut bucket, rate) {
                 bucket.change(rate.per_second.share(1, parts), rate.burst.share(1, parts));
             }
-            books.insert(tenant, Book { limits: limits.unwrap_or_default(), bucket, ..old });
+            tenants.insert(tenant, TenantAccount { limits: limits.unwrap_or_default(), bucket, ..old });
         }
-        self.books = books;
+        self.tenants = tenants;
         self.plan = plan;
     }
 
@@ -241,46 +241,54 @@
     /// Takes a request by reserving its worst case, or says why not and when to come back.
     ///
     /// # Errors
-    /// The refusal.
-    pub fn admit(&mut self, now: Time, ask: Ask<'_>) -> Result<Admission, Refusal> {
+    /// The denial.
+    pub fn admit(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Denial> {
         let now = self.time(now);
-        let refused = self.decide(now, ask);
-        if let Err(refusal) = &refused {
-            let worst = self.plan.weights.worst(self.plan.raised(ask.prompt), ask.output);
-            if !self.books.contains_key(ask.tenant) {
-                self.books.insert(ask.tenant.into(), Book::default());
+        let decision = self.decide(now, request);
+        if let Err(denial) = &decision {
+            let worst = self.plan.weights.worst(self.plan.raised(request.prompt), request.output);
+            if !self.tenants.contains_key(request.tenant) {
+                self.tenants.insert(request.tenant.into(), TenantAccount::default());
             }
-            let Some(book) = self.books.get_mut(ask.tenant) else { return refused };
-            book.refused += 1;
-            if let (Why::Part | Why::Lease, Some(account)) = (refusal.why, &refusal.account) {
-                let (sum, largest) = book.wanted.entry(account.clone()).or_default();
+            let Some(tenant_account) = self.tenants.get_mut(request.tenant) else { return decision };
+            tenant_account.refused += 1;
+            if let (DenialReason::RouterShareExhausted | DenialReason::NoLease, Some(account)) =
+                (denial.reason, &denial.account)
+            {
+                let (sum, largest) = tenant_account.wanted.entry(account.clone()).or_default();
                 *sum = sum.plus(worst);
                 *largest = worst.max(*largest);
             }
         }
-        refused
+        decision
     }
 
-    fn decide(&mut self, now: Time, ask: Ask<'_>) -> Result<Admission, Refusal> {
+    fn decide(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Denial> {
         if !self.writable {
-            return Err(Refusal { why: Why::Ledger, account: None, retry_after: LEDGER_WAIT });
+            return Err(Denial {
+                reason: DenialReason::LedgerUnavailable,
+                account: None,
+                retry_after: LEDGER_WAIT,
+            });
         }
-        let prompt = self.plan.raised(ask.prompt);
-        let mut admission = Admission { output: ask.output, lower_to: None, marks: Vec::new() };
-        let Self { plan, state, spans, books, .. } = self;
+        let prompt = self.plan.raised(request.prompt);
+        let mut admission = Admission { output: request.output, lower_to: None, marks: Vec::new() };
+        let Self { plan, state, spans, tenants, .. } = self;
         let mut places = Vec::new();
-        let mut amount = plan.weights.worst(prompt, ask.output);
-        if let Some(book) = books.get_mut(ask.tenant) {
-            let mine = state.held.of_tenant(ask.tenant);
-            let limits =
-                book.limits.iter().filter(|(k, _)| k.class.as_deref().is_none_or(|c| c == ask.class));
-            let mut accounts = Vec::with_capacity(book.limits.len());
+        let mut amount = plan.weights.worst(prompt, request.output);
+        if let Some(tenant_account) = tenants.get_mut(request.tenant) {
+            let mine = state.usage.of_tenant(request.tenant);
+            let limits = tenant_account
+                .limits
+                .iter()
+                .filter(|(k, _)| k.class.as_deref().is_none_or(|c| c == request.class));
+            let mut accounts = Vec::with_capacity(tenant_account.limits.len());
             for (key, limit) in limits {
                 let span = span(spans, plan, key.kind, now);
                 let place = Place::new(key, span.start);
-                let held = mine.and_then(|m| m.get(&place)).copied().unwrap_or_default();
-                let told = book.told.get(&place).copied();
-                let account = Account { key, limit, held, told };
+                let usage = mine.and_then(|m| m.get(&place)).copied().unwrap_or_default();
+                let told = tenant_account.told.get(&place).copied();
+                let account = Account { key, limit, usage, told };
                 if limit.soft < 1_000 && account.used_part(plan.mode, Units(0)) >= limit.soft {
                     match &limit.at_soft {
                         AtSoft::Warn => {}
@@ -288,25 +296,29 @@
                         AtSoft::Lower(class) => admission.lower_to = Some(class.clone()),
                     }
                 }
-                let (room, why) = account.room(plan.mode, state.lease.1, now);
+                let (room, reason) = account.room(plan.mode, state.lease.1, now);
                 account.fit(plan, prompt, &mut admission, room).map_err(|()| {
                     // At the period's end at the latest, there is a new one.
                     let left = span.end.since(now);
-                    let retry_after = match (why, plan.mode) {
-                        (Why::Part | Why::Lease, Mode::Leases { epoch, .. }) => epoch.min(left),
+                    let retry_after = match (reason, plan.mode) {
+                        (
+                            DenialReason::RouterShareExhausted | DenialReason::NoLease,
+                            Mode::Leases { epoch, .. },
+                        ) => epoch.min(left),
                         _ => left,
                     };
-                    Refusal { why, account: Some(key.clone()), retry_after }
+                    Denial { reason, account: Some(key.clone()), retry_after }
                 })?;
                 accounts.push(account);
                 places.push(place);
             }
             amount = plan.weights.worst(prompt, admission.output);
-            if let Some(rate) = plan.rates.get(ask.tenant) {
+            if let Some(rate) = plan.rates.get(request.tenant) {
                 let parts = parts(plan.mode);
                 let fresh = || Bucket::new(rate.per_second.share(1, parts), rate.burst.share(1, parts), now);
-                let bucket = book.bucket.get_or_insert_with(fresh);
-                let retry = |retry_after| Refusal { why: Why::Rate, account: None, retry_after };
+                let bucket = tenant_account.bucket.get_or_insert_with(fresh);
+                let retry =
+                    |retry_after| Denial { reason: DenialReason::RateLimited, account: None, retry_after };
                 bucket.room(now, amount).map_err(retry)?;
                 bucket.take(amount);
             }
@@ -318,10 +330,10 @@
             }
         }
         self.write(Record::Reserved(Charge {
-            id: ask.id.into(),
-            tenant: ask.tenant.into(),
-            class: ask.class.into(),
-            identity: ask.identity.map(Into::into),
+            id: request.id.into(),
+            tenant: request.tenant.into(),
+            class: request.class.into(),
+            identity: request.identity.map(Into::into),
             at: now,
             amount,
             slots: places,
@@ -346,7 +358,7 @@
             _ => Usage::default(),
         };
         let cost = self.plan.weights.cost(usage);
-        if let Some(bucket) = self.books.get_mut(&open.tenant).and_then(|b| b.bucket.as_mut()) {
+        if let Some(bucket) = self.tenants.get_mut(&open.tenant).and_then(|b| b.bucket.as_mut()) {
             if cost <= open.amount {
                 bucket.give_back(open.amount.minus(cost));
             } else {
@@ -362,34 +374,35 @@
     ///
     /// # Errors
     /// If it is not this router's, not newer than the newest, or over; or if it can't be recorded.
-    pub fn adopt(&mut self, now: Time, grant: &Grant) -> Result<(), NotAdopted> {
+    pub fn adopt(&mut self, now: Time, grant: &Grant) -> Result<(), AdoptLeaseError> {
         let now = self.time(now);
         if grant.router != self.router {
-            return Err(NotAdopted::NotOurs);
+            return Err(AdoptLeaseError::NotOurs);
         }
         if grant.number <= self.state.lease.0 {
-            return Err(NotAdopted::Old);
+            return Err(AdoptLeaseError::Old);
         }
         if grant.until <= now {
-            return Err(NotAdopted::Expired);
+            return Err(AdoptLeaseError::Expired);
         }
         // Nothing new is taken meanwhile, and records that wait for the disk stay as many as requests are open.
         if !self.writable {
-            return Err(NotAdopted::NoLedger);
+            return Err(AdoptLeaseError::NoLedger);
         }
         let mut ceilings = Vec::with_capacity(grant.allowances.len());
         for a in &grant.allowances {
             // What is used can't be given back; the grantor learns it from the record.
-            let used = self.state.held.get(&a.key, a.span.start).used();
+            let used = self.state.usage.get(&a.key, a.span.start).used();
             ceilings.push((a.key.clone(), a.span, a.ceiling.max(used)));
-            if let Some(book) = self.books.get_mut(&a.key.tenant) {
-                book.told.insert(Place::new(&a.key, a.span.start), (a.limit, a.elsewhere));
+            if let Some(tenant_account) = self.tenants.get_mut(&a.key.tenant) {
+                tenant_account.told.insert(Place::new(&a.key, a.span.start), (a.limit, a.elsewhere));
             }
         }
         let mut wanted = Vec::new();
-        for book in self.books.values_mut() {
-            wanted
-                .extend(std::mem::take(&mut book.wanted).into_iter().map(|(k, (sum, most))| (k, sum, most)));
+        for tenant_account in self.tenants.values_mut() {
+            wanted.extend(
+                std::mem::take(&mut tenant_account.wanted).into_iter().map(|(k, (sum, most))| (k, sum, most)),
+            );
         }
         self.write(Record::Adopted(Adopted {
             number: grant.number,
@@ -399,9 +412,9 @@
             wanted,
         }));
         // As long as the sums remember a period.
-        for (tenant, book) in self.books.iter_mut().filter(|(_, b)| b.told.len() > TOLD) {
-            let mine = self.state.held.of_tenant(tenant);
-            book.told.retain(|place, _| mine.is_some_and(|m| m.contains_key(place)));
+        for (tenant, tenant_account) in self.tenants.iter_mut().filter(|(_, b)| b.told.len() > TOLD) {
+            let mine = self.state.usage.of_tenant(tenant);
+            tenant_account.told.retain(|place, _| mine.is_some_and(|m| m.contains_key(place)));
         }
         Ok(())
     }
@@ -417,17 +430,18 @@
         let now = self.time(now);
         let spans = Kind::ALL.map(|kind| (kind, self.plan.calendar.span(kind, now).start));
         let mut out: BTreeMap<Box<str>, Figures> = BTreeMap::new();
-        for (tenant, book) in &self.books {
-            let longest = book.limits.iter().filter(|(k, _)| k.class.is_none()).max_by_key(|(k, _)| k.kind);
+        for (tenant, tenant_account) in &self.tenants {
+            let longest =
+                tenant_account.limits.iter().filter(|(k, _)| k.class.is_none()).max_by_key(|(k, _)| k.kind);
             let figures = out.entry(tenant.clone()).or_default();
-            figures.refused = book.refused;
-            let Some((key, limit)) = longest.or(book.limits.last()) else { continue };
+            figures.refused = tenant_account.refused;
+            let Some((key, limit)) = longest.or(tenant_account.limits.last()) else { continue };
             let Some((_, start)) = spans.iter().find(|(kind, _)| *kind == key.kind) else { continue };
-            let held = self.state.held.get(key, *start);
-            (figures.spent, figures.reserved) = (held.spent.0, held.reserved.0);
+            let usage = self.state.usage.get(key, *start);
+            (figures.spent, figures.reserved) = (usage.spent.0, usage.reserved.0);
             figures.stranded = match self.plan.mode {
-                Mode::Leases { .. } => held.ceiling.map_or(0, |c| c.minus(held.used()).0),
-                mode => Account { key, limit, held, told: None }.room(mode, Time(0), now).0 .0,
+                Mode::Leases { .. } => usage.ceiling.map_or(0, |c| c.minus(usage.used()).0),
+                mode => Account { key, limit, usage, told: None }.room(mode, Time(0), now).0 .0,
             };
         }
         out
@@ -437,8 +451,8 @@
     pub(crate) fn hash_state(&self, into: &mut impl std::hash::Hasher) {
         use std::hash::Hash;
         self.state.hash(into);
-        for book in self.books.values() {
-            (&book.wanted, &book.told).hash(into);
+        for tenant_account in self.tenants.values() {
+            (&tenant_account.wanted, &tenant_account.told).hash(into);
         }
     }
 
@@ -452,41 +466,53 @@
 struct Account<'a> {
     key: &'a AccountKey,
     limit: &'a Limit,
-    held: Held,
+    usage: AccountUsage,
     told: Option<(Units, Units)>,
 }
 
 impl Account<'_> {
     /// What may still be used; why it is no more.
-    fn room(&self, mode: Mode, lease_until: Time, now: Time) -> (Units, Why) {
-        let (held, hard) = (self.held, self.limit.hard);
+    fn room(&self, mode: Mode, lease_until: Time, now: Time) -> (Units, DenialReason) {
+        let (usage, hard) = (self.usage, self.limit.hard);
         match mode {
             Mode::Shares(routers) => {
                 let part = hard.share(1, routers.into());
-                (part.minus(held.used()), if routers > 1 { Why::Part } else { Why::Budget })
+                (
+                    part.minus(usage.used()),
+                    if routers > 1 {
+                        DenialReason::RouterShareExhausted
+                    } else {
+                        DenialReason::BudgetExhausted
+                    },
+                )
             }
             Mode::Unreserved(_) => {
                 // The whole budget, known only here, against what is settled here.
-                let room = hard.minus(held.spent);
-                (if room > Units(0) { Units(u64::MAX) } else { room }, Why::Budget)
+                let room = hard.minus(usage.spent);
+                (if room > Units(0) { Units(u64::MAX) } else { room }, DenialReason::BudgetExhausted)
             }
-            Mode::Leases { .. } if lease_until <= now => (Units(0), Why::Lease),
+            Mode::Leases { .. } if lease_until <= now => (Units(0), DenialReason::NoLease),
             Mode::Leases { .. } => {
-                let Some(ceiling) = held.ceiling else { return (Units(0), Why::Part) };
-                let over = self.told.is_some_and(|(limit, elsewhere)| elsewhere.plus(held.used()) >= limit);
-                (ceiling.minus(held.used()), if over { Why::Budget } else { Why::Part })
+                let Some(ceiling) = usage.ceiling else {
+                    return (Units(0), DenialReason::RouterShareExhausted);
+                };
+                let over = self.told.is_some_and(|(limit, elsewhere)| elsewhere.plus(usage.used()) >= limit);
+                (
+                    ceiling.minus(usage.used()),
+                    if over { DenialReason::BudgetExhausted } else { DenialReason::RouterShareExhausted },
+                )
             }
         }
     }
 
     /// Thousandths of the budget that are used, over all routers as far as is known here.
     fn used_part(&self, mode: Mode, more: Units) -> u32 {
-        let (held, hard) = (self.held, self.limit.hard);
+        let (usage, hard) = (self.usage, self.limit.hard);
         let (whole, used) = match (mode, self.told) {
-            (Mode::Shares(n), _) => (hard.share(1, n.into()), held.used()),
-            (Mode::Unreserved(_), _) => (hard, held.spent),
-            (Mode::Leases { .. }, Some((limit, elsewhere))) => (limit, held.used().plus(elsewhere)),
-            (Mode::Leases { .. }, None) => (hard, held.used()),
+            (Mode::Shares(n), _) => (hard.share(1, n.into()), usage.used()),
+            (Mode::Unreserved(_), _) => (hard, usage.spent),
+            (Mode::Leases { .. }, Some((limit, elsewhere))) => (limit, usage.used().plus(elsewhere)),
+            (Mode::Leases { .. }, None) => (hard, usage.used()),
         };
         let part = u128::from(used.plus(more).0) * 1_000 / u128::from(whole.0.max(1));
         u32::try_from(part).unwrap_or(u32::MAX)
@@ -520,8 +546,8 @@
     }
 }
 
-fn by_tenant(plan: &Plan) -> BTreeMap<Box<str>, Book> {
-    let mut out: BTreeMap<Box<str>, Book> = BTreeMap::new();
+fn by_tenant(plan: &Plan) -> BTreeMap<Box<str>, TenantAccount> {
+    let mut out: BTreeMap<Box<str>, TenantAccount> = BTreeMap::new();
     for (key, limit) in &plan.limits {
         out.entry(key.tenant.clone()).or_default().limits.push((key.clone(), limit.clone()));
     }
--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chalkyard_budget::{Figures, Grant, Keeper, Key, Record, Settled, State, Time};
+use chalkyard_budget::{BudgetEnforcer, Figures, Grant, Record, Settled, SigningKey, State, Time};
 use chalkyard_ledger::{Folder, Limits, Writer};
 use chalkyard_router::shell::{Sink, SinkEvent};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
-use chalkyard_state::Act;
+use chalkyard_state::LifecycleAction;
 use tracing::{info, warn};
 
 use crate::line_budget::LineBudget;
@@ -51,10 +51,10 @@
 }
 
 /// Reads the key under which leases are signed.
-pub fn read_key(path: &Path) -> Result<Key, Trouble> {
+pub fn read_key(path: &Path) -> Result<SigningKey, Trouble> {
     let text =
         std::fs::read_to_string(path).map_err(|e| Trouble::BadInput(format!("{}: {e}", path.display())))?;
-    Key::new(&text).map_err(|why| Trouble::BadInput(format!("{}: {why}", path.display())))
+    SigningKey::new(&text).map_err(|why| Trouble::BadInput(format!("{}: {why}", path.display())))
 }
 
 /// The ledger of a running router.
@@ -73,7 +73,7 @@
 /// What recovery gave.
 pub struct Recovered {
     /// The decisions, with all that the ledger told.
-    pub keeper: Keeper,
+    pub enforcer: BudgetEnforcer,
     /// To go on writing.
     pub ledger: Ledger,
 }
@@ -113,14 +113,14 @@
         let thread = std::thread::Builder::new().name("grants".into()).spawn(watch);
         thread.map_err(|e| Trouble::CouldNotRun(format!("starting: {e}")))?;
     }
-    let keeper = match before {
-        None => Keeper::new(router, budgets.plan.clone(), state, now),
+    let enforcer = match before {
+        None => BudgetEnforcer::new(router, budgets.plan.clone(), state, now),
         Some(before) => {
             let news = news.clone();
             let listen = move || inherit(before, &news);
             let thread = std::thread::Builder::new().name("inherit".into()).spawn(listen);
             thread.map_err(|e| Trouble::CouldNotRun(format!("starting: {e}")))?;
-            Keeper::succeed(router, budgets.plan.clone(), state, now)
+            BudgetEnforcer::succeed(router, budgets.plan.clone(), state, now)
         }
     };
     let ledger = Ledger {
@@ -130,7 +130,7 @@
         failing: false,
         again: Instant::now(),
     };
-    Ok(Recovered { keeper, ledger })
+    Ok(Recovered { enforcer, ledger })
 }
 
 /// Gives the loop what the life before settles, until it is over.
@@ -157,7 +157,7 @@
 }
 
 /// Looks for new grants until the loop is gone.
-fn watch(file: &Path, key: &Key, news: &SyncSender<SinkEvent>) {
+fn watch(file: &Path, key: &SigningKey, news: &SyncSender<SinkEvent>) {
     let mut last = Vec::new();
     loop {
         std::thread::sleep(LOOK);
@@ -277,9 +277,9 @@
         serde_json::to_string(record).ok()
     }
 
-    fn lifecycle_action(&mut self, act: Act, at: Option<SocketAddr>) {
+    fn say(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
         match act {
-            Act::SayReady => {
+            LifecycleAction::NotifyReady => {
                 notify::say("READY=1\n");
                 if !std::mem::replace(&mut self.ready, true) {
                     let at = at.map(|a| a.to_string());
@@ -287,12 +287,17 @@
                     info!(target: "router", name = self.name, seed = self.seed, at, took_us, "ready");
                 }
             }
-            Act::SayReloading => notify::say("RELOADING=1\n"),
-            Act::SayStopping => notify::say("STOPPING=1\n"),
-            Act::StopTaking { .. } => info!(target: "router", "takes nothing new"),
-            Act::TakeAgain => info!(target: "router", "takes requests again"),
-            Act::AnswerAll => info!(target: "router", "what is open is told that the router stops"),
-            Act::Listen | Act::Leave | Act::Reload | Act::Exit(_) => {}
+            LifecycleAction::NotifyReloading => notify::say("RELOADING=1\n"),
+            LifecycleAction::NotifyStopping => notify::say("STOPPING=1\n"),
+            LifecycleAction::StopAccepting { .. } => info!(target: "router", "takes nothing new"),
+            LifecycleAction::ResumeAccepting => info!(target: "router", "takes requests again"),
+            LifecycleAction::AnswerOpenRequests => {
+                info!(target: "router", "what is open is told that the router stops")
+            }
+            LifecycleAction::Listen
+            | LifecycleAction::EnterLameDuck
+            | LifecycleAction::ReloadSettings
+            | LifecycleAction::Exit(_) => {}
         }
     }
 
@@ -375,6 +380,6 @@
 }
 
 /// A grant as it is written to its file.
-pub fn deliver(folder: &Path, key: &Key, grant: &Grant) -> std::io::Result<()> {
+pub fn deliver(folder: &Path, key: &SigningKey, grant: &Grant) -> std::io::Result<()> {
     replace(&folder.join(format!("{}.grant", grant.router)), &key.sign_grant(grant))
 }
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use chalkyard_budget::{Ask, Ending, Grant, Keeper, Key, Settler, State, Terms, Time, Usage};
+use chalkyard_budget::{
+    BudgetEnforcer, Ending, Grant, LeaseAllocator, LeaseTerms, ReservationRequest, SigningKey, State, Time,
+    Usage,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -15,30 +18,30 @@
 const START: Time = Time(1_796_100_000_000_000);
 /// As the settings' defaults.
 const EPOCH_US: u64 = 1_000_000;
-const TERMS: Terms = Terms { epoch: EPOCH_US, lease: 10_000_000, clock_error: 250_000, even: 4 };
+const TERMS: LeaseTerms = LeaseTerms { epoch: EPOCH_US, lease: 10_000_000, clock_error: 250_000, even: 4 };
 /// Rounds after the first, which names everything.
 const ROUNDS: usize = 2;
 
-/// One router's budgets: a real keeper.
+/// One router's budgets: a real enforcer.
 struct Member {
     name: String,
-    keeper: Keeper,
+    enforcer: BudgetEnforcer,
 }
 
 /// Measures a few rounds with the requests of an epoch between them.
 pub fn measure(size: &Size, seed: u64) -> Result<Vec<Value>, Error> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let key = Key::new(&"7".repeat(64))?;
+    let key = SigningKey::new(&"7".repeat(64))?;
     let plan = plan_for(size.tenants, size.routers as u32, EPOCH_US);
     let names: Vec<String> = (0..size.routers).map(|n| format!("r{n}")).collect();
     let before = ALLOCATOR.allocated();
-    let mut settler =
-        Settler::new(plan.clone(), TERMS, &names.iter().map(String::as_str).collect::<Vec<_>>());
+    let mut allocator =
+        LeaseAllocator::new(plan.clone(), TERMS, &names.iter().map(String::as_str).collect::<Vec<_>>());
     let mut members: Vec<Member> = names
         .iter()
         .map(|name| Member {
             name: name.clone(),
-            keeper: Keeper::new(name, plan.clone(), State::default(), START),
+            enforcer: BudgetEnforcer::new(name, plan.clone(), State::default(), START),
         })
         .collect();
     let (mut first, mut later) = (Vec::new(), Vec::new());
@@ -46,12 +49,12 @@
     for round in 0..=ROUNDS {
         let now = START.after(EPOCH_US * (round as u64 + 1));
         for member in &members {
-            settler.observe(&member.name, now, member.keeper.state());
+            allocator.observe(&member.name, now, member.enforcer.state());
         }
         let start = Instant::now();
-        let stands = settler.next(now).map_err(|fork| fork.to_string())?;
+        let stands = allocator.next_round(now).map_err(|fork| fork.to_string())?;
         decided.push(start.elapsed().as_secs_f64());
-        settler.learn(&stands);
+        allocator.apply_round(&stands);
         let grants: BTreeMap<&str, &Grant> = stands.grants.iter().map(|g| (&*g.router, g)).collect();
         for member in &mut members {
             let grant = grants.get(member.name.as_str()).ok_or("a router without a grant")?;
@@ -73,10 +76,10 @@
     ])
 }
 
-fn take(member: &mut Member, key: &Key, signed: &[u8], now: Time) -> Result<f64, Error> {
+fn take(member: &mut Member, key: &SigningKey, signed: &[u8], now: Time) -> Result<f64, Error> {
     let start = Instant::now();
     let grant: Grant = key.open_grant(signed).map_err(|e| e.to_string())?;
-    member.keeper.adopt(now, &grant).map_err(|e| format!("{e:?}"))?;
+    member.enforcer.adopt(now, &grant).map_err(|e| format!("{e:?}"))?;
     Ok(start.elapsed().as_secs_f64())
 }
 
@@ -85,12 +88,19 @@
         let tenant = format!("tenant-{:05}", random.random_range(0..size.tenants));
         let id = format!("{}-{}-{n}", member.name, now.0);
         let at = now.after(n);
-        let ask = Ask { id: &id, tenant: &tenant, class: "help", identity: None, prompt: 900, output: 400 };
-        if member.keeper.admit(at, ask).is_ok() {
+        let request = ReservationRequest {
+            id: &id,
+            tenant: &tenant,
+            class: "help",
+            identity: None,
+            prompt: 900,
+            output: 400,
+        };
+        if member.enforcer.admit(at, request).is_ok() {
             let usage = Usage { prompt: 910, kept: 64, output: 120 };
-            member.keeper.settle(at, &id, Ending::Served, usage, (Some(0), Some(1)), true);
+            member.enforcer.settle(at, &id, Ending::Served, usage, (Some(0), Some(1)), true);
         }
     }
     // The ledger's part, which nobody reads here.
-    member.keeper.take_records().for_each(drop);
+    member.enforcer.take_records().for_each(drop);
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -129,7 +129,7 @@
 
 /// Streams of a stopping router are migrated evenly within this window: all at once, at its end, they would overload the
 /// other routers.
-#[derive(Debug, Clone, Copy)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MigrationWindow {
     /// From the beginning of the graceful shutdown to the first migration.
     pub from: p::Micros,
--- a/crates/router/src/core/attempt.rs
+++ b/crates/router/src/core/attempt.rs
@@ -101,3 +101,7 @@
         Outcome::NotSent => "not_sent",
     }
 }
+
+#[cfg(test)]
+#[path = "attempt_test.rs"]
+mod tests;
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use chalkyard_api::client::{ErrorBody, ErrorKind};
-use chalkyard_budget::{Ask, Ending, Figures, Grant, Keeper, Plan, Settled, Time, Usage, Why};
+use chalkyard_budget::{
+    BudgetEnforcer, DenialReason, Ending, Figures, Grant, Plan, ReservationRequest, Settled, Time, Usage,
+};
 use chalkyard_policy as p;
 
 use super::active_request::ActiveRequest;
@@ -15,9 +17,9 @@
 impl Core {
     /// Enforces budgets from now on; to be called before the start. Requests that may have run in an earlier process and
     /// must not run twice are known from its ledger.
-    pub fn keep_budgets(&mut self, keeper: Keeper) {
+    pub fn keep_budgets(&mut self, budgets: BudgetEnforcer) {
         let (now, wait) = (self.now, self.config.timeouts.identity);
-        for ran in &keeper.state().ran {
+        for ran in &budgets.state().ran {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
             let class = self.config.classes.iter().position(|c| *c.name == *ran.class);
             let class = class.and_then(|c| self.config.policy.classes.get(c));
@@ -29,7 +31,7 @@
                 self.identities.restore(&identity, until);
             }
         }
-        self.budgets = Some(keeper);
+        self.budgets = Some(budgets);
     }
 
     /// Tenants' budget figures, for metrics.
@@ -43,19 +45,19 @@
 
     /// Gives the ledger's records out. Outputs that follow must not overtake them.
     pub(super) fn write_records(&mut self) {
-        let Some(keeper) = &mut self.budgets else { return };
-        let records = keeper.take_records();
+        let Some(budgets) = &mut self.budgets else { return };
+        let records = budgets.take_records();
         self.outputs.extend(records.map(|(number, record)| Output::Record(number, Box::new(record))));
     }
 
     /// Reserves a request's budget, with a shorter answer or a lower class where that is agreed; or rejects it.
     pub(super) fn reserve_budget(&mut self, request: &mut ActiveRequest) -> Result<(), Rejection> {
         let now = self.time();
-        let Self { budgets: Some(keeper), config, .. } = self else { return Ok(()) };
+        let Self { budgets: Some(budgets), config, .. } = self else { return Ok(()) };
         let tenant = request.spec.tenant.and_then(|t| config.tenants.get(t.0));
         let class = config.classes.get(request.spec.class.0).map_or("", |c| c.name.as_str());
         let id = request.spec.id.0.clone();
-        let ask = Ask {
+        let reservation = ReservationRequest {
             id: &id,
             tenant: tenant.map_or("", |t| t.name.as_str()),
             class,
@@ -63,10 +65,10 @@
             prompt: request.spec.prompt_tokens,
             output: request.spec.max_output,
         };
-        let admission = keeper.admit(now, ask).map_err(|refusal| {
-            let status = if refusal.why == Why::Ledger { 503 } else { 429 };
-            let retry_after = Some(p::Micros(refusal.retry_after).as_secs_f64());
-            let reason = refusal.to_string();
+        let admission = budgets.admit(now, reservation).map_err(|denial| {
+            let status = if denial.reason == DenialReason::LedgerUnavailable { 503 } else { 429 };
+            let retry_after = Some(p::Micros(denial.retry_after).as_secs_f64());
+            let reason = denial.to_string();
             let body =
                 ErrorBody { kind: ErrorKind::Refused, reason, field: None, may_have_run: false, retry_after };
             Rejection { status, body }
@@ -87,7 +89,7 @@
     /// The final answer is given: what the request has cost is known.
     pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: Ended) {
         let now = self.time();
-        let Some((keeper, request)) = self.budgets.as_mut().zip(self.requests.get(id)) else { return };
+        let Some((budgets, request)) = self.budgets.as_mut().zip(self.requests.get(id)) else { return };
         let begun = request.is_streaming();
         let ending = match ended {
             Ended::Served => Ending::Served,
@@ -100,24 +102,24 @@
             Ended::ClientGone | Ended::ClientSlow => Ending::LeftEarly,
         };
         let usage: Usage = request.billed_tokens(ending == Ending::Left);
-        keeper.settle(now, &id.0, ending, usage, request.billed_attempts(), request.may_have_run());
+        budgets.settle(now, &id.0, ending, usage, request.billed_attempts(), request.may_have_run());
         self.write_records();
     }
 
     pub(super) fn lease_granted(&mut self, grant: &Grant) {
         let now = self.time();
-        let Some(keeper) = &mut self.budgets else { return };
-        match keeper.adopt(now, grant) {
+        let Some(budgets) = &mut self.budgets else { return };
+        match budgets.adopt(now, grant) {
             Ok(()) => self.write_records(),
-            // The file is read again and again: an old one is no news.
-            Err(chalkyard_budget::NotAdopted::Old) => {}
-            Err(why) => self.note("budget", format!("lease {} is not taken: {why:?}", grant.number)),
+            // The lease is read again and again: an old one changes nothing.
+            Err(chalkyard_budget::AdoptLeaseError::Old) => {}
+            Err(error) => self.note("budget", format!("lease {} is not taken: {error:?}", grant.number)),
         }
     }
 
     pub(super) fn ledger_writable(&mut self, writable: bool) {
-        if let Some(keeper) = &mut self.budgets {
-            keeper.set_writable(writable);
+        if let Some(budgets) = &mut self.budgets {
+            budgets.set_writable(writable);
             let what =
                 if writable { "can be written again" } else { "can't be written: nothing new is taken" };
             self.note("ledger", format!("the ledger {what}"));
@@ -125,31 +127,31 @@
     }
 
     pub(super) fn checkpoint(&mut self) {
-        if let Some(keeper) = &mut self.budgets {
-            keeper.checkpoint();
+        if let Some(budgets) = &mut self.budgets {
+            budgets.checkpoint();
             self.write_records();
         }
     }
 
     pub(super) fn settled_by_predecessor(&mut self, settled: &Settled) {
         let now = self.time();
-        if let Some(keeper) = &mut self.budgets {
-            keeper.inherit(now, settled);
+        if let Some(budgets) = &mut self.budgets {
+            budgets.inherit(now, settled);
             self.write_records();
         }
     }
 
     pub(super) fn predecessor_finished(&mut self) {
         let now = self.time();
-        if let Some(keeper) = &mut self.budgets {
-            keeper.inherited_all(now);
+        if let Some(budgets) = &mut self.budgets {
+            budgets.inherited_all(now);
             self.write_records();
         }
     }
 
     pub(super) fn replace_budget_plan(&mut self, plan: Plan) {
-        if let Some(keeper) = &mut self.budgets {
-            keeper.replan(plan);
+        if let Some(budgets) = &mut self.budgets {
+            budgets.replan(plan);
             self.note("budget", "other budgets hold from now on; what is spent stays".into());
         }
     }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -33,7 +33,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use chalkyard_budget::Keeper;
+use chalkyard_budget::BudgetEnforcer;
 use chalkyard_policy as p;
 use chalkyard_policy::{Action, Event, Micros};
 
@@ -108,7 +108,7 @@
     /// Releases that no worker has answered yet.
     releases: BTreeMap<ReleaseId, Release>,
     identities: IdentityTable,
-    budgets: Option<Keeper>,
+    budgets: Option<BudgetEnforcer>,
     discovery: DiscoveryState,
     /// Bytes of request bodies that have come and may still have to be sent.
     body_bytes: u64,
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use chalkyard_state::Event as LifecycleEvent;
+use chalkyard_state::LifecycleEvent;
 use mio::Waker;
 
 use super::Handover;
--- a/crates/router/src/shell/lifecycle.rs
+++ b/crates/router/src/shell/lifecycle.rs
@@ -3,7 +3,7 @@
 use std::os::fd::AsFd;
 use std::sync::mpsc::SyncSender;
 
-use chalkyard_state::{Act, Event as LifecycleEvent, Phase};
+use chalkyard_state::{LifecycleAction, LifecycleEvent, Phase};
 use mio::Interest;
 
 use super::connections::ACCEPTS_A_TURN;
@@ -15,8 +15,8 @@
     /// What the loop itself can tell the router's life.
     pub(super) fn check_lifecycle(&mut self) {
         match self.lifecycle.phase() {
-            Phase::Starting if self.core.has_list() => self.lifecycle_event(LifecycleEvent::Listed),
-            Phase::Ending | Phase::Farewell => {
+            Phase::Starting if self.core.has_list() => self.lifecycle_event(LifecycleEvent::EndpointsKnown),
+            Phase::Draining | Phase::Flushing => {
                 let open = self.core.open_requests() + self.core.open_clients() + self.core.open_releases();
                 if open == 0 && self.lingering == 0 {
                     self.lifecycle_event(LifecycleEvent::Idle);
@@ -34,7 +34,7 @@
         match listener.as_fd().try_clone_to_owned() {
             Ok(listener) => {
                 // All that was taken until now is in the ledger before it is given up.
-                self.lifecycle_event(LifecycleEvent::Succeeded);
+                self.lifecycle_event(LifecycleEvent::ListenerHandedOver);
                 self.flush();
                 let settled = self.sink.hand_over_ledger();
                 let _ = answer.try_send(Handover { listener, settled });
@@ -44,25 +44,25 @@
     }
 
     pub(super) fn lifecycle_event(&mut self, event: LifecycleEvent) {
-        let mut acts = Vec::new();
-        self.lifecycle.handle(self.clock.now().0, event, &mut acts);
-        for act in acts {
-            self.perform(act);
+        let mut actions = Vec::new();
+        self.lifecycle.handle(self.clock.now().0, event, &mut actions);
+        for action in actions {
+            self.perform(action);
         }
     }
 
-    pub(super) fn perform(&mut self, act: Act) {
-        match act {
-            Act::Listen => {
+    pub(super) fn perform(&mut self, action: LifecycleAction) {
+        match action {
+            LifecycleAction::Listen => {
                 let event =
                     if self.listen() { LifecycleEvent::Listening } else { LifecycleEvent::ListenFailed };
                 self.lifecycle_event(event);
             }
-            Act::Leave => {
+            LifecycleAction::EnterLameDuck => {
                 self.core.leave(self.clock.now());
                 self.sink.counters(self.core.counters());
             }
-            Act::StopTaking { .. } => {
+            LifecycleAction::StopAccepting { .. } => {
                 // Who has connected before is heard: a listening socket that goes resets those that wait at it.
                 for _ in 0..=BACKLOG / ACCEPTS_A_TURN {
                     if !self.accept() {
@@ -73,7 +73,7 @@
                 self.accept_at = None;
                 self.core.drain(self.clock.now(), &mut self.outputs);
             }
-            Act::TakeAgain => {
+            LifecycleAction::ResumeAccepting => {
                 if self.listen() {
                     self.core.undrain();
                 } else {
@@ -81,19 +81,21 @@
                     self.lifecycle_event(LifecycleEvent::Drain);
                 }
             }
-            Act::Reload => self.sink.reload(),
-            Act::AnswerAll => self.core.answer_all(self.clock.now(), &mut self.outputs),
-            Act::Exit(stop) => self.stop = Some(stop),
-            Act::SayReady | Act::SayReloading | Act::SayStopping => {}
+            LifecycleAction::ReloadSettings => self.sink.reload(),
+            LifecycleAction::AnswerOpenRequests => self.core.answer_all(self.clock.now(), &mut self.outputs),
+            LifecycleAction::Exit(stop) => self.stop = Some(stop),
+            LifecycleAction::NotifyReady
+            | LifecycleAction::NotifyReloading
+            | LifecycleAction::NotifyStopping => {}
         }
-        self.sink.lifecycle_action(act, Some(self.listen_address.at()));
+        self.sink.lifecycle_action(action, Some(self.listen_address.at()));
     }
 
     /// Begins to listen. A call that fails for a moment is made again; at the start for longer, since nothing else is
     /// done meanwhile and a router that does not listen ends.
     pub(super) fn listen(&mut self) -> bool {
         let attempts =
-            if self.lifecycle.phase() == Phase::Opening { STARTUP_ATTEMPTS } else { RUNTIME_ATTEMPTS };
+            if self.lifecycle.phase() == Phase::Binding { STARTUP_ATTEMPTS } else { RUNTIME_ATTEMPTS };
         let listening = with_retries(attempts, || {
             let mut listener = self.listen_address.listen()?;
             self.poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
