--- a/crates/daemon/src/keeping.rs
+++ b/crates/daemon/src/keeping.rs
@@ -277,7 +277,7 @@
         serde_json::to_string(record).ok()
     }
 
-    fn say(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
+    fn lifecycle_action(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
         match act {
             LifecycleAction::NotifyReady => {
                 notify::say("READY=1\n");
--- a/crates/daemon/src/logs_test.rs
+++ b/crates/daemon/src/logs_test.rs
@@ -119,13 +119,13 @@
 fn a_transition_is_one_line_with_every_field_that_is_known() {
     let transition = Transition {
         id: "r1-1".into(),
-        change: Change::ReleasedBesideAttempt,
+        change: Change::ReleasedDuringAttempt,
         cause: "held_time_up",
         attempt: Some(1),
         worker: Some("w1".into()),
         connection: Some(2),
         rested_us: Some(3),
-        unheard_us: Some(4),
+        last_reply_us: Some(4),
         age_us: 5,
     };
     assert_eq!(
@@ -142,7 +142,7 @@
         worker: None,
         connection: None,
         rested_us: None,
-        unheard_us: None,
+        last_reply_us: None,
         ..transition
     };
     assert_eq!(
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -85,7 +85,7 @@
 
     fn store_endpoint_list(&mut self, _text: &str) {}
 
-    fn say(&mut self, act: LifecycleAction, _at: Option<std::net::SocketAddr>) {
+    fn lifecycle_action(&mut self, act: LifecycleAction, _at: Option<std::net::SocketAddr>) {
         match act {
             LifecycleAction::NotifyReady => info!(target: "router", "ready"),
             LifecycleAction::EnterLameDuck => info!(target: "router", "told to end; takes what still comes"),
