--- a/crates/router/src/shell/clock.rs
+++ b/crates/router/src/shell/clock.rs
@@ -1,4 +1,4 @@
-//! The shell's clock, and how fine its waits are.
+//! The shell's clock, and the granularity of its waits.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The loop's real granularity: how late a wait of 1 ms ends, over a few of them, at least 1 ms.
+/// The loop's granularity: the longest of a few waits of 1 ms, between 1 and 10 ms.
 pub fn granularity() -> Micros {
     let Ok(mut poll) = Poll::new() else { return Micros(2_000) };
     let mut events = Events::with_capacity(1);
--- a/crates/router/src/shell/connect.rs
+++ b/crates/router/src/shell/connect.rs
@@ -1,4 +1,4 @@
-//! Connections of a router's own are begun, and begun again where the system could not for a moment.
+//! Connections to workers and service discovery are begun, with retries where the system could not for a moment.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,21 +10,23 @@
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
-/// A connection that could not be begun is tried so often in all, with this pause: less than any wait for connections, after
-/// which the core gives it up by itself.
+/// How often a connection is begun in all.
 const CONNECT_ATTEMPTS: u32 = 10;
+/// The pause between two attempts. All pauses together are shorter than any connect timeout, after which the core gives the
+/// connection up by itself.
 const PAUSE: Duration = Duration::from_millis(8);
 
+/// A connection that is begun again.
 #[derive(Debug)]
 struct ConnectRetry {
     at: Instant,
     id: ConnId,
     address: SocketAddr,
-    /// Tries so far.
+    /// Attempts so far.
     attempts: u32,
 }
 
-/// Connections that wait for their next try: no more than the core has asked for and not given up.
+/// Connections that wait for their next attempt: no more than the core has asked for and not given up.
 #[derive(Debug, Default)]
 pub(super) struct ConnectRetries(Vec<ConnectRetry>);
 
@@ -33,7 +35,7 @@
         self.0.iter().map(|r| r.at).min()
     }
 
-    /// The core has given this one up.
+    /// The core has given a connection up.
     pub(super) fn forget(&mut self, id: ConnId) {
         self.0.retain(|r| r.id != id);
     }
@@ -48,7 +50,7 @@
         self.attempt_connect(id, address, 1);
     }
 
-    /// Tries again what is due.
+    /// Begins the connections that are due.
     pub(super) fn retry_connects(&mut self) {
         for ConnectRetry { id, address, attempts, .. } in self.connect_retries.take_due(Instant::now()) {
             self.attempt_connect(id, address, attempts + 1);
@@ -63,14 +65,14 @@
             self.connect_retries.0.push(ConnectRetry { at: Instant::now() + PAUSE, id, address, attempts });
             return;
         }
-        // Said of the way to the peer, or for want of something here.
-        let unreached = refused || is_of_the_way(&error);
-        let input = if unreached { Input::Lost(id) } else { Input::NotStarted(id) };
+        // Either the peer can't be reached, or local resources are missing.
+        let is_unreachable = refused || is_network_error(&error);
+        let input = if is_unreachable { Input::Lost(id) } else { Input::NotStarted(id) };
         self.core.handle(self.clock.now(), input, &mut self.outputs);
     }
 }
 
-fn is_of_the_way(error: &io::Error) -> bool {
+fn is_network_error(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut};
     matches!(error.kind(), ConnectionReset | HostUnreachable | NetworkUnreachable | TimedOut)
 }
--- a/crates/router/src/shell/connection.rs
+++ b/crates/router/src/shell/connection.rs
@@ -8,9 +8,12 @@
 
 use crate::ConnId;
 
+/// How far a connection has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionState {
+    /// It does not stand yet.
     Connecting,
+    /// It can be read and written.
     Open,
     /// To be closed once all is written.
     Closing,
@@ -25,45 +28,58 @@
     LeaveUnread,
 }
 
+/// A connection of either side.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) id: ConnId,
     pub(super) stream: TcpStream,
-    /// Bytes to write, of which the first `done` are written: what is said in one turn goes out at once.
+    /// Bytes to write: those of one group of events are written together.
     pub(super) unsent: Vec<u8>,
+    /// How many of `unsent`, from the front, the system has taken.
     pub(super) written: usize,
-    /// Nothing of what is to be written was yet.
+    /// The system has taken none of them.
     pub(super) is_unwritten: bool,
     pub(super) state: ConnectionState,
+    /// Not to be read for now.
     pub(super) paused: bool,
-    /// Readable since the last time that reading had to wait.
+    /// Readable since the last read that would have blocked.
     pub(super) readable: bool,
-    /// The peer has closed its side, or reset the connection; what it said before may not have been read yet.
+    /// The peer has closed its side, or reset the connection; what came before may not have been read yet.
     pub(super) end_pending: bool,
-    /// The same, and it stays so once it was heard.
+    /// The same; it stays set once the core was notified.
     pub(super) peer_closed: bool,
+    /// All is written, and this side is closed.
     pub(super) write_shut: bool,
-    /// Of one that is closing.
+    /// What becomes of bytes that still come, once it is closing.
     pub(super) after_close: AfterClose,
-    /// Closing: when that began, and whether the peer has taken anything since it was last looked at.
+    /// When closing began.
     pub(super) closing_since: Option<Instant>,
+    /// The peer has taken bytes since the last check of a lingering connection.
     pub(super) took_bytes: bool,
 }
 
-/// The token of a connection: its own number, so that an event meant for one that is gone meets no other.
+/// When a lingering connection is dropped, unless the peer still takes bytes.
+#[derive(Debug)]
+pub(super) struct LingerDeadline {
+    pub(super) at: Instant,
+    pub(super) key: usize,
+    pub(super) id: ConnId,
+}
+
+/// The token of a connection: its own number, so that an event for one that is gone reaches no other.
 pub(super) fn token(id: ConnId) -> Token {
     Token(usize::try_from(id.0).map_or(usize::MAX, |n| n.saturating_add(1)))
 }
 
 impl Connection {
-    /// Whether an engine's connection that is about to carry a call has closed, or brought what nobody asked for, since
-    /// it was last read: the call would be eaten, or answered by what is not its answer. Nothing of it is written yet.
+    /// Whether a connection to a worker that is about to carry a call was closed, or has brought bytes, since it was last
+    /// read: the call would be lost, or answered by what is not its reply. Nothing of the call is written yet.
     pub(super) fn has_unexpected_bytes(&self) -> bool {
         let begins = self.is_unwritten && self.state == ConnectionState::Open;
         begins && self.id.is_to_worker() && self.peek().is_ok()
     }
 
-    /// Looks for a byte without taking it; an interrupted look is made again.
+    /// Peeks for a byte; an interrupted call is repeated.
     pub(super) fn peek(&self) -> io::Result<usize> {
         loop {
             match self.stream.peek(&mut [0]) {
@@ -73,7 +89,7 @@
         }
     }
 
-    /// Whether it has written all, closed its side, and knows that the peer has closed its own: nothing is left to do.
+    /// Whether all is written and both sides are closed.
     pub(super) fn is_over(&self) -> bool {
         self.state == ConnectionState::Closing && self.write_shut && self.peer_closed
     }
--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -1,8 +1,7 @@
-//! Connections of a shell: opened, read, written, closed with a bounded linger, and taken from the listening socket.
+//! Connections of a shell: added, read, written and removed.
 
 use std::io::{self, Read, Write};
 use std::net::Shutdown;
-use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
 use mio::Interest;
@@ -12,29 +11,14 @@
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
-/// Bytes read at once, and so many such reads from one connection before others have their turn.
+/// Bytes of one read.
 pub(super) const READ_BYTES: usize = 16 * 1024;
+/// Reads of one connection before others have their turn.
 const READS_A_TURN: usize = 8;
-/// Written bytes at the front of a buffer that are dropped together.
+/// So many written bytes at the front of a buffer are dropped together.
 const COMPACT_BYTES: usize = 64 * 1024;
-/// Connections taken at once before others have their turn.
-pub(super) const ACCEPTS_A_TURN: usize = 64;
-/// A connection that is closed has this long to close its side, and, while it takes something of what is left in each
-/// such span, so long in all.
-const LINGER: Duration = Duration::from_secs(2);
-const LINGER_MOST: Duration = Duration::from_secs(10);
-/// Out of file descriptors, no connection is taken for this span: what waits is not seen, and its time runs.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// So many other failures in one turn are passed over; one that lasts pauses as well, and does not spin the loop.
-const ACCEPT_FAILURES: u32 = 16;
-/// accept(2): the process, or the system, has no descriptor left.
-const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
-
-fn is_out_of_descriptors(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|code| OUT_OF_DESCRIPTORS.contains(&code))
-}
-
 impl<S: Sink> Shell<S> {
+    /// Takes a socket into the loop.
     pub(super) fn add(
         &mut self,
         id: ConnId,
@@ -66,6 +50,7 @@
         Ok(key)
     }
 
+    /// Drops a connection, which closes its socket.
     pub(super) fn remove(&mut self, key: usize) -> Option<ConnId> {
         let mut connection = self.connections.try_remove(key)?;
         let _ = self.poll.registry().deregister(&mut connection.stream);
@@ -78,7 +63,7 @@
         Some(connection.id)
     }
 
-    /// The connection failed: the core hears of it unless it has closed it itself.
+    /// The connection failed: the core is notified unless it has closed it itself.
     pub(super) fn lost(&mut self, key: usize) {
         let closing = self.connections.get(key).is_some_and(|s| s.state == ConnectionState::Closing);
         if let Some(id) = self.remove(key) {
@@ -88,62 +73,13 @@
         }
     }
 
-    pub(super) fn close(&mut self, id: ConnId, after_close: AfterClose) {
-        let Some(key) = self.by_id.get(&id).copied() else { return };
-        // What still has something to be told stays, beyond the bound: its descriptor was a client's, and no other
-        // client is taken meanwhile.
-        self.drop_finished_lingering(self.max_lingering.saturating_sub(1));
-        if let Some(connection) = self.connections.get_mut(key) {
-            let now = Instant::now();
-            connection.state = ConnectionState::Closing;
-            connection.after_close = after_close;
-            (connection.closing_since, connection.took_bytes) = (Some(now), false);
-            self.linger_deadlines.push_back((now + LINGER, key, id));
-            connection.paused = false;
-            self.lingering += 1;
-            self.to_write.insert(key);
-            self.to_read.push_back(key);
-        }
-    }
-
-    /// Closes a connection on which no request is open, unless its client has said something meanwhile or has gone: that
-    /// is heard instead.
-    pub(super) fn close_if_quiet(&mut self, id: ConnId) {
-        let Some(key) = self.by_id.get(&id).copied() else { return };
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let quiet = matches!(connection.peek(), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-        if quiet {
-            self.close(id, AfterClose::LeaveUnread);
-            self.core.handle(self.clock.now(), Input::Lost(id), &mut self.outputs);
-        } else {
-            connection.readable = true;
-            self.to_read.push_back(key);
-        }
-    }
-
-    /// Whether what waits to be written to this connection begins a call to an engine.
+    /// Whether what waits to be written to this connection begins a call to a worker.
     pub(super) fn begins_call(&self, key: usize) -> bool {
         self.connections
             .get(key)
             .is_some_and(|s| s.is_unwritten && s.id.is_to_worker() && s.state == ConnectionState::Open)
     }
 
-    /// Of more than so many that linger, those that were told all give way, the oldest first. True: no more are left.
-    pub(super) fn drop_finished_lingering(&mut self, most: usize) -> bool {
-        let mut cuts = self.linger_deadlines.iter();
-        let mut told = Vec::new();
-        while self.lingering - told.len() > most {
-            let Some((_, key, id)) = cuts.next() else { break };
-            if self.connections.get(*key).is_some_and(|s| s.id == *id && s.write_shut) {
-                told.push(*key);
-            }
-        }
-        for key in told {
-            self.remove(key);
-        }
-        self.lingering <= most
-    }
-
     pub(super) fn pause(&mut self, id: ConnId, paused: bool) {
         let Some(key) = self.by_id.get(&id).copied() else { return };
         let Some(connection) = self.connections.get_mut(key) else { return };
@@ -187,8 +123,8 @@
         }
     }
 
-    /// Reads until the system says that nothing is left, or others have their turn. A read that doesn't fill the buffer
-    /// proves nothing: what it left behind would not be told of again.
+    /// Reads until a read would block, or others have their turn. A read that doesn't fill the buffer proves nothing: there
+    /// would be no other event for what it left.
     pub(super) fn read(&mut self, key: usize) {
         for n in 0..READS_A_TURN {
             if n > 0 && self.is_turn_over() {
@@ -280,7 +216,7 @@
         false
     }
 
-    /// A client that is not read has gone all the same, and what it said ahead with it.
+    /// A client that is not read has gone all the same, and what it sent before with it.
     fn notice_departure(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.end_pending = false;
@@ -322,7 +258,7 @@
         if written && closing && !connection.write_shut {
             connection.write_shut = true;
             let _ = connection.stream.shutdown(Shutdown::Write);
-            // The peer may have closed before: then nothing more will be told of it.
+            // The peer may have closed before: then there will be no other event.
             connection.paused = false;
             self.to_read.push_back(key);
         }
@@ -333,56 +269,4 @@
             self.lost(key);
         }
     }
-
-    /// Cuts connections that linger past their time.
-    pub(super) fn sweep(&mut self) {
-        let now = Instant::now();
-        while let Some((_, key, id)) = self.linger_deadlines.pop_front_if(|(at, ..)| *at <= now) {
-            if self.by_id.get(&id) != Some(&key) {
-                continue;
-            }
-            let told = self.connections.get(key).is_some_and(|s| s.write_shut);
-            // The system tells of room only once there is much of it: a slow peer has taken something before.
-            self.write(key);
-            let Some(connection) = self.connections.get_mut(key).filter(|s| s.id == id) else { continue };
-            let may = connection.closing_since.is_some_and(|at| now < at + LINGER_MOST);
-            if may && !told && std::mem::take(&mut connection.took_bytes) {
-                self.linger_deadlines.push_back((now + LINGER, key, id));
-            } else {
-                self.remove(key);
-            }
-        }
-    }
-
-    /// Takes connections that have come; true: there may be more.
-    pub(super) fn accept(&mut self) -> bool {
-        self.accept_at = None;
-        let mut failures = 0;
-        for _ in 0..ACCEPTS_A_TURN {
-            if !self.drop_finished_lingering(self.max_lingering) {
-                self.accept_at = Some(Instant::now() + ACCEPT_PAUSE);
-                return false;
-            }
-            let Some(listener) = &self.listener else { return false };
-            match listener.accept() {
-                Ok((stream, _)) => {
-                    let id = ConnId(self.next_client);
-                    self.next_client += 2;
-                    if self.add(id, stream, ConnectionState::Open).is_ok() {
-                        self.feed(Input::Accepted(id));
-                    }
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
-                // Of one connection alone, or gone at the next call: others wait behind it, and their time runs.
-                Err(e) if !is_out_of_descriptors(&e) && failures < ACCEPT_FAILURES => failures += 1,
-                Err(e) => {
-                    self.sink.note("accept", &format!("no connection can be taken for now: {e}"));
-                    self.accept_at = Some(Instant::now() + ACCEPT_PAUSE);
-                    return false;
-                }
-            }
-        }
-        self.accept_at = Some(Instant::now());
-        true
-    }
 }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -14,9 +14,9 @@
 /// What an operator asks of a running router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminQuery {
-    /// Where it stands.
+    /// Its counts and its phase.
     Status,
-    /// Its engines.
+    /// Its workers.
     Engines,
     /// Its open requests.
     Requests,
@@ -24,18 +24,19 @@
     Trace(String),
 }
 
+/// A command, with the channel for its answer.
 #[derive(Debug)]
 pub(super) enum Command {
     Lifecycle(LifecycleEvent),
     Query(AdminQuery, SyncSender<String>),
-    /// With who was first: the loop, which gives, or the asker, who has stopped waiting.
+    /// With a flag that whoever is first sets: the loop, as it hands over, or the caller, as it stops waiting.
     HandOver(SyncSender<Handover>, Arc<AtomicBool>),
 }
 
-/// Commands from other threads that wait for the loop; one more is not taken.
+/// The most commands that wait for the loop.
 const COMMANDS: usize = 64;
 
-/// Speaks to a running shell from another thread.
+/// Gives commands to a running shell from another thread.
 #[derive(Debug, Clone)]
 pub struct Handle {
     pub(super) waker: Arc<Waker>,
@@ -52,19 +53,19 @@
         self.waker.wake().is_ok()
     }
 
-    /// Tells the router's life of something: a signal, or an operator's wish. False: it can't be told now.
+    /// Notifies the lifecycle of a signal or an operator's command. False: too many commands wait.
     pub fn notify(&self, event: LifecycleEvent) -> bool {
         self.put(Command::Lifecycle(event))
     }
 
-    /// Asks; none if there is no answer within the time.
+    /// Answers a query; none if there is no answer within the time.
     pub fn query(&self, query: AdminQuery, within: Duration) -> Option<String> {
         let (answer, got) = sync_channel(1);
         self.put(Command::Query(query, answer)).then(|| got.recv_timeout(within).ok()).flatten()
     }
 
-    /// Has the router give its listening socket, and its ledger, to a successor; none if it has none to give, or
-    /// does not answer in time.
+    /// Has the router hand its listening socket and its ledger over to the next process; none if it has none, or does not
+    /// answer in time.
     pub fn hand_over(&self, within: Duration) -> Option<Handover> {
         let (answer, got) = sync_channel(1);
         let decided = Arc::new(AtomicBool::new(false));
@@ -72,7 +73,7 @@
             return None;
         }
         match got.recv_timeout(within) {
-            // The loop was first: it is about to answer, or its end drops the other side.
+            // The loop was first: it is about to answer, or has ended and dropped the channel.
             Err(RecvTimeoutError::Timeout) if decided.swap(true, Ordering::SeqCst) => got.recv().ok(),
             other => other.ok(),
         }
--- a/crates/router/src/shell/lifecycle.rs
+++ b/crates/router/src/shell/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The router's life at the shell: signals and wishes reach it, and what it says is done to sockets and core.
+//! The lifecycle at the shell: signals and commands are its events, and its actions are carried out on sockets and core.
 
 use std::os::fd::AsFd;
 use std::sync::mpsc::SyncSender;
@@ -6,13 +6,13 @@
 use chalkyard_state::{LifecycleAction, LifecycleEvent, Phase};
 use mio::Interest;
 
-use super::connections::ACCEPTS_A_TURN;
+use super::accept::ACCEPTS_A_TURN;
 use super::listen::BACKLOG;
 use super::retry::{with_retries, RUNTIME_ATTEMPTS, STARTUP_ATTEMPTS};
 use super::{AdminQuery, Handover, Shell, Sink, LISTENER};
 
 impl<S: Sink> Shell<S> {
-    /// What the loop itself can tell the router's life.
+    /// Notifies the lifecycle of what the loop itself can see.
     pub(super) fn check_lifecycle(&mut self) {
         match self.lifecycle.phase() {
             Phase::Starting if self.core.has_list() => self.lifecycle_event(LifecycleEvent::EndpointsKnown),
@@ -27,13 +27,14 @@
         self.lifecycle_event(LifecycleEvent::Tick);
     }
 
-    /// Connections that were not taken yet wait in the socket for the successor: none is refused or reset.
+    /// Hands the listening socket over. Connections that were not accepted yet wait in it for the next process: none is
+    /// refused or reset.
     pub(super) fn hand_over(&mut self, answer: &SyncSender<Handover>) {
         let ready = matches!(self.lifecycle.phase(), Phase::Ready);
         let Some(listener) = self.listener.as_ref().filter(|_| ready) else { return };
         match listener.as_fd().try_clone_to_owned() {
             Ok(listener) => {
-                // All that was taken until now is in the ledger before it is given up.
+                // All requests accepted so far are in the ledger before it is handed over.
                 self.lifecycle_event(LifecycleEvent::ListenerHandedOver);
                 self.flush();
                 let settled = self.sink.hand_over_ledger();
@@ -63,7 +64,7 @@
                 self.sink.counters(self.core.counters());
             }
             LifecycleAction::StopAccepting { .. } => {
-                // Who has connected before is heard: a listening socket that goes resets those that wait at it.
+                // Connections that wait in the socket are accepted first: closing it would reset them.
                 for _ in 0..=BACKLOG / ACCEPTS_A_TURN {
                     if !self.accept() {
                         break;
@@ -77,7 +78,7 @@
                 if self.listen() {
                     self.core.undrain();
                 } else {
-                    // As it was: the operator is told, and may try again.
+                    // It drains on; the operator is told, and may try again.
                     self.lifecycle_event(LifecycleEvent::Drain);
                 }
             }
@@ -91,8 +92,8 @@
         self.sink.lifecycle_action(action, Some(self.listen_address.at()));
     }
 
-    /// Begins to listen. A call that fails for a moment is made again; at the start for longer, since nothing else is
-    /// done meanwhile and a router that does not listen ends.
+    /// Begins to listen, with retries; at the start with more of them, since nothing else is done meanwhile and a router
+    /// that does not listen ends.
     pub(super) fn listen(&mut self) -> bool {
         let attempts =
             if self.lifecycle.phase() == Phase::Binding { STARTUP_ATTEMPTS } else { RUNTIME_ATTEMPTS };
@@ -108,7 +109,7 @@
         self.listener.is_some()
     }
 
-    /// Answers as one JSON object.
+    /// The answer to a query, as one JSON object.
     pub(super) fn answer(&self, query: &AdminQuery) -> String {
         let json = match query {
             AdminQuery::Status => serde_json::to_value(self.core.counts()).map(|mut counts| {
--- a/crates/router/src/shell/listen.rs
+++ b/crates/router/src/shell/listen.rs
@@ -1,4 +1,4 @@
-//! The address where a router listens: taken first, listened at once it serves.
+//! The address where a router listens: bound first, listened at once it is ready.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 
 use mio::net::TcpListener;
 
-/// Connections that may wait to be taken.
+/// Connections that may wait to be accepted.
 pub(super) const BACKLOG: usize = 1_024;
 
-/// An address that is taken, and not listened at yet.
+/// An address that is bound, and not listened at yet.
 #[derive(Debug)]
 pub struct ListenAddress {
     at: SocketAddr,
@@ -18,14 +18,14 @@
 }
 
 impl ListenAddress {
-    /// Takes an address; with `shared`, several processes may listen on it (`SO_REUSEPORT`).
+    /// Binds an address; with `shared`, several processes may listen on it (`SO_REUSEPORT`).
     pub fn bind(address: SocketAddr, shared: bool) -> io::Result<Self> {
         let socket = bind(address, shared)?;
         let at = socket.local_addr()?.as_socket().unwrap_or(address);
         Ok(Self { at, shared, bound: Some(socket) })
     }
 
-    /// A socket that another process listened at.
+    /// Adopts a socket that the previous process listened at.
     pub fn adopt(listener: OwnedFd, shared: bool) -> io::Result<Self> {
         let socket = socket2::Socket::from(listener);
         let at = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::InvalidInput)?;
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -1,11 +1,13 @@
 //! The thin shell: sockets and time for a [`Core`], on mio, one thread.
 
+mod accept;
 mod clock;
 mod connect;
 mod connection;
 mod connections;
 mod handle;
 mod lifecycle;
+mod linger;
 mod listen;
 mod ready_queue;
 pub mod retry;
@@ -25,7 +27,7 @@
 
 pub use self::clock::{granularity, Clock};
 use self::connect::ConnectRetries;
-use self::connection::{AfterClose, Connection, ConnectionState};
+use self::connection::{AfterClose, Connection, ConnectionState, LingerDeadline};
 use self::connections::READ_BYTES;
 use self::handle::Command;
 pub use self::handle::{AdminQuery, Handle};
@@ -37,58 +39,61 @@
 
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
-/// So many at most may linger, if not told otherwise: those that have been told all give way first, and while more have
-/// something to be told no connection is taken.
+/// The most connections that may linger, unless set otherwise. Of more, those to which all is written are dropped first, and
+/// while too many still have something to write no connection is accepted.
 const LINGERING: usize = 1_024;
-/// Events that the system tells at one poll, at most.
+/// The most events of one poll.
 const EVENTS: usize = 1_024;
-/// Budget figures, and what was done by cause, are told so often.
+/// How often budget figures and counters are given out.
 const FIGURES: Duration = Duration::from_secs(60);
-/// A wait that ends so much too late, or a turn of the loop that takes so long, is told: streams stood still as long.
+/// A wait that ends this much too late, or a turn of the loop that takes this long, is logged: streams stood still as long.
 const STALL: Duration = Duration::from_millis(300);
 
-/// Sockets and time for one core.
+/// Sockets and time for one core. It owns the sockets; the core owns everything that is decided about them.
 pub struct Shell<S> {
     poll: Poll,
-    /// What the system tells at one poll.
+    /// The events of one poll.
     events: Events,
-    /// What it has told and was not handled yet.
+    /// Readiness that was not handled yet.
     ready: ReadyQueue,
-    /// When it was last asked, and when the present turn of the loop is over.
+    /// When the last poll ended.
     polled_at: Instant,
+    /// When the present turn of the loop is over.
     turn_until: Instant,
     core: Core,
     sink: S,
     clock: Clock,
     lifecycle: Lifecycle,
-    /// Where it listens, or will.
     listen_address: ListenAddress,
     listener: Option<TcpListener>,
     handle: Handle,
     connections: Slab<Connection>,
     by_id: BTreeMap<ConnId, usize>,
-    /// Connections with bytes to write, and with bytes to read on.
+    /// Connections with bytes to write.
     to_write: BTreeSet<usize>,
+    /// Connections that may be read on without another event.
     to_read: VecDeque<usize>,
+    /// Connections that are being closed.
     lingering: usize,
     max_lingering: usize,
-    /// When lingering ones are cut, in order: all linger for the same span.
-    linger_deadlines: VecDeque<(Instant, usize, ConnId)>,
+    /// When lingering connections are dropped, in order: all linger for the same span.
+    linger_deadlines: VecDeque<LingerDeadline>,
+    /// When connections are accepted next.
     accept_at: Option<Instant>,
-    /// Connections of ours that could not be begun, and are tried again.
     connect_retries: ConnectRetries,
     next_client: u64,
     stop: Option<StopReason>,
     outputs: Vec<Output>,
     buffer: Vec<u8>,
-    /// Records wait for the ledger, and whether it could be written last.
+    /// Records wait for the ledger.
     records_pending: bool,
+    /// Whether the last write to the ledger succeeded.
     ledger_writable: bool,
     housekeep_at: Instant,
     figures_at: Instant,
 }
 
-/// Whether the loop stood still, and where: in its own work, or in a wait that the machine ended too late.
+/// Whether the loop stood still, and where: in its own work, or in a wait that the system ended too late.
 fn stalled(worked: Duration, wait: Option<Duration>, waited: Duration) -> Option<String> {
     let late = wait.map_or(Duration::ZERO, |wait| waited.saturating_sub(wait));
     (worked >= STALL || late >= STALL).then(|| {
@@ -97,7 +102,7 @@
 }
 
 impl<S: Sink> Shell<S> {
-    /// A shell around a core, at the beginning of its life.
+    /// A shell around a core that was not started yet.
     pub fn new(
         core: Core,
         sink: S,
@@ -145,14 +150,14 @@
         self.max_lingering = most;
     }
 
-    /// A handle to speak to the loop.
+    /// A handle for other threads.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Runs until the router's life is over. Tells why, and how many requests were still open.
-    pub fn run(&mut self, last_list: Option<&str>) -> io::Result<(StopReason, usize)> {
-        self.core.start(self.clock.now(), last_list, &mut self.outputs);
+    /// Runs until the router's lifecycle is over. Gives the reason, and how many requests were still open.
+    pub fn run(&mut self, stored_list: Option<&str>) -> io::Result<(StopReason, usize)> {
+        self.core.start(self.clock.now(), stored_list, &mut self.outputs);
         self.flush();
         let mut woke = Instant::now();
         loop {
@@ -163,7 +168,7 @@
                 self.sink.note("stall", &text);
             }
             match polled {
-                // Nothing was told, but time has passed: what is due goes on.
+                // No events, but time has passed: what is due goes on.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => self.events.clear(),
                 other => other?,
             }
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Carries out what other threads have asked for.
+    /// Runs the commands of other threads.
     fn run_commands(&mut self) {
         for command in self.handle.take() {
             match command {
@@ -201,12 +206,13 @@
         }
     }
 
+    /// How long the next poll may wait; none: until an event.
     fn wait(&self) -> Option<Duration> {
         if !self.to_read.is_empty() || !self.ready.is_empty() {
             return Some(Duration::ZERO);
         }
         let now = self.clock.now();
-        // Rounded up to the millisecond that the system waits in: waking too early would spin.
+        // At least 1 µs, which is rounded up to the millisecond that the system waits in: waking too early would spin.
         let core = self.core.next_due().map(|at| Duration::from_micros((at - now).0.max(1)));
         let from = Instant::now();
         let accept = self.accept_at.map(|at| at.saturating_duration_since(from));
@@ -217,15 +223,17 @@
         [core, accept, linger, life, house, retry].into_iter().flatten().min()
     }
 
+    /// Gives an input to the core and carries its outputs out.
     fn feed(&mut self, input: Input<'_>) {
         let now = self.clock.now();
         self.core.handle(now, input, &mut self.outputs);
         self.carry_out_all();
     }
 
-    fn writable(&mut self, now: bool) {
-        if std::mem::replace(&mut self.ledger_writable, now) != now {
-            self.core.handle(self.clock.now(), Input::LedgerWritable(now), &mut self.outputs);
+    /// Notifies the core if the ledger can be written again, or can't be any more.
+    fn set_ledger_writable(&mut self, writable: bool) {
+        if std::mem::replace(&mut self.ledger_writable, writable) != writable {
+            self.core.handle(self.clock.now(), Input::LedgerWritable(writable), &mut self.outputs);
         }
     }
 
@@ -234,7 +242,7 @@
         self.housekeep_at = Instant::now() + period;
         for event in self.sink.housekeep() {
             match event {
-                Input::LedgerWritable(now) => self.writable(now),
+                Input::LedgerWritable(writable) => self.set_ledger_writable(writable),
                 other => self.feed(other),
             }
         }
@@ -246,7 +254,7 @@
         self.carry_out_all();
     }
 
-    /// Carries out outputs; bytes wait for the group's end.
+    /// Carries out outputs; bytes are written at the end of the group of events.
     fn carry_out_all(&mut self) {
         while !self.outputs.is_empty() {
             for output in std::mem::take(&mut self.outputs) {
@@ -255,19 +263,19 @@
         }
     }
 
-    /// Ends a group of events: all its records are given to the ledger in one write, then its bytes to sockets,
-    /// until nothing is left that writing causes.
+    /// Ends a group of events: all its records go to the ledger in one write, then its bytes to sockets, until nothing is
+    /// left that writing causes.
     fn flush(&mut self) {
         loop {
             self.carry_out_all();
             if std::mem::take(&mut self.records_pending) {
                 let written = self.sink.flush();
-                self.writable(written);
+                self.set_ledger_writable(written);
                 continue;
             }
             let Some(key) = self.to_write.pop_first() else { return };
             if self.begins_call(key) && self.poll_departures() {
-                // A client has gone: what was to be written may not be wanted any more.
+                // A client has gone: the core may have dropped what was to be written.
                 self.to_write.insert(key);
                 continue;
             }
@@ -275,24 +283,25 @@
         }
     }
 
+    /// Queues bytes that are written at the end of the group of events.
+    fn queue_bytes(&mut self, id: ConnId, bytes: Vec<u8>) {
+        let Some(key) = self.by_id.get(&id).copied() else { return };
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if connection.unsent.is_empty() {
+            connection.is_unwritten = true;
+            connection.unsent = bytes;
+        } else {
+            connection.unsent.extend_from_slice(&bytes);
+        }
+        if connection.state != ConnectionState::Connecting {
+            self.to_write.insert(key);
+        }
+    }
+
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Connect(id, address) => self.connect(id, address),
-            Output::Write(id, bytes) => {
-                if let Some(key) = self.by_id.get(&id).copied() {
-                    if let Some(connection) = self.connections.get_mut(key) {
-                        if connection.unsent.is_empty() {
-                            connection.is_unwritten = true;
-                            connection.unsent = bytes;
-                        } else {
-                            connection.unsent.extend_from_slice(&bytes);
-                        }
-                        if connection.state != ConnectionState::Connecting {
-                            self.to_write.insert(key);
-                        }
-                    }
-                }
-            }
+            Output::Write(id, bytes) => self.queue_bytes(id, bytes),
             Output::Close(id) => self.close(id, AfterClose::Drop),
             Output::CloseAnswered(id) => self.close(id, AfterClose::LeaveUnread),
             Output::CloseIfQuiet(id) => self.close_if_quiet(id),
--- a/crates/router/src/shell/ready_queue.rs
+++ b/crates/router/src/shell/ready_queue.rs
@@ -1,4 +1,4 @@
-//! What the system has told of sockets and the loop has not handled yet, in the order in which it is to be handled.
+//! Readiness of sockets that the loop has not handled yet, in the order in which it is to be handled.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 }
 
 impl Readiness {
-    /// What both tell of one socket.
+    /// The readiness of one socket by two events.
     fn and(self, other: Self) -> Self {
         Self {
             token: self.token,
@@ -39,86 +39,102 @@
     }
 }
 
-/// Whose socket it is.
+/// Which peer a socket belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Side {
-    /// A client's, or the listening socket.
+    /// A client; also the listening socket.
     Client,
-    /// An engine's, or the register's.
-    Engine,
+    /// A worker, or service discovery.
+    Worker,
 }
 
-/// In which order a socket is handled.
+/// The class in which a socket is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Turn {
+enum Priority {
+    /// A client that has gone: before all others.
     Departure,
-    Engine,
+    /// Taking turns with clients.
+    Worker,
+    /// Taking turns with workers.
     Client,
 }
 
-/// Tokens of one kind by when they were first told.
+/// Tokens of one class by their position.
 type Order = BTreeMap<u64, Token>;
 
-/// Sockets that are ready: one entry each, however often the system tells of one before it is handled, so that there are
-/// no more entries than open sockets.
+/// A socket that waits to be handled.
+#[derive(Debug, Clone, Copy)]
+struct QueuedSocket {
+    /// Its position among all: when it was first pushed.
+    position: u64,
+    priority: Priority,
+    readiness: Readiness,
+}
+
+/// Sockets that are ready: one entry each, however many events come before it is handled, so that there are no more entries
+/// than open sockets.
 #[derive(Debug, Default)]
 pub(super) struct ReadyQueue {
-    waiting: BTreeMap<Token, (u64, Turn, Readiness)>,
+    waiting: BTreeMap<Token, QueuedSocket>,
     departures: Order,
-    engines: Order,
+    workers: Order,
     clients: Order,
     /// The next one is a client's, if both have any.
     clients_turn: bool,
-    told: u64,
+    last_position: u64,
 }
 
 impl ReadyQueue {
-    fn order(&mut self, turn: Turn) -> &mut Order {
-        match turn {
-            Turn::Departure => &mut self.departures,
-            Turn::Engine => &mut self.engines,
-            Turn::Client => &mut self.clients,
+    fn order(&mut self, priority: Priority) -> &mut Order {
+        match priority {
+            Priority::Departure => &mut self.departures,
+            Priority::Worker => &mut self.workers,
+            Priority::Client => &mut self.clients,
         }
     }
 
-    /// Takes what the system tells. One that waits already keeps its place, unless its client has gone.
+    /// Adds an event. A socket that waits already keeps its position; if its client has gone, among the departures.
     pub(super) fn push(&mut self, readiness: Readiness, side: Side) {
-        let before = self.forget(readiness.token);
-        let readiness = before.map_or(readiness, |(_, earlier)| readiness.and(earlier));
-        let turn = match side {
-            Side::Client if readiness.ended => Turn::Departure,
-            Side::Client => Turn::Client,
-            Side::Engine => Turn::Engine,
+        let before = self.remove(readiness.token);
+        let readiness = before.map_or(readiness, |earlier| readiness.and(earlier.readiness));
+        let priority = match side {
+            Side::Client if readiness.ended => Priority::Departure,
+            Side::Client => Priority::Client,
+            Side::Worker => Priority::Worker,
         };
-        self.told += 1;
-        let place = before.map_or(self.told, |(place, _)| place);
-        self.order(turn).insert(place, readiness.token);
-        self.waiting.insert(readiness.token, (place, turn, readiness));
+        self.last_position += 1;
+        let position = before.map_or(self.last_position, |earlier| earlier.position);
+        self.order(priority).insert(position, readiness.token);
+        self.waiting.insert(readiness.token, QueuedSocket { position, priority, readiness });
+    }
+
+    /// Drops the entry of a socket that is gone.
+    pub(super) fn forget(&mut self, token: Token) {
+        self.remove(token);
     }
 
-    /// Drops what waits of a socket that is gone: its place and what was told.
-    pub(super) fn forget(&mut self, token: Token) -> Option<(u64, Readiness)> {
-        let (place, turn, readiness) = self.waiting.remove(&token)?;
-        self.order(turn).remove(&place);
-        Some((place, readiness))
+    fn remove(&mut self, token: Token) -> Option<QueuedSocket> {
+        let queued = self.waiting.remove(&token)?;
+        self.order(queued.priority).remove(&queued.position);
+        Some(queued)
     }
 
-    fn pop(&mut self, turn: Turn) -> Option<Readiness> {
-        let (_, token) = self.order(turn).pop_first()?;
-        self.waiting.remove(&token).map(|(_, _, readiness)| readiness)
+    fn pop(&mut self, priority: Priority) -> Option<Readiness> {
+        let (_, token) = self.order(priority).pop_first()?;
+        self.waiting.remove(&token).map(|queued| queued.readiness)
     }
 
     /// The next client that has closed its side or is lost.
     pub(super) fn next_departure(&mut self) -> Option<Readiness> {
-        self.pop(Turn::Departure)
+        self.pop(Priority::Departure)
     }
 
-    /// The next of the others: engines and clients take turns, so that a flood of either leaves room for the other.
+    /// The next of the others: workers and clients take turns, so that a flood of either does not starve the other.
     pub(super) fn next(&mut self) -> Option<Readiness> {
         self.clients_turn = !self.clients_turn;
         let (first, second) = match self.clients_turn {
-            true => (Turn::Client, Turn::Engine),
-            false => (Turn::Engine, Turn::Client),
+            true => (Priority::Client, Priority::Worker),
+            false => (Priority::Worker, Priority::Client),
         };
         self.pop(first).or_else(|| self.pop(second))
     }
--- a/crates/router/src/shell/ready_queue_test.rs
+++ b/crates/router/src/shell/ready_queue_test.rs
@@ -10,7 +10,7 @@
 fn clients_that_have_gone_are_apart_and_the_others_take_turns() {
     let mut queue = ReadyQueue::default();
     for n in 0..3 {
-        queue.push(ready(n, false), Side::Engine);
+        queue.push(ready(n, false), Side::Worker);
     }
     queue.push(ready(10, false), Side::Client);
     queue.push(ready(11, true), Side::Client);
@@ -26,7 +26,7 @@
 #[test]
 fn an_engine_that_ends_is_no_departure() {
     let mut queue = ReadyQueue::default();
-    queue.push(ready(1, true), Side::Engine);
+    queue.push(ready(1, true), Side::Worker);
     assert_eq!(queue.next_departure(), None);
     assert!(!queue.is_empty());
     assert_eq!(queue.next(), Some(ready(1, true)));
@@ -38,7 +38,7 @@
     let mut queue = ReadyQueue::default();
     for _ in 0..1_000 {
         for n in 0..10 {
-            let side = if n % 2 == 0 { Side::Client } else { Side::Engine };
+            let side = if n % 2 == 0 { Side::Client } else { Side::Worker };
             queue.push(ready(n, false), side);
         }
     }
--- a/crates/router/src/shell/turn.rs
+++ b/crates/router/src/shell/turn.rs
@@ -1,4 +1,4 @@
-//! One turn of the loop: what is ready is handled, bounded by time, and nothing is sent for a client that has gone.
+//! One turn of the loop: ready sockets are handled, bounded by time, and nothing is sent for a client that has gone.
 
 use std::time::{Duration, Instant};
 
@@ -8,22 +8,22 @@
 use super::{Shell, Sink, LISTENER, WAKER};
 use crate::ConnId;
 
-/// A turn of the loop handles what is ready for so long; what is left waits for the next, behind a look at what has come
-/// meanwhile. A tenth of the 0.1 s within which nothing more may be sent for a client that has gone.
+/// A turn of the loop handles ready sockets for this long; the rest waits for the next turn, behind another poll. A tenth of
+/// the 0.1 s after which nothing may be sent for a client that has gone.
 const TURN: Duration = Duration::from_millis(10);
-/// A call to an engine is only begun if the system was asked so lately whether its client has gone.
-const LOOK: Duration = Duration::from_millis(2);
+/// A call to a worker is only begun if the system was polled this lately for clients that have gone.
+const DEPARTURE_POLL: Duration = Duration::from_millis(2);
 /// Events handled before what they cause is written: records of a group cost one write to the ledger, and no
 /// answer waits for more than these.
 const EVENTS_A_GROUP: usize = 16;
 
 impl<S: Sink> Shell<S> {
-    /// Queues what the last poll told.
+    /// Queues the events of the last poll.
     pub(super) fn queue_events(&mut self) {
         for event in &self.events {
             let readiness = Readiness::from(event);
             let is_to_worker = connection_of(readiness.token).is_some_and(ConnId::is_to_worker);
-            self.ready.push(readiness, if is_to_worker { Side::Engine } else { Side::Client });
+            self.ready.push(readiness, if is_to_worker { Side::Worker } else { Side::Client });
         }
     }
 
@@ -60,7 +60,7 @@
         Instant::now() >= self.turn_until
     }
 
-    /// Clients that have gone are heard before anything else: nothing that a turn brings is sent for them.
+    /// Handles clients that have gone before anything else, so that nothing is sent for them in this turn.
     fn take_departures(&mut self) -> bool {
         let mut any = false;
         while let Some(readiness) = self.ready.next_departure() {
@@ -70,13 +70,13 @@
         any
     }
 
-    /// Asks the system once more, unless it was asked just now, and hears of clients that have gone; true if there were
-    /// any. The rest of what it tells waits in the queue.
+    /// Polls once more, unless that was done just now, and handles clients that have gone; true if there were any. Other
+    /// events wait in the queue.
     pub(super) fn poll_departures(&mut self) -> bool {
-        if self.polled_at.elapsed() < LOOK {
+        if self.polled_at.elapsed() < DEPARTURE_POLL {
             return false;
         }
-        // An interrupted or failed look finds nothing; the loop's own poll tells of a failure.
+        // An interrupted or failed poll finds nothing; the loop's own poll returns the failure.
         if self.poll.poll(&mut self.events, Some(Duration::ZERO)).is_ok() {
             self.queue_events();
         }
