--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -9,14 +9,14 @@
 )]
 
 #[path = "../../../router/tests/common/mod.rs"]
-mod yard;
+mod harness;
 
 use chalkyard_platform::Started;
 use chalkyard_proto::encode;
 use chalkyard_router::*;
 use serde_json::json;
 
-pub use self::yard::*;
+pub use self::harness::*;
 
 /// Where the list comes from, and where it comes from later.
 pub const AGENT: u16 = 9;
@@ -56,27 +56,27 @@
     .to_string()
 }
 
-pub fn yard_with(resume: bool) -> Yard {
+pub fn harness_with(resume: bool) -> Harness {
     let started = Started::read(&file(resume, &members(4, true, &usual_members()))).unwrap();
-    Yard::started(started.config, started.known.as_deref())
+    Harness::started(started.config, started.known.as_deref())
 }
 
 /// With another release time and another wait for connections, ms, and a third writer in another zone.
-pub fn yard_told(release: u64, connect: u64) -> Yard {
+pub fn yard_told(release: u64, connect: u64) -> Harness {
     let mut all = usual_members();
     all.push(member("w3", "writes", 4, "up"));
     all[3]["locality"] = json!("yard");
     let told = file(false, &members(4, true, &all))
         .replace(r#""release_s":1.0"#, &format!(r#""release_s":{}"#, release as f64 / 1e3))
         .replace(r#""connect_timeout_s":0.25"#, &format!(r#""connect_timeout_s":{}"#, connect as f64 / 1e3))
-        .replace(r#""dcs":["hall"]"#, r#""dcs":["hall","yard"]"#);
+        .replace(r#""dcs":["hall"]"#, r#""dcs":["hall","harness"]"#);
     let started = Started::read(&told).unwrap();
     assert_eq!(started.config.policy.release, ms(release));
-    Yard::started(started.config, started.known.as_deref())
+    Harness::started(started.config, started.known.as_deref())
 }
 
-pub fn yard() -> Yard {
-    yard_with(false)
+pub fn harness() -> Harness {
+    harness_with(false)
 }
 
 pub const BODY: &str = r#"{"model":"chat", "stream":true,"max_tokens":800,"messages":[ ]}"#;
@@ -96,30 +96,30 @@
     encode::request("POST", "/v1/chat/completions?a=b", "api.internal", fields, BODY.as_bytes())
 }
 
-pub fn ask(y: &mut Yard, id: &str, class: &str) -> ConnId {
+pub fn ask(y: &mut Harness, id: &str, class: &str) -> ConnId {
     let client = y.client();
     y.bytes(client, &request(&fields(id, class)));
     client
 }
 
 /// The next call to a worker; there must be one.
-pub fn call(y: &mut Yard) -> Call {
+pub fn call(y: &mut Harness) -> Call {
     let at = y.calls.iter().position(|c| c.target.starts_with("/v1/"));
     y.calls.remove(at.expect("a call to a worker"))
 }
 
-pub fn has_call(y: &Yard) -> bool {
+pub fn has_call(y: &Harness) -> bool {
     y.calls.iter().any(|c| c.target.starts_with("/v1/"))
 }
 
-pub fn reply(y: &mut Yard, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &str) {
+pub fn reply(y: &mut Harness, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &str) {
     y.bytes(conn, &encode::response(status, fields, body.as_bytes(), true));
 }
 
 pub const NOT_RUN: (&str, &str) = ("X-Not-Processed", "1");
 
 /// A request that was read, and the writer's call.
-pub fn written(y: &mut Yard, id: &str, class: &str) -> (ConnId, Call) {
+pub fn written(y: &mut Harness, id: &str, class: &str) -> (ConnId, Call) {
     let client = ask(y, id, class);
     let read = call(y);
     assert_eq!(read.port, 1);
@@ -134,14 +134,14 @@
 pub const LAST: &str = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":5120,\"completion_tokens\":200,\
                     \"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\ndata: [DONE]\n\n";
 
-pub fn chunk(y: &mut Yard, conn: ConnId, text: &str) {
+pub fn chunk(y: &mut Harness, conn: ConnId, text: &str) {
     let mut bytes = Vec::new();
     encode::chunk(&mut bytes, text.as_bytes());
     y.bytes(conn, &bytes);
 }
 
 /// The status of a client's first answer; none if it got no byte.
-pub fn first_status(y: &Yard, client: ConnId) -> Option<u16> {
+pub fn first_status(y: &Harness, client: ConnId) -> Option<u16> {
     let text = std::str::from_utf8(y.raw(client)).unwrap();
     text.split(' ').nth(1).map(|s| s.parse().unwrap())
 }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -10,8 +10,8 @@
 
 #[test]
 fn the_list_is_asked_for_again_at_once_and_one_bad_entry_loses_no_other() {
-    let mut y = yard();
-    let watch = |y: &mut Yard| {
+    let mut y = harness();
+    let watch = |y: &mut Harness| {
         let at = y.calls.iter().position(|c| c.target.starts_with("/discovery")).expect("a call for news");
         y.calls.remove(at)
     };
@@ -29,8 +29,8 @@
     let third = watch(&mut y);
     assert_eq!((third.conn, third.target.as_str()), (first.conn, "/discovery/hosts?after=6&wait_ms=2000"));
     {
-        let heard = y.heard.lock().unwrap();
-        let kinds: Vec<(ListKind, usize)> = heard
+        let policy_events = y.policy_events.lock().unwrap();
+        let kinds: Vec<(ListKind, usize)> = policy_events
             .iter()
             .filter_map(|(_, e, _)| match e {
                 Event::Workers { kind, workers } => Some((*kind, workers.len())),
@@ -64,8 +64,8 @@
 
 #[test]
 fn a_source_without_news_is_not_asked_in_a_hot_loop_and_workers_are_bounded() {
-    let mut y = yard();
-    let asked = |y: &Yard| y.calls.iter().filter(|c| c.target.starts_with("/discovery")).count();
+    let mut y = harness();
+    let asked = |y: &Harness| y.calls.iter().filter(|c| c.target.starts_with("/discovery")).count();
     for _ in 0..20 {
         if let Some(at) = y.calls.iter().position(|c| c.target.starts_with("/discovery")) {
             let call = y.calls.remove(at);
@@ -81,8 +81,8 @@
     many.push(member("w2", "writes", 3, "draining"));
     reply(&mut y, call.conn, 200, &[], &members(5, false, &many));
     assert_eq!(y.core.counts().engines, 2_000);
-    let heard = y.heard.lock().unwrap();
-    let drained = heard.iter().any(|(_, e, _)| match e {
+    let policy_events = y.policy_events.lock().unwrap();
+    let drained = policy_events.iter().any(|(_, e, _)| match e {
         Event::Workers { workers, .. } => {
             workers.iter().any(|w| w.lifecycle == chalkyard_policy::Lifecycle::Draining)
         }
--- a/crates/platform/tests/flow.rs
+++ b/crates/platform/tests/flow.rs
@@ -12,7 +12,7 @@
 #[test]
 fn an_idempotency_key_goes_with_each_attempt_as_it_came() {
     for class in ["chat", "once"] {
-        let mut y = yard();
+        let mut y = harness();
         let mut with_key = fields("id-1", class);
         with_key.push(("Idempotency-Key", "\"a96a4718-Zz\""));
         let client = y.client();
@@ -27,7 +27,7 @@
         }
     }
     // None is made up.
-    let mut y = yard();
+    let mut y = harness();
     ask(&mut y, "id-2", "chat");
     let read = call(&mut y);
     assert!(read.headers.iter().all(|(name, _)| name != "idempotency-key"));
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_request_and_its_stream_pass_unchanged() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, write) = written(&mut y, "id-1", "chat");
     assert_eq!(write.target, "/v1/chat/completions?a=b");
     assert_eq!(write.body, serde_json::from_str::<serde_json::Value>(BODY).unwrap());
@@ -61,8 +61,8 @@
     }
     assert_eq!(String::from_utf8(body).unwrap(), format!("{FIRST}{LAST}{report}"));
     assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Served]);
-    let heard = y.heard.lock().unwrap();
-    let last = heard.iter().rev().find_map(|(_, e, _)| match e {
+    let policy_events = y.policy_events.lock().unwrap();
+    let last = policy_events.iter().rev().find_map(|(_, e, _)| match e {
         Event::Verdict { kept, report, .. } => Some((*kept, report.unwrap())),
         _ => None,
     });
@@ -82,7 +82,7 @@
         (504, vec![("X-Not-Processed", "0")], Outcome::ServerError),
         (200, vec![], Outcome::ServerError),
     ] {
-        let mut y = yard();
+        let mut y = harness();
         let (client, write) = written(&mut y, "id-1", "once");
         reply(&mut y, write.conn, status, &fields, "");
         assert_eq!(y.outcomes()[1], outcome, "{status} {fields:?}");
@@ -98,7 +98,7 @@
 #[test]
 fn a_call_whose_last_byte_was_not_taken_has_not_run() {
     for (short, outcome) in [(1, Outcome::NoConnection), (0, Outcome::ConnectionLost)] {
-        let mut y = yard();
+        let mut y = harness();
         ask(&mut y, "id-1", "once");
         let read = call(&mut y);
         let stuck = ConnId(read.conn.0 + 2);
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_broken_or_stalled_stream_ends_without_its_last_chunk() {
-    let breaks: [fn(&mut Yard, ConnId); 4] = [
+    let breaks: [fn(&mut Harness, ConnId); 4] = [
         |y, conn| y.input(Input::Lost(conn)),
         |y, conn| y.bytes(conn, b"zz\r\n"),
         // Said to hold 3 GB.
@@ -130,7 +130,7 @@
         |y, _| y.advance(ms(4_900)),
     ];
     for broken in breaks {
-        let mut y = yard();
+        let mut y = harness();
         let (client, write) = written(&mut y, "id-1", "chat");
         y.begin_stream(write.conn);
         chunk(&mut y, write.conn, FIRST);
@@ -143,7 +143,7 @@
 
 #[test]
 fn good_but_odd_answers_are_served() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, write) = written(&mut y, "id-1", "chat");
     y.bytes(
         write.conn,
@@ -193,7 +193,7 @@
         (405, encode::request("PUT", "/v1/chat/completions", "a", &[], b"")),
     ];
     for (expected, bytes) in cases {
-        let mut y = yard();
+        let mut y = harness();
         let client = y.client();
         y.bytes(client, &bytes);
         assert_eq!(first_status(&y, client), Some(expected), "{}", String::from_utf8_lossy(&bytes));
@@ -204,7 +204,7 @@
 
 #[test]
 fn an_id_that_is_open_is_not_taken_twice() {
-    let mut y = yard();
+    let mut y = harness();
     let first = ask(&mut y, "id-1", "chat");
     let second = ask(&mut y, "id-1", "chat");
     assert_eq!((first_status(&y, first), first_status(&y, second)), (None, Some(409)));
@@ -213,7 +213,7 @@
 
 #[test]
 fn clients_that_say_nothing_or_half_are_heard_for_less_than_three_seconds() {
-    let mut y = yard();
+    let mut y = harness();
     let (silent, half, dripping) = (y.client(), y.client(), y.client());
     y.bytes(half, b"POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n");
     for _ in 0..13 {
@@ -229,7 +229,7 @@
 
 #[test]
 fn silent_clients_make_room_for_usual_ones() {
-    let mut y = yard();
+    let mut y = harness();
     let serving = ask(&mut y, "id-1", "chat");
     let crowd: Vec<ConnId> = (0..300).map(|_| y.client()).collect();
     assert!(y.core.open_clients() <= 256 * 9 / 20);
@@ -243,7 +243,7 @@
 #[test]
 fn a_connection_that_comes_up_too_late_is_not_used() {
     for client_goes in [true, false] {
-        let mut y = yard();
+        let mut y = harness();
         // The first is discovery's, the next the read's.
         let late = ConnId(3);
         y.stuck.insert(late);
@@ -264,7 +264,7 @@
 
 #[test]
 fn a_leaving_router_takes_what_still_comes_and_moves_its_streams_evenly() {
-    let mut y = yard_with(true);
+    let mut y = harness_with(true);
     let streams: Vec<(ConnId, ConnId)> = (0..30)
         .map(|n| {
             let (client, write) = written(&mut y, &format!("id-{n}"), "chat");
@@ -304,7 +304,7 @@
 
 #[test]
 fn more_bytes_of_requests_than_memory_allows_are_turned_away() {
-    let mut y = yard();
+    let mut y = harness();
     let most = 8 * 1024 * 1024 / (200 * 1024);
     let body = vec![b'x'; 200 * 1024];
     let mut turned = 0;
@@ -324,8 +324,8 @@
 
 #[test]
 fn a_refusal_says_when_to_come_back_in_decimal_seconds() {
-    let mut y = yard();
-    let heard = y.heard.clone();
+    let mut y = harness();
+    let policy_events = y.policy_events.clone();
     // First tokens have come late, though nothing hung.
     for n in 0..6 {
         ask(&mut y, &format!("early-{n}"), "chat");
@@ -343,11 +343,12 @@
             ask(&mut y, &format!("id-{n}"), "chat")
         })
         .collect();
-    let told =
-        heard.lock().unwrap().iter().flat_map(|(_, _, actions)| actions.clone()).find_map(|a| match a {
+    let told = policy_events.lock().unwrap().iter().flat_map(|(_, _, actions)| actions.clone()).find_map(
+        |a| match a {
             Action::Refuse { id, retry_after: Some(after), .. } => Some((id, after)),
             _ => None,
-        });
+        },
+    );
     let (id, after) = told.expect("nothing is answered: the module refuses for load");
     let n: usize = id.0.trim_start_matches("id-").parse().unwrap();
     let text = std::str::from_utf8(y.raw(clients[n])).unwrap();
@@ -357,10 +358,10 @@
 
 #[test]
 fn how_long_connections_may_rest_is_learnt_from_calls_that_were_lost() {
-    let mut y = yard();
+    let mut y = harness();
     // A reader's connection, used again after this rest; whether it was.
     let mut n = 0;
-    let mut reads = |y: &mut Yard, rest: u64, lost: bool| {
+    let mut reads = |y: &mut Harness, rest: u64, lost: bool| {
         y.advance(ms(rest));
         let before: Vec<ConnId> = y.ports.keys().copied().collect();
         n += 1;
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_release_that_does_not_reach_the_reader_goes_to_another_worker() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, write) = written(&mut y, "id-1", "chat");
     // The writers turn away, the client leaves, the reader is not reached.
     y.refused_ports.insert(1);
@@ -26,14 +26,14 @@
     assert_ne!(releases[0].port, 1);
 }
 
-fn releases(y: &Yard) -> Vec<(ConnId, u16)> {
+fn releases(y: &Harness) -> Vec<(ConnId, u16)> {
     let to_let_go = y.calls.iter().filter(|c| c.target == "/internal/reservations/id-1");
     to_let_go.map(|c| (c.conn, c.port)).collect()
 }
 
 #[test]
 fn a_release_that_nobody_answers_is_told_to_another_beside_it_until_one_has_taken_it() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, _) = written(&mut y, "id-1", "chat");
     y.input(Input::Lost(client));
     assert_eq!(releases(&y).len(), 1);
@@ -85,7 +85,7 @@
     let mut all = usual_members();
     all.push(member("r2", "reads", 4, "up"));
     let started = Started::read(&file(false, &members(4, true, &all))).unwrap();
-    let mut y = Yard::started(started.config, started.known.as_deref());
+    let mut y = Harness::started(started.config, started.known.as_deref());
     ask(&mut y, "id-1", "chat");
     let read = call(&mut y);
     while !y.closed.contains(&read.conn) {
@@ -104,7 +104,7 @@
 #[test]
 fn a_read_that_is_given_up_is_let_go_of_before_what_must_not_run_twice_is_read_again() {
     for (class, at_once) in [("chat", true), ("once", false)] {
-        let mut y = yard();
+        let mut y = harness();
         ask(&mut y, "id-1", class);
         let read = call(&mut y);
         while !y.closed.contains(&read.conn) {
@@ -117,7 +117,7 @@
         assert!(has_call(&y), "{class}");
     }
     // Nobody says that it is let go of: the next attempt does not wait for long.
-    let mut y = yard();
+    let mut y = harness();
     ask(&mut y, "id-1", "once");
     let read = call(&mut y);
     while !y.closed.contains(&read.conn) {
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_pull_whose_connection_does_not_come_up_leaves_time_for_another_writer() {
-    let mut y = yard();
+    let mut y = harness();
     ask(&mut y, "id-1", "once");
     let read = call(&mut y);
     // The told release time is 1 s and a connection may take 250 ms: four fifths of the first, halved again and again.
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -101,9 +101,9 @@
         let mut d = Decoder::new(Side::Request, Default::default());
         d.push(&bytes);
         if let Ok(Some(Part::Head(head))) = d.next_part() {
-            let heard = Platform::new(Names::default()).parse_request(Micros(0), &head, b"{}".to_vec());
+            let parsed = Platform::new(Names::default()).parse_request(Micros(0), &head, b"{}".to_vec());
             // No class is known here: nothing can be taken.
-            let rejected = matches!(heard, ParsedRequest::Invalid { status: 400, .. });
+            let rejected = matches!(parsed, ParsedRequest::Invalid { status: 400, .. });
             prop_assert!(rejected);
         }
     }
@@ -139,7 +139,7 @@
     let class = json!({"name": "chat", "goal_time_s": 1.0, "deadline_s": 5.0, "repeat": "free", "group": "all", "stream": true});
     let started = with(|v| v["settings"]["categories"] = json!([class])).unwrap();
     let dialect = started.config.dialect.unwrap();
-    let heard = |attrs: &str| {
+    let parse = |attrs: &str| {
         let fields =
             [("X-Request-ID", "a"), ("X-Priority-Class", "chat"), ("X-Timeout", "900m"), ("X-Attrs", attrs)];
         let bytes = chalkyard_proto::encode::request("POST", "/v1/chat/completions", "a", &fields, b"{}");
@@ -148,14 +148,14 @@
         let Some(Part::Head(head)) = decoder.next_part().unwrap() else { panic!("no head") };
         dialect.parse_request(Micros(5), &head, b"{}".to_vec())
     };
-    let ParsedRequest::Inference(request, _) = heard("prefix=5c0f,prompt_len=10,prefix_len=9000,max_out=8")
+    let ParsedRequest::Inference(request, _) = parse("prefix=5c0f,prompt_len=10,prefix_len=9000,max_out=8")
     else {
         panic!("not taken")
     };
     assert_eq!(request.prompt_tokens, 10);
-    let ParsedRequest::Inference(request, _) = heard("prompt_len=4294967296,max_out=8") else {
+    let ParsedRequest::Inference(request, _) = parse("prompt_len=4294967296,max_out=8") else {
         panic!("not taken")
     };
     assert_eq!(request.prompt_tokens, 1 << 32);
-    assert!(matches!(heard("prompt_len=4294967297,max_out=8"), ParsedRequest::Invalid { status: 400, .. }));
+    assert!(matches!(parse("prompt_len=4294967297,max_out=8"), ParsedRequest::Invalid { status: 400, .. }));
 }
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -20,7 +20,7 @@
 const FIRST_LINK: ConnId = ConnId(3);
 
 /// What is left of a request that was asked then, with 4.8 s.
-fn left(y: &Yard, asked: Micros) -> Micros {
+fn left(y: &Harness, asked: Micros) -> Micros {
     asked + ms(4_800) - y.now
 }
 
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_call_that_the_system_does_not_take_in_time_never_ran_and_is_placed_anew() {
-    let mut y = yard();
+    let mut y = harness();
     let asked = y.now;
     let client = y.client();
     let slow = FIRST_LINK;
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_call_that_was_taken_waits_for_its_answer_as_long_as_it_may() {
-    let mut y = yard();
+    let mut y = harness();
     ask(&mut y, "id-1", "chat");
     let read = call(&mut y);
     y.advance(ms(900));
@@ -76,7 +76,7 @@
 /// An answer that has begun before its call was taken whole is not cut off for that: the call has run.
 #[test]
 fn a_stream_that_begins_ahead_of_the_calls_last_byte_goes_on() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     let read = ask_and_read(&mut y, client);
     let early = ConnId(read.conn.0 + 2);
@@ -91,7 +91,7 @@
     assert_eq!(y.outcomes(), [Outcome::Parsed]);
 }
 
-fn ask_and_read(y: &mut Yard, client: ConnId) -> Call {
+fn ask_and_read(y: &mut Harness, client: ConnId) -> Call {
     y.bytes(client, &request(&fields("id-1", "once")));
     call(y)
 }
@@ -99,7 +99,7 @@
 /// An answer that comes before its call was taken whole is good; its connection is not used again.
 #[test]
 fn a_connection_whose_call_was_not_taken_whole_is_not_used_again() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     let early = FIRST_LINK;
     y.stuck.insert(early);
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_request_that_waited_unread_has_no_more_time_than_since_its_client_was_paused() {
-    let mut y = yard();
+    let mut y = harness();
     let client = ask(&mut y, "id-1", "chat");
     let asked = y.now;
     // One that is longer than what may wait: no more is read.
@@ -123,7 +123,7 @@
     assert!(y.paused.contains(&client));
     // A third one may have come as early, and lies unread until the first is answered.
     y.advance(ms(500));
-    let serve = |y: &mut Yard| {
+    let serve = |y: &mut Harness| {
         let read = call(y);
         reply(y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
         let write = call(y);
@@ -145,7 +145,7 @@
 /// A draining router answers what it has read, and says with the last answer that it closes.
 #[test]
 fn a_request_that_waits_behind_another_is_answered_while_draining() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     let both = [request(&fields("id-1", "chat")), request(&fields("id-2", "chat"))].concat();
     y.bytes(client, &both);
@@ -171,7 +171,7 @@
 /// Told that the connection ends with its answer, a client is not read any more: what it sends is not lost, it is unread.
 #[test]
 fn a_client_that_was_told_of_the_end_is_not_read_any_more() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, write) = written(&mut y, "id-1", "chat");
     let mut out = Vec::new();
     y.core.drain(y.now, &mut out);
@@ -186,7 +186,7 @@
 /// Bytes are found on clients that were to make room: each time another goes, until there is none.
 #[test]
 fn of_silent_clients_those_that_have_spoken_unread_stay() {
-    let mut y = yard();
+    let mut y = harness();
     let crowd: Vec<ConnId> = (0..(256 - 20) * 9 / 20).map(|_| y.client()).collect();
     y.unread.extend(&crowd[..5]);
     let usual = ask(&mut y, "id-1", "chat");
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -32,26 +32,26 @@
     }
 }
 
-fn yard_with(plan: Plan) -> Yard {
-    let mut yard = Yard::new(config(), &usual());
-    yard.core.keep_budgets(BudgetEnforcer::new("r1", plan, State::default(), Time(START.0)));
-    yard
+fn harness_with(plan: Plan) -> Harness {
+    let mut harness = Harness::new(config(), &usual());
+    harness.core.keep_budgets(BudgetEnforcer::new("r1", plan, State::default(), Time(START.0)));
+    harness
 }
 
 /// Ending, prompt and output tokens, the reading and the writing attempt.
 type Bill = (Ending, u64, u64, Option<u32>, Option<u32>);
 
-fn settled(yard: &Yard) -> Vec<Bill> {
+fn settled(harness: &Harness) -> Vec<Bill> {
     let of = |r: &Record| match r {
         Record::Settled(s) => Some((s.ending, s.usage.prompt, s.usage.output, s.read, s.write)),
         _ => None,
     };
-    yard.records.iter().filter_map(|(_, r)| of(r)).collect()
+    harness.records.iter().filter_map(|(_, r)| of(r)).collect()
 }
 
-fn used(yard: &Yard) -> u64 {
+fn used(harness: &Harness) -> u64 {
     let mut state = State::default();
-    for (n, r) in &yard.records {
+    for (n, r) in &harness.records {
         assert_eq!(*n, state.sequence + 1, "numbered without gaps");
         state.take(*n, r);
     }
@@ -60,50 +60,51 @@
 
 #[test]
 fn a_request_over_budget_is_refused_at_once_and_reaches_no_engine() {
-    let mut yard = yard_with(plan(4_000, AtHard::Refuse));
-    let client = yard.ask("help");
-    assert_eq!(yard.error(client), (429, "refused".into(), false));
-    let raw = String::from_utf8_lossy(yard.raw(client)).into_owned();
+    let mut harness = harness_with(plan(4_000, AtHard::Refuse));
+    let client = harness.ask("help");
+    assert_eq!(harness.error(client), (429, "refused".into(), false));
+    let raw = String::from_utf8_lossy(harness.raw(client)).into_owned();
     assert!(raw.contains("retry-after: ") && raw.contains("/*/day"), "{raw}");
-    assert!(!yard.has_call() && settled(&yard).is_empty());
+    assert!(!harness.has_call() && settled(&harness).is_empty());
     // Under an identity it may come again: nothing ran.
     for _ in 0..2 {
-        let client = yard.client();
-        yard.ask_with(client, "report", Some("k"), true, 4_000);
-        assert_eq!(yard.error(client).0, 429);
+        let client = harness.client();
+        harness.ask_with(client, "report", Some("k"), true, 4_000);
+        assert_eq!(harness.error(client).0, 429);
     }
 }
 
 #[test]
 fn an_answer_is_cut_to_what_is_left_and_a_missing_max_tokens_is_the_bound() {
-    let mut yard = yard_with(plan(WORST - 20, AtHard::Clamp(8)));
-    let client = yard.ask("help");
-    let read = yard.call();
-    yard.parsed(&read);
-    assert_eq!(yard.call().body["max_tokens"], 30, "what is left after the prompt");
-    assert!(yard.answers(client).is_empty());
-
-    let mut yard = yard_with(plan(1_000_000, AtHard::Refuse));
-    let client = yard.client();
+    let mut harness = harness_with(plan(WORST - 20, AtHard::Clamp(8)));
+    let client = harness.ask("help");
+    let read = harness.call();
+    harness.parsed(&read);
+    assert_eq!(harness.call().body["max_tokens"], 30, "what is left after the prompt");
+    assert!(harness.answers(client).is_empty());
+
+    let mut harness = harness_with(plan(1_000_000, AtHard::Refuse));
+    let client = harness.client();
     let body = r#"{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":true}"#;
-    yard.bytes(client, &chalkyard_proto::encode::request("POST", "/v1/messages", "h", &[], body.as_bytes()));
-    let Some((_, Record::Reserved(charge))) = yard.records.last() else { panic!() };
+    harness
+        .bytes(client, &chalkyard_proto::encode::request("POST", "/v1/messages", "h", &[], body.as_bytes()));
+    let Some((_, Record::Reserved(charge))) = harness.records.last() else { panic!() };
     assert_eq!(charge.amount, Units::tokens(8 + 4_096));
 }
 
 #[test]
 fn a_served_request_costs_what_the_engines_counted_and_is_recorded_before_the_client_hears() {
-    let mut yard = yard_with(plan(100_000, AtHard::Refuse));
-    let client = yard.ask("help");
-    let read = yard.call();
+    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let client = harness.ask("help");
+    let read = harness.call();
     assert_eq!(read.header("x-attempt"), "0");
-    yard.parsed(&read);
-    let write = yard.call();
+    harness.parsed(&read);
+    let write = harness.call();
     assert_eq!(write.header("x-attempt"), "1");
-    yard.begin_stream(write.conn);
-    yard.token(write.conn, "a");
-    yard.token(write.conn, "b");
-    assert_eq!(used(&yard), WORST, "the worst case is reserved");
+    harness.begin_stream(write.conn);
+    harness.token(write.conn, "a");
+    harness.token(write.conn, "b");
+    assert_eq!(used(&harness), WORST, "the worst case is reserved");
     // Of the outputs of the input that ends it, the record comes before any byte to the client.
     let mut out = Vec::new();
     let mut end = Vec::new();
@@ -112,7 +113,7 @@
         chalkyard_proto::sse::write(&mut event, "", None, data);
         chalkyard_proto::encode::chunk(&mut end, &event);
     }
-    yard.core.handle(yard.now, Input::Bytes(write.conn, &end), &mut out);
+    harness.core.handle(harness.now, Input::Bytes(write.conn, &end), &mut out);
     let record =
         out.iter().position(|o| matches!(o, Output::Record(_, r) if matches!(**r, Record::Settled(_))));
     let said = out.iter().position(|o| matches!(o, Output::Write(c, _) if *c == client));
@@ -125,91 +126,91 @@
 
 #[test]
 fn a_retry_reserves_once_and_names_the_attempt_that_won() {
-    let mut yard = yard_with(plan(100_000, AtHard::Refuse));
-    let (client, write) = yard.pulling("help");
-    yard.reply(write.conn, 500, "{}");
-    let second = yard.call();
-    assert_eq!(used(&yard), WORST);
+    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let (client, write) = harness.pulling("help");
+    harness.reply(write.conn, 500, "{}");
+    let second = harness.call();
+    assert_eq!(used(&harness), WORST);
     let reader = second.body["kv_transfer_params"]["do_remote_decode"] == true;
     let write = if reader {
-        yard.parsed(&second);
-        yard.call()
+        harness.parsed(&second);
+        harness.call()
     } else {
         second
     };
-    yard.begin_stream(write.conn);
-    yard.token(write.conn, "a");
-    yard.end_stream(write.conn);
-    let all = settled(&yard);
+    harness.begin_stream(write.conn);
+    harness.token(write.conn, "a");
+    harness.end_stream(write.conn);
+    let all = settled(&harness);
     assert_eq!(all.len(), 1);
     assert_eq!((all[0].0, all[0].4), (Ending::Served, write.header("x-attempt").parse().ok()));
-    assert_eq!(used(&yard), 4_002);
-    assert_eq!(yard.answer(client).0, 200);
+    assert_eq!(used(&harness), 4_002);
+    assert_eq!(harness.answer(client).0, 200);
 }
 
 #[test]
 fn what_breaks_or_fails_costs_nothing_and_who_leaves_midway_pays_for_what_came() {
     // Broken midway.
-    let mut yard = yard_with(plan(100_000, AtHard::Refuse));
-    let (client, write) = yard.pulling("report");
-    yard.begin_stream(write.conn);
-    yard.token(write.conn, "a");
-    yard.input(Input::Lost(write.conn));
-    assert_eq!(yard.answer(client).1.last().unwrap().0, "message.broken");
-    assert_eq!((settled(&yard)[0].0, used(&yard)), (Ending::Broken, 0));
+    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let (client, write) = harness.pulling("report");
+    harness.begin_stream(write.conn);
+    harness.token(write.conn, "a");
+    harness.input(Input::Lost(write.conn));
+    assert_eq!(harness.answer(client).1.last().unwrap().0, "message.broken");
+    assert_eq!((settled(&harness)[0].0, used(&harness)), (Ending::Broken, 0));
 
     // All tokens came, the end marker did not: the client is told that it broke, so nobody pays.
-    let (client, write) = yard.pulling("report");
-    yard.begin_stream(write.conn);
-    yard.token(write.conn, "a");
-    yard.event(write.conn, r#"{"choices":[],"usage":{"prompt_tokens":4000,"completion_tokens":1}}"#);
-    yard.input(Input::Lost(write.conn));
-    assert_eq!(yard.answer(client).1.last().unwrap().0, "message.broken");
-    assert_eq!((settled(&yard)[1].0, used(&yard)), (Ending::Broken, 0));
+    let (client, write) = harness.pulling("report");
+    harness.begin_stream(write.conn);
+    harness.token(write.conn, "a");
+    harness.event(write.conn, r#"{"choices":[],"usage":{"prompt_tokens":4000,"completion_tokens":1}}"#);
+    harness.input(Input::Lost(write.conn));
+    assert_eq!(harness.answer(client).1.last().unwrap().0, "message.broken");
+    assert_eq!((settled(&harness)[1].0, used(&harness)), (Ending::Broken, 0));
 
     // The client leaves: while it waits, and midway.
-    let client = yard.ask("help");
-    yard.input(Input::Lost(client));
-    assert_eq!((settled(&yard)[2].0, used(&yard)), (Ending::LeftEarly, 0));
-    yard.calls.clear();
-    let (client, write) = yard.pulling("help");
-    yard.begin_stream(write.conn);
-    yard.token(write.conn, "a");
-    yard.token(write.conn, "b");
-    yard.token(write.conn, "c");
-    yard.input(Input::Lost(client));
-    assert_eq!(settled(&yard)[3], (Ending::Left, 4_000, 3, Some(0), Some(1)));
-    assert_eq!(used(&yard), 4_003);
+    let client = harness.ask("help");
+    harness.input(Input::Lost(client));
+    assert_eq!((settled(&harness)[2].0, used(&harness)), (Ending::LeftEarly, 0));
+    harness.calls.clear();
+    let (client, write) = harness.pulling("help");
+    harness.begin_stream(write.conn);
+    harness.token(write.conn, "a");
+    harness.token(write.conn, "b");
+    harness.token(write.conn, "c");
+    harness.input(Input::Lost(client));
+    assert_eq!(settled(&harness)[3], (Ending::Left, 4_000, 3, Some(0), Some(1)));
+    assert_eq!(used(&harness), 4_003);
 }
 
 #[test]
 fn without_a_ledger_nothing_new_is_taken_and_what_is_open_ends() {
-    let mut yard = yard_with(plan(100_000, AtHard::Refuse));
-    let client = yard.ask("help");
-    yard.input(Input::LedgerWritable(false));
-    let second = yard.ask("help");
-    assert_eq!(yard.error(second), (503, "refused".into(), false));
-    let read = yard.call();
-    yard.parsed(&read);
-    let write = yard.call();
-    yard.begin_stream(write.conn);
-    yard.token(write.conn, "a");
-    yard.end_stream(write.conn);
-    assert_eq!(yard.answer(client).0, 200);
-    yard.input(Input::LedgerWritable(true));
-    yard.ask("help");
-    assert!(yard.has_call());
+    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let client = harness.ask("help");
+    harness.input(Input::LedgerWritable(false));
+    let second = harness.ask("help");
+    assert_eq!(harness.error(second), (503, "refused".into(), false));
+    let read = harness.call();
+    harness.parsed(&read);
+    let write = harness.call();
+    harness.begin_stream(write.conn);
+    harness.token(write.conn, "a");
+    harness.end_stream(write.conn);
+    assert_eq!(harness.answer(client).0, 200);
+    harness.input(Input::LedgerWritable(true));
+    harness.ask("help");
+    assert!(harness.has_call());
 }
 
 #[test]
 fn budgets_reload_while_streams_run() {
-    let mut yard = yard_with(plan(4_500, AtHard::Refuse));
-    yard.ask("help");
-    let refused = yard.ask("help");
-    assert_eq!(yard.error(refused).0, 429);
-    yard.input(Input::BudgetPlan(Box::new(plan(9_000, AtHard::Refuse))));
-    yard.ask("help");
-    assert_eq!(used(&yard), 2 * WORST, "what was reserved stays");
-    let refused = yard.ask("help");
-    assert_eq!(yard.error(refused).0, 429);
+    let mut harness = harness_with(plan(4_500, AtHard::Refuse));
+    harness.ask("help");
+    let refused = harness.ask("help");
+    assert_eq!(harness.error(refused).0, 429);
+    harness.input(Input::BudgetPlan(Box::new(plan(9_000, AtHard::Refuse))));
+    harness.ask("help");
+    assert_eq!(used(&harness), 2 * WORST, "what was reserved stays");
+    let refused = harness.ask("help");
+    assert_eq!(harness.error(refused).0, 429);
 }
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_slow_client_stops_its_engine_and_is_then_cut() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, pull) = y.pulling("help");
     y.begin_stream(pull.conn);
     y.token(pull.conn, "a");
@@ -33,7 +33,7 @@
 
 #[test]
 fn half_closed_clients_are_taken_to_leave_and_get_one_answer() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, pull) = y.pulling("report");
     y.input(Input::Eof(client));
     assert_eq!(y.error(client), (400, "failed".into(), true));
@@ -47,7 +47,7 @@
     c.bounds.open = 1;
     c.bounds.clients = 3;
     c.bounds.client.pipelined_bytes = 1_024;
-    let mut y = Yard::new(c, &usual());
+    let mut y = Harness::new(c, &usual());
     let first = y.ask("help");
     let second = y.ask("help");
     assert_eq!(y.error(second), (503, "refused".into(), false));
@@ -80,7 +80,7 @@
 
 #[test]
 fn bad_calls_name_their_fault_and_never_reach_an_engine() {
-    let mut y = yard();
+    let mut y = harness();
     let cases: [(&[u8], u16); 7] = [
         (b"GET /v1/messages HTTP/1.1\r\nHost: a\r\n\r\n", 405),
         (b"POST /v2/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 404),
@@ -105,12 +105,12 @@
     y.advance(ms(10_100));
     assert_eq!(y.answer(slow).0, 408);
     assert!(y.calls.is_empty());
-    assert!(y.heard.lock().unwrap().iter().all(|(_, e, _)| !matches!(e, Event::Request(_))));
+    assert!(y.policy_events.lock().unwrap().iter().all(|(_, e, _)| !matches!(e, Event::Request(_))));
 }
 
 #[test]
 fn expect_continue_is_answered_and_one_byte_at_a_time_is_the_same_request() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     let body = br#"{"model":"m","messages":[{"role":"user","content":"hello you"}]}"#;
     let length = body.len();
@@ -128,7 +128,7 @@
 
 #[test]
 fn draining_answers_what_is_open_and_takes_nothing_new() {
-    let mut y = yard();
+    let mut y = harness();
     let (idle, just_come, silent) = (y.client(), y.client(), y.client());
     y.bytes(idle, b"GET /health HTTP/1.1\r\nHost: a\r\n\r\n");
     let (client, pull) = y.pulling("report");
@@ -153,7 +153,7 @@
 /// What it asked last has gone with it, though some of its answers were taken meanwhile and there would be room.
 #[test]
 fn a_client_that_is_held_up_and_goes_has_nothing_more_begun_for_it() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     y.stuck.insert(client);
     let body = r#"{"model":"m","max_tokens":5,"messages":[{"role":"user","content":"hello"}]}"#;
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_client_that_asks_on_and_takes_no_answer_is_held_up_and_then_cut() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     y.stuck.insert(client);
     let bad = b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n".repeat(100);
--- a/crates/router/tests/common/answers.rs
+++ b/crates/router/tests/common/answers.rs
@@ -1,13 +1,13 @@
-//! What clients got and what the module heard, read back from a [`Yard`].
+//! What clients got and what the module heard, read back from a [`Harness`].
 
 use chalkyard_policy as p;
 use chalkyard_policy::Event;
 use chalkyard_proto::{sse, Decoder, Limits, Part, Side, Start};
 use chalkyard_router::ConnId;
 
-use super::Yard;
+use super::Harness;
 
-impl Yard {
+impl Harness {
     /// All whole responses that a client has got: status, and events (name, data) or the body.
     pub fn answers(&self, conn: ConnId) -> Vec<(u16, Vec<(String, serde_json::Value)>)> {
         let mut d = Decoder::new(Side::Response, Limits { body_bytes: 1 << 30, ..Limits::default() });
@@ -59,8 +59,8 @@
     }
 
     pub fn outcomes(&self) -> Vec<p::Outcome> {
-        let heard = self.heard.lock().unwrap();
-        heard
+        let policy_events = self.policy_events.lock().unwrap();
+        policy_events
             .iter()
             .filter_map(|(_, e, _)| match e {
                 Event::Verdict { outcome, .. } => Some(*outcome),
--- a/crates/router/tests/common/day.rs
+++ b/crates/router/tests/common/day.rs
@@ -68,7 +68,7 @@
 }
 
 pub struct Day {
-    pub y: Yard,
+    pub y: Harness,
     promised: Promised,
     /// Prompt tokens of a long request.
     pub long: usize,
@@ -98,7 +98,7 @@
         if register {
             config.discovery = Some(REGISTER.parse().unwrap());
         }
-        let mut y = Yard::new(config, workers);
+        let mut y = Harness::new(config, workers);
         let mut watch = None;
         if register {
             let call = y.calls.remove(0);
@@ -341,9 +341,9 @@
             let given_up = matches!(f.ended, Ended::Rejected | Ended::Failed);
             assert_eq!(given_up, f.why.is_some(), "{f:?}");
         }
-        let heard = self.y.heard.lock().unwrap();
+        let policy_events = self.y.policy_events.lock().unwrap();
         let (mut sends, mut verdicts): (BTreeMap<String, u32>, BTreeSet<(String, u32)>) = Default::default();
-        for (_, event, actions) in heard.iter() {
+        for (_, event, actions) in policy_events.iter() {
             if let Event::Verdict { id, attempt, .. } = event {
                 assert!(verdicts.insert((id.0.to_string(), attempt.0)), "two verdicts for one attempt");
             }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -107,9 +107,9 @@
     }
 }
 
-pub type Heard = Arc<Mutex<Vec<(Micros, Event, Vec<Action>)>>>;
+pub type PolicyEvents = Arc<Mutex<Vec<(Micros, Event, Vec<Action>)>>>;
 
-pub struct Yard {
+pub struct Harness {
     pub core: Core,
     pub now: Micros,
     pub ports: BTreeMap<ConnId, u16>,
@@ -123,7 +123,7 @@
     /// What the ledger was given.
     pub records: Vec<(u64, chalkyard_budget::Record)>,
     pub kept_list: Option<String>,
-    pub heard: Heard,
+    pub policy_events: PolicyEvents,
     /// Calls that reached engines, oldest first, until taken.
     pub calls: Vec<Call>,
     /// No connection can be begun for want of descriptors.
@@ -138,7 +138,7 @@
     next_client: u64,
 }
 
-impl Yard {
+impl Harness {
     pub fn new(config: Config, workers: &[serde_json::Value]) -> Self {
         let text = (!workers.is_empty()).then(|| list(0, workers));
         Self::started(config, text.as_deref())
@@ -147,12 +147,12 @@
     /// One that starts with this text as the list of its last life.
     pub fn started(config: Config, text: Option<&str>) -> Self {
         let mut core = Core::new(config, 7, START);
-        let heard: Heard = Arc::default();
-        let log = heard.clone();
+        let policy_events: PolicyEvents = Arc::default();
+        let log = policy_events.clone();
         core.observe(Box::new(move |now, event, actions| {
             log.lock().unwrap().push((now, event.clone(), actions.to_vec()));
         }));
-        let mut yard = Self {
+        let mut harness = Self {
             core,
             now: START,
             ports: BTreeMap::new(),
@@ -165,7 +165,7 @@
             transitions: Vec::new(),
             records: Vec::new(),
             kept_list: None,
-            heard,
+            policy_events: policy_events,
             calls: Vec::new(),
             unconnected: false,
             unread: BTreeSet::new(),
@@ -176,9 +176,9 @@
             next_client: 2,
         };
         let mut out = Vec::new();
-        yard.core.start(START, text, &mut out);
-        yard.carry_out(out);
-        yard
+        harness.core.start(START, text, &mut out);
+        harness.carry_out(out);
+        harness
     }
 
     pub fn input(&mut self, input: Input<'_>) {
@@ -367,12 +367,12 @@
 }
 
 /// A core on the usual workers.
-pub fn yard() -> Yard {
-    Yard::new(config(), &usual())
+pub fn harness() -> Harness {
+    Harness::new(config(), &usual())
 }
 
 /// News of the register on its stream.
-pub fn news(y: &mut Yard, conn: ConnId, name: &str, data: &str) {
+pub fn news(y: &mut Harness, conn: ConnId, name: &str, data: &str) {
     let (mut text, mut bytes) = (Vec::new(), Vec::new());
     sse::write(&mut text, name, None, data);
     encode::chunk(&mut bytes, &text);
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -14,8 +14,8 @@
 }
 
 /// A yard in whose pools lie `n` connections to the reader and `n` to the writer.
-fn pooled(n: usize) -> Yard {
-    let mut y = Yard::new(config(), &two());
+fn pooled(n: usize) -> Harness {
+    let mut y = Harness::new(config(), &two());
     let pulls: Vec<Call> = (0..n)
         .map(|_| {
             y.ask("help");
@@ -35,12 +35,12 @@
     y
 }
 
-fn used_before(y: &Yard, call: &Call, n: usize) -> bool {
+fn used_before(y: &Harness, call: &Call, n: usize) -> bool {
     y.ports.keys().take(2 * n).any(|c| *c == call.conn)
 }
 
 /// Reads go on until one finds a live engine, or the request is over; how many met a pooled connection.
-fn stale_attempts(y: &mut Yard, n: usize, end: impl Fn(&mut Yard, &Call)) -> usize {
+fn stale_attempts(y: &mut Harness, n: usize, end: impl Fn(&mut Harness, &Call)) -> usize {
     y.ask("help");
     let mut stale = 0;
     for _ in 0..400 {
@@ -140,7 +140,7 @@
 #[test]
 fn closed_in_the_middle_of_a_read_is_read_again_and_let_go() {
     for class in ["help", "report"] {
-        let mut y = Yard::new(config(), &usual());
+        let mut y = Harness::new(config(), &usual());
         let client = y.ask(class);
         let read = y.call();
         y.bytes(
@@ -160,7 +160,7 @@
 fn closed_in_the_middle_of_a_pull_tells_the_truth() {
     // After the head of the reply, before its first token.
     for (class, goes_on) in [("help", true), ("report", false)] {
-        let mut y = Yard::new(config(), &usual());
+        let mut y = Harness::new(config(), &usual());
         let (client, pull) = y.pulling(class);
         y.begin_stream(pull.conn);
         y.closed.insert(pull.conn);
@@ -184,7 +184,7 @@
 #[test]
 fn closed_between_the_last_token_and_the_end_marker_is_no_whole_answer() {
     for lost in [true, false] {
-        let mut y = Yard::new(config(), &usual());
+        let mut y = Harness::new(config(), &usual());
         let (client, pull) = y.pulling("report");
         y.begin_stream(pull.conn);
         y.token(pull.conn, "a");
@@ -207,7 +207,7 @@
 
 #[test]
 fn lost_after_the_end_marker_is_served_and_the_connection_not_kept() {
-    let mut y = Yard::new(config(), &usual());
+    let mut y = Harness::new(config(), &usual());
     let (client, pull) = y.pulling("report");
     y.begin_stream(pull.conn);
     y.token(pull.conn, "a");
@@ -279,7 +279,7 @@
 fn past_the_bound_of_connections_an_attempt_is_not_sent_and_the_engine_not_blamed() {
     let mut config = config();
     config.bounds.engine_connections = 2;
-    let mut y = Yard::new(config, &two());
+    let mut y = Harness::new(config, &two());
     for _ in 0..2 {
         y.ask("report");
     }
@@ -300,7 +300,7 @@
 fn no_more_idle_connections_are_kept_than_may_be() {
     let mut config = config();
     config.bounds.engine_idle = 1;
-    let mut y = Yard::new(config, &two());
+    let mut y = Harness::new(config, &two());
     for _ in 0..5 {
         y.ask("help");
     }
@@ -314,7 +314,7 @@
 fn an_answer_past_its_bound_is_cut_and_told_truly() {
     let mut config = config();
     config.bounds.answer_bytes = 1_024;
-    let mut y = Yard::new(config, &two());
+    let mut y = Harness::new(config, &two());
     let client = y.client();
     y.ask_with(client, "report", None, false, 20);
     let call = y.call();
@@ -327,7 +327,7 @@
 
 #[test]
 fn a_readers_parameters_past_their_bound_are_an_error_and_let_go() {
-    let mut y = Yard::new(config(), &two());
+    let mut y = Harness::new(config(), &two());
     y.ask("help");
     let read = y.call();
     let long = "p".repeat(20_000);
@@ -340,7 +340,7 @@
 fn past_the_bound_of_identities_a_request_is_refused_as_not_run() {
     let mut config = config();
     config.bounds.identities = 2;
-    let mut y = Yard::new(config, &two());
+    let mut y = Harness::new(config, &two());
     for n in 0..3 {
         let client = y.client();
         y.ask_with(client, "report", Some(&format!("k{n}")), true, 20);
@@ -363,7 +363,7 @@
 
 #[test]
 fn days_of_requests_leave_no_timer_connection_or_identity_behind() {
-    let mut y = Yard::new(config(), &usual());
+    let mut y = Harness::new(config(), &usual());
     // Two days, one request a minute: read, pulled and served; refused; broken; left by its client.
     for n in 0..2_880_u32 {
         let client = y.client();
@@ -406,11 +406,11 @@
 
 // ---- The register's connection.
 
-fn watched() -> (Yard, ConnId) {
+fn watched() -> (Harness, ConnId) {
     let mut config = config();
     config.discovery = Some(REGISTER.parse().unwrap());
     config.bounds.workers = 4;
-    let mut y = Yard::new(config, &usual());
+    let mut y = Harness::new(config, &usual());
     let watch = y.calls.remove(0);
     (y, watch.conn)
 }
@@ -445,7 +445,7 @@
         news(&mut y, conn, "change", &list(n + 2, &[more]));
     }
     let told: usize = y
-        .heard
+        .policy_events
         .lock()
         .unwrap()
         .iter()
@@ -456,7 +456,7 @@
         .sum();
     assert_eq!(told, 1, "the fourth worker is told of, no further one");
     news(&mut y, conn, "change", &list(10, &[entry("write-1", "writer", 2, "draining")]));
-    let (_, event, _) = y.heard.lock().unwrap().last().cloned().unwrap();
+    let (_, event, _) = y.policy_events.lock().unwrap().last().cloned().unwrap();
     let Event::Workers { kind: ListKind::Changes, workers } = event else { panic!("{event:?}") };
     assert_eq!(&*workers[0].id.0, "write-1", "a drain is still heard");
     assert_eq!(y.kept_list.as_ref().unwrap().matches("\"worker\"").count(), 4, "and none is held in secret");
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_request_is_read_handed_over_written_and_streamed() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, pull) = y.pulling("help");
     assert_eq!(pull.body["kv_transfer_params"]["remote_engine_id"], "read");
     assert_eq!(pull.header("via"), "1.1 r1");
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_whole_answer_comes_as_one_body_and_connections_are_used_again() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     for n in 0..2 {
         y.ask_with(client, "help", None, false, 4_000);
@@ -60,7 +60,7 @@
     ];
     for (taken, listens, outcome) in cases {
         let mut y =
-            Yard::new(config(), &[entry("read", "reader", 1, "in"), entry("write", "writer", 2, "in")]);
+            Harness::new(config(), &[entry("read", "reader", 1, "in"), entry("write", "writer", 2, "in")]);
         // A first request leaves an idle connection at the writer.
         let (_, pull) = y.pulling("report");
         y.begin_stream(pull.conn);
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_second_reply_on_a_connection_spoils_it_and_nothing_else() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, pull) = y.pulling("help");
     y.begin_stream(pull.conn);
     y.token(pull.conn, "a");
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_lost_answer_of_a_single_shot_is_failed_and_never_sent_again() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, pull) = y.pulling("report");
     y.input(Input::Eof(pull.conn));
     let (status, kind, ran) = y.error(client);
@@ -130,7 +130,7 @@
 
 #[test]
 fn an_identity_is_one_request_at_one_router() {
-    let mut y = yard();
+    let mut y = harness();
     let first = y.client();
     y.ask_with(first, "report", Some("k"), true, 4_000);
     let again = y.client();
@@ -153,7 +153,7 @@
 
 #[test]
 fn a_reply_that_races_its_cancel_gives_one_verdict() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.ask("help");
     let read = y.call();
     // The client leaves; the reply is already on its way.
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_client_gone_between_read_and_pull_lets_the_state_go() {
-    let mut y = yard();
+    let mut y = harness();
     y.refused_ports.extend([2, 3]);
     let client = y.ask("help");
     let read = y.call();
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_reader_that_dies_with_the_state_sends_the_request_to_be_read_again() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, pull) = y.pulling("report");
     y.reply(pull.conn, 409, r#"{"error":{"type":"no_state","message":"gone"}}"#);
     assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Refused { no_state: true }]);
@@ -195,7 +195,7 @@
 
 #[test]
 fn a_stream_that_stops_midway_ends_as_broken_once() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, pull) = y.pulling("report");
     y.begin_stream(pull.conn);
     y.token(pull.conn, "a");
@@ -214,7 +214,7 @@
     for (bytes, outcome) in
         [(&b"zz\r\n"[..], Outcome::ServerError), (&b"0\r\n\r\n"[..], Outcome::ConnectionLost)]
     {
-        let mut y = yard();
+        let mut y = harness();
         let (client, pull) = y.pulling("help");
         y.begin_stream(pull.conn);
         y.token(pull.conn, "a");
@@ -227,7 +227,7 @@
 #[test]
 fn a_whole_answer_that_breaks_is_tried_again_where_that_is_free() {
     for (class, again) in [("help", true), ("report", false)] {
-        let mut y = yard();
+        let mut y = harness();
         let client = y.client();
         y.ask_with(client, class, None, false, 4_000);
         let read = y.call();
@@ -246,10 +246,10 @@
 fn a_list_change_during_a_send_stops_new_work_and_not_what_runs() {
     let mut config = config();
     config.discovery = Some(REGISTER.parse().unwrap());
-    let mut y = Yard::new(config, &usual());
+    let mut y = Harness::new(config, &usual());
     let watch = y.calls.remove(0);
     assert_eq!(watch.target, "/v1/workers?watch=1");
-    let event = |y: &mut Yard, name: &str, data: &str| news(y, watch.conn, name, data);
+    let event = |y: &mut Harness, name: &str, data: &str| news(y, watch.conn, name, data);
     y.begin_stream(watch.conn);
     event(&mut y, "snapshot", &list(5, &usual()));
     let (client, pull) = y.pulling("help");
@@ -277,7 +277,7 @@
 fn a_register_that_is_down_from_the_start_is_asked_again_and_the_last_list_serves() {
     let mut config = config();
     config.discovery = Some(REGISTER.parse().unwrap());
-    let mut y = Yard::new(config, &usual());
+    let mut y = Harness::new(config, &usual());
     let watch = y.calls.remove(0);
     y.input(Input::Lost(watch.conn));
     let (client, pull) = y.pulling("help");
@@ -288,12 +288,12 @@
     y.advance(ms(1_600));
     assert!(y.calls.iter().any(|c| c.target.contains("watch")), "the module asks again");
     let failed = |e: &Event| matches!(e, Event::Workers { kind: ListKind::Failed, .. });
-    assert!(y.heard.lock().unwrap().iter().any(|(_, e, _)| failed(e)));
+    assert!(y.policy_events.lock().unwrap().iter().any(|(_, e, _)| failed(e)));
 }
 
 #[test]
 fn a_deadline_reached_while_held_is_answered_in_time_and_the_state_let_go() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.ask("report");
     let read = y.call();
     y.refused_ports.extend([2, 3]);
@@ -308,7 +308,7 @@
 
 #[test]
 fn a_silent_engine_is_answered_for_at_the_deadline() {
-    let mut y = yard();
+    let mut y = harness();
     let (client, _) = y.pulling("report");
     y.advance(ms(3_960));
     assert!(y.answers(client).is_empty());
@@ -320,7 +320,7 @@
 
 #[test]
 fn the_module_given_the_same_events_does_the_same() {
-    let mut y = yard();
+    let mut y = harness();
     for _ in 0..5 {
         let (_, pull) = y.pulling("help");
         y.begin_stream(pull.conn);
@@ -330,10 +330,10 @@
         y.advance(ms(150));
         y.calls.clear();
     }
-    let heard = y.heard.lock().unwrap();
+    let policy_events = y.policy_events.lock().unwrap();
     let mut again = Router::new(config().policy, 7);
-    assert!(heard.len() > 20);
-    for (now, event, actions) in heard.iter() {
+    assert!(policy_events.len() > 20);
+    for (now, event, actions) in policy_events.iter() {
         let mut did: Vec<Action> = Vec::new();
         again.handle(*now, event.clone(), &mut did);
         assert_eq!(did, *actions);
@@ -342,7 +342,7 @@
 
 #[test]
 fn want_of_descriptors_here_is_not_held_against_the_engine() {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     y.ask_with(client, "report", None, true, 4_000);
     let read = y.call();
--- a/crates/router/tests/outputs.rs
+++ b/crates/router/tests/outputs.rs
@@ -13,7 +13,7 @@
 
 /// Text collected from one router, one JSON value or one escaped line of bytes a line.
 struct Recorder {
-    y: Yard,
+    y: Harness,
     text: String,
     finished: usize,
     transitions: usize,
@@ -24,7 +24,7 @@
 
 impl Recorder {
     fn new(title: &str, config: Config) -> Self {
-        let mut y = Yard::new(config, &usual());
+        let mut y = Harness::new(config, &usual());
         y.core.count_seconds();
         let text = format!("# {title}\n");
         Self { y, text, finished: 0, transitions: 0, tallies: 0, notes: 0, clients: Vec::new() }
@@ -43,7 +43,7 @@
     }
 
     /// Records the next completion call, if there is one, and has its worker answer it.
-    fn answer(&mut self, answer: impl FnOnce(&mut Yard, &Call)) {
+    fn answer(&mut self, answer: impl FnOnce(&mut Harness, &Call)) {
         if !self.y.has_call() {
             self.text.push_str("no call\n");
             return;
@@ -109,13 +109,13 @@
 }
 
 /// The whole answer of a worker that decodes.
-fn answered(y: &mut Yard, call: &Call) {
+fn answered(y: &mut Harness, call: &Call) {
     y.begin_stream(call.conn);
     y.token(call.conn, "a");
     y.end_stream(call.conn);
 }
 
-fn lost(y: &mut Yard, call: &Call) {
+fn lost(y: &mut Harness, call: &Call) {
     y.closed.insert(call.conn);
     y.input(Input::Lost(call.conn));
 }
@@ -125,7 +125,7 @@
     let mut r = Recorder::new("served", config());
     r.ask("help", true);
     r.views();
-    r.answer(Yard::parsed);
+    r.answer(Harness::parsed);
     r.views();
     let mut decode = None;
     r.answer(|y, call| {
@@ -137,7 +137,7 @@
     r.views();
     r.y.end_stream(decode.unwrap());
     let conn = r.ask("report", false);
-    r.answer(Yard::parsed);
+    r.answer(Harness::parsed);
     r.answer(answered);
     r.y.advance(ms(1_500));
     r.y.ask_with(conn, "help", None, false, 5);
@@ -152,7 +152,7 @@
     let mut r = Recorder::new("failed", config());
     for (status, body) in [(429, "{}"), (500, "{}"), (409, r#"{"error":{"type":"no_state"}}"#)] {
         r.ask("help", true);
-        r.answer(Yard::parsed);
+        r.answer(Harness::parsed);
         r.answer(|y, call| y.reply(call.conn, status, body));
         r.y.advance(ms(10));
         r.views();
@@ -163,14 +163,14 @@
         r.y.advance(ms(30_000));
     }
     r.ask("report", true);
-    r.answer(Yard::parsed);
+    r.answer(Harness::parsed);
     r.answer(lost);
     r.y.advance(ms(5_000));
     r.outputs();
     r.y.calls.clear();
     r.y.advance(ms(30_000));
     r.ask("help", true);
-    r.answer(Yard::parsed);
+    r.answer(Harness::parsed);
     r.answer(|y, call| {
         y.begin_stream(call.conn);
         y.token(call.conn, "a");
@@ -206,7 +206,7 @@
 fn released() -> String {
     let mut r = Recorder::new("released", config());
     r.ask("report", true);
-    r.answer(Yard::parsed);
+    r.answer(Harness::parsed);
     r.y.refused_ports.extend([1]);
     r.y.advance(ms(1_100));
     r.views();
@@ -216,7 +216,7 @@
     r.y.refused_ports.clear();
     r.outputs();
     let client = r.ask("help", true);
-    r.answer(Yard::parsed);
+    r.answer(Harness::parsed);
     r.y.closed.insert(client);
     r.y.input(Input::Lost(client));
     r.views();
@@ -258,10 +258,10 @@
 
 /// A stored list that can't be read at the start.
 fn unreadable_list() -> String {
-    let mut y = Yard::started(config(), Some("{"));
+    let mut y = Harness::started(config(), Some("{"));
     y.advance(ms(10));
     let unknown = list(3, &[entry("w", "none", 9, "in")]);
-    let unknown = Yard::started(config(), Some(&unknown));
+    let unknown = Harness::started(config(), Some(&unknown));
     format!("# unreadable list\nnotes {:?} {:?}\n", y.notes, unknown.notes)
 }
 
