--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,256 +1,306 @@
-//! A router's link to the control replicas: one connection at a time, moved on from one that is silent.
+//! A router's subscription to the configuration: it follows one control replica at a time and fails over to the next.
 
-use crate::document::{Delta, Document};
-use crate::follower::{Follower, Taken};
-use crate::messages::Message;
-use crate::replica::ReplicaId;
-use crate::revision::Number;
+use crate::ballot::ReplicaId;
+use crate::connection::{Connection, CONNECT_TIMEOUT, HEARTBEAT_INTERVAL};
+use crate::document::{Delta, Document, DocumentError, Entry};
+use crate::learner::{LearnOutcome, Learner};
+use crate::message::Message;
+use crate::random::Xorshift64;
+use crate::revision::{Revision, RevisionNumber};
+use crate::time::Micros;
 
-/// A time by a monotonic clock, µs.
-pub type Time = u64;
+/// The backoff before a reconnection: at least this long, and a random part that doubles with each failed attempt.
+const MIN_BACKOFF: Micros = 250_000;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// How many rejected revisions are remembered; the oldest are dropped first.
+const MAX_REJECTED: usize = 64;
 
-/// The router says what it holds so often; the replica answers with what it holds itself.
-const GREETING: Time = 3_000_000;
-/// A replica that has said nothing for so long after a greeting is left for the next one.
-const SILENCE: Time = 2_000_000;
-/// A connection has so long to stand.
-const CONNECT: Time = 1_000_000;
-/// Before the next try after a lost connection: so long at least, and up to twice as long for each try in a row.
-const PAUSE: Time = 250_000;
-const PAUSE_DOUBLINGS: u32 = 3;
-/// Numbers that are held back are remembered up to so many; the oldest go first.
-const HELD_BACK: usize = 64;
-
-/// What puts a configuration in force.
+/// Applies a configuration to the router.
 pub trait Apply {
-    /// Puts changes in force, all of them or none. Costs what the changes do.
+    /// Applies the changes of a revision: all of them or none. Should cost as much as the changes, not the configuration.
     ///
     /// # Errors
-    /// Says why this router can't.
-    fn apply(&mut self, number: Number, delta: &Delta) -> Result<(), String>;
+    /// This router can't apply them.
+    fn apply(&mut self, number: RevisionNumber, delta: &Delta) -> Result<(), ApplyError>;
 
-    /// Puts a whole in force.
+    /// Replaces the configuration by a complete one.
     ///
     /// # Errors
-    /// Says why this router can't.
-    fn apply_whole(&mut self, number: Number, document: &Document) -> Result<(), String>;
+    /// This router can't apply it.
+    fn apply_snapshot(&mut self, number: RevisionNumber, document: &Document) -> Result<(), ApplyError>;
+}
+
+/// Why a router can't apply a configuration.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{message}")]
+pub struct ApplyError {
+    /// What is wrong, for an operator.
+    pub message: String,
+}
+
+impl ApplyError {
+    /// An error with this message.
+    pub fn new(message: impl Into<String>) -> Self {
+        Self { message: message.into() }
+    }
+}
+
+/// Why a revision or a snapshot is skipped.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum RejectedRevisionError {
+    /// It does not fit the configuration before it, or exceeds a limit.
+    #[error(transparent)]
+    Invalid(#[from] DocumentError),
+    /// The router can't apply it.
+    #[error(transparent)]
+    NotApplicable(#[from] ApplyError),
 }
 
-/// What happens.
+/// What the caller reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// The connection that was asked for stands.
+    /// The requested connection is established.
     Connected,
-    /// It does not, or is lost.
-    Lost,
-    /// A message came on it.
+    /// The connection failed or was closed by the other side.
+    Disconnected,
+    /// A message was received.
     Message(Box<Message>),
     /// Time has passed.
     Tick,
 }
 
-/// What is to be done, in order.
+/// What the caller has to do, in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Connect to this replica; there is no other connection.
     Connect(ReplicaId),
-    /// Send on the connection.
+    /// Send a message on the connection.
     Send(Message),
     /// Close the connection.
     Close,
-    /// This number is in force since now: keep it as the last known good.
-    InForce(Number),
-    /// This number is held back, for this reason: an operator is told.
-    HeldBack(Number, String),
-    /// The replica tells another history than is held: an operator is told, and another replica asked.
-    OtherHistory(ReplicaId, Number),
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Connection {
-    /// None; the next try is due then.
-    None {
-        retry: Time,
+    /// This revision was applied: store the configuration as the last known good one.
+    Applied(RevisionNumber),
+    /// This revision is skipped: notify an operator.
+    Rejected {
+        /// The revision's number.
+        number: RevisionNumber,
+        /// What is wrong with it.
+        error: RejectedRevisionError,
     },
-    Connecting {
-        until: Time,
-    },
-    Open {
-        heard: Time,
-        greeted: Time,
+    /// The replica has another history than this router: notify an operator. Another replica is tried.
+    Diverged {
+        /// The replica.
+        replica: ReplicaId,
+        /// The number with other content.
+        number: RevisionNumber,
     },
 }
 
-/// One router's link.
+/// One router's subscription, without input or output of its own.
 #[derive(Debug, Clone)]
 pub struct Subscriber {
-    follower: Follower,
-    replicas: u8,
+    learner: Learner,
+    replica_count: u8,
     replica: ReplicaId,
     connection: Connection,
-    tries: u32,
-    random: u64,
-    held_back: Vec<Number>,
+    /// Connections that failed in a row.
+    failed_attempts: u32,
+    random: Xorshift64,
+    rejected: Vec<RevisionNumber>,
 }
 
 impl Subscriber {
-    /// A link that begins with what the router holds. The seed spreads routers over replicas and times.
-    pub fn new(number: Number, document: Document, replicas: u8, seed: u64) -> Self {
-        let mut subscriber = Self {
-            follower: Follower::new(number, document),
-            replicas: replicas.max(1),
-            replica: ReplicaId(0),
-            connection: Connection::None { retry: 0 },
-            tries: 0,
-            // Never 0, from which nothing is drawn.
-            random: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
-            held_back: Vec::new(),
-        };
-        subscriber.replica = ReplicaId(subscriber.draw(u64::from(subscriber.replicas)) as u8);
-        subscriber
+    /// A subscription that starts from the configuration that the router has. The seed spreads routers over replicas and
+    /// over time.
+    pub fn new(number: RevisionNumber, document: Document, replica_count: u8, seed: u64) -> Self {
+        let replica_count = replica_count.max(1);
+        let mut random = Xorshift64::new(seed);
+        let replica = ReplicaId(random.below(u64::from(replica_count)) as u8);
+        Self {
+            learner: Learner::new(number, document),
+            replica_count,
+            replica,
+            connection: Connection::Closed { retry_at: 0 },
+            failed_attempts: 0,
+            random,
+            rejected: Vec::new(),
+        }
     }
 
-    /// The newest number that is held.
-    pub fn number(&self) -> Number {
-        self.follower.number()
+    /// The newest number that was learned.
+    pub fn number(&self) -> RevisionNumber {
+        self.learner.number()
     }
 
-    /// What is held.
+    /// The newest configuration that was learned.
     pub fn document(&self) -> &Document {
-        self.follower.document()
+        self.learner.document()
     }
 
-    /// Numbers that could not be put in force.
-    pub fn held_back(&self) -> &[Number] {
-        &self.held_back
+    /// The revisions that were skipped.
+    pub fn rejected(&self) -> &[RevisionNumber] {
+        &self.rejected
     }
 
-    /// The replica that is asked, and whether the connection to it stands.
-    pub fn replica(&self) -> (ReplicaId, bool) {
-        (self.replica, matches!(self.connection, Connection::Open { .. }))
+    /// The replica that is followed, or that is to be tried next.
+    pub fn replica(&self) -> ReplicaId {
+        self.replica
     }
 
-    /// When [`Input::Tick`] is next needed.
-    pub fn next_due(&self) -> Time {
-        match self.connection {
-            Connection::None { retry } => retry,
-            Connection::Connecting { until } => until,
-            Connection::Open { heard, greeted } if heard < greeted => greeted + SILENCE,
-            Connection::Open { greeted, .. } => greeted + GREETING,
-        }
+    /// Whether the connection to [`Self::replica`] is established.
+    pub fn is_connected(&self) -> bool {
+        matches!(self.connection, Connection::Open { .. })
     }
 
-    /// xorshift: below `most`.
-    fn draw(&mut self, most: u64) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random % most.max(1)
+    /// When [`Input::Tick`] has to be reported next.
+    pub fn next_due(&self) -> Micros {
+        self.connection.next_due()
     }
 
-    /// Takes an input.
-    pub fn handle(&mut self, now: Time, input: Input, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
+    /// Handles an input.
+    pub fn handle(&mut self, now: Micros, input: Input, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
         match input {
-            Input::Connected => self.greet(now, now, actions),
-            Input::Lost => self.lost(now),
-            Input::Message(message) => self.message(now, *message, apply, actions),
+            Input::Connected => self.send_heartbeat(now, now, actions),
+            Input::Disconnected => self.fail_over(now),
+            Input::Message(message) => self.receive(now, *message, apply, actions),
             Input::Tick => self.tick(now, actions),
         }
     }
 
-    fn greet(&mut self, now: Time, heard: Time, actions: &mut Vec<Action>) {
-        let (number, digest) = (self.follower.number(), self.follower.document().digest());
-        // A greeting later than it is: routers that began together get out of step.
-        let jitter = self.draw(GREETING / 10);
-        self.connection = Connection::Open { heard, greeted: now.saturating_sub(jitter).max(1) };
-        actions.push(Action::Send(Message::Holds { number, digest }));
+    fn send_heartbeat(&mut self, now: Micros, last_received_at: Micros, actions: &mut Vec<Action>) {
+        // Recorded earlier than it is by a random time: routers that started together do not stay in step.
+        let jitter = self.random.below(HEARTBEAT_INTERVAL / 10);
+        let last_heartbeat_at = now.saturating_sub(jitter).max(1);
+        self.connection = Connection::Open { last_received_at, last_heartbeat_at };
+        let number = self.learner.number();
+        let digest = self.learner.document().digest();
+        actions.push(Action::Send(Message::Heartbeat { number, digest }));
     }
 
-    /// The next replica, after a pause that grows with the tries and is drawn from a span that does.
-    fn lost(&mut self, now: Time) {
-        self.replica = ReplicaId((self.replica.0 + 1) % self.replicas);
-        let span = PAUSE << self.tries.min(PAUSE_DOUBLINGS);
-        self.tries = self.tries.saturating_add(1);
-        let retry = now + PAUSE + self.draw(span);
-        self.connection = Connection::None { retry };
+    /// Moves on to the next replica after a backoff.
+    fn fail_over(&mut self, now: Micros) {
+        self.replica = ReplicaId((self.replica.0 + 1) % self.replica_count);
+        let jitter_limit = MIN_BACKOFF << self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS);
+        self.failed_attempts = self.failed_attempts.saturating_add(1);
+        let retry_at = now + MIN_BACKOFF + self.random.below(jitter_limit);
+        self.connection = Connection::Closed { retry_at };
     }
 
-    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn close_and_fail_over(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        actions.push(Action::Close);
+        self.fail_over(now);
+    }
+
+    fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if now < self.next_due() {
             return;
         }
         match self.connection {
-            Connection::None { .. } => {
-                self.connection = Connection::Connecting { until: now + CONNECT };
+            Connection::Closed { .. } => {
+                self.connection = Connection::Connecting { deadline: now + CONNECT_TIMEOUT };
                 actions.push(Action::Connect(self.replica));
             }
-            Connection::Open { heard, greeted } if heard >= greeted => self.greet(now, heard, actions),
-            Connection::Connecting { .. } | Connection::Open { .. } => {
-                actions.push(Action::Close);
-                self.lost(now);
+            Connection::Open { last_received_at, .. } if !self.connection.awaits_answer() => {
+                self.send_heartbeat(now, last_received_at, actions);
             }
+            Connection::Connecting { .. } | Connection::Open { .. } => self.close_and_fail_over(now, actions),
         }
     }
 
-    fn message(&mut self, now: Time, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
-        let Connection::Open { greeted, .. } = self.connection else { return };
-        self.connection = Connection::Open { heard: now.max(greeted), greeted };
-        self.tries = 0;
+    fn receive(&mut self, now: Micros, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
+        let Connection::Open { last_heartbeat_at, .. } = self.connection else { return };
+        let last_received_at = now.max(last_heartbeat_at);
+        self.connection = Connection::Open { last_received_at, last_heartbeat_at };
+        self.failed_attempts = 0;
         match message {
-            Message::Decided(revision) => {
-                let (number, delta) = (revision.number, revision.delta.clone());
-                let taken = self.follower.take(revision);
-                self.taken(now, taken, number, |number| apply.apply(number, &delta), actions);
-            }
-            Message::Whole { number, entries } => {
-                let taken = match Document::new(entries) {
-                    Ok(document) => self.follower.take_whole(number, document),
-                    Err(why) => Taken::NotApplied(why.to_string()),
-                };
-                let document = self.follower.document().clone();
-                self.taken(now, taken, number, |number| apply.apply_whole(number, &document), actions);
-            }
-            Message::Holds { number, .. } if number < self.follower.number() => {
-                // A replica that is behind: it will catch up, and tells nothing new until then.
+            Message::Decided(revision) => self.learn_revision(now, revision, apply, actions),
+            Message::Snapshot { number, entries } => {
+                self.learn_snapshot(now, number, entries, apply, actions);
             }
+            // A heartbeat says where the replica is: if this router lacks anything, that follows as a message of its own.
+            // Replicas exchange the others among themselves.
             _ => {}
         }
     }
 
-    fn taken(
+    fn learn_revision(
+        &mut self,
+        now: Micros,
+        revision: Revision,
+        apply: &mut dyn Apply,
+        actions: &mut Vec<Action>,
+    ) {
+        let number = revision.number;
+        let delta = revision.delta.clone();
+        match self.learner.learn(revision) {
+            LearnOutcome::Applied => self.record_result(number, apply.apply(number, &delta), actions),
+            other => self.recover(now, number, other, actions),
+        }
+    }
+
+    fn learn_snapshot(
+        &mut self,
+        now: Micros,
+        number: RevisionNumber,
+        entries: Vec<Entry>,
+        apply: &mut dyn Apply,
+        actions: &mut Vec<Action>,
+    ) {
+        let outcome = match Document::new(entries) {
+            Ok(document) => self.learner.learn_snapshot(number, document),
+            Err(error) => LearnOutcome::Invalid(error),
+        };
+        match outcome {
+            LearnOutcome::Applied => {
+                let result = apply.apply_snapshot(number, self.learner.document());
+                self.record_result(number, result, actions);
+            }
+            other => self.recover(now, number, other, actions),
+        }
+    }
+
+    fn record_result(
+        &mut self,
+        number: RevisionNumber,
+        result: Result<(), ApplyError>,
+        actions: &mut Vec<Action>,
+    ) {
+        match result {
+            Ok(()) => actions.push(Action::Applied(number)),
+            Err(error) => self.reject(number, error.into(), actions),
+        }
+    }
+
+    /// Reacts to a revision or snapshot that was not learned.
+    fn recover(
         &mut self,
-        now: Time,
-        taken: Taken,
-        number: Number,
-        apply: impl FnOnce(Number) -> Result<(), String>,
+        now: Micros,
+        number: RevisionNumber,
+        outcome: LearnOutcome,
         actions: &mut Vec<Action>,
     ) {
-        match taken {
-            Taken::Held => match apply(number) {
-                Ok(()) => actions.push(Action::InForce(number)),
-                Err(why) => self.hold_back(number, why, actions),
-            },
-            Taken::Old => {}
-            // What is missing is asked for at once.
-            Taken::Gap => self.greet(now, now, actions),
-            Taken::OtherHistory => {
-                actions.extend([Action::OtherHistory(self.replica, number), Action::Close]);
-                self.lost(now);
+        match outcome {
+            LearnOutcome::Applied | LearnOutcome::Stale => {}
+            // The answer to a heartbeat is what is missing.
+            LearnOutcome::Gap => self.send_heartbeat(now, now, actions),
+            LearnOutcome::Diverged => {
+                actions.push(Action::Diverged { replica: self.replica, number });
+                self.close_and_fail_over(now, actions);
             }
-            Taken::NotApplied(why) => {
-                self.hold_back(number, why, actions);
-                actions.push(Action::Close);
-                self.lost(now);
+            LearnOutcome::Invalid(error) => {
+                self.reject(number, error.into(), actions);
+                self.close_and_fail_over(now, actions);
             }
         }
     }
 
-    fn hold_back(&mut self, number: Number, why: String, actions: &mut Vec<Action>) {
-        if self.held_back.len() >= HELD_BACK {
-            self.held_back.remove(0);
+    fn reject(&mut self, number: RevisionNumber, error: RejectedRevisionError, actions: &mut Vec<Action>) {
+        if self.rejected.len() >= MAX_REJECTED {
+            self.rejected.remove(0);
         }
-        self.held_back.push(number);
-        actions.push(Action::Send(Message::CannotApply { number, why: why.as_str().into() }));
-        actions.push(Action::HeldBack(number, why));
+        self.rejected.push(number);
+        let reason = error.to_string().into();
+        actions.push(Action::Send(Message::CannotApply { number, reason }));
+        actions.push(Action::Rejected { number, error });
     }
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -22,12 +22,12 @@
 
 /// Refuses entries of one name.
 #[derive(Debug, Clone, Copy)]
-pub struct NothingBad;
+pub struct RejectsBadEntries;
 
-impl Check for NothingBad {
-    fn check(&self, document: &Document) -> Result<(), String> {
+impl Validator for RejectsBadEntries {
+    fn validate(&self, document: &Document) -> Result<(), ValidationError> {
         match document.get("bad") {
-            Some(_) => Err("`bad` is not known; take another name".into()),
+            Some(_) => Err(ValidationError::new("`bad` is not known; take another name")),
             None => Ok(()),
         }
     }
@@ -42,25 +42,25 @@
 
 /// All replicas, their disks, and the messages on their way.
 #[derive(Debug, Clone)]
-pub struct Fleet {
+pub struct Cluster {
     pub replicas: Vec<Replica>,
     pub disks: Vec<Disk>,
     /// As each disk was a while ago.
     old_disks: Vec<Disk>,
-    on_their_way: Vec<(ReplicaId, ReplicaId, Message)>,
+    in_transit: Vec<(ReplicaId, ReplicaId, Message)>,
     /// The first half of the replicas does not hear the second.
-    pub cut: bool,
+    pub partitioned: bool,
     /// One replica is out of reach.
-    pub away: Option<usize>,
-    pub outcomes: Vec<Outcome>,
+    pub unreachable: Option<usize>,
+    pub outcomes: Vec<PublishOutcome>,
     pub diverged: u64,
     /// What was decided, by any replica's word.
-    decided: BTreeMap<Number, RevisionId>,
-    conflict: Option<Number>,
+    decided: BTreeMap<RevisionNumber, RevisionId>,
+    conflict: Option<RevisionNumber>,
     published: u64,
 }
 
-impl Fleet {
+impl Cluster {
     pub fn new(replicas: u8) -> Self {
         let replicas: Vec<Replica> = (0..replicas).map(|n| Replica::fresh(ReplicaId(n), replicas)).collect();
         let disk = Disk { history: replicas[0].history().clone(), votes: None };
@@ -69,9 +69,9 @@
             replicas,
             old_disks: disks.clone(),
             disks,
-            on_their_way: Vec::new(),
-            cut: false,
-            away: None,
+            in_transit: Vec::new(),
+            partitioned: false,
+            unreachable: None,
             outcomes: Vec::new(),
             diverged: 0,
             decided: BTreeMap::new(),
@@ -80,8 +80,8 @@
         }
     }
 
-    pub fn on_their_way(&self) -> usize {
-        self.on_their_way.len()
+    pub fn in_transit(&self) -> usize {
+        self.in_transit.len()
     }
 
     pub fn newest(&self) -> u64 {
@@ -103,7 +103,7 @@
         self.replicas[replica].publish(
             Delta(vec![change]),
             &format!("operator {replica}"),
-            &NothingBad,
+            &RejectsBadEntries,
             &mut out,
         );
         self.carry_out(replica, out);
@@ -111,37 +111,37 @@
 
     pub fn retry(&mut self, replica: usize) {
         let mut out = Vec::new();
-        self.replicas[replica].retry(&NothingBad, &mut out);
+        self.replicas[replica].retry(&RejectsBadEntries, &mut out);
         self.carry_out(replica, out);
     }
 
-    pub fn greet(&mut self, from: usize, to: usize) {
-        let message = self.replicas[from].greeting();
-        self.on_their_way.push((id(from), id(to), message));
+    pub fn send_heartbeat(&mut self, from: usize, to: usize) {
+        let message = self.replicas[from].heartbeat();
+        self.in_transit.push((id(from), id(to), message));
     }
 
-    fn carry_out(&mut self, replica: usize, out: Vec<Output>) {
+    fn carry_out(&mut self, replica: usize, out: Vec<ReplicaAction>) {
         for output in out {
             match output {
-                Output::Send(to, message) => self.on_their_way.push((id(replica), to, message)),
-                Output::Persist(votes) => {
+                ReplicaAction::Send { to, message } => self.in_transit.push((id(replica), to, message)),
+                ReplicaAction::PersistVotes(votes) => {
                     self.old_disks[replica] = self.disks[replica].clone();
                     self.disks[replica].votes = Some(votes);
                 }
-                Output::Keep(revision) => {
+                ReplicaAction::PersistRevision(revision) => {
                     let known = self.decided.insert(revision.number, revision.id());
                     if known.is_some_and(|known| known != revision.id()) {
                         self.conflict = Some(revision.number);
                     }
                     let number = revision.number;
-                    let kept = self.disks[replica].history.take(revision);
+                    let kept = self.disks[replica].history.append(revision);
                     assert!(kept.is_ok(), "replica {replica} keeps {number}: {kept:?}");
                 }
-                Output::KeepWhole(_) => {
+                ReplicaAction::PersistSnapshot(_) => {
                     self.disks[replica].history = self.replicas[replica].history().clone()
                 }
-                Output::Done(outcome) => self.outcomes.push(outcome),
-                Output::Diverged(..) => self.diverged += 1,
+                ReplicaAction::PublicationEnded(outcome) => self.outcomes.push(outcome),
+                ReplicaAction::Diverged { .. } => self.diverged += 1,
             }
         }
     }
@@ -149,27 +149,27 @@
     fn reaches(&self, from: ReplicaId, to: ReplicaId) -> bool {
         let half = self.replicas.len() / 2;
         let side = |m: ReplicaId| usize::from(m.0) < half;
-        let away = |m: ReplicaId| self.away == Some(usize::from(m.0));
-        let apart = self.cut && side(from) != side(to);
+        let away = |m: ReplicaId| self.unreachable == Some(usize::from(m.0));
+        let apart = self.partitioned && side(from) != side(to);
         !(apart || away(from) || away(to))
     }
 
     pub fn deliver(&mut self, place: usize) {
-        if place >= self.on_their_way.len() {
+        if place >= self.in_transit.len() {
             return;
         }
-        let (from, to, message) = self.on_their_way.remove(place);
+        let (from, to, message) = self.in_transit.remove(place);
         if !self.reaches(from, to) {
             return;
         }
         let mut out = Vec::new();
-        self.replicas[usize::from(to.0)].take(from, message, &mut out);
+        self.replicas[usize::from(to.0)].receive(from, message, &mut out);
         self.carry_out(usize::from(to.0), out);
     }
 
     pub fn deliver_all(&mut self) {
         let mut most = 1_000_000;
-        while !self.on_their_way.is_empty() && most > 0 {
+        while !self.in_transit.is_empty() && most > 0 {
             self.deliver(0);
             most -= 1;
         }
@@ -177,14 +177,14 @@
     }
 
     pub fn lose(&mut self, place: usize) {
-        if place < self.on_their_way.len() {
-            self.on_their_way.remove(place);
+        if place < self.in_transit.len() {
+            self.in_transit.remove(place);
         }
     }
 
     pub fn repeat(&mut self, place: usize) {
-        if let Some(message) = self.on_their_way.get(place).cloned() {
-            self.on_their_way.push(message);
+        if let Some(message) = self.in_transit.get(place).cloned() {
+            self.in_transit.push(message);
         }
     }
 
@@ -201,7 +201,7 @@
     pub fn fingerprint(&self) -> Vec<u8> {
         let key = SiteKey::new([7; 32]);
         let mut bytes = Vec::new();
-        for (from, to, message) in &self.on_their_way {
+        for (from, to, message) in &self.in_transit {
             bytes.extend([from.0, to.0]);
             bytes.extend(message.encode(&key));
         }
@@ -213,10 +213,10 @@
         Digest::of_bytes(&bytes).to_string().into_bytes()
     }
 
-    /// No number has two contents, and replicas that hold the same number hold the same whole.
+    /// No number has two contents, and replicas that hold the same number hold the same snapshot.
     pub fn check(&self) {
         assert_eq!(self.conflict, None, "a number was decided twice");
-        let mut digests: BTreeMap<Number, Digest> = BTreeMap::new();
+        let mut digests: BTreeMap<RevisionNumber, Digest> = BTreeMap::new();
         for replica in &self.replicas {
             let digest = replica.history().document().digest();
             let known = *digests.entry(replica.number()).or_insert(digest);
--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use chalkyard_budget::bill::{whole, Bill, Biller, EngineLine};
-use chalkyard_budget::{Record, Span};
-use chalkyard_ledger::{read, segment_number, Folder, Volume};
+use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, EngineLine, LineKey};
+use chalkyard_budget::{Period, Record};
+use chalkyard_ledger::{read, segment_number, DirectoryVolume, Volume};
 
 use crate::settle::{Adjustments, Change};
 use crate::{Format, Trouble};
@@ -28,7 +28,7 @@
 
 /// All segments of a ledger.
 fn all_segments(folder: &Path) -> Result<Vec<String>, Trouble> {
-    let names = Folder::reader(folder).list();
+    let names = DirectoryVolume::reader(folder).list();
     let names = names.map_err(|e| Trouble::BadInput(format!("{}: {e}", folder.display())))?;
     let mut segments: Vec<(u64, String)> =
         names.into_iter().filter_map(|n| segment_number(&n).map(|i| (i, n))).collect();
@@ -41,9 +41,9 @@
     if names.is_empty() {
         return Err(Trouble::BadInput(format!("{}: no ledger there", folder.display())));
     }
-    let report = read(&Folder::reader(folder), &names, &mut take)
+    let report = read(&DirectoryVolume::reader(folder), &names, &mut take)
         .map_err(|e| Trouble::BadInput(format!("{}: {e}", folder.display())))?;
-    Ok(report.trouble())
+    Ok(report.describe_damage())
 }
 
 fn read_engines(file: &Path, biller: &mut Biller) -> Result<(), Trouble> {
@@ -64,7 +64,7 @@
 }
 
 /// Makes the bill of a period; damage met in ledgers is told beside.
-pub fn make(sources: &Sources<'_>, period: Span) -> Result<(Bill, Vec<String>), Trouble> {
+pub fn make(sources: &Sources<'_>, period: Period) -> Result<(Bill, Vec<String>), Trouble> {
     let budgets = sources.budgets;
     let settled = budgets.settlement.iter().flat_map(|s| &s.routers).map(|(_, folder)| folder.clone());
     let mut folders: Vec<PathBuf> = sources.ledgers.clone();
@@ -80,9 +80,9 @@
         let name = folder.display().to_string();
         let trouble = read_ledger(folder, |number, record| biller.record(&name, number, &record))?;
         troubles.extend(trouble.map(|t| format!("{name}: {t}")));
-        for sums in Folder::reader(folder).list().unwrap_or_default() {
+        for sums in DirectoryVolume::reader(folder).list().unwrap_or_default() {
             let before = sums.strip_prefix("sums-before-").and_then(|s| s.strip_suffix(".json"));
-            let before = before.and_then(|b| budgets.plan.calendar.named(b).ok());
+            let before = before.and_then(|b| budgets.plan.calendar.parse_period(b).ok());
             if before.is_some_and(|(_, cut)| cut.start > period.start) {
                 troubles
                     .push(format!("{name}: records of this period were compacted; their sums are in {sums}"));
@@ -114,7 +114,8 @@
 /// `chalkyard bill`: exit code 3 if engines and bill differ and nothing explains it.
 pub fn bill(sources: &Sources<'_>, period: &str, format: Format) -> Result<ExitCode, Trouble> {
     let calendar = &sources.budgets.plan.calendar;
-    let (_, span) = calendar.named(period).map_err(|why| Trouble::BadInput(format!("--period: {why}")))?;
+    let (_, span) =
+        calendar.parse_period(period).map_err(|why| Trouble::BadInput(format!("--period: {why}")))?;
     let (bill, troubles) = make(sources, span)?;
     let (first, last) = (calendar.date(span.start), calendar.date(chalkyard_budget::Time(span.end.0 - 1)));
     let mut hand = by_hand(sources.budgets)?;
@@ -146,17 +147,17 @@
 fn print(bill: &Bill, period: &str, reconciled: bool, hand: &ByHand, troubles: &[String]) {
     println!("bill for {period}");
     let mut sums: BTreeMap<(&str, &str), u128> = BTreeMap::new();
-    for ((tenant, class, day), line) in &bill.lines {
+    for (LineKey { tenant, class, day }, line) in &bill.lines {
         let price = line.price_millionths.map(|p| {
             let currency = line.currency.as_deref().unwrap_or("");
             *sums.entry((tenant, currency)).or_default() += p;
-            format!("{} {currency}", whole(p))
+            format!("{} {currency}", round_to_smallest_unit(p))
         });
         println!(
             "{tenant} {class} {day}: {} requests, {} prompt tokens ({} of them kept), {} output tokens, {}",
             line.requests,
             line.usage.prompt,
-            line.usage.kept,
+            line.usage.cached,
             line.usage.output,
             price.unwrap_or_else(|| "no price".into())
         );
@@ -168,7 +169,8 @@
     }
     for ((tenant, currency), sum) in sums {
         let amounts = hand.iter().filter(|((t, ..), _)| t == tenant).flat_map(|(_, l)| l).map(|(_, a, _)| *a);
-        let total = i128::try_from(whole(sum)).unwrap_or(i128::MAX) + amounts.map(i128::from).sum::<i128>();
+        let total = i128::try_from(round_to_smallest_unit(sum)).unwrap_or(i128::MAX)
+            + amounts.map(i128::from).sum::<i128>();
         println!("{tenant}: {total} {currency} in all");
     }
     if bill.open > 0 {
@@ -200,11 +202,14 @@
 
 /// `chalkyard compact`: sums of whole months are kept, their records go.
 pub fn compact(budgets: &Budgets, folder: &Path, before: &str) -> Result<ExitCode, Trouble> {
-    let (_, cut) =
-        budgets.plan.calendar.named(before).map_err(|why| Trouble::BadInput(format!("--before: {why}")))?;
+    let (_, cut) = budgets
+        .plan
+        .calendar
+        .parse_period(before)
+        .map_err(|why| Trouble::BadInput(format!("--before: {why}")))?;
     let names = all_segments(folder)?;
-    let volume = Folder::reader(folder);
-    let wrong = |e: chalkyard_ledger::Error| Trouble::BadInput(format!("{}: {e}", folder.display()));
+    let volume = DirectoryVolume::reader(folder);
+    let wrong = |e: chalkyard_ledger::LedgerError| Trouble::BadInput(format!("{}: {e}", folder.display()));
     // A segment may go if a later one begins with a checkpoint and no record in it is as late as the cut.
     let (mut old, mut biller, mut records) = (Vec::new(), Biller::default(), 0_u64);
     let mut open: BTreeSet<Box<str>> = BTreeSet::new();
@@ -243,7 +248,7 @@
         println!("nothing to compact: no segment before {before} with all its requests settled and a checkpoint after it");
         return Ok(ExitCode::SUCCESS);
     }
-    let all = Span { start: chalkyard_budget::Time(0), end: cut.start };
+    let all = Period { start: chalkyard_budget::Time(0), end: cut.start };
     let bill = biller.bill(&budgets.plan, all);
     let target = folder.join(format!("sums-before-{before}.json"));
     if target.exists() {
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use chalkyard_budget::{AccountKey, Kind};
+use chalkyard_budget::{AccountKey, PeriodKind};
 use clap::{Args, Subcommand, ValueEnum};
 
 use crate::keeping::now;
@@ -20,7 +20,7 @@
     Month,
 }
 
-impl From<Period> for Kind {
+impl From<Period> for PeriodKind {
     fn from(p: Period) -> Self {
         match p {
             Period::Hour => Self::Hour,
@@ -150,13 +150,13 @@
             if tokens == Some(0) {
                 return Err(Trouble::BadInput("--tokens must be at least 1".into()));
             }
-            let start = budgets.plan.calendar.span(key.kind, now()).start;
+            let start = budgets.plan.calendar.period(key.kind, now()).start;
             add(&budgets, who, Change::Set(key, start, tokens))
         }
         Command::Grant { which, tokens, who } => {
             let budgets = load(&which.file)?;
             let key = account(&which, &budgets)?;
-            let start = budgets.plan.calendar.span(key.kind, now()).start;
+            let start = budgets.plan.calendar.period(key.kind, now()).start;
             add(&budgets, who, Change::Grant(key, start, tokens))
         }
         Command::Adjust { file, tenant, class, day, amount, who } => {
@@ -168,8 +168,8 @@
                 )));
             }
             let budgets = load(&file)?;
-            match budgets.plan.calendar.named(&day) {
-                Ok((Kind::Day, _)) => {}
+            match budgets.plan.calendar.parse_period(&day) {
+                Ok((PeriodKind::Day, _)) => {}
                 Ok(_) => return Err(Trouble::BadInput(format!("--day: `{day}` is no day"))),
                 Err(why) => return Err(Trouble::BadInput(format!("--day: {why}"))),
             }
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -1,7 +1,7 @@
 //! A request from its arrival until it is answered and nothing of it is left at a worker.
 
 use chalkyard_api::client::{MessagesRequest, Usage};
-use chalkyard_budget::Usage as BilledTokens;
+use chalkyard_budget::{BilledAttempts, Usage as BilledTokens};
 use chalkyard_policy as p;
 use chalkyard_policy::obligations::{AnswerState, Obligations, Target};
 use chalkyard_policy::{Micros, Outcome, WorkerId};
@@ -227,11 +227,11 @@
         let usage = self.usage;
         let prompt = if usage.prompt_tokens == 0 { self.spec.prompt_tokens } else { usage.prompt_tokens };
         let output = if is_cut_off || usage.output_tokens == 0 { self.pieces } else { usage.output_tokens };
-        BilledTokens { prompt, kept: usage.kept_tokens.min(prompt), output }
+        BilledTokens { prompt, cached: usage.kept_tokens.min(prompt), output }
     }
 
     /// The numbers of the prefill attempt for the answer that was given, and of the attempt that gave it.
-    pub(super) fn billed_attempts(&self) -> (Option<u32>, Option<u32>) {
+    pub(super) fn billed_attempts(&self) -> BilledAttempts {
         let answering = self.answering_attempt.and_then(|index| u32::try_from(index).ok());
         let attempt = self.answering_attempt.and_then(|index| self.attempts.get(index));
         let is_decode = attempt.is_some_and(|a| a.stage == AttemptStage::Decode);
@@ -239,7 +239,7 @@
             a.stage == AttemptStage::Prefill && a.ended.is_some_and(|end| end.outcome == Outcome::Parsed)
         };
         let prefill = self.attempts.iter().rposition(is_prefilled).filter(|_| is_decode);
-        (prefill.and_then(|index| u32::try_from(index).ok()), answering)
+        BilledAttempts { prefill: prefill.and_then(|index| u32::try_from(index).ok()), answering }
     }
 
     /// Its attempts as operators see them.
