--- a/crates/platform/src/speak.rs
+++ b/crates/platform/src/speak.rs
@@ -84,15 +84,15 @@
         let not_run = head.count("x-not-processed") == 1 && head.header("x-not-processed") == Some("1");
         let events = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         match (status, stage) {
-            (200, Stage::Write) if events => ReplyHead::Stream,
-            (202, Stage::Read) => ReplyHead::Prefilled,
-            (410, _) if not_run => ReplyHead::Ended(Outcome::Refused { no_state: true }),
-            (503 | 504, _) if not_run => ReplyHead::Ended(Outcome::Refused { no_state: false }),
+            (200, Stage::Decode) if events => ReplyHead::Stream,
+            (202, Stage::Prefill) => ReplyHead::Prefilled,
+            (410, _) if not_run => ReplyHead::Ended(Outcome::Rejected { no_state: true }),
+            (503 | 504, _) if not_run => ReplyHead::Ended(Outcome::Rejected { no_state: false }),
             _ => ReplyHead::Ended(Outcome::ServerError),
         }
     }
 
-    fn load_report(&self, head: &Head) -> Option<p::Report> {
+    fn load_report(&self, head: &Head) -> Option<p::LoadReport> {
         head.header("x-server-load").and_then(beside::report)
     }
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -111,30 +111,36 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Role {
     /// Reads prompts; its read state is then pulled by a writer.
-    Reader,
+    #[cfg_attr(feature = "serde", serde(rename = "Reader"))]
+    Prefill,
     /// Pulls read state and writes answers; may read by itself where the settings say so.
-    Writer,
+    #[cfg_attr(feature = "serde", serde(rename = "Writer"))]
+    Decode,
     /// Does both.
     #[default]
-    Mixed,
+    #[cfg_attr(feature = "serde", serde(rename = "Mixed"))]
+    Combined,
 }
 
 /// Where a class of requests may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Effect {
+pub enum RetrySafety {
     /// Repeating does no harm.
-    Free,
+    #[cfg_attr(feature = "serde", serde(rename = "Free"))]
+    Idempotent,
     /// Repeats are discarded within a group of workers for some time.
-    Guarded(Group),
+    #[cfg_attr(feature = "serde", serde(rename = "Guarded"))]
+    Deduplicated(DeduplicationScope),
     /// Must never run twice.
-    SingleShot,
+    #[cfg_attr(feature = "serde", serde(rename = "SingleShot"))]
+    NonIdempotent,
 }
 
 /// The workers that discard repeats of a guarded request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All workers.
     All,
     /// Those of one zone.
@@ -148,13 +154,16 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
     /// Time to the first token that earns full worth.
-    pub aim: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "aim"))]
+    pub latency_objective: Micros,
     /// Added to the aim for each 1,000 prompt tokens.
-    pub aim_per_1000_tokens: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "aim_per_1000_tokens"))]
+    pub latency_objective_per_1000_tokens: Micros,
     /// A client's whole waiting time, over all its tries.
     pub deadline: Micros,
     /// Where it may be repeated.
-    pub effect: Effect,
+    #[cfg_attr(feature = "serde", serde(rename = "effect"))]
+    pub retry_safety: RetrySafety,
     /// For guarded classes: how long repeats are discarded, from the first send that may have run.
     pub dedup_window: Micros,
 }
@@ -174,17 +183,19 @@
     /// Changes come unasked.
     Push,
     /// Changes come only after [`Action::Subscribe`].
-    Ask,
+    #[cfg_attr(feature = "serde", serde(rename = "Ask"))]
+    Poll,
 }
 
 /// How workers report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum Reports {
+pub enum LoadReporting {
     /// Not at all.
     Off,
     /// With outcomes.
-    InAnswers,
+    #[cfg_attr(feature = "serde", serde(rename = "InAnswers"))]
+    InResponses,
 }
 
 /// What the site tells a router when it starts.
@@ -200,13 +211,15 @@
     /// How the list of workers is learnt.
     pub discovery: Discovery,
     /// Without a subscription, the list must be asked for at least this often.
-    pub must_ask_in: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "must_ask_in"))]
+    pub max_poll_interval: Micros,
     /// Writers read a prompt by themselves when there is no state to pull.
     pub self_prefill: bool,
     /// A broken stream goes on elsewhere, and a running one may be moved.
     pub resume: bool,
     /// Held state or place must be taken or let go within this span.
-    pub release: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "release"))]
+    pub reservation_timeout: Micros,
     /// At most this many attempts for a request.
     pub max_attempts: u32,
     /// An attempt may be cancelled.
@@ -214,13 +227,17 @@
     /// Clients are told when to come back, at most this far ahead; zero: they are not.
     pub max_retry_after: Micros,
     /// A cold worker falls over when sent this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_after: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "fall_after"))]
+    pub overload_window: Micros,
     /// A worker starts with at least this share of its capacity ...
-    pub cold_from: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "cold_from"))]
+    pub slow_start_initial_share: f64,
     /// ... and is warm after this span at the latest.
-    pub cold_for: Micros,
+    #[cfg_attr(feature = "serde", serde(rename = "cold_for"))]
+    pub slow_start_duration: Micros,
     /// How late a final answer still counts after the client's deadline.
     pub answer_slack: Micros,
     /// The smallest step of the clock.
@@ -228,7 +245,8 @@
     /// Whether worker weights mean anything.
     pub weighted: bool,
     /// How workers report their load.
-    pub reports: Reports,
+    #[cfg_attr(feature = "serde", serde(rename = "reports"))]
+    pub load_reporting: LoadReporting,
 }
 
 /// Whether a worker takes new work.
@@ -236,12 +254,14 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Lifecycle {
     /// Takes work.
-    In,
+    #[cfg_attr(feature = "serde", serde(rename = "In"))]
+    Active,
     /// Finishes its work; nothing new may be sent.
     Draining,
     /// Removed.
     #[default]
-    Out,
+    #[cfg_attr(feature = "serde", serde(rename = "Out"))]
+    Removed,
 }
 
 /// An entry of the list of workers.
@@ -269,13 +289,16 @@
 /// How a list of workers is to be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Complete, and current as far as discovery knows.
-    Full,
+    #[cfg_attr(feature = "serde", serde(rename = "Full"))]
+    Snapshot,
     /// Complete, as last held before a restart; perhaps stale.
-    Stale,
+    #[cfg_attr(feature = "serde", serde(rename = "Stale"))]
+    LastKnown,
     /// Changed entries only.
-    Changes,
+    #[cfg_attr(feature = "serde", serde(rename = "Changes"))]
+    Delta,
     /// Asking failed or the subscription broke; no entries, the list held stays.
     Failed,
 }
@@ -283,7 +306,7 @@
 /// A worker's load, as far as it tells it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that wait.
     pub queued: Option<f64>,
     /// Share of its slots in use, 0 to 1.
@@ -301,11 +324,13 @@
     /// Answered.
     Served,
     /// Prompt read; its state waits at this reader. Proves that nothing ran.
-    Parsed,
+    #[cfg_attr(feature = "serde", serde(rename = "Parsed"))]
+    Prefilled,
     /// The worker failed; it may have run.
     ServerError,
     /// Turned away. Proves that it never ran.
-    Refused {
+    #[cfg_attr(feature = "serde", serde(rename = "Refused"))]
+    Rejected {
         /// There was no state to pull.
         no_state: bool,
     },
@@ -324,7 +349,7 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Self::Parsed | Self::Refused { .. } | Self::NoConnection | Self::NotSent)
+        matches!(self, Self::Prefilled | Self::Rejected { .. } | Self::NoConnection | Self::NotSent)
     }
 }
 
@@ -349,7 +374,8 @@
     /// When the client gives this try up.
     pub deadline: Micros,
     /// The client returns after a stream that broke or was moved.
-    pub came_back: bool,
+    #[cfg_attr(feature = "serde", serde(rename = "came_back"))]
+    pub resumed: bool,
 }
 
 /// What a router hears.
@@ -357,9 +383,11 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Event {
     /// News of the list of workers.
-    Workers {
+    #[cfg_attr(feature = "serde", serde(rename = "Workers"))]
+    Endpoints {
         /// How to read it.
-        kind: ListKind,
+        #[cfg_attr(feature = "serde", serde(rename = "kind"))]
+        update: EndpointUpdate,
         /// The entries.
         workers: Vec<Worker>,
     },
@@ -375,7 +403,8 @@
         elapsed: Micros,
     },
     /// An attempt has ended. Each attempt gets exactly one.
-    Verdict {
+    #[cfg_attr(feature = "serde", serde(rename = "Verdict"))]
+    AttemptOutcome {
         /// The request.
         id: RequestId,
         /// Its attempt.
@@ -385,11 +414,13 @@
         /// Time since it was sent.
         elapsed: Micros,
         /// The request is over for the client.
-        over: bool,
+        #[cfg_attr(feature = "serde", serde(rename = "over"))]
+        request_ended: bool,
         /// Prompt tokens that the worker found kept (after `Served` and `Parsed`).
-        kept: u64,
+        #[cfg_attr(feature = "serde", serde(rename = "kept"))]
+        cached_tokens: u64,
         /// The worker's load.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// The client has left; nothing more is owed.
     ClientGone(RequestId),
@@ -400,49 +431,59 @@
 /// Why a request is given up. The first that holds, in the order in which they are looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(rename_all = "snake_case"))]
-pub enum Why {
+pub enum RejectionReason {
     /// Its class is not in the settings.
-    NoClass,
+    #[cfg_attr(feature = "serde", serde(rename = "no_class"))]
+    UnknownClass,
     /// On arrival: first tokens take too long, judged by what they took (one of many routers).
-    Pressure,
+    #[cfg_attr(feature = "serde", serde(rename = "pressure"))]
+    ObservedLatency,
     /// On arrival: first tokens would take too long, judged by what waits.
-    Forecast,
+    #[cfg_attr(feature = "serde", serde(rename = "forecast"))]
+    ForecastLatency,
     /// On arrival: its client will not wait for as long as first tokens take.
-    Doomed,
+    #[cfg_attr(feature = "serde", serde(rename = "doomed"))]
+    CannotMeetDeadline,
     /// An attempt may have run, and nothing is repeated in a jam (one of many routers).
-    Jam,
+    #[cfg_attr(feature = "serde", serde(rename = "jam"))]
+    Congested,
     /// Its attempts are used up.
-    Attempts,
+    #[cfg_attr(feature = "serde", serde(rename = "attempts"))]
+    AttemptsExhausted,
     /// An attempt may have run, which bars its class from another.
     MayHaveRun,
     /// Its time ended with its last attempt.
-    Late,
+    #[cfg_attr(feature = "serde", serde(rename = "late"))]
+    DeadlineExceeded,
     /// Its time ended while none of the workers that its next step needs was listed as in service.
     NoWorker,
     /// ... while those were all left out as sick or silent.
-    Unfit,
+    #[cfg_attr(feature = "serde", serde(rename = "unfit"))]
+    NoneHealthy,
     /// ... while those that are left had turned its class away.
-    Full,
+    #[cfg_attr(feature = "serde", serde(rename = "full"))]
+    AtCapacity,
     /// ... while those that are left were cold, with their budget spent.
-    Cold,
+    #[cfg_attr(feature = "serde", serde(rename = "cold"))]
+    WarmingUp,
 }
 
-impl Why {
+impl RejectionReason {
     /// As it is counted.
     pub fn name(self) -> &'static str {
         match self {
-            Self::NoClass => "no_class",
-            Self::Pressure => "pressure",
-            Self::Forecast => "forecast",
-            Self::Doomed => "doomed",
-            Self::Jam => "jam",
-            Self::Attempts => "attempts",
+            Self::UnknownClass => "no_class",
+            Self::ObservedLatency => "pressure",
+            Self::ForecastLatency => "forecast",
+            Self::CannotMeetDeadline => "doomed",
+            Self::Congested => "jam",
+            Self::AttemptsExhausted => "attempts",
             Self::MayHaveRun => "may_have_run",
-            Self::Late => "late",
+            Self::DeadlineExceeded => "late",
             Self::NoWorker => "no_worker",
-            Self::Unfit => "unfit",
-            Self::Full => "full",
-            Self::Cold => "cold",
+            Self::NoneHealthy => "unfit",
+            Self::AtCapacity => "full",
+            Self::WarmingUp => "cold",
         }
     }
 }
@@ -450,14 +491,17 @@
 /// What is known of a worker that a request is sent to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(rename_all = "snake_case"))]
-pub enum Care {
+pub enum AttemptKind {
     /// Nothing bad.
     #[default]
-    Usual,
+    #[cfg_attr(feature = "serde", serde(rename = "usual"))]
+    Normal,
     /// It began within the told time and may still be cold.
-    Cold,
+    #[cfg_attr(feature = "serde", serde(rename = "cold"))]
+    SlowStart,
     /// It has failed, or been silent, lately: this shows whether it is well.
-    Trial,
+    #[cfg_attr(feature = "serde", serde(rename = "trial"))]
+    Probe,
 }
 
 /// What a router does.
@@ -471,11 +515,14 @@
         /// The worker.
         worker: WorkerId,
         /// Give up after this span (never zero); none: when the client does.
-        give_up: Option<Micros>,
+        #[cfg_attr(feature = "serde", serde(rename = "give_up"))]
+        timeout: Option<Micros>,
         /// Its connection has to stand within this span, or it is none; none: as the settings say.
-        connect: Option<Micros>,
+        #[cfg_attr(feature = "serde", serde(rename = "connect"))]
+        connect_timeout: Option<Micros>,
         /// What is known of that worker, for those who read the log.
-        care: Care,
+        #[cfg_attr(feature = "serde", serde(rename = "care"))]
+        kind: AttemptKind,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -485,25 +532,30 @@
         attempt: AttemptNo,
     },
     /// Final answer: refused, trying again does no harm.
-    Refuse {
+    #[cfg_attr(feature = "serde", serde(rename = "Refuse"))]
+    Reject {
         /// The request.
         id: RequestId,
         /// Time that the client should stay away.
         retry_after: Option<Micros>,
         /// The condition, for those who read the log.
-        why: Why,
+        #[cfg_attr(feature = "serde", serde(rename = "why"))]
+        reason: RejectionReason,
     },
     /// Final answer: failed, nothing is promised.
     Fail {
         /// The request.
         id: RequestId,
         /// The condition, for those who read the log.
-        why: Why,
+        #[cfg_attr(feature = "serde", serde(rename = "why"))]
+        reason: RejectionReason,
     },
     /// End a running stream so that it goes on elsewhere.
-    Move(RequestId),
+    #[cfg_attr(feature = "serde", serde(rename = "Move"))]
+    Migrate(RequestId),
     /// Let go of all state held for a request.
-    LetGo(RequestId),
+    #[cfg_attr(feature = "serde", serde(rename = "LetGo"))]
+    ReleaseReservation(RequestId),
     /// Ask for an [`Event::Timer`] after this span.
     SetTimer {
         /// Given back when it fires.
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -175,7 +175,7 @@
     /// Our last read there, over its request's aim, and when it ended.
     took: (f64, Micros),
     /// Last report, and tokens of our streams sent since.
-    report: Option<Report>,
+    report: Option<LoadReport>,
     since: f64,
     /// Our sends within the cold window, while it is cold; prompt tokens so far, by which notes age.
     sends: Vec<Micros>,
@@ -211,13 +211,13 @@
         self.told().unwrap_or(average) - waiting / self.kv() - r.queued.unwrap_or(0.0) * 0.02
     }
 
-    fn cold(&self, now: Micros, cold_for: Micros) -> Option<Micros> {
-        self.info.started.map(|_| now - self.cold_since).filter(|age| *age < cold_for)
+    fn cold(&self, now: Micros, slow_start_duration: Micros) -> Option<Micros> {
+        self.info.started.map(|_| now - self.cold_since).filter(|age| *age < slow_start_duration)
     }
 
     /// Counts an attempt that is out here.
     fn count(&mut self, stage: Stage, prompt: u64) {
-        let (read, write) = (u32::from(stage == Stage::Read), u32::from(stage == Stage::Write));
+        let (read, write) = (u32::from(stage == Stage::Prefill), u32::from(stage == Stage::Decode));
         (self.reads, self.streams, self.pending) =
             (self.reads + read, self.streams + write, self.pending + write);
         self.read_tokens = self.read_tokens.saturating_add(prompt * u64::from(read));
@@ -243,7 +243,7 @@
 type Step = (WorkerId, Stage, Option<u64>);
 
 /// How an attempt ended, after how long, with how much kept, and its worker's load.
-type End = (Outcome, Micros, u64, Option<Report>);
+type End = (Outcome, Micros, u64, Option<LoadReport>);
 
 #[derive(Debug, Clone)]
 struct Try {
@@ -365,10 +365,18 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers { kind, workers } => self.list(kind, workers, out),
+            Event::Endpoints { update, workers } => self.apply_endpoints(update, workers, out),
             Event::Request(req) => self.request(req, out),
             Event::Streaming { id, attempt, elapsed } => self.streaming(&id, attempt, elapsed),
-            Event::Verdict { id, attempt, outcome, elapsed, over, kept, report } => {
+            Event::AttemptOutcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                request_ended: over,
+                cached_tokens: kept,
+                report,
+            } => {
                 if let Some(mut job) = self.take(&id) {
                     self.verdict(&mut job, attempt, (outcome, elapsed, kept, report));
                     job.done |= over;
@@ -407,17 +415,17 @@
     }
 
     /// The list of workers. A worker that is not `In` gets nothing more from this moment on.
-    fn list(&mut self, kind: ListKind, workers: Vec<Worker>, out: &mut Vec<Action>) {
-        if matches!(kind, ListKind::Full | ListKind::Stale) {
+    fn apply_endpoints(&mut self, update: EndpointUpdate, workers: Vec<Worker>, out: &mut Vec<Action>) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::LastKnown) {
             let named: BTreeSet<WorkerId> = workers.iter().map(|w| w.id.clone()).collect();
             for s in self.servers.values_mut().filter(|s| !named.contains(&s.info.id)) {
-                s.info.lifecycle = Lifecycle::Out;
+                s.info.lifecycle = Lifecycle::Removed;
             }
         }
         for w in workers {
             match self.servers.get_mut(&w.id) {
-                Some(s) if w.lifecycle == Lifecycle::Out => s.info.lifecycle = Lifecycle::Out,
-                None if w.lifecycle == Lifecycle::Out => {}
+                Some(s) if w.lifecycle == Lifecycle::Removed => s.info.lifecycle = Lifecycle::Removed,
+                None if w.lifecycle == Lifecycle::Removed => {}
                 Some(s) if s.info.started == w.started => s.info = w,
                 _ => {
                     let begun = w.started.unwrap_or(self.now).min(self.now);
@@ -439,16 +447,20 @@
                 }
             }
         }
-        self.has_fresh_list |= matches!(kind, ListKind::Full | ListKind::Changes);
+        self.has_fresh_list |= matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Delta);
         // One off the list is forgotten once warm: until then what it was sent still presses on it.
-        let (now, cold_for) = (self.now, self.set.cold_for);
-        self.servers.retain(|_, s| s.info.lifecycle != Lifecycle::Out || s.cold(now, cold_for).is_some());
+        let (now, slow_start_duration) = (self.now, self.set.slow_start_duration);
+        self.servers.retain(|_, s| {
+            s.info.lifecycle != Lifecycle::Removed || s.cold(now, slow_start_duration).is_some()
+        });
         // Where the list has to be asked for: at the start, and again some time after a call has failed. All
         // routers may have lost it at one moment, so each has a time of its own.
         let again = ASK_AGAIN * (0.5 + self.coin(self.next_timer.to_le_bytes(), "list"));
-        match kind {
-            ListKind::Stale if self.set.discovery == Discovery::Ask => out.push(Action::Subscribe),
-            ListKind::Failed => self.set_timer(self.now + self.set.must_ask_in.mul_f64(again), None, out),
+        match update {
+            EndpointUpdate::LastKnown if self.set.discovery == Discovery::Poll => out.push(Action::Subscribe),
+            EndpointUpdate::Failed => {
+                self.set_timer(self.now + self.set.max_poll_interval.mul_f64(again), None, out)
+            }
             _ => {}
         }
     }
@@ -465,9 +477,10 @@
 
     fn request(&mut self, req: Request, out: &mut Vec<Action>) {
         let Some(class) = self.set.classes.get(req.class.0) else {
-            return out.push(Action::Fail { id: req.id, why: Why::NoClass });
+            return out.push(Action::Fail { id: req.id, reason: RejectionReason::UnknownClass });
         };
-        let aim = class.aim + class.aim_per_1000_tokens.mul_f64(req.prompt_tokens as f64 / 1e3);
+        let aim = class.latency_objective
+            + class.latency_objective_per_1000_tokens.mul_f64(req.prompt_tokens as f64 / 1e3);
         let over_share = self.over_share(req.tenant);
         self.seen.prompt.add(req.prompt_tokens as f64);
         self.seen.asked.add(self.now, HOT_SPAN, 1.0);
@@ -495,9 +508,12 @@
         let jam = seldom || (felt && self.forecast() > self.tightest().mul_f64(most));
         let jam = jam && self.coin(&*job.req.id.0, "") < late * self.queueing();
         // What has begun for its client and broke off is not given up for load: its worth is nearly earned.
-        let why = if seldom { Why::Pressure } else { Why::Forecast };
-        match Some(why).filter(|_| jam).or((doomed && self.local(&job).is_none()).then_some(Why::Doomed)) {
-            Some(why) if !job.req.came_back => self.finish(job, why, out),
+        let reason = if seldom { RejectionReason::ObservedLatency } else { RejectionReason::ForecastLatency };
+        match Some(reason)
+            .filter(|_| jam)
+            .or((doomed && self.local(&job).is_none()).then_some(RejectionReason::CannotMeetDeadline))
+        {
+            Some(reason) if !job.req.resumed => self.finish(job, reason, out),
             _ => self.settle(job, out),
         }
     }
@@ -523,7 +539,7 @@
     /// roles: by its last few first tokens alone a router refuses though only some are slow.
     fn queueing(&self) -> f64 {
         let mut told: BTreeMap<Role, (f64, f64)> = BTreeMap::new();
-        let lately = |s: &&Server| s.info.lifecycle == Lifecycle::In && self.now - s.heard < HOT_SPAN;
+        let lately = |s: &&Server| s.info.lifecycle == Lifecycle::Active && self.now - s.heard < HOT_SPAN;
         for s in self.servers.values().filter(lately) {
             let Some(queued) = s.report.and_then(|r| r.queued) else { continue };
             let (n, queues) = told.entry(s.info.role).or_default();
@@ -550,7 +566,7 @@
     }
 
     fn tightest(&self) -> Micros {
-        self.set.classes.iter().map(|c| c.aim).min().unwrap_or_default()
+        self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or_default()
     }
 
     /// Takes a request from its tenant's token bucket; tells whether it is beyond the share.
@@ -573,12 +589,12 @@
         // Whatever is open: a pull that has not arrived takes nothing, and one that has keeps what it takes.
         let release = self.now >= self.release_at(&job) || (job.done && !open);
         if job.held.is_some() && release {
-            out.push(Action::LetGo(job.req.id.clone()));
+            out.push(Action::ReleaseReservation(job.req.id.clone()));
             job.held = None;
             job.released_beside = open;
         } else if !open && std::mem::take(&mut job.released_beside) {
             // A release frees nothing that an attempt waits for.
-            out.push(Action::LetGo(job.req.id.clone()));
+            out.push(Action::ReleaseReservation(job.req.id.clone()));
         }
         self.cancel_overtaken_reads(&mut job, out);
         if !open && !job.done {
@@ -586,14 +602,18 @@
             let spent =
                 self.seldom() && job.tries.iter().any(|t| t.facts.may_have_run) && self.pressure() > FELT;
             if spent || self.now + self.set.tick + self.set.tick >= job.req.deadline {
-                let why = if spent { Why::Jam } else { self.barred(&job) };
-                return self.finish(job, why, out);
+                let reason = if spent { RejectionReason::Congested } else { self.barred(&job) };
+                return self.finish(job, reason, out);
             }
             if let Some(step) = self.choose(&job) {
                 self.send(&mut job, step, out);
             } else if let Some(denied) = self.obligations(&job).hopeless(self.now) {
-                let why = if denied == Denied::MayHaveRun { Why::MayHaveRun } else { Why::Attempts };
-                return self.finish(job, why, out);
+                let reason = if denied == Denied::MayHaveRun {
+                    RejectionReason::MayHaveRun
+                } else {
+                    RejectionReason::AttemptsExhausted
+                };
+                return self.finish(job, reason, out);
             }
         }
         if job.done && !job.open() {
@@ -626,7 +646,7 @@
     }
 
     fn release_at(&self, job: &Job) -> Micros {
-        release_due(job.held_since, self.set.release)
+        release_due(job.held_since, self.set.reservation_timeout)
     }
 
     fn wake(&mut self, job: &Job, out: &mut Vec<Action>) {
@@ -644,29 +664,30 @@
     fn choose(&self, job: &Job) -> Option<Step> {
         if let Some(reader) = &job.held {
             let w = self.roomiest(job, Some(reader))?;
-            return Some((w, Stage::Write, None));
+            return Some((w, Stage::Decode, None));
         }
         if let Some((w, kept)) = self.local(job) {
-            return Some((w, Stage::Write, Some(kept)));
+            return Some((w, Stage::Decode, Some(kept)));
         }
-        let (mixed, readers) = (self.hashable(job, Role::Mixed), self.hashable(job, Role::Reader));
-        let writers = self.pool(job, |r| r == Role::Writer);
+        let (mixed, readers) = (self.hashable(job, Role::Combined), self.hashable(job, Role::Prefill));
+        let writers = self.pool(job, |r| r == Role::Decode);
         if readers.is_empty() || (writers.is_empty() && mixed.is_empty()) || self.mixed_turn(job, &mixed) {
             if let Some(s) = self.hashed(job, &mixed) {
-                return Some((s, Stage::Write, None));
+                return Some((s, Stage::Decode, None));
             }
         }
         if let Some(s) = self.hashed(job, &readers) {
-            return Some((s, Stage::Read, None));
+            return Some((s, Stage::Prefill, None));
         }
         // No reader is left, not merely full: a writer reads, if it can.
-        let left = |s: &Server| s.info.role == Role::Reader && s.info.lifecycle == Lifecycle::In && !s.down;
+        let left =
+            |s: &Server| s.info.role == Role::Prefill && s.info.lifecycle == Lifecycle::Active && !s.down;
         let obligations = self.obligations(job);
         let left = |s: &Server| left(s) && self.may_run(&obligations, s) && self.cold_room(job, s);
         if !self.set.self_prefill || self.servers.values().any(left) {
             return None;
         }
-        Some((self.roomiest(job, None)?, Stage::Write, None))
+        Some((self.roomiest(job, None)?, Stage::Decode, None))
     }
 
     /// A short remainder is read where it is written: at home, or, with a short prompt, at the roomiest.
@@ -676,7 +697,7 @@
         // While readers jam and writers do not, as with half of the readers gone, these read more; where
         // they report nothing their streams would fall behind unseen.
         let idle = read > tightest.as_secs_f64() * READS_JAM && pull < read * WRITERS_IDLE;
-        let idle = idle && self.set.reports != Reports::Off && self.seldom();
+        let idle = idle && self.set.load_reporting != LoadReporting::Off && self.seldom();
         let most = if idle { LOCAL_JAM } else { LOCAL_MOST };
         let (least, most) = (tightest.mul_f64(LOCAL_LEAST), tightest.mul_f64(most));
         let even = Micros::from_secs_f64(read - 2.0 * pull).clamp(least, most);
@@ -692,8 +713,8 @@
             return short.then(|| self.roomiest(job, None)).flatten().map(|w| (w, 0));
         };
         let short = job.req.prompt_tokens.saturating_sub(h.kept) < threshold && !job.tried(&s.info.id);
-        let can = short && (s.info.role == Role::Mixed || self.set.self_prefill);
-        let can = can && self.pool(job, |r| r != Role::Reader).iter().any(|p| p.info.id == s.info.id);
+        let can = short && (s.info.role == Role::Combined || self.set.self_prefill);
+        let can = can && self.pool(job, |r| r != Role::Prefill).iter().any(|p| p.info.id == s.info.id);
         can.then(|| (s.info.id.clone(), h.kept.min(job.req.prompt_tokens)))
     }
 
@@ -702,7 +723,7 @@
     /// jam of writers; harms where mixed servers answer early and write slowly, so it is bounded. A coin
     /// decides on the fraction; one of many routers starts with fewer, fewest for slow ones.
     fn mixed_turn(&self, job: &Job, mixed: &[&Server]) -> bool {
-        let split = |s: &&Server| s.info.lifecycle == Lifecycle::In && s.info.role != Role::Mixed;
+        let split = |s: &&Server| s.info.lifecycle == Lifecycle::Active && s.info.role != Role::Combined;
         let out: u32 = self.servers.values().filter(split).map(|s| s.reads + s.streams).sum();
         let n = self.servers.values().filter(split).count() as u32;
         let here: u32 = mixed.iter().map(|s| s.reads + s.streams).sum();
@@ -733,7 +754,7 @@
         let lately = |s: &Server| s.took.0 * fading(self.now - s.took.1, HOT_SPAN);
         let slow = |s: &Server| if seldom { (lately(s) / SLOW) as u32 } else { 0 };
         let load = |s: &Server| match s.info.role {
-            Role::Mixed => s.streams,
+            Role::Combined => s.streams,
             _ => s.reads.max((s.read_tokens as f64 / usual) as u32) + slow(s),
         };
         // One of many routers knows nothing of a cold one: it is no better than the warm ones in the mean,
@@ -756,7 +777,7 @@
     /// The worker with most room. A mixed server pulls a state where no writer may be used, or where it has
     /// more room than any writer by `SPARE`: writers' memory can be full while their slots are not.
     fn roomiest(&self, job: &Job, from: Option<&WorkerId>) -> Option<WorkerId> {
-        let [writers, mixed] = [Role::Writer, Role::Mixed].map(|role| self.pool(job, |r| r == role));
+        let [writers, mixed] = [Role::Decode, Role::Combined].map(|role| self.pool(job, |r| r == role));
         let (pool, others) = if writers.is_empty() { (mixed, writers) } else { (writers, mixed) };
         let (mean, others_mean) = (mean_room(&pool), mean_room(&others).filter(|_| from.is_some()));
         // Without reports the unit is our streams; a difference under the root of others' tells nothing.
@@ -792,12 +813,12 @@
     /// Where it has more of the readers than of the writers, these can take only their part: a coin sends
     /// the rest to cells with writers to spare, those of the reader's zone first.
     fn cell_for(&self, job: &Job, at: &Worker, pool: &[&Server]) -> Option<CellId> {
-        let reads = |s: &&Server| s.info.role == Role::Reader && s.info.lifecycle != Lifecycle::Out;
+        let reads = |s: &&Server| s.info.role == Role::Prefill && s.info.lifecycle != Lifecycle::Removed;
         let mut cells: BTreeMap<CellId, (f64, f64)> = BTreeMap::new();
         self.servers.values().filter(reads).for_each(|s| cells.entry(s.info.cell).or_default().0 += 1.0);
         pool.iter().for_each(|s| cells.entry(s.info.cell).or_default().1 += 1.0);
         // Readers of a cell for each of its writers, over those of all.
-        let usual = self.peers(Role::Reader) / pool.len().max(1) as f64;
+        let usual = self.peers(Role::Prefill) / pool.len().max(1) as f64;
         let burden = |at: &CellId| cells.get(at).map_or(0.0, |(r, w)| r / w.max(1e-9) / usual);
         if self.coin(&*job.req.id.0, &at.id.0) * burden(&at.cell) < 1.0 {
             return Some(at.cell);
@@ -818,48 +839,48 @@
     /// The one place that sends.
     fn send(&mut self, job: &mut Job, (worker, stage, predicted): Step, out: &mut Vec<Action>) {
         let now = self.now;
-        let (effect, pace) = (self.effect(job).0, self.pace());
-        let must_end = self.obligations(job).must_end().filter(|_| stage == Stage::Write);
+        let (retry_safety, pace) = (self.retry_safety(job).0, self.pace());
+        let must_end = self.obligations(job).must_end().filter(|_| stage == Stage::Decode);
         let Some(s) = self.servers.get(&worker) else { return };
         let (cold, trial, role) = (self.is_cold(s), s.failing >= FAILING || !self.fit(s), s.info.role);
         let part = if cold && f64::from(self.set.routers) <= SELDOM { 0.0 } else { 1.0 / self.peers(role) };
-        self.seen.given.entry(role).or_default().add(now, self.set.cold_for, part);
+        self.seen.given.entry(role).or_default().add(now, self.set.slow_start_duration, part);
         let Some(s) = self.servers.get_mut(&worker) else { return };
         if cold {
-            s.sends.retain(|t| *t + self.set.fall_after > now);
+            s.sends.retain(|t| *t + self.set.overload_window > now);
             s.sends.push(now);
         }
         s.poured = s.poured.saturating_add(job.req.prompt_tokens);
         s.count(stage, job.req.prompt_tokens);
-        s.since += if stage == Stage::Write { job.req.prompt_tokens as f64 } else { 0.0 };
+        s.since += if stage == Stage::Decode { job.req.prompt_tokens as f64 } else { 0.0 };
         let usual = match stage {
-            Stage::Read => self.seen.read_s,
-            Stage::Write if job.held.is_some() => self.seen.pull_s,
-            Stage::Write => self.seen.mixed_s,
+            Stage::Prefill => self.seen.read_s,
+            Stage::Decode if job.held.is_some() => self.seen.pull_s,
+            Stage::Decode => self.seen.mixed_s,
         };
         // What lies before it, and itself, has to be read; what waited in vain is part of the silence.
         let reading = (s.read_tokens as f64 + job.req.prompt_tokens as f64) / pace;
         let usual = Micros::from_secs_f64(usual.0.unwrap_or(0.0) * OVERDUE_FACTOR);
         let patience = job.aim.mul_f64(OVERDUE_FLOOR).max(usual - s.silent) + Micros::from_secs_f64(reading);
         // Where nothing can be cancelled, a time-out has to be set beforehand.
-        let again = stage == Stage::Read || effect == Effect::Free;
-        let give_up = Some(patience + patience).filter(|g| !self.set.may_cancel && again && g.0 > 0);
+        let again = stage == Stage::Prefill || retry_safety == RetrySafety::Idempotent;
+        let timeout = Some(patience + patience).filter(|g| !self.set.may_cancel && again && g.0 > 0);
         let must_end = must_end.map(|at| (at - now).max(self.set.tick));
-        let give_up = give_up.into_iter().chain(must_end).min();
+        let timeout = timeout.into_iter().chain(must_end).min();
         let (due, at) = (Some(now + patience), worker.clone());
         let facts = AttemptFacts::new(stage, now, target(s));
         let (pulls, overdue, unreached) = (job.held.is_some(), false, false);
         // From the time that reads take as a rule; their mean holds those that waited for a silent worker.
         let usual_read = Micros::from_secs_f64(self.seen.read_s.0.unwrap_or(0.0));
         let usual_read = usual_read.min(job.aim.mul_f64(OVERDUE_FLOOR));
-        let doubted = release_due(now + usual_read, self.set.release);
-        let doubted = Some(doubted).filter(|_| stage == Stage::Read);
+        let doubted = release_due(now + usual_read, self.set.reservation_timeout);
+        let doubted = Some(doubted).filter(|_| stage == Stage::Prefill);
         job.tries.push(Try { worker: at, facts, pulls, due, doubted, overdue, unreached, predicted });
-        let care = if cold { Care::Cold } else { Care::Usual };
-        let care = if trial { Care::Trial } else { care };
+        let kind = if cold { AttemptKind::SlowStart } else { AttemptKind::Normal };
+        let kind = if trial { AttemptKind::Probe } else { kind };
         // While no connection comes up a state waits for nobody: half of its time is left for another writer.
         let left = job.held.as_ref().map(|_| (self.release_at(job) - now).mul_f64(0.5).max(self.set.tick));
-        out.push(Action::Send { id: job.req.id.clone(), worker, give_up, connect: left, care });
+        out.push(Action::Send { id: job.req.id.clone(), worker, timeout, connect_timeout: left, kind });
     }
 
     // ---- What comes back.
@@ -908,7 +929,7 @@
         job.held_since = if proves_arrival(outcome) || job.held.is_none() { now } else { job.held_since };
         if let Some(s) = life(&mut self.servers, t) {
             let (read, write) =
-                (u32::from(t.facts.stage == Stage::Read), u32::from(t.facts.stage == Stage::Write));
+                (u32::from(t.facts.stage == Stage::Prefill), u32::from(t.facts.stage == Stage::Decode));
             s.reads = s.reads.saturating_sub(read);
             s.read_tokens = s.read_tokens.saturating_sub(job.req.prompt_tokens * u64::from(read));
             s.streams = s.streams.saturating_sub(write);
@@ -918,11 +939,11 @@
             if let Some(r) = report {
                 s.report = Some(r);
                 s.since = 0.0;
-            } else if t.facts.stage == Stage::Write {
+            } else if t.facts.stage == Stage::Decode {
                 s.since = (s.since - job.req.prompt_tokens as f64).max(0.0);
             }
             s.down = outcome == Outcome::NoConnection;
-            if t.facts.stage == Stage::Read {
+            if t.facts.stage == Stage::Prefill {
                 s.took = (elapsed.as_secs_f64() / job.aim.as_secs_f64().max(1e-6), now);
             }
             if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && s.heard < t.facts.sent && !seldom
@@ -930,20 +951,21 @@
                 s.silent = s.silent + elapsed;
             }
             match outcome {
-                Outcome::Refused { no_state: false } => {
+                Outcome::Rejected { no_state: false } => {
                     let queued = s.report.and_then(|r| r.queued).unwrap_or(0.0);
                     let idle = queued < 1.0 && s.told().is_some_and(|room| room > IDLE_ROOM);
                     let (refusals, until) = s.full.entry(job.req.class).or_default();
                     *until = now + Micros(FULL_WAIT.0 << *refusals);
                     *refusals = (*refusals + if idle { IDLE_DOUBLINGS } else { 1 }).min(FULL_DOUBLINGS);
                 }
-                Outcome::Served | Outcome::Parsed => {
+                Outcome::Served | Outcome::Prefilled => {
                     s.full.remove(&job.req.class);
                     s.failing *= 1.0 - WELL_GAIN;
                     s.benches = if s.failing < FAIL_GAIN / 2.0 { 0 } else { s.benches };
                     (s.heard, s.silent) = (now, Micros(0));
                     s.answered = s.answered.max(t.facts.sent);
-                    warm = (many || s.cold(now, self.set.cold_for).is_none()).then_some(s.info.role);
+                    warm =
+                        (many || s.cold(now, self.set.slow_start_duration).is_none()).then_some(s.info.role);
                 }
                 // Where nothing good was heard lately one failure says enough: two may take minutes.
                 Outcome::ServerError | Outcome::NoConnection | Outcome::ConnectionLost => {
@@ -972,15 +994,15 @@
         }
         if let Some(role) = warm {
             let part = 1.0 / self.peers(role);
-            self.seen.finished.entry(role).or_default().add(now, self.set.cold_for, part);
+            self.seen.finished.entry(role).or_default().add(now, self.set.slow_start_duration, part);
         }
         match outcome {
-            Outcome::Parsed => {
+            Outcome::Prefilled => {
                 let (took, mean) = (elapsed.as_secs_f64(), self.seen.read_s.0);
                 self.seen.read_s.add(mean.filter(|_| hung).unwrap_or(took));
                 job.held = Some(t.worker.clone());
             }
-            Outcome::Refused { no_state: true } => (job.held, job.released_beside) = (None, false),
+            Outcome::Rejected { no_state: true } => (job.held, job.released_beside) = (None, false),
             _ => {}
         }
         // A whole answer that broke may be tried again, and has then not begun.
@@ -996,7 +1018,7 @@
     /// nothing to anybody since is taken to hang: what can be repeated is called back from it; so is, after
     /// twice the time, what later ones have overtaken: its connection hangs.
     fn mark_overdue(&mut self, job: &mut Job, out: &mut Vec<Action>) {
-        let free = self.effect(job).0 == Effect::Free;
+        let free = self.retry_safety(job).0 == RetrySafety::Idempotent;
         let (now, id, done, seldom) = (self.now, &job.req.id, job.done, self.seldom());
         for (i, t) in job.tries.iter_mut().enumerate().filter(|(_, t)| t.facts.open) {
             if t.due.is_none_or(|d| d > now) {
@@ -1009,7 +1031,7 @@
                 heard = s.heard > t.facts.sent && !(late && s.answered > t.facts.sent);
             }
             job.stuck = !heard;
-            let again = t.facts.stage == Stage::Read || free;
+            let again = t.facts.stage == Stage::Prefill || free;
             if !heard && !seldom && again && !done && self.set.may_cancel {
                 out.push(Action::Cancel { id: id.clone(), attempt: AttemptNo(i as u32) });
                 t.due = None;
@@ -1025,22 +1047,22 @@
     }
 
     /// Gives the final answer: a refusal where that is allowed, else a failure.
-    fn finish(&mut self, mut job: Job, why: Why, out: &mut Vec<Action>) {
+    fn finish(&mut self, mut job: Job, reason: RejectionReason, out: &mut Vec<Action>) {
         let id = job.req.id.clone();
         self.missed(&job);
         if job.held.take().is_some() {
-            out.push(Action::LetGo(id.clone()));
+            out.push(Action::ReleaseReservation(id.clone()));
         }
         job.done = true;
-        if self.now + self.set.tick < job.req.deadline && self.obligations(&job).may_refuse().is_ok() {
+        if self.now + self.set.tick < job.req.deadline && self.obligations(&job).may_reject().is_ok() {
             // Until the queue that we see falls to what is admitted; one asked seldom goes by first tokens.
             let late = if self.seldom() { self.pressure() - SELDOM_FELT } else { 0.0 };
             let drained = self.forecast() - self.tightest().mul_f64(ADMIT / 2.0);
             let drained = drained.max(self.tightest().mul_f64(late));
             let retry_after = Some(drained.min(self.set.max_retry_after)).filter(|t| t.0 > 0);
-            out.push(Action::Refuse { id, retry_after, why });
+            out.push(Action::Reject { id, retry_after, reason });
         } else {
-            out.push(Action::Fail { id, why });
+            out.push(Action::Fail { id, reason });
         }
         if job.open() {
             self.keep(job);
@@ -1059,12 +1081,12 @@
     /// it: all would leave it idle. So a coin a request takes it in beside warm ones of its role, as often as
     /// it is warm, less by what these are sent in vain, and by half of the budget where most are cold.
     fn hashable(&self, job: &Job, role: Role) -> Vec<&Server> {
-        let fade = |r: &Rate| r.fade(self.now, self.set.cold_for);
+        let fade = |r: &Rate| r.fade(self.now, self.set.slow_start_duration);
         if self.seldom() {
-            let listed = |s: &&Server| s.info.role == role && s.info.lifecycle == Lifecycle::In;
+            let listed = |s: &&Server| s.info.role == role && s.info.lifecycle == Lifecycle::Active;
             let peers = self.servers.values().filter(listed).map(|s| self.present(s));
             let (n, all) = peers.fold((0.0, 0.0), |(n, all), s| (n + 1.0, all + s));
-            let most = (self.set.fall_multiple * COLD_SHARE / 2.0 * all / f64::max(n, 1.0)).min(1.0);
+            let most = (self.set.overload_multiple * COLD_SHARE / 2.0 * all / f64::max(n, 1.0)).min(1.0);
             // With one imagined that was finished: a router that has just begun knows of none.
             let of = |r: &BTreeMap<Role, Rate>| r.get(&role).map_or(0.0, fade) + 1.0 / self.peers(role);
             let part = most * (of(&self.seen.finished) / of(&self.seen.given)).min(1.0);
@@ -1082,7 +1104,7 @@
     }
 
     fn some(&self, job: &Job, role: impl Fn(Role) -> bool, room: impl Fn(&Server) -> bool) -> Vec<&Server> {
-        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::In && role(s.info.role);
+        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::Active && role(s.info.role);
         let answers = |s: &&Server| !s.down || self.fit(s) || s.failing < FAILING;
         let all: Vec<&Server> = self.servers.values().filter(serves).filter(answers).collect();
         let fit: Vec<&Server> = all.iter().copied().filter(|s| self.fit(s)).collect();
@@ -1105,22 +1127,22 @@
         self.now >= s.benched_until && trial && s.overdue == 0
     }
 
-    fn effect(&self, job: &Job) -> (Effect, Micros) {
+    fn retry_safety(&self, job: &Job) -> (RetrySafety, Micros) {
         let class = self.set.classes.get(job.req.class.0);
-        class.map_or((Effect::SingleShot, Micros(0)), |c| (c.effect, c.dedup_window))
+        class.map_or((RetrySafety::NonIdempotent, Micros(0)), |c| (c.retry_safety, c.dedup_window))
     }
 
     /// What is owed for a request, as it stands.
     fn obligations(&self, job: &Job) -> Obligations {
-        let (effect, window) = self.effect(job);
+        let (retry_safety, window) = self.retry_safety(job);
         Obligations {
-            effect,
-            window,
+            retry_safety,
+            deduplication_window: window,
             deadline: job.req.deadline,
             max_attempts: self.set.max_attempts,
             attempts: job.tries.iter().map(|t| t.facts).collect(),
             answer: if job.done { AnswerState::Given } else { AnswerState::Owed },
-            held_since: job.held.as_ref().map(|_| job.held_since),
+            reserved_at: job.held.as_ref().map(|_| job.held_since),
         }
     }
 
@@ -1130,22 +1152,22 @@
     }
 
     /// What kept a request whose time is up from its next attempt.
-    fn barred(&self, job: &Job) -> Why {
-        let other = if job.held.is_some() { Role::Reader } else { Role::Writer };
-        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::In && s.info.role != other;
+    fn barred(&self, job: &Job) -> RejectionReason {
+        let other = if job.held.is_some() { Role::Prefill } else { Role::Decode };
+        let serves = |s: &&Server| s.info.lifecycle == Lifecycle::Active && s.info.role != other;
         let full = |s: &Server| s.full.get(&job.req.class).is_some_and(|(_, until)| self.now < *until);
         let at = |s: &Server| match (self.fit(s), full(s)) {
-            (false, _) => Why::Unfit,
-            (true, true) => Why::Full,
-            (true, false) => Why::Cold,
+            (false, _) => RejectionReason::NoneHealthy,
+            (true, true) => RejectionReason::AtCapacity,
+            (true, false) => RejectionReason::WarmingUp,
         };
         let late = !job.tries.is_empty() && job.held_since == self.now;
-        let best = self.servers.values().filter(serves).map(at).max().unwrap_or(Why::NoWorker);
-        Some(Why::Late).filter(|_| late).unwrap_or(best)
+        let best = self.servers.values().filter(serves).map(at).max().unwrap_or(RejectionReason::NoWorker);
+        Some(RejectionReason::DeadlineExceeded).filter(|_| late).unwrap_or(best)
     }
 
     fn peers(&self, role: Role) -> f64 {
-        let listed = |p: &&Server| p.info.role == role && p.info.lifecycle != Lifecycle::Out;
+        let listed = |p: &&Server| p.info.role == role && p.info.lifecycle != Lifecycle::Removed;
         self.servers.values().filter(listed).count().max(1) as f64
     }
 
@@ -1156,7 +1178,7 @@
         if !self.is_cold(s) {
             return true;
         }
-        let window = self.set.fall_after;
+        let window = self.set.overload_window;
         let (sent, budget) = self.cold_budget(job, s);
         let turn = (self.now + window.mul_f64(self.coin("phase", &s.info.id.0))).0 / window.0.max(1);
         let coin = self.coin(turn.to_le_bytes(), &s.info.id.0);
@@ -1164,14 +1186,14 @@
     }
 
     fn is_cold(&self, s: &Server) -> bool {
-        s.cold(self.now, self.set.cold_for).is_some()
+        s.cold(self.now, self.set.slow_start_duration).is_some()
     }
 
     /// The share of its capacity that a worker has at least, by what is told.
     fn present(&self, s: &Server) -> f64 {
-        let span = self.set.cold_for.as_secs_f64().max(1e-6);
-        let age = s.cold(self.now, self.set.cold_for).map_or(span, |age| age.as_secs_f64());
-        self.set.cold_from + (1.0 - self.set.cold_from) * age / span
+        let span = self.set.slow_start_duration.as_secs_f64().max(1e-6);
+        let age = s.cold(self.now, self.set.slow_start_duration).map_or(span, |age| age.as_secs_f64());
+        self.set.slow_start_initial_share + (1.0 - self.set.slow_start_initial_share) * age / span
     }
 
     /// How many usual prompts a long one weighs.
@@ -1181,13 +1203,17 @@
 
     /// What we sent it in this window, and our part of its budget.
     fn cold_budget(&self, job: &Job, s: &Server) -> (f64, f64) {
-        let window = self.set.fall_after;
+        let window = self.set.overload_window;
         let sent = s.sends.iter().filter(|t| **t + window > self.now).count();
-        let rate = self.seen.finished.get(&s.info.role).map_or(0.0, |r| r.per_s(self.now, self.set.cold_for));
+        let rate = self
+            .seen
+            .finished
+            .get(&s.info.role)
+            .map_or(0.0, |r| r.per_s(self.now, self.set.slow_start_duration));
         let share = (1.0 - COLD_CHANCE / f64::from(self.set.routers.max(1)).sqrt()).min(COLD_SHARE);
         // Where nothing is known yet, all together try one a window. A long prompt weighs as many.
         let least = 1.0 / f64::from(self.set.routers.max(1));
-        let per_s = self.set.fall_multiple * self.present(s) * share;
+        let per_s = self.set.overload_multiple * self.present(s) * share;
         (sent as f64, (rate * window.as_secs_f64() * per_s).max(least) / self.long(job))
     }
 }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -50,7 +50,7 @@
     let mut rig = Rig::new(settings(), fleet());
     let (_, writer) = rig.whole("a", "s", LONG);
     let left = fleet().into_iter().filter(|w| *w.id.0 != *writer).collect();
-    rig.feed(Event::Workers { kind: ListKind::Full, workers: left });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: left });
     assert!(sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0.starts_with('r'));
 }
 
@@ -58,15 +58,15 @@
 fn a_restarted_home_keeps_nothing() {
     let mut rig = Rig::new(settings(), fleet());
     let (_, writer) = rig.whole("a", "s", LONG);
-    let mut w = worker(&writer, Role::Writer, 0);
+    let mut w = worker(&writer, Role::Decode, 0);
     w.started = Some(rig.now);
-    rig.feed(Event::Workers { kind: ListKind::Changes, workers: vec![w] });
+    rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w] });
     assert!(sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0.starts_with('r'));
 }
 
 #[test]
 fn a_kept_count_far_under_the_note_voids_older_notes_of_that_writer() {
-    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Reader, 0), worker("w0", Role::Writer, 0)]);
+    let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
     rig.whole("a", "s", LONG);
     rig.whole("b", "t", LONG);
     assert_eq!(sent(&rig.ask("c", "s", FREE, LONG + 100)).unwrap().0, "w0");
@@ -84,7 +84,7 @@
     for seed in 0..4 {
         let mut rig = Rig::new(settings(), workers.clone());
         rig.router = Router::new(settings(), seed);
-        rig.feed(Event::Workers { kind: ListKind::Full, workers: workers.clone() });
+        rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: workers.clone() });
         for i in 0..6 {
             let id = format!("{i}");
             for k in 0..10 {
@@ -92,15 +92,15 @@
                 let mut request = rig.request(&other, &other, FREE, LONG);
                 request.prefix = Some(other.as_str().into());
                 rig.feed(Event::Request(request));
-                rig.end(&other, 0, Outcome::Parsed, 0);
+                rig.end(&other, 0, Outcome::Prefilled, 0);
                 rig.end(&other, 1, Outcome::Served, 0);
             }
             let mut request = rig.request(&id, &format!("s{i}"), FREE, LONG);
             request.prefix = Some("shared".into());
             seen.insert(sent(&rig.feed(Event::Request(request))).unwrap().0);
             if i % 2 == 1 {
-                rig.end(&id, 0, Outcome::Parsed, 0);
-                rig.end(&format!("{}", i - 1), 0, Outcome::Parsed, 0);
+                rig.end(&id, 0, Outcome::Prefilled, 0);
+                rig.end(&format!("{}", i - 1), 0, Outcome::Prefilled, 0);
             }
         }
     }
@@ -110,7 +110,7 @@
 #[test]
 fn of_two_readers_the_one_with_fewer_of_our_reads_out_is_taken() {
     let workers =
-        vec![worker("r0", Role::Reader, 0), worker("r1", Role::Reader, 0), worker("w0", Role::Writer, 0)];
+        vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0), worker("w0", Role::Decode, 0)];
     let mut rig = Rig::new(settings(), workers);
     let first = sent(&rig.ask("a", "s", FREE, LONG)).unwrap().0;
     let second = sent(&rig.ask("b", "s", FREE, LONG)).unwrap().0;
@@ -125,23 +125,23 @@
     for i in 0..30 {
         let id = format!("l{i}");
         rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         rig.stream(&id, 1);
         rig.wait(0.5);
         let used = if writer == "w1" { 0.1 } else { 0.8 };
-        let report = Report { slots_used: Some(used), ..Report::default() };
+        let report = LoadReport { slots_used: Some(used), ..LoadReport::default() };
         rig.end_with(&id, 1, Outcome::Served, 0, Some(report));
         writers.insert(writer);
     }
     rig.ask("a", "new", FREE, LONG);
-    assert_eq!(sent(&rig.end("a", 0, Outcome::Parsed, 0)).unwrap().0, "w1");
+    assert_eq!(sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0, "w1");
     assert!(writers.contains("w1"));
 }
 
 /// Where twenty read states are pulled, once writers and mixed servers have reported such parts of their memory held.
 fn pulls_with(writers_held: f64, mixed_held: f64) -> std::collections::BTreeSet<String> {
     let mut workers = fleet();
-    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     let mut rig = Rig::new(settings(), workers);
     let mut pulled = std::collections::BTreeSet::new();
     for i in 0..60 {
@@ -149,13 +149,13 @@
         let mut at = sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0;
         let reads = at.starts_with('r');
         if reads {
-            at = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+            at = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         }
         if reads && i >= 40 {
             pulled.insert(at.clone());
         }
         let held = if at.starts_with('m') { mixed_held } else { writers_held };
-        let report = Report { kv_used: Some(held), ..Report::default() };
+        let report = LoadReport { kv_used: Some(held), ..LoadReport::default() };
         rig.stream(&id, u32::from(reads));
         rig.end_with(&id, u32::from(reads), Outcome::Served, 0, Some(report));
         rig.wait(0.5);
@@ -182,7 +182,7 @@
     for i in 0..9 {
         let id = format!("{i}");
         rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Parsed, 0)).unwrap().0;
+        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         rig.stream(&id, 1);
         *count.entry(writer).or_insert(0) += 1;
     }
@@ -192,7 +192,7 @@
 #[test]
 fn mixed_servers_take_their_share_whole() {
     let mut workers = fleet();
-    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     let mut rig = Rig::new(settings(), workers);
     let mixed = (0..16)
         .filter(|i| sent(&rig.ask(&format!("{i}"), &format!("s{i}"), FREE, LONG)).unwrap().0.starts_with('m'))
@@ -217,7 +217,7 @@
 #[test]
 fn a_very_long_read_counts_as_many() {
     let workers =
-        vec![worker("r0", Role::Reader, 0), worker("r1", Role::Reader, 0), worker("w0", Role::Writer, 0)];
+        vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0), worker("w0", Role::Decode, 0)];
     let mut rig = Rig::new(settings(), workers);
     for i in 0..20 {
         rig.whole(&format!("l{i}"), &format!("l{i}"), LONG);
@@ -232,7 +232,7 @@
 #[test]
 fn slow_reads_raise_the_share_of_mixed_servers() {
     let mut workers = fleet();
-    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Mixed, i)));
+    workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     let share = |read_s: f64| {
         let mut rig = Rig::new(settings(), workers.clone());
         // Finished requests, two at a time so that both ways are used: reads take `read_s`,
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -83,7 +83,7 @@
     pub(super) answer_timer: Option<TimerKey>,
     pub(super) answer: FinalAnswer,
     /// Why the policy rejected it or gave it up.
-    pub(super) why: Option<p::Why>,
+    pub(super) why: Option<p::RejectionReason>,
     pub(super) first_token_at: Option<Micros>,
     /// The attempt whose answer goes to the client.
     pub(super) answering_attempt: Option<usize>,
@@ -137,7 +137,7 @@
 
     /// What an attempt at this worker would do.
     pub(super) fn next_stage(&self, target: &Target) -> AttemptStage {
-        let is_prefill = target.lifecycle != p::Lifecycle::Out && target.role == p::Role::Reader;
+        let is_prefill = target.lifecycle != p::Lifecycle::Removed && target.role == p::Role::Prefill;
         match &self.reservation {
             _ if is_prefill => AttemptStage::Prefill,
             Some(_) => AttemptStage::Decode,
@@ -175,7 +175,7 @@
         self.is_answered() && !self.has_open_attempt() && self.reservation.is_none()
     }
 
-    /// Whether any attempt may have had the request's effect, by what its connections have proven.
+    /// Whether any attempt may have had the request's retry_safety, by what its connections have proven.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|a| a.facts.may_have_run)
     }
@@ -183,21 +183,21 @@
     /// What is owed for it, by what its connections have proven.
     pub(super) fn obligations(&self, settings: &p::Settings) -> Obligations {
         let class = settings.classes.get(self.spec.class.0);
-        let (effect, window) =
-            class.map_or((p::Effect::SingleShot, Micros(0)), |c| (c.effect, c.dedup_window));
+        let (retry_safety, window) =
+            class.map_or((p::RetrySafety::NonIdempotent, Micros(0)), |c| (c.retry_safety, c.dedup_window));
         let answer = match (&self.answer, self.answering_attempt) {
             (FinalAnswer::Given { .. }, _) => AnswerState::Given,
             (FinalAnswer::Streaming, _) | (FinalAnswer::Pending, Some(_)) => AnswerState::Begun,
             (FinalAnswer::Pending, None) => AnswerState::Owed,
         };
         Obligations {
-            effect,
-            window,
+            retry_safety,
+            deduplication_window: window,
             deadline: self.spec.deadline,
             max_attempts: settings.max_attempts,
             attempts: self.attempts.iter().map(|a| a.facts).collect(),
             answer,
-            held_since: self.reservation.as_ref().map(|r| r.reserved_at),
+            reserved_at: self.reservation.as_ref().map(|r| r.reserved_at),
         }
     }
 
@@ -236,7 +236,7 @@
         let attempt = self.answering_attempt.and_then(|index| self.attempts.get(index));
         let is_decode = attempt.is_some_and(|a| a.stage == AttemptStage::Decode);
         let is_prefilled = |a: &Attempt| {
-            a.stage == AttemptStage::Prefill && a.ended.is_some_and(|end| end.outcome == Outcome::Parsed)
+            a.stage == AttemptStage::Prefill && a.ended.is_some_and(|end| end.outcome == Outcome::Prefilled)
         };
         let prefill = self.attempts.iter().rposition(is_prefilled).filter(|_| is_decode);
         BilledAttempts { prefill: prefill.and_then(|index| u32::try_from(index).ok()), answering }
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -14,11 +14,11 @@
 
 impl Core {
     /// The policy rejects the request. If an attempt may have run, the client is told of a failure instead.
-    pub(super) fn reject(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::Why) {
+    pub(super) fn reject(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::RejectionReason) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
-        if let Err(denied) = request.obligations(&self.config.policy).may_refuse() {
+        if let Err(denied) = request.obligations(&self.config.policy).may_reject() {
             self.record_denial(id, denied);
             return self.answer_given_up(id);
         }
@@ -33,7 +33,7 @@
     }
 
     /// The policy gives the request up.
-    pub(super) fn fail_request(&mut self, id: &RequestId, why: p::Why) {
+    pub(super) fn fail_request(&mut self, id: &RequestId, why: p::RejectionReason) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.why = Some(why);
         increment(&mut self.counters.given_up, why.name());
@@ -102,7 +102,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let phase = request.phase();
         let class = self.config.policy.classes.get(request.spec.class.0);
-        let must_run_once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let must_run_once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
         let until = (must_run_once && request.may_have_run()).then_some(remembered_until);
         request.answer = FinalAnswer::Given { ended, phase, reason, at: self.now };
         if let Some(identity) = &request.identity {
@@ -194,7 +194,7 @@
         Some(Finished {
             id: id.0.to_string(),
             class: self.class_name(request.spec.class),
-            came_back: request.spec.came_back,
+            came_back: request.spec.resumed,
             tenant: self.tenant_name(request.spec.tenant),
             identity: request.identity.map(|identity| identity.key),
             session: request.spec.session.as_ref().map(|s| s.0.to_string()),
--- a/crates/router/src/core/attempt.rs
+++ b/crates/router/src/core/attempt.rs
@@ -33,8 +33,8 @@
     /// As the obligations see it.
     pub(super) fn obligation(self) -> Stage {
         match self {
-            Self::Prefill => Stage::Read,
-            Self::Decode | Self::Combined => Stage::Write,
+            Self::Prefill => Stage::Prefill,
+            Self::Decode | Self::Combined => Stage::Decode,
         }
     }
 }
@@ -75,10 +75,10 @@
     pub(super) deadline: Micros,
     /// How long its connection may take, if not as long as usual.
     pub(super) connect_timeout: Option<Micros>,
-    pub(super) care: p::Care,
+    pub(super) care: p::AttemptKind,
     pub(super) conn: Option<ConnId>,
     pub(super) timer: Option<TimerKey>,
-    pub(super) report: Option<p::Report>,
+    pub(super) report: Option<p::LoadReport>,
     /// Prompt tokens that the worker found in its cache.
     pub(super) cached_tokens: u64,
     /// Bounds the wait between two events of its stream.
@@ -90,10 +90,10 @@
 pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
-        Outcome::Parsed => "parsed",
+        Outcome::Prefilled => "parsed",
         Outcome::ServerError => "server_error",
-        Outcome::Refused { no_state: false } => "refused",
-        Outcome::Refused { no_state: true } => "no_state",
+        Outcome::Rejected { no_state: false } => "refused",
+        Outcome::Rejected { no_state: true } => "no_state",
         Outcome::TimedOut => "timed_out",
         Outcome::NoConnection => "no_connection",
         Outcome::ConnectionLost => "connection_lost",
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -17,7 +17,7 @@
 
 /// A worker that is not known any more.
 const REMOVED: Target =
-    Target { role: p::Role::Mixed, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Out };
+    Target { role: p::Role::Combined, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Removed };
 
 /// How long an attempt may take, as the policy says; none: as long as its request, or as connections usually may.
 #[derive(Debug, Clone, Copy)]
@@ -34,7 +34,7 @@
     stage: AttemptStage,
     conn: Option<ConnId>,
     elapsed: Micros,
-    report: Option<p::Report>,
+    report: Option<p::LoadReport>,
     cached_tokens: u64,
     /// Its answer was the one that went to the client.
     was_answering: bool,
@@ -47,7 +47,7 @@
         id: &RequestId,
         worker: WorkerId,
         limits: AttemptLimits,
-        care: p::Care,
+        care: p::AttemptKind,
     ) {
         let target = self.workers.get(&worker).map_or(REMOVED, WorkerEndpoint::target);
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -208,7 +208,7 @@
         let Some(mut ended) = self.mark_ended(id, no, outcome, cached_tokens) else { return };
         self.record_end(id, no, outcome, &ended);
         let is_decode = ended.stage == AttemptStage::Decode;
-        if outcome == (Outcome::Refused { no_state: true }) {
+        if outcome == (Outcome::Rejected { no_state: true }) {
             self.take_reservation(id);
         } else if is_decode && proves_arrival(outcome) {
             self.renew_reservation(id);
@@ -217,7 +217,7 @@
             self.abort_connection(conn);
         }
         let has_pulled =
-            ended.was_answering || matches!(outcome, Outcome::Served | Outcome::Refused { no_state: true });
+            ended.was_answering || matches!(outcome, Outcome::Served | Outcome::Rejected { no_state: true });
         if is_decode && !has_pulled {
             self.repeat_release(id);
         }
@@ -265,7 +265,7 @@
     fn record_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: &EndedAttempt) {
         let name = outcome_name(outcome);
         increment(self.counters.attempts(ended.stage), name);
-        if matches!(outcome, Outcome::Served | Outcome::Parsed) {
+        if matches!(outcome, Outcome::Served | Outcome::Prefilled) {
             return;
         }
         let subject =
@@ -292,9 +292,17 @@
 
     /// Notifies the policy of an attempt's end. State that a failed prefill may have left behind is released.
     fn notify_outcome(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: EndedAttempt) {
-        let EndedAttempt { worker, stage, elapsed, report, cached_tokens: kept, .. } = ended;
-        let over = self.requests.get(id).is_none_or(ActiveRequest::is_answered);
-        let event = Event::Verdict { id: id.clone(), attempt: no, outcome, elapsed, over, kept, report };
+        let EndedAttempt { worker, stage, elapsed, report, cached_tokens, .. } = ended;
+        let request_ended = self.requests.get(id).is_none_or(ActiveRequest::is_answered);
+        let event = Event::AttemptOutcome {
+            id: id.clone(),
+            attempt: no,
+            outcome,
+            elapsed,
+            request_ended,
+            cached_tokens,
+            report,
+        };
         let may_leave_state = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Cancelled | Outcome::ConnectionLost | Outcome::ServerError
@@ -319,7 +327,7 @@
     fn release_awaited_until(&self, id: &RequestId) -> Option<Micros> {
         let request = self.requests.get(id).filter(|r| !r.is_answered() && self.config.dialect.is_some())?;
         let class = self.config.policy.classes.get(request.spec.class.0);
-        let must_run_once = class.is_none_or(|c| c.effect != p::Effect::Free);
+        let must_run_once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
         let tick = self.config.policy.tick;
         let latest = request.spec.deadline - tick - tick - tick;
         let until = (self.now + self.config.timeouts.connect).min(latest);
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -25,7 +25,7 @@
             let class = class.and_then(|c| self.config.policy.classes.get(c));
             let until = p::Micros(ran.at.0) + wait;
             // A class that is gone may have been one that must not run twice.
-            let must_run_once = class.is_none_or(|c| c.effect != p::Effect::Free);
+            let must_run_once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
             if must_run_once && until > now && (tenant.is_some() || ran.tenant.is_empty()) {
                 let identity = RequestIdentity { tenant, key: ran.identity.to_string() };
                 self.identities.restore(&identity, until);
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -76,8 +76,8 @@
             let known =
                 self.workers.entry(worker.id.clone()).or_insert_with(|| new_endpoint(worker, *address));
             (known.role, known.zone, known.cell) = (worker.role, worker.zone, worker.cell);
-            known.listed = worker.lifecycle != p::Lifecycle::Out;
-            known.draining = worker.lifecycle != p::Lifecycle::In;
+            known.listed = worker.lifecycle != p::Lifecycle::Removed;
+            known.draining = worker.lifecycle != p::Lifecycle::Active;
             if known.address != *address {
                 known.address = *address;
                 known.host = address.to_string().into();
@@ -94,8 +94,8 @@
 
     /// Notifies the policy, then ends attempts that still wait for a connection to a draining worker: nothing of them was
     /// sent, and by the time that the connection stands it may be too late.
-    fn notify_policy(&mut self, kind: p::ListKind, workers: Vec<p::Worker>) {
-        self.events.push_back(Event::Workers { kind, workers });
+    fn notify_policy(&mut self, update: p::EndpointUpdate, workers: Vec<p::Worker>) {
+        self.events.push_back(Event::Endpoints { update, workers });
         let is_draining = |w: &p::WorkerId| self.workers.get(w).is_some_and(|e| e.draining);
         let waits =
             |c: &&WorkerConnection| c.pending_call.is_some() && c.worker.as_ref().is_some_and(is_draining);
@@ -151,7 +151,7 @@
     }
 
     /// Takes over a list that a dialect has read; gives what the policy is notified of.
-    fn apply_list(&mut self, list: EndpointList) -> (Vec<p::Worker>, p::ListKind) {
+    fn apply_list(&mut self, list: EndpointList) -> (Vec<p::Worker>, p::EndpointUpdate) {
         for error in &list.invalid {
             self.note("list", format!("an entry is left out: {error}"));
         }
@@ -159,10 +159,10 @@
         // After an invalid entry the complete list is asked for, once; what is invalid again is left out.
         let ask_again = !list.invalid.is_empty() && self.discovery.version.is_some();
         self.discovery.version = (!ask_again).then_some(list.version);
-        let kind = if list.complete { p::ListKind::Full } else { p::ListKind::Changes };
+        let update = if list.complete { p::EndpointUpdate::Snapshot } else { p::EndpointUpdate::Delta };
         let is_complete = list.complete;
         let endpoints = self.within_bound(list);
-        (self.apply_endpoints(endpoints, is_complete), kind)
+        (self.apply_endpoints(endpoints, is_complete), update)
     }
 
     /// The entries of a list that fit. New workers past the bound are left out; what is said of known ones, above all that
@@ -174,7 +174,7 @@
         let mut fitting = Vec::new();
         for endpoint in list.endpoints {
             let worker = &endpoint.worker;
-            let is_known = worker.lifecycle == p::Lifecycle::Out || self.workers.contains_key(&worker.id);
+            let is_known = worker.lifecycle == p::Lifecycle::Removed || self.workers.contains_key(&worker.id);
             if is_known || capacity > 0 {
                 capacity -= usize::from(!is_known);
                 fitting.push(endpoint);
@@ -222,9 +222,9 @@
                 return self.close_discovery(conn);
             }
         };
-        let (workers, kind) = self.apply_list(list);
-        if kind == p::ListKind::Full || !workers.is_empty() {
-            self.notify_policy(kind, workers);
+        let (workers, update) = self.apply_list(list);
+        if update == p::EndpointUpdate::Snapshot || !workers.is_empty() {
+            self.notify_policy(update, workers);
         }
         // An answer without a change that came at once, though it might have waited: polling on would be a busy loop.
         let came_at_once = self.discovery.long_poll && self.now < self.discovery.polled_at + POLL_PAUSE;
@@ -266,7 +266,7 @@
             self.timers.set(self.now + POLL_PAUSE, TimerEvent::DiscoveryRetry);
             return;
         }
-        self.events.push_back(Event::Workers { kind: p::ListKind::Failed, workers: Vec::new() });
+        self.events.push_back(Event::Endpoints { update: p::EndpointUpdate::Failed, workers: Vec::new() });
         self.note("register", "lost or not reached; the list held stays".into());
     }
 
@@ -335,7 +335,7 @@
 
     fn apply_snapshot(&mut self, text: &str) -> Result<(), EndpointUpdateError> {
         let endpoints = self.discovery.endpoints.apply_snapshot(text, &self.config)?;
-        self.endpoints_changed(endpoints, p::ListKind::Full);
+        self.endpoints_changed(endpoints, p::EndpointUpdate::Snapshot);
         Ok(())
     }
 
@@ -345,16 +345,16 @@
             let bound = self.config.bounds.workers;
             self.note("register", format!("more than {bound} workers: {} left out", delta.left_out));
         }
-        self.endpoints_changed(delta.endpoints, p::ListKind::Changes);
+        self.endpoints_changed(delta.endpoints, p::EndpointUpdate::Delta);
         Ok(())
     }
 
     /// An event of the watch was applied: the list is stored, and the policy notified.
-    fn endpoints_changed(&mut self, endpoints: Vec<Endpoint>, kind: p::ListKind) {
+    fn endpoints_changed(&mut self, endpoints: Vec<Endpoint>, update: p::EndpointUpdate) {
         self.discovery.has_list = true;
-        let workers = self.apply_endpoints(endpoints, kind == p::ListKind::Full);
+        let workers = self.apply_endpoints(endpoints, update == p::EndpointUpdate::Snapshot);
         self.outputs.push(Output::StoreEndpointList(self.discovery.endpoints.to_text()));
-        self.notify_policy(kind, workers);
+        self.notify_policy(update, workers);
     }
 
     /// An event was lost. A new watch begins with a snapshot: it is begun at once or, where gaps come again and again, when
--- a/crates/router/src/core/load_report.rs
+++ b/crates/router/src/core/load_report.rs
@@ -4,10 +4,10 @@
 use chalkyard_policy as p;
 
 /// Reads a load report; none if there is none or it can't be read.
-pub(super) fn load_report(header: Option<&str>) -> Option<p::Report> {
+pub(super) fn load_report(header: Option<&str>) -> Option<p::LoadReport> {
     let load = engine::load(header?)?;
     let named = load.named_metrics;
-    Some(p::Report {
+    Some(p::LoadReport {
         queued: named.queue_depth,
         slots_used: load.cpu_utilization,
         kv_used: load.mem_utilization,
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -190,8 +190,12 @@
             None => Vec::new(),
         };
         // Without service discovery the stored list names all there is, and is current.
-        let kind = if self.config.discovery.is_some() { p::ListKind::Stale } else { p::ListKind::Full };
-        self.events.push_back(Event::Workers { kind, workers });
+        let update = if self.config.discovery.is_some() {
+            p::EndpointUpdate::LastKnown
+        } else {
+            p::EndpointUpdate::Snapshot
+        };
+        self.events.push_back(Event::Endpoints { update, workers });
         if self.config.policy.discovery == p::Discovery::Push {
             self.watch_discovery();
         }
@@ -322,15 +326,15 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker, give_up, connect, care } => {
-                let limits = AttemptLimits { timeout: give_up, connect_timeout: connect };
-                self.start_attempt(&id, worker, limits, care);
+            Action::Send { id, worker, timeout, connect_timeout, kind } => {
+                let limits = AttemptLimits { timeout, connect_timeout };
+                self.start_attempt(&id, worker, limits, kind);
             }
             Action::Cancel { id, attempt } => self.cancel_attempt(&id, attempt),
-            Action::Refuse { id, retry_after, why } => self.reject(&id, retry_after, why),
-            Action::Fail { id, why } => self.fail_request(&id, why),
-            Action::Move(id) => self.migrate(&id),
-            Action::LetGo(id) => self.release_reservation(&id),
+            Action::Reject { id, retry_after, reason } => self.reject(&id, retry_after, reason),
+            Action::Fail { id, reason } => self.fail_request(&id, reason),
+            Action::Migrate(id) => self.migrate(&id),
+            Action::ReleaseReservation(id) => self.release_reservation(&id),
             Action::SetTimer { timer, after } => {
                 self.timers.set(self.now + after, TimerEvent::Policy(timer));
             }
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -175,14 +175,14 @@
                 self.dialect_prefilled(id, no, body)
             }
             (200, AttemptStage::Prefill) => self.engine_prefilled(id, no, body),
-            (429, _) => (Outcome::Refused { no_state: false }, 0),
+            (429, _) => (Outcome::Rejected { no_state: false }, 0),
             (409, AttemptStage::Decode) if engine::says_no_state(body) => {
-                (Outcome::Refused { no_state: true }, 0)
+                (Outcome::Rejected { no_state: true }, 0)
             }
             _ => (Outcome::ServerError, 0),
         };
         self.finish_connection(conn, id, no);
-        if outcome == Outcome::Parsed {
+        if outcome == Outcome::Prefilled {
             self.withdraw_releases(id);
         }
         self.end_attempt(id, no, outcome, cached_tokens);
@@ -198,7 +198,7 @@
         if let Some(worker) = worker {
             self.reserve(id, worker, None);
         }
-        (Outcome::Parsed, cached_tokens)
+        (Outcome::Prefilled, cached_tokens)
     }
 
     /// A prefill is complete, if its answer can be read: its outcome, and the number of cached tokens.
@@ -214,7 +214,7 @@
         if let Some(worker) = worker {
             self.reserve(id, worker, Some(transfer_params));
         }
-        (Outcome::Parsed, usage.kept_tokens)
+        (Outcome::Prefilled, usage.kept_tokens)
     }
 
     /// The reply to an attempt has ended well: its connection may be reused.
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -261,7 +261,7 @@
             prompt_tokens: call.prompt_tokens,
             max_output: call.max_tokens,
             deadline: self.now + (timeout - margin),
-            came_back: call.came_back,
+            resumed: call.came_back,
         };
         ActiveRequest::new(conn, spec, ClientCall::Messages(Box::new(call)), identity, self.now)
     }
--- a/crates/router/src/core/reservations.rs
+++ b/crates/router/src/core/reservations.rs
@@ -79,7 +79,7 @@
     /// When state that is reserved now is released if the policy has not had it released: just past its own time.
     fn release_deadline(&self) -> Micros {
         let tick = self.config.policy.tick;
-        obligations::release_due(self.now, self.config.policy.release) + tick + tick
+        obligations::release_due(self.now, self.config.policy.reservation_timeout) + tick + tick
     }
 
     /// Ends the reservation, as far as this router knows of it.
@@ -128,7 +128,7 @@
         self.next_release.0 += 1;
         increment(&mut self.counters.releases, "begun");
         let proof = reserved_at.map(|reserved_at| {
-            let due = (reserved_at + self.config.policy.release + PROOF_SLACK).max(self.now);
+            let due = (reserved_at + self.config.policy.reservation_timeout + PROOF_SLACK).max(self.now);
             ReleaseProof { reserved_at, timer: self.timers.set(due, TimerEvent::ReleaseProof(release)) }
         });
         let started_at = self.now;
@@ -240,7 +240,7 @@
     pub(super) fn retry_release(&mut self, release_id: ReleaseId) {
         let Some(release) = self.releases.get(&release_id) else { return };
         let least = if self.config.dialect.is_some() { RETRY_LEAST } else { Micros(0) };
-        let is_late = self.now >= release.started_at + self.config.policy.release.max(least);
+        let is_late = self.now >= release.started_at + self.config.policy.reservation_timeout.max(least);
         let worker = self.next_release_worker(release).filter(|w| !is_late && self.workers.contains_key(w));
         if let Some(release) = self.releases.get_mut(&release_id) {
             let deferred = release.deferred.take_if(|d| worker.is_none() || self.now >= d.until);
--- a/crates/router/src/core/tally.rs
+++ b/crates/router/src/core/tally.rs
@@ -1,6 +1,6 @@
 //! What a router does in each second, in numbers that add up over a fleet. Nothing is decided by them.
 
-use chalkyard_policy::{Care, Micros};
+use chalkyard_policy::{AttemptKind, Micros};
 use serde::{Deserialize, Serialize};
 
 use super::{Core, Output};
@@ -55,15 +55,15 @@
 }
 
 impl Tally {
-    pub(super) fn count_attempt(&mut self, call: CallKind, care: Care) {
+    pub(super) fn count_attempt(&mut self, call: CallKind, kind: AttemptKind) {
         match call {
             CallKind::First => self.first += 1,
             CallKind::Decode => self.decodes += 1,
             CallKind::Retry { may_have_run: false } => self.retries_not_run += 1,
             CallKind::Retry { may_have_run: true } => self.retries_maybe_run += 1,
         }
-        self.probes += u64::from(care == Care::Trial);
-        self.slow_starts += u64::from(care == Care::Cold);
+        self.probes += u64::from(kind == AttemptKind::Probe);
+        self.slow_starts += u64::from(kind == AttemptKind::SlowStart);
     }
 
     /// Adds another router's counts of a second.
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -128,9 +128,9 @@
     /// Workers, the first in order of their ids.
     pub fn worker_view(&self) -> Listed<WorkerView> {
         let role = |role| match role {
-            p::Role::Reader => "reader",
-            p::Role::Writer => "writer",
-            p::Role::Mixed => "mixed",
+            p::Role::Prefill => "reader",
+            p::Role::Decode => "writer",
+            p::Role::Combined => "mixed",
         };
         let view = |(id, e): (&p::WorkerId, &WorkerEndpoint)| WorkerView {
             id: id.0.to_string(),
--- a/crates/router/src/dialect.rs
+++ b/crates/router/src/dialect.rs
@@ -73,7 +73,7 @@
     /// Tokens, once the stream has named them.
     pub usage: Option<TokenUsage>,
     /// The worker's load.
-    pub report: Option<p::Report>,
+    pub report: Option<p::LoadReport>,
 }
 
 /// Reads a stream while it is forwarded. It accepts any bytes and holds a bounded part of them.
@@ -135,7 +135,7 @@
     /// Reads the head of a worker's reply.
     fn parse_reply(&self, stage: Stage, head: &Head) -> ReplyHead;
     /// The load report in the head of a worker's reply.
-    fn load_report(&self, head: &Head) -> Option<p::Report>;
+    fn load_report(&self, head: &Head) -> Option<p::LoadReport>;
     /// The number of cached tokens in the body of a reply to a prefill.
     fn cached_tokens(&self, body: &[u8]) -> u64;
     /// A reader for a stream that begins.
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -159,9 +159,9 @@
         role: kind.role,
         kv_tokens: kind.kv_tokens,
         lifecycle: match entry.state {
-            EndpointState::Active => p::Lifecycle::In,
+            EndpointState::Active => p::Lifecycle::Active,
             EndpointState::Draining => p::Lifecycle::Draining,
-            EndpointState::Removed => p::Lifecycle::Out,
+            EndpointState::Removed => p::Lifecycle::Removed,
         },
         weight: entry.weight.filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0),
         started: started_ms.map(|ms| p::Micros(ms.saturating_mul(1_000))),
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -100,12 +100,12 @@
     };
 }
 
-words!(RoleWord: p::Role { "reader" => p::Role::Reader, "writer" => p::Role::Writer, "mixed" => p::Role::Mixed });
-words!(DiscoveryWord: p::Discovery { "push" => p::Discovery::Push, "ask" => p::Discovery::Ask });
-words!(ReportsWord: p::Reports {
-    "off" => p::Reports::Off, "in-answers" => p::Reports::InAnswers,
+words!(RoleWord: p::Role { "reader" => p::Role::Prefill, "writer" => p::Role::Decode, "mixed" => p::Role::Combined });
+words!(DiscoveryWord: p::Discovery { "push" => p::Discovery::Push, "ask" => p::Discovery::Poll });
+words!(ReportsWord: p::LoadReporting {
+    "off" => p::LoadReporting::Off, "in-answers" => p::LoadReporting::InResponses,
 });
-words!(GroupWord: p::Group { "all" => p::Group::All, "zone" => p::Group::Zone, "cell" => p::Group::Cell });
+words!(GroupWord: p::DeduplicationScope { "all" => p::DeduplicationScope::All, "zone" => p::DeduplicationScope::Zone, "cell" => p::DeduplicationScope::Cell });
 
 /// How far a class may be repeated.
 #[derive(Clone, Copy, PartialEq)]
