--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -7,7 +7,7 @@
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
 use chalkyard_rehearsal::engine::Role;
-use chalkyard_rehearsal::record::{Effect, Line};
+use chalkyard_rehearsal::record::{Line, RetrySafety};
 use chalkyard_rehearsal::scenario::{Fault, Kind, Scenario};
 use chalkyard_rehearsal::topology::Topology;
 use chalkyard_rehearsal::Error;
@@ -60,17 +60,17 @@
 
 /// As the kit's settings for processes say it.
 fn config(scenario: &Scenario, name: &str, register: SocketAddr) -> Config {
-    let f = &scenario.figures;
+    let f = &scenario.limits;
     let classes = scenario.classes.iter().map(|c| p::Class {
-        latency_objective: Micros(c.aim_us),
-        latency_objective_per_1000_tokens: Micros(c.aim_per_1000_us),
+        latency_objective: Micros(c.latency_objective_us),
+        latency_objective_per_1000_tokens: Micros(c.latency_objective_per_1000_us),
         deadline: Micros(c.deadline_us),
-        retry_safety: match c.effect {
-            Effect::Free => p::RetrySafety::Idempotent,
-            Effect::SingleShot => p::RetrySafety::NonIdempotent,
-            Effect::Guarded => p::RetrySafety::Deduplicated(p::DeduplicationScope::Cell),
+        retry_safety: match c.retry_safety {
+            RetrySafety::Idempotent => p::RetrySafety::Idempotent,
+            RetrySafety::NonIdempotent => p::RetrySafety::NonIdempotent,
+            RetrySafety::Deduplicated => p::RetrySafety::Deduplicated(p::DeduplicationScope::Cell),
         },
-        dedup_window: Micros(c.window_us),
+        dedup_window: Micros(c.deduplication_window_us),
     });
     let kind = |role, tokens| WorkerKind { role, kv_tokens: Some(tokens) };
     let second = Micros(1_000_000);
@@ -145,7 +145,7 @@
     };
     play.run()?;
     Ok(Emulated {
-        lines: play.topology.tape.lines,
+        lines: play.topology.recorder.lines,
         tallies: play.tallies.into_values().collect(),
         finished: play.finished,
     })
@@ -171,7 +171,7 @@
                 return Err(Error::CouldNotRun(format!("time stands still at {at} µs")));
             }
             at = at.max(next);
-            self.topology.at(at);
+            self.topology.advance_to(at);
             self.network();
             self.strike();
             if self.topology.tick() {
@@ -187,7 +187,7 @@
     fn network(&mut self) {
         while let Some(due) = self.topology.net.inner.pop() {
             match due {
-                Due::World(happened) => self.topology.spread(vec![happened]),
+                Due::World(happened) => self.topology.receive(vec![happened]),
                 Due::Core(i, conn, heard) => match heard {
                     Heard::Accepted => self.feed(i, Input::Accepted(conn)),
                     Heard::Connected => self.feed(i, Input::Connected(conn)),
@@ -202,7 +202,7 @@
 
     fn clock(&self, i: usize) -> Micros {
         let ahead = self.routers.get(i).map_or(0, |r| r.ahead);
-        Micros(UNIX + self.topology.tape.now + ahead)
+        Micros(UNIX + self.topology.recorder.now + ahead)
     }
 
     fn start(&mut self, i: usize) {
@@ -276,11 +276,11 @@
             if let Fault { kind: Kind::BalancerRoll, on, len, .. } = fault {
                 for (n, i) in on.iter().copied().enumerate().filter(|_| begins) {
                     self.kill(i);
-                    self.returns.push((self.topology.tape.now + len + n as u64 * BACK, i));
+                    self.returns.push((self.topology.recorder.now + len + n as u64 * BACK, i));
                 }
             }
         }
-        let now = self.topology.tape.now;
+        let now = self.topology.recorder.now;
         let due: Vec<usize> = self.returns.iter().filter(|(at, _)| *at <= now).map(|(_, i)| *i).collect();
         self.returns.retain(|(at, _)| *at > now);
         for i in due {
--- a/crates/rehearsal/tests/record_forms.rs
+++ b/crates/rehearsal/tests/record_forms.rs
@@ -5,8 +5,10 @@
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-use chalkyard_rehearsal::record::{parse, text, Answer, Effect, End, Freed, Line, Seen, Stage};
-use chalkyard_rehearsal::scenario::LinkOf;
+use chalkyard_rehearsal::record::{
+    parse, text, Answer, AttemptEnd, Event, Line, ReleaseCause, RetrySafety, Stage,
+};
+use chalkyard_rehearsal::scenario::LinkScope;
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 
@@ -39,22 +41,22 @@
     assert_eq!(stored(&[], "k"), all(variant_names::<Line>(json!({"t": 0, "k": "?"}))));
     let kinds = "day engine start down told arrive run end work hold free ask first answer leave lost unreached connect \
                  listed use router fault";
-    assert_eq!(variant_names::<Seen>(json!({"k": "?"})), kinds.split_whitespace().collect::<Vec<_>>());
+    assert_eq!(variant_names::<Event>(json!({"k": "?"})), kinds.split_whitespace().collect::<Vec<_>>());
     assert_eq!(stored(&["arrive"], "stage"), all(variant_names::<Stage>(json!("?"))));
-    assert_eq!(stored(&["end"], "how"), all(variant_names::<End>(json!("?"))));
-    assert_eq!(stored(&["free"], "how"), all(variant_names::<Freed>(json!("?"))));
+    assert_eq!(stored(&["end"], "how"), all(variant_names::<AttemptEnd>(json!("?"))));
+    assert_eq!(stored(&["free"], "how"), all(variant_names::<ReleaseCause>(json!("?"))));
     assert_eq!(stored(&["answer"], "how"), all(variant_names::<Answer>(json!("?"))));
-    assert_eq!(stored(&["fault"], "links"), all(variant_names::<LinkOf>(json!("?"))));
-    assert_eq!(variant_names::<Effect>(json!("?")), ["free", "guarded", "single_shot"]);
+    assert_eq!(stored(&["fault"], "links"), all(variant_names::<LinkScope>(json!("?"))));
+    assert_eq!(variant_names::<RetrySafety>(json!("?")), ["free", "guarded", "single_shot"]);
     assert_eq!(variant_names::<Stage>(json!("?")), ["read", "pull", "whole"]);
     assert_eq!(
-        variant_names::<End>(json!("?")),
+        variant_names::<AttemptEnd>(json!("?")),
         ["answered", "refused", "no_state", "error", "closed", "down"]
     );
-    assert_eq!(variant_names::<Freed>(json!("?")), ["pulled", "released", "expired", "down"]);
+    assert_eq!(variant_names::<ReleaseCause>(json!("?")), ["pulled", "released", "expired", "down"]);
     assert_eq!(
         variant_names::<Answer>(json!("?")),
         ["served", "refused", "failed", "broken", "duplicate", "invalid"]
     );
-    assert_eq!(variant_names::<LinkOf>(json!("?")), ["clients", "engines", "register", "all"]);
+    assert_eq!(variant_names::<LinkScope>(json!("?")), ["clients", "engines", "register", "all"]);
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -165,7 +165,7 @@
             transitions: Vec::new(),
             records: Vec::new(),
             kept_list: None,
-            policy_events: policy_events,
+            policy_events,
             calls: Vec::new(),
             unconnected: false,
             unread: BTreeSet::new(),
