--- a/crates/daemon/src/budget_runtime.rs
+++ b/crates/daemon/src/budget_runtime.rs
@@ -7,7 +7,7 @@
 
 use chalkyard_budget::{BudgetEnforcer, Record, State, Time};
 use chalkyard_ledger::{DirectoryVolume, LedgerError, Limits, Writer};
-use chalkyard_router::shell::News;
+use chalkyard_router::shell::SinkEvent;
 use chalkyard_settings::Budgets;
 use tracing::{info, warn};
 
@@ -91,7 +91,7 @@
     router: &str,
     now: Time,
     predecessor: Option<Predecessor>,
-    news: &SyncSender<News>,
+    news: &SyncSender<SinkEvent>,
 ) -> Result<Recovered, RecoveryError> {
     let (state, writer) = open_ledger(budgets)?;
     if let (Some(file), Some(key)) = (&budgets.grants, &budgets.key_file) {
@@ -147,7 +147,7 @@
 }
 
 /// Gives the event loop what the previous process settles, until that has ended.
-fn inherit(mut predecessor: Predecessor, news: &SyncSender<News>) {
+fn inherit(mut predecessor: Predecessor, news: &SyncSender<SinkEvent>) {
     let mut line = String::new();
     loop {
         line.clear();
@@ -157,7 +157,7 @@
         ) {
             Ok(n) if n > 0 => match serde_json::from_str(&line) {
                 Ok(settled) => {
-                    if news.send(News::Inherited(Box::new(settled))).is_err() {
+                    if news.send(SinkEvent::PredecessorSettled(Box::new(settled))).is_err() {
                         return;
                     }
                 }
@@ -169,12 +169,12 @@
             _ => break,
         }
     }
-    let _ = news.send(News::InheritedAll);
+    let _ = news.send(SinkEvent::PredecessorEnded);
 }
 
 impl Ledger {
     /// Syncs, retries what failed, and tells the loop of changes.
-    pub fn housekeep(&mut self) -> Vec<News> {
+    pub fn housekeep(&mut self) -> Vec<SinkEvent> {
         let mut out = Vec::new();
         if let Err(e) = self.writer.sync() {
             warn!(target: "ledger", "syncing: {e}");
@@ -187,10 +187,10 @@
         }
         if self.reported_writable != self.writer.is_writable() {
             self.reported_writable = self.writer.is_writable();
-            out.push(News::Writable(self.reported_writable));
+            out.push(SinkEvent::LedgerWritable(self.reported_writable));
         }
         if retry && self.writer.wants_rotation() {
-            out.push(News::Checkpoint);
+            out.push(SinkEvent::Checkpoint);
         }
         out
     }
--- a/crates/daemon/src/grant_files.rs
+++ b/crates/daemon/src/grant_files.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chalkyard_budget::{Grant, SigningKey};
-use chalkyard_router::shell::News;
+use chalkyard_router::shell::SinkEvent;
 use tracing::warn;
 
 use crate::files::{read_limited, replace};
@@ -56,7 +56,7 @@
 }
 
 /// Gives the event loop each new grant, until the loop has ended.
-pub fn watch(file: &Path, key: &SigningKey, news: &SyncSender<News>) {
+pub fn watch(file: &Path, key: &SigningKey, news: &SyncSender<SinkEvent>) {
     let mut last = Vec::new();
     loop {
         std::thread::sleep(POLL_INTERVAL);
@@ -66,7 +66,7 @@
         }
         match key.open_grant(&bytes) {
             Ok(grant) => {
-                if news.send(News::Granted(Box::new(grant))).is_err() {
+                if news.send(SinkEvent::LeaseGranted(Box::new(grant))).is_err() {
                     return;
                 }
             }
--- a/crates/daemon/src/router_sink.rs
+++ b/crates/daemon/src/router_sink.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use chalkyard_budget::{Figures, Record, Settled};
-use chalkyard_router::shell::{News, Sink};
+use chalkyard_router::shell::{Sink, SinkEvent};
 use chalkyard_router::{Counters, Finished, Tally, Transition};
 use chalkyard_state::LifecycleAction;
 use tracing::{info, warn};
@@ -50,7 +50,7 @@
     /// Reads the settings again.
     pub reloader: Arc<Reloader>,
     /// What other threads have for the loop.
-    pub news: Receiver<News>,
+    pub news: Receiver<SinkEvent>,
 }
 
 impl Sink for RouterSink {
@@ -76,12 +76,12 @@
         self.log.tally(tally);
     }
 
-    fn recent(&self, id: &str) -> Option<String> {
+    fn recent_request(&self, id: &str) -> Option<String> {
         let record = self.recent.iter().rev().find(|r| r.id == id)?;
         serde_json::to_string(record).ok()
     }
 
-    fn say(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
+    fn lifecycle_action(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
         match act {
             LifecycleAction::NotifyReady => {
                 notify::say("READY=1\n");
@@ -105,7 +105,7 @@
         }
     }
 
-    fn give_up_ledger(&mut self) -> Option<Receiver<Settled>> {
+    fn hand_over_ledger(&mut self) -> Option<Receiver<Settled>> {
         let mut ledger = self.ledger.take()?;
         // What can't be written now is lost to the successor: it settles it as orphaned.
         ledger.flush();
@@ -127,7 +127,7 @@
         self.log.note(what, text);
     }
 
-    fn keep_list(&mut self, text: &str) {
+    fn store_endpoint_list(&mut self, text: &str) {
         self.log.keep_list(text);
     }
 
@@ -147,8 +147,8 @@
         Some(self.ledger.as_ref().map_or(HOUSEKEEPING_INTERVAL, |ledger| ledger.sync_interval))
     }
 
-    fn housekeep(&mut self) -> Vec<News> {
-        let mut out: Vec<News> = self.news.try_iter().take(PENDING_NEWS).collect();
+    fn housekeep(&mut self) -> Vec<SinkEvent> {
+        let mut out: Vec<SinkEvent> = self.news.try_iter().take(PENDING_NEWS).collect();
         out.extend(self.ledger.as_mut().map(Ledger::housekeep).unwrap_or_default());
         out
     }
--- a/crates/daemon/tests/common/shell_router.rs
+++ b/crates/daemon/tests/common/shell_router.rs
@@ -35,7 +35,7 @@
 
     fn note(&mut self, _what: &str, _text: &str) {}
 
-    fn keep_list(&mut self, _text: &str) {}
+    fn store_endpoint_list(&mut self, _text: &str) {}
 }
 
 /// A router in a thread.
@@ -53,7 +53,7 @@
         let core = Core::new(started.config, 7, clock.now());
         let timeouts =
             LifecycleTimeouts { endpoint_wait: 3_000_000, lame_duck: 0, drain: 5_000_000, flush: 200_000 };
-        let address = ListenAddress::take(at, false).unwrap();
+        let address = ListenAddress::bind(at, false).unwrap();
         let mut shell = Shell::new(core, StallingSink, clock, address, timeouts).unwrap();
         shell.bound_lingering(started.lingering);
         let (handle, known) = (shell.handle(), started.known);
@@ -73,15 +73,15 @@
     }
 
     pub fn terminate(&self) {
-        assert!(self.handle.tell(LifecycleEvent::Terminate));
+        assert!(self.handle.notify(LifecycleEvent::Terminate));
     }
 }
 
 impl Drop for ShellRouter {
     fn drop(&mut self) {
         // Told twice, it ends at once.
-        self.handle.tell(LifecycleEvent::Terminate);
-        self.handle.tell(LifecycleEvent::Terminate);
+        self.handle.notify(LifecycleEvent::Terminate);
+        self.handle.notify(LifecycleEvent::Terminate);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -11,7 +11,9 @@
 use chalkyard_rehearsal::scenario::{Fault, Kind, Scenario};
 use chalkyard_rehearsal::topology::Topology;
 use chalkyard_rehearsal::Error;
-use chalkyard_router::{Bounds, ClassEntry, Config, Core, Finished, Input, KindEntry, Output, Tally, Waits};
+use chalkyard_router::{
+    Bounds, ClassConfig, Config, Core, Finished, Input, Output, Tally, Timeouts, WorkerKind,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -70,7 +72,7 @@
         },
         dedup_window: Micros(c.deduplication_window_us),
     });
-    let kind = |role, tokens| KindEntry { role, kv_tokens: Some(tokens) };
+    let kind = |role, tokens| WorkerKind { role, kv_tokens: Some(tokens) };
     let second = Micros(1_000_000);
     Config {
         name: name.into(),
@@ -95,7 +97,7 @@
             weighted: false,
             load_reporting: p::LoadReporting::InResponses,
         },
-        classes: scenario.classes.iter().map(|c| ClassEntry { name: c.name.clone() }).collect(),
+        classes: scenario.classes.iter().map(|c| ClassConfig { name: c.name.clone() }).collect(),
         default_class: 0,
         tenants: Vec::new(),
         keys: KeyRing::new([0; 32]),
@@ -106,13 +108,13 @@
             (Role::Combined.name().to_owned(), kind(p::Role::Combined, 160_000)),
         ]
         .into(),
-        register: Some(register),
+        discovery: Some(register),
         bounds: Bounds::default(),
-        waits: Waits {
+        timeouts: Timeouts {
             stream: Micros(5 * second.0),
             slow_client: Micros(2 * second.0),
-            register: Micros(5 * second.0),
-            ..Waits::default()
+            discovery: Micros(5 * second.0),
+            ..Timeouts::default()
         },
         dialect: None,
     }
--- a/crates/platform/tests/refused_heads.rs
+++ b/crates/platform/tests/refused_heads.rs
@@ -7,7 +7,7 @@
 
 /// Status and body of the answer to a request with these headers.
 fn answer(fields: &[(&str, &str)]) -> (u16, String) {
-    let mut y = yard();
+    let mut y = harness();
     let client = y.client();
     y.bytes(client, &request(fields));
     let status = first_status(&y, client).expect("an answer");
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -2,11 +2,15 @@
 //! as. The platform writes these files; a field that moves is a router that does not start.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
+use std::net::SocketAddr;
+
 use chalkyard_platform::Started;
 use chalkyard_policy::{
     CellId, Class, DeduplicationScope, Discovery, Lifecycle, LoadReporting, Micros, RetrySafety, Role,
     Settings, Tenant, Worker, ZoneId,
 };
+use chalkyard_router::dialect::Endpoint;
+use chalkyard_router::MigrationWindow;
 use serde_json::{json, Value};
 
 const CONFIG: &str = include_str!("data/config.json");
@@ -66,7 +70,7 @@
     assert_eq!(started.listen, "127.0.0.1:5000".parse().unwrap());
     assert_eq!((started.seed, started.lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
     let config = started.config;
-    assert_eq!((config.name.as_str(), config.register), ("n3", Some("127.0.0.1:9".parse().unwrap())));
+    assert_eq!((config.name.as_str(), config.discovery), ("n3", Some("127.0.0.1:9".parse().unwrap())));
     let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(classes, ["chat", "tool", "mail", "sum", "once"]);
     let tenants: Vec<&str> = config.tenants.iter().map(|t| t.name.as_str()).collect();
@@ -74,10 +78,10 @@
     let b = config.bounds;
     assert_eq!((b.open, b.clients, b.links, b.engine_connections, b.engine_idle), (500, 106, 119, 119, 119));
     assert_eq!((b.bodies, b.client_buffer, b.workers, b.identities), (8 << 20, 65_536, 2_000, 0));
-    let w = config.waits;
+    let w = config.timeouts;
     assert_eq!((w.connect, w.engine_idle, w.release), (ms(250), ms(10_000), ms(150)));
-    assert_eq!((w.register, w.register_doubted), (ms(3_000), ms(250)));
-    assert_eq!(w.leaving, Some((ms(1_800), ms(3_300))));
+    assert_eq!((w.discovery, w.discovery_probe), (ms(3_000), ms(250)));
+    assert_eq!(w.migration, Some(MigrationWindow { from: ms(1_800), until: ms(3_300) }));
 }
 
 fn worker(id: &str, zone: Option<usize>, cell: u64, role: Role, kv_tokens: Option<u64>) -> Worker {
@@ -93,6 +97,10 @@
     }
 }
 
+fn workers_and_addresses(endpoints: Vec<Endpoint>) -> Vec<(Worker, SocketAddr)> {
+    endpoints.into_iter().map(|endpoint| (endpoint.worker, endpoint.address)).collect()
+}
+
 #[test]
 fn the_kept_endpoint_list_is_read_with_every_field() {
     let started = started();
@@ -102,11 +110,11 @@
         serde_json::from_str::<Value>(CONFIG).unwrap()["known"],
         "kept as text, and read when the core starts"
     );
-    let list = started.config.dialect.unwrap().list(known.as_bytes()).unwrap();
-    assert_eq!((list.version, list.whole, list.wrong.len()), (41, true, 0));
+    let list = started.config.dialect.unwrap().parse_list(known.as_bytes()).unwrap();
+    assert_eq!((list.version, list.complete, list.invalid.len()), (41, true, 0));
     let at = |text: &str| text.parse().unwrap();
     assert_eq!(
-        list.workers,
+        workers_and_addresses(list.endpoints),
         [
             (
                 Worker {
@@ -143,14 +151,16 @@
         json!({"phase": "up"}),
         json!(7),
     ];
-    let list = dialect.list(json!({"revision": 42, "members": members}).to_string().as_bytes()).unwrap();
-    assert_eq!((list.version, list.whole), (42, false));
+    let list =
+        dialect.parse_list(json!({"revision": 42, "members": members}).to_string().as_bytes()).unwrap();
+    assert_eq!((list.version, list.complete), (42, false));
     assert_eq!(
-        list.workers,
+        workers_and_addresses(list.endpoints),
         [(worker("a", None, 0, Role::Combined, Some(300_000)), "127.0.0.1:4".parse().unwrap())]
     );
+    let reasons: Vec<&str> = list.invalid.iter().map(|e| e.reason.as_str()).collect();
     assert_eq!(
-        list.wrong,
+        reasons,
         [
             "`b`: unknown phase `asleep`",
             "`c`: host_port is no address",
@@ -159,7 +169,7 @@
             "invalid type: integer `7`, expected struct Member at line 1 column 1",
         ]
     );
-    assert_eq!(dialect.list(b"<html>").unwrap_err(), "expected value at line 1 column 1");
+    assert_eq!(dialect.parse_list(b"<html>").unwrap_err().reason, "expected value at line 1 column 1");
 }
 
 #[test]
--- a/crates/router/src/core/job_test.rs
+++ b/crates/router/src/core/attempt_test.rs
@@ -3,11 +3,14 @@
 use chalkyard_policy::obligations::Denied;
 use chalkyard_policy::Outcome;
 
-use super::{outcome_name, At};
+use super::{outcome_name, AttemptStage};
 
 #[test]
 fn each_stage_outcome_and_denial_is_logged_by_its_name() {
-    assert_eq!([At::Read, At::Pull, At::Whole].map(At::name), ["read", "pull", "whole"]);
+    assert_eq!(
+        [AttemptStage::Prefill, AttemptStage::Decode, AttemptStage::Combined].map(AttemptStage::name),
+        ["read", "pull", "whole"]
+    );
     let outcomes = [
         (Outcome::Served, "served"),
         (Outcome::Prefilled, "parsed"),
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets in the flow: a reservation at a request's beginning, its settlement at the one final answer.
+//! Tenants' budgets: reserved when a request is accepted, settled at its one final answer.
 
 use std::collections::BTreeMap;
 
@@ -8,62 +8,64 @@
 };
 use chalkyard_policy as p;
 
-use super::job::Job;
+use super::active_request::ActiveRequest;
 use super::record::Ended;
-use super::requests::Rejection;
+use super::request_intake::Rejection;
 use super::{Core, Output};
+use crate::identity::RequestIdentity;
 
 impl Core {
-    /// Has budgets kept from now on; before the start. Identities that may have run in an earlier life and must not
-    /// run twice are known from its ledger.
-    pub fn keep_budgets(&mut self, budget_enforcer: BudgetEnforcer) {
-        let (now, wait) = (self.now, self.config.waits.identity);
-        for ran in &budget_enforcer.state().executed {
+    /// Enforces budgets from now on; to be called before the start. Requests that may have run in an earlier process and
+    /// must not run twice are known from its ledger.
+    pub fn keep_budgets(&mut self, budgets: BudgetEnforcer) {
+        let (now, wait) = (self.now, self.config.timeouts.identity);
+        for ran in &budgets.state().executed {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
             let class = self.config.classes.iter().position(|c| *c.name == *ran.class);
             let class = class.and_then(|c| self.config.policy.classes.get(c));
             let until = p::Micros(ran.at.0) + wait;
             // A class that is gone may have been one that must not run twice.
-            let once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
-            if once && until > now && (tenant.is_some() || ran.tenant.is_empty()) {
-                self.identities.restore(&(tenant, ran.identity.to_string()), until);
+            let must_run_once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
+            if must_run_once && until > now && (tenant.is_some() || ran.tenant.is_empty()) {
+                let identity = RequestIdentity { tenant, key: ran.identity.to_string() };
+                self.identities.restore(&identity, until);
             }
         }
-        self.budget_enforcer = Some(budget_enforcer);
+        self.budgets = Some(budgets);
     }
 
     /// Tenants' budget figures, for metrics.
     pub fn budget_figures(&self) -> BTreeMap<Box<str>, Figures> {
-        self.budget_enforcer.as_ref().map(|k| k.figures(self.time())).unwrap_or_default()
+        self.budgets.as_ref().map(|k| k.figures(self.time())).unwrap_or_default()
     }
 
     fn time(&self) -> Time {
         Time(self.now.0)
     }
 
-    /// Gives out the budget_enforcer's records: what follows in the outputs follows them.
+    /// Gives the ledger's records out. Outputs that follow must not overtake them.
     pub(super) fn write_records(&mut self) {
-        let Some(budget_enforcer) = &mut self.budget_enforcer else { return };
-        let records = budget_enforcer.take_records();
-        self.out.extend(records.map(|(number, record)| Output::Record(number, Box::new(record))));
+        let Some(budgets) = &mut self.budgets else { return };
+        let records = budgets.take_records();
+        self.outputs.extend(records.map(|(number, record)| Output::Record(number, Box::new(record))));
     }
 
-    /// Reserves for a request, and cuts or lowers it where that is agreed; or refuses it.
-    pub(super) fn reserve(&mut self, job: &mut Job) -> Result<(), Rejection> {
+    /// Reserves a request's budget, with a shorter answer or a lower class where that is agreed; or rejects it.
+    pub(super) fn reserve_budget(&mut self, request: &mut ActiveRequest) -> Result<(), Rejection> {
         let now = self.time();
-        let Self { budget_enforcer: Some(budget_enforcer), config, .. } = self else { return Ok(()) };
-        let tenant = job.request.tenant.and_then(|t| config.tenants.get(t.0));
-        let class = config.classes.get(job.request.class.0).map_or("", |c| c.name.as_str());
-        let id = job.request.id.0.clone();
-        let request = ReservationRequest {
+        let Self { budgets: Some(budgets), config, .. } = self else { return Ok(()) };
+        let tenant = request.spec.tenant.and_then(|t| config.tenants.get(t.0));
+        let class = config.classes.get(request.spec.class.0).map_or("", |c| c.name.as_str());
+        let id = request.spec.id.0.clone();
+        let reservation = ReservationRequest {
             id: &id,
             tenant: tenant.map_or("", |t| t.name.as_str()),
             class,
-            identity: job.identity_key(),
-            prompt: job.request.prompt_tokens,
-            output: job.request.max_output,
+            identity: request.idempotency_key(),
+            prompt: request.spec.prompt_tokens,
+            output: request.spec.max_output,
         };
-        let admission = budget_enforcer.admit(now, request).map_err(|denial| {
+        let admission = budgets.admit(now, reservation).map_err(|denial| {
             let status = if denial.reason == DenialReason::LedgerUnavailable { 503 } else { 429 };
             let retry_after = Some(p::Micros(denial.retry_after).as_secs_f64());
             let reason = denial.to_string();
@@ -71,10 +73,10 @@
                 ErrorBody { kind: ErrorKind::Refused, reason, field: None, may_have_run: false, retry_after };
             Rejection { status, body }
         })?;
-        job.cut_answer(admission.output);
+        request.limit_output(admission.output);
         if let Some(lower) = admission.lower_to {
             let place = self.config.classes.iter().position(|c| *c.name == *lower);
-            job.request.class = place.map_or(job.request.class, p::ClassId);
+            request.spec.class = place.map_or(request.spec.class, p::ClassId);
         }
         for mark in admission.marks {
             let part = f64::from(mark.thousandths) / 10.0;
@@ -87,40 +89,40 @@
         Ok(())
     }
 
-    /// The final answer is given: what the request cost is known.
+    /// The final answer is given: what the request has cost is known.
     pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: Ended) {
         let now = self.time();
-        let Some((budget_enforcer, job)) = self.budget_enforcer.as_mut().zip(self.jobs.get(id)) else {
-            return;
-        };
-        let begun = job.has_begun();
+        let Some((budgets, request)) = self.budgets.as_mut().zip(self.requests.get(id)) else { return };
+        let begun = request.is_streaming();
         let ending = match ended {
             Ended::Served => Ending::Served,
-            Ended::Refused | Ended::Turned => Ending::Refused,
+            Ended::Rejected | Ended::RejectedAtIntake => Ending::Refused,
             Ended::Failed | Ended::Overdue | Ended::Stopped if !begun => Ending::Failed,
-            Ended::Failed | Ended::Overdue | Ended::Stopped | Ended::Broken | Ended::Moved => Ending::Broken,
+            Ended::Failed | Ended::Overdue | Ended::Stopped | Ended::Broken | Ended::Migrated => {
+                Ending::Broken
+            }
             Ended::ClientGone | Ended::ClientSlow if begun => Ending::Left,
             Ended::ClientGone | Ended::ClientSlow => Ending::LeftEarly,
         };
-        let usage: Usage = job.counted(ending == Ending::Left);
-        budget_enforcer.settle(now, &id.0, ending, usage, job.billed_attempts(), job.may_have_run());
+        let usage: Usage = request.billed_tokens(ending == Ending::Left);
+        budgets.settle(now, &id.0, ending, usage, request.billed_attempts(), request.may_have_run());
         self.write_records();
     }
 
-    pub(super) fn granted(&mut self, grant: &Grant) {
+    pub(super) fn lease_granted(&mut self, grant: &Grant) {
         let now = self.time();
-        let Some(budget_enforcer) = &mut self.budget_enforcer else { return };
-        match budget_enforcer.adopt(now, grant) {
+        let Some(budgets) = &mut self.budgets else { return };
+        match budgets.adopt(now, grant) {
             Ok(()) => self.write_records(),
-            // The file is read again and again: an old one is no news.
+            // The lease is read again and again: an old one changes nothing.
             Err(chalkyard_budget::AdoptLeaseError::Old) => {}
-            Err(why) => self.note("budget", format!("lease {} is not taken: {why:?}", grant.number)),
+            Err(error) => self.note("budget", format!("lease {} is not taken: {error:?}", grant.number)),
         }
     }
 
-    pub(super) fn writable(&mut self, writable: bool) {
-        if let Some(budget_enforcer) = &mut self.budget_enforcer {
-            budget_enforcer.set_writable(writable);
+    pub(super) fn ledger_writable(&mut self, writable: bool) {
+        if let Some(budgets) = &mut self.budgets {
+            budgets.set_writable(writable);
             let what =
                 if writable { "can be written again" } else { "can't be written: nothing new is taken" };
             self.note("ledger", format!("the ledger {what}"));
@@ -128,31 +130,31 @@
     }
 
     pub(super) fn checkpoint(&mut self) {
-        if let Some(budget_enforcer) = &mut self.budget_enforcer {
-            budget_enforcer.checkpoint();
+        if let Some(budgets) = &mut self.budgets {
+            budgets.checkpoint();
             self.write_records();
         }
     }
 
-    pub(super) fn inherited(&mut self, settled: &Settled) {
+    pub(super) fn settled_by_predecessor(&mut self, settled: &Settled) {
         let now = self.time();
-        if let Some(budget_enforcer) = &mut self.budget_enforcer {
-            budget_enforcer.inherit(now, settled);
+        if let Some(budgets) = &mut self.budgets {
+            budgets.inherit(now, settled);
             self.write_records();
         }
     }
 
-    pub(super) fn inherited_all(&mut self) {
+    pub(super) fn predecessor_finished(&mut self) {
         let now = self.time();
-        if let Some(budget_enforcer) = &mut self.budget_enforcer {
-            budget_enforcer.inherited_all(now);
+        if let Some(budgets) = &mut self.budgets {
+            budgets.inherited_all(now);
             self.write_records();
         }
     }
 
-    pub(super) fn replan(&mut self, plan: Plan) {
-        if let Some(budget_enforcer) = &mut self.budget_enforcer {
-            budget_enforcer.replan(plan);
+    pub(super) fn replace_budget_plan(&mut self, plan: Plan) {
+        if let Some(budgets) = &mut self.budgets {
+            budgets.replan(plan);
             self.note("budget", "other budgets hold from now on; what is spent stays".into());
         }
     }
--- a/crates/router/src/shell/connect.rs
+++ b/crates/router/src/shell/connect.rs
@@ -1,4 +1,4 @@
-//! Connections of a router's own are begun, and begun again where the system could not for a moment.
+//! Connections to workers and service discovery are begun, with retries where the system could not for a moment.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,71 +6,73 @@
 
 use mio::net::TcpStream;
 
-use super::sock::State;
+use super::connection::ConnectionState;
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
-/// A connection that could not be begun is tried so often in all, with this pause: less than any wait for connections, after
-/// which the core gives it up by itself.
-const TRIES: u32 = 10;
+/// How often a connection is begun in all.
+const CONNECT_ATTEMPTS: u32 = 10;
+/// The pause between two attempts. All pauses together are shorter than any connect timeout, after which the core gives the
+/// connection up by itself.
 const PAUSE: Duration = Duration::from_millis(8);
 
+/// A connection that is begun again.
 #[derive(Debug)]
-struct Retry {
+struct ConnectRetry {
     at: Instant,
     id: ConnId,
     address: SocketAddr,
-    /// Tries so far.
-    tries: u32,
+    /// Attempts so far.
+    attempts: u32,
 }
 
-/// Connections that wait for their next try: no more than the core has asked for and not given up.
+/// Connections that wait for their next attempt: no more than the core has asked for and not given up.
 #[derive(Debug, Default)]
-pub(super) struct Retries(Vec<Retry>);
+pub(super) struct ConnectRetries(Vec<ConnectRetry>);
 
-impl Retries {
+impl ConnectRetries {
     pub(super) fn next_due(&self) -> Option<Instant> {
         self.0.iter().map(|r| r.at).min()
     }
 
-    /// The core has given this one up.
+    /// The core has given a connection up.
     pub(super) fn forget(&mut self, id: ConnId) {
         self.0.retain(|r| r.id != id);
     }
 
-    fn take_due(&mut self, now: Instant) -> Vec<Retry> {
+    fn take_due(&mut self, now: Instant) -> Vec<ConnectRetry> {
         self.0.extract_if(.., |r| r.at <= now).collect()
     }
 }
 
 impl<S: Sink> Shell<S> {
     pub(super) fn connect(&mut self, id: ConnId, address: SocketAddr) {
-        self.try_connect(id, address, 1);
+        self.attempt_connect(id, address, 1);
     }
 
-    /// Tries again what is due.
+    /// Begins the connections that are due.
     pub(super) fn retry_connects(&mut self) {
-        for Retry { id, address, tries, .. } in self.retries.take_due(Instant::now()) {
-            self.try_connect(id, address, tries + 1);
+        for ConnectRetry { id, address, attempts, .. } in self.connect_retries.take_due(Instant::now()) {
+            self.attempt_connect(id, address, attempts + 1);
         }
     }
 
-    fn try_connect(&mut self, id: ConnId, address: SocketAddr, tries: u32) {
-        let begun = TcpStream::connect(address).and_then(|s| self.add(id, s, State::Connecting));
+    fn attempt_connect(&mut self, id: ConnId, address: SocketAddr, attempts: u32) {
+        let begun = TcpStream::connect(address).and_then(|s| self.add(id, s, ConnectionState::Connecting));
         let Err(error) = begun else { return };
         let refused = error.kind() == io::ErrorKind::ConnectionRefused;
-        if !refused && tries < TRIES {
-            self.retries.0.push(Retry { at: Instant::now() + PAUSE, id, address, tries });
+        if !refused && attempts < CONNECT_ATTEMPTS {
+            self.connect_retries.0.push(ConnectRetry { at: Instant::now() + PAUSE, id, address, attempts });
             return;
         }
-        // Said of the way to the peer, or for want of something here.
-        let unreached = refused || is_of_the_way(&error);
-        let input = if unreached { Input::Lost(id) } else { Input::Unconnected(id) };
+        // Either the peer can't be reached, or local resources are missing.
+        let is_unreachable = refused || is_network_error(&error);
+        let input = if is_unreachable { Input::Lost(id) } else { Input::NotStarted(id) };
         self.core.handle(self.clock.now(), input, &mut self.outputs);
     }
 }
 
-fn is_of_the_way(error: &io::Error) -> bool {
+fn is_network_error(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut};
     matches!(error.kind(), ConnectionReset | HostUnreachable | NetworkUnreachable | TimedOut)
 }
--- a/crates/router/src/shell/life.rs
+++ b/crates/router/src/shell/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The router's life at the shell: signals and wishes reach it, and what it says is done to sockets and core.
+//! The lifecycle at the shell: signals and commands are its events, and its actions are carried out on sockets and core.
 
 use std::os::fd::AsFd;
 use std::sync::mpsc::SyncSender;
@@ -6,64 +6,65 @@
 use chalkyard_state::{LifecycleAction, LifecycleEvent, Phase};
 use mio::Interest;
 
-use super::connections::ACCEPTS_A_TURN;
+use super::accept::ACCEPTS_A_TURN;
 use super::listen::BACKLOG;
-use super::retry::{with_retries, RUNNING_TRIES, STARTING_TRIES};
-use super::{Heritage, Question, Shell, Sink, LISTENER};
+use super::retry::{with_retries, RUNTIME_ATTEMPTS, STARTUP_ATTEMPTS};
+use super::{AdminQuery, Handover, Shell, Sink, LISTENER};
 
 impl<S: Sink> Shell<S> {
-    /// What the loop itself can tell the router's life.
-    pub(super) fn watch_life(&mut self) {
-        match self.life.phase() {
-            Phase::Starting if self.core.has_list() => self.live(LifecycleEvent::EndpointsKnown),
+    /// Notifies the lifecycle of what the loop itself can see.
+    pub(super) fn check_lifecycle(&mut self) {
+        match self.lifecycle.phase() {
+            Phase::Starting if self.core.has_list() => self.lifecycle_event(LifecycleEvent::EndpointsKnown),
             Phase::Draining | Phase::Flushing => {
                 let open = self.core.open_requests() + self.core.open_clients() + self.core.open_releases();
                 if open == 0 && self.lingering == 0 {
-                    self.live(LifecycleEvent::Idle);
+                    self.lifecycle_event(LifecycleEvent::Idle);
                 }
             }
             _ => {}
         }
-        self.live(LifecycleEvent::Tick);
+        self.lifecycle_event(LifecycleEvent::Tick);
     }
 
-    /// Connections that were not taken yet wait in the socket for the successor: none is refused or reset.
-    pub(super) fn succeed(&mut self, answer: &SyncSender<Heritage>) {
-        let ready = matches!(self.life.phase(), Phase::Ready);
+    /// Hands the listening socket over. Connections that were not accepted yet wait in it for the next process: none is
+    /// refused or reset.
+    pub(super) fn hand_over(&mut self, answer: &SyncSender<Handover>) {
+        let ready = matches!(self.lifecycle.phase(), Phase::Ready);
         let Some(listener) = self.listener.as_ref().filter(|_| ready) else { return };
         match listener.as_fd().try_clone_to_owned() {
             Ok(listener) => {
-                // All that was taken until now is in the ledger before it is given up.
-                self.live(LifecycleEvent::ListenerHandedOver);
-                self.finish();
-                let settled = self.sink.give_up_ledger();
-                let _ = answer.try_send(Heritage { listener, settled });
+                // All requests accepted so far are in the ledger before it is handed over.
+                self.lifecycle_event(LifecycleEvent::ListenerHandedOver);
+                self.flush();
+                let settled = self.sink.hand_over_ledger();
+                let _ = answer.try_send(Handover { listener, settled });
             }
             Err(e) => self.sink.note("succession", &format!("the listening socket can't be given: {e}")),
         }
     }
 
-    pub(super) fn live(&mut self, event: LifecycleEvent) {
-        let mut acts = Vec::new();
-        self.life.handle(self.clock.now().0, event, &mut acts);
-        for act in acts {
-            self.act(act);
+    pub(super) fn lifecycle_event(&mut self, event: LifecycleEvent) {
+        let mut actions = Vec::new();
+        self.lifecycle.handle(self.clock.now().0, event, &mut actions);
+        for action in actions {
+            self.perform(action);
         }
     }
 
-    pub(super) fn act(&mut self, act: LifecycleAction) {
-        match act {
+    pub(super) fn perform(&mut self, action: LifecycleAction) {
+        match action {
             LifecycleAction::Listen => {
                 let event =
                     if self.listen() { LifecycleEvent::Listening } else { LifecycleEvent::ListenFailed };
-                self.live(event);
+                self.lifecycle_event(event);
             }
             LifecycleAction::EnterLameDuck => {
                 self.core.leave(self.clock.now());
                 self.sink.counters(self.core.counters());
             }
             LifecycleAction::StopAccepting { .. } => {
-                // Who has connected before is heard: a listening socket that goes resets those that wait at it.
+                // Connections that wait in the socket are accepted first: closing it would reset them.
                 for _ in 0..=BACKLOG / ACCEPTS_A_TURN {
                     if !self.accept() {
                         break;
@@ -77,53 +78,54 @@
                 if self.listen() {
                     self.core.undrain();
                 } else {
-                    // As it was: the operator is told, and may try again.
-                    self.live(LifecycleEvent::Drain);
+                    // It drains on; the operator is told, and may try again.
+                    self.lifecycle_event(LifecycleEvent::Drain);
                 }
             }
             LifecycleAction::ReloadSettings => self.sink.reload(),
             LifecycleAction::AnswerOpenRequests => self.core.answer_all(self.clock.now(), &mut self.outputs),
-            LifecycleAction::Exit(stop) => self.ended = Some(stop),
+            LifecycleAction::Exit(stop) => self.stop = Some(stop),
             LifecycleAction::NotifyReady
             | LifecycleAction::NotifyReloading
             | LifecycleAction::NotifyStopping => {}
         }
-        self.sink.say(act, Some(self.address.at()));
+        self.sink.lifecycle_action(action, Some(self.listen_address.at()));
     }
 
-    /// Begins to listen. A call that fails for a moment is made again; at the start for longer, since nothing else is
-    /// done meanwhile and a router that does not listen ends.
+    /// Begins to listen, with retries; at the start with more of them, since nothing else is done meanwhile and a router
+    /// that does not listen ends.
     pub(super) fn listen(&mut self) -> bool {
-        let tries = if self.life.phase() == Phase::Binding { STARTING_TRIES } else { RUNNING_TRIES };
-        let listening = with_retries(tries, || {
-            let mut listener = self.address.listen()?;
+        let attempts =
+            if self.lifecycle.phase() == Phase::Binding { STARTUP_ATTEMPTS } else { RUNTIME_ATTEMPTS };
+        let listening = with_retries(attempts, || {
+            let mut listener = self.listen_address.listen()?;
             self.poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
             Ok(listener)
         });
         match listening {
             Ok(listener) => self.listener = Some(listener),
-            Err(e) => self.sink.note("listen", &format!("can't listen at {}: {e}", self.address.at())),
+            Err(e) => self.sink.note("listen", &format!("can't listen at {}: {e}", self.listen_address.at())),
         }
         self.listener.is_some()
     }
 
-    /// Answers as one JSON object.
-    pub(super) fn answer(&self, question: &Question) -> String {
-        let json = match question {
-            Question::Status => serde_json::to_value(self.core.counts()).map(|mut counts| {
+    /// The answer to a query, as one JSON object.
+    pub(super) fn answer(&self, query: &AdminQuery) -> String {
+        let json = match query {
+            AdminQuery::Status => serde_json::to_value(self.core.counts()).map(|mut counts| {
                 if let Some(object) = counts.as_object_mut() {
-                    object.insert("phase".into(), serde_json::json!(self.life.phase()));
-                    object.insert("at".into(), serde_json::json!(self.address.at().to_string()));
-                    object.insert("sockets".into(), serde_json::json!(self.socks.len()));
+                    object.insert("phase".into(), serde_json::json!(self.lifecycle.phase()));
+                    object.insert("at".into(), serde_json::json!(self.listen_address.at().to_string()));
+                    object.insert("sockets".into(), serde_json::json!(self.connections.len()));
                     object.insert("since_start".into(), serde_json::json!(self.core.counters()));
                 }
                 counts
             }),
-            Question::Engines => serde_json::to_value(self.core.engine_view()),
-            Question::Requests => serde_json::to_value(self.core.open_view()),
-            Question::Trace(id) => match self.core.open_one(id) {
+            AdminQuery::Engines => serde_json::to_value(self.core.worker_view()),
+            AdminQuery::Requests => serde_json::to_value(self.core.open_view()),
+            AdminQuery::Trace(id) => match self.core.open_one(id) {
                 Some(open) => serde_json::to_value(open),
-                None => match self.sink.recent(id) {
+                None => match self.sink.recent_request(id) {
                     Some(ended) => return ended,
                     None => {
                         Ok(serde_json::json!({"error": format!("no request {id} is open or ended lately")}))
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -1,15 +1,17 @@
 //! The thin shell: sockets and time for a [`Core`], on mio, one thread.
 
+mod accept;
 mod clock;
 mod connect;
+mod connection;
 mod connections;
 mod handle;
-mod life;
+mod lifecycle;
+mod linger;
 mod listen;
 mod ready_queue;
 pub mod retry;
 mod sink;
-mod sock;
 mod turn;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -24,71 +26,74 @@
 use slab::Slab;
 
 pub use self::clock::{granularity, Clock};
-use self::connect::Retries;
+use self::connect::ConnectRetries;
+use self::connection::{AfterClose, Connection, ConnectionState, LingerDeadline};
 use self::connections::READ_BYTES;
 use self::handle::Command;
-pub use self::handle::{Handle, Question};
+pub use self::handle::{AdminQuery, Handle};
 pub use self::listen::ListenAddress;
 use self::ready_queue::ReadyQueue;
-use self::retry::{with_retries, STARTING_TRIES};
-pub use self::sink::{Heritage, News, Sink};
-use self::sock::{AfterClose, Sock, State};
+use self::retry::{with_retries, STARTUP_ATTEMPTS};
+pub use self::sink::{Handover, Sink, SinkEvent};
 use crate::{ConnId, Core, Input, Output};
 
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
-/// So many at most may linger, if not told otherwise: those that have been told all give way first, and while more have
-/// something to be told no connection is taken.
+/// The most connections that may linger, unless set otherwise. Of more, those to which all is written are dropped first, and
+/// while too many still have something to write no connection is accepted.
 const LINGERING: usize = 1_024;
-/// Events that the system tells at one poll, at most.
+/// The most events of one poll.
 const EVENTS: usize = 1_024;
-/// Budget figures, and what was done by cause, are told so often.
+/// How often budget figures and counters are given out.
 const FIGURES: Duration = Duration::from_secs(60);
-/// A wait that ends so much too late, or a turn of the loop that takes so long, is told: streams stood still as long.
+/// A wait that ends this much too late, or a turn of the loop that takes this long, is logged: streams stood still as long.
 const STALL: Duration = Duration::from_millis(300);
 
-/// Sockets and time for one core.
+/// Sockets and time for one core. It owns the sockets; the core owns everything that is decided about them.
 pub struct Shell<S> {
     poll: Poll,
-    /// What the system tells at one poll.
+    /// The events of one poll.
     events: Events,
-    /// What it has told and was not handled yet.
+    /// Readiness that was not handled yet.
     ready: ReadyQueue,
-    /// When it was last asked, and when the present turn of the loop is over.
-    polled: Instant,
+    /// When the last poll ended.
+    polled_at: Instant,
+    /// When the present turn of the loop is over.
     turn_until: Instant,
     core: Core,
     sink: S,
     clock: Clock,
-    life: Lifecycle,
-    /// Where it listens, or will.
-    address: ListenAddress,
+    lifecycle: Lifecycle,
+    listen_address: ListenAddress,
     listener: Option<TcpListener>,
     handle: Handle,
-    socks: Slab<Sock>,
+    connections: Slab<Connection>,
     by_id: BTreeMap<ConnId, usize>,
-    /// Connections with bytes to write, and with bytes to read on.
-    dirty: BTreeSet<usize>,
-    again: VecDeque<usize>,
+    /// Connections with bytes to write.
+    to_write: BTreeSet<usize>,
+    /// Connections that may be read on without another event.
+    to_read: VecDeque<usize>,
+    /// Connections that are being closed.
     lingering: usize,
-    may_linger: usize,
-    /// When lingering ones are cut, in order: all linger for the same span.
-    cuts: VecDeque<(Instant, usize, ConnId)>,
+    max_lingering: usize,
+    /// When lingering connections are dropped, in order: all linger for the same span.
+    linger_deadlines: VecDeque<LingerDeadline>,
+    /// When connections are accepted next.
     accept_at: Option<Instant>,
-    /// Connections of ours that could not be begun, and are tried again.
-    retries: Retries,
+    connect_retries: ConnectRetries,
     next_client: u64,
-    ended: Option<StopReason>,
+    stop: Option<StopReason>,
     outputs: Vec<Output>,
     buffer: Vec<u8>,
-    /// Records wait for the ledger, and whether it could be written last.
-    unflushed: bool,
-    is_writable: bool,
+    /// Records wait for the ledger.
+    records_pending: bool,
+    /// Whether the last write to the ledger succeeded.
+    ledger_writable: bool,
     housekeep_at: Instant,
     figures_at: Instant,
 }
 
-/// Whether the loop stood still, and where: in its own work, or in a wait that the machine ended too late.
+/// Whether the loop stood still, and where: in its own work, or in a wait that the system ended too late.
 fn stalled(worked: Duration, wait: Option<Duration>, waited: Duration) -> Option<String> {
     let late = wait.map_or(Duration::ZERO, |wait| waited.saturating_sub(wait));
     (worked >= STALL || late >= STALL).then(|| {
@@ -97,7 +102,7 @@
 }
 
 impl<S: Sink> Shell<S> {
-    /// A shell around a core, at the beginning of its life.
+    /// A shell around a core that was not started yet.
     pub fn new(
         core: Core,
         sink: S,
@@ -105,36 +110,36 @@
         address: ListenAddress,
         timeouts: LifecycleTimeouts,
     ) -> io::Result<Self> {
-        let poll = with_retries(STARTING_TRIES, Poll::new)?;
-        let waker = Arc::new(with_retries(STARTING_TRIES, || Waker::new(poll.registry(), WAKER))?);
+        let poll = with_retries(STARTUP_ATTEMPTS, Poll::new)?;
+        let waker = Arc::new(with_retries(STARTUP_ATTEMPTS, || Waker::new(poll.registry(), WAKER))?);
         Ok(Self {
             poll,
             events: Events::with_capacity(EVENTS),
             ready: ReadyQueue::default(),
-            polled: Instant::now(),
+            polled_at: Instant::now(),
             turn_until: Instant::now(),
             core,
             sink,
             clock,
-            life: Lifecycle::new(timeouts, clock.now().0),
-            address,
+            lifecycle: Lifecycle::new(timeouts, clock.now().0),
+            listen_address: address,
             listener: None,
             handle: Handle { waker, commands: Arc::default() },
-            socks: Slab::new(),
+            connections: Slab::new(),
             by_id: BTreeMap::new(),
-            dirty: BTreeSet::new(),
-            again: VecDeque::new(),
+            to_write: BTreeSet::new(),
+            to_read: VecDeque::new(),
             lingering: 0,
-            may_linger: LINGERING,
-            cuts: VecDeque::new(),
+            max_lingering: LINGERING,
+            linger_deadlines: VecDeque::new(),
             accept_at: None,
-            retries: Retries::default(),
+            connect_retries: ConnectRetries::default(),
             next_client: 2,
-            ended: None,
+            stop: None,
             outputs: Vec::new(),
             buffer: vec![0; READ_BYTES],
-            unflushed: false,
-            is_writable: true,
+            records_pending: false,
+            ledger_writable: true,
             housekeep_at: Instant::now(),
             figures_at: Instant::now() + FIGURES,
         })
@@ -142,18 +147,18 @@
 
     /// Bounds the connections that linger.
     pub fn bound_lingering(&mut self, most: usize) {
-        self.may_linger = most;
+        self.max_lingering = most;
     }
 
-    /// A handle to speak to the loop.
+    /// A handle for other threads.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Runs until the router's life is over. Tells why, and how many requests were still open.
-    pub fn run(&mut self, last_list: Option<&str>) -> io::Result<(StopReason, usize)> {
-        self.core.start(self.clock.now(), last_list, &mut self.outputs);
-        self.finish();
+    /// Runs until the router's lifecycle is over. Gives the reason, and how many requests were still open.
+    pub fn run(&mut self, stored_list: Option<&str>) -> io::Result<(StopReason, usize)> {
+        self.core.start(self.clock.now(), stored_list, &mut self.outputs);
+        self.flush();
         let mut woke = Instant::now();
         loop {
             let (waits, wait) = (Instant::now(), self.wait());
@@ -163,78 +168,81 @@
                 self.sink.note("stall", &text);
             }
             match polled {
-                // Nothing was told, but time has passed: what is due goes on.
+                // No events, but time has passed: what is due goes on.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => self.events.clear(),
                 other => other?,
             }
-            self.polled = Instant::now();
+            self.polled_at = Instant::now();
             self.queue_events();
             self.take_turn();
             self.retry_connects();
             self.feed(Input::Tick);
-            self.obey();
+            self.run_commands();
             self.housekeep();
-            self.finish();
+            self.flush();
             self.sweep();
-            self.watch_life();
-            self.finish();
-            if let Some(stop) = self.ended {
+            self.check_lifecycle();
+            self.flush();
+            if let Some(stop) = self.stop {
                 self.sink.counters(self.core.counters());
                 return Ok((stop, self.core.open_requests()));
             }
         }
     }
 
-    /// Carries out what other threads have asked for.
-    fn obey(&mut self) {
+    /// Runs the commands of other threads.
+    fn run_commands(&mut self) {
         for command in self.handle.take() {
             match command {
-                Command::Life(event) => self.live(event),
+                Command::Lifecycle(event) => self.lifecycle_event(event),
                 // Nobody may be waiting any more.
-                Command::Ask(question, answer) => drop(answer.try_send(self.answer(&question))),
-                Command::Succeed(answer, decided) => {
+                Command::Query(query, answer) => drop(answer.try_send(self.answer(&query))),
+                Command::HandOver(answer, decided) => {
                     if !decided.swap(true, Ordering::SeqCst) {
-                        self.succeed(&answer);
+                        self.hand_over(&answer);
                     }
                 }
             }
         }
     }
 
+    /// How long the next poll may wait; none: until an event.
     fn wait(&self) -> Option<Duration> {
-        if !self.again.is_empty() || !self.ready.is_empty() {
+        if !self.to_read.is_empty() || !self.ready.is_empty() {
             return Some(Duration::ZERO);
         }
         let now = self.clock.now();
-        // Rounded up to the millisecond that the system waits in: waking too early would spin.
+        // At least 1 µs, which is rounded up to the millisecond that the system waits in: waking too early would spin.
         let core = self.core.next_due().map(|at| Duration::from_micros((at - now).0.max(1)));
         let from = Instant::now();
         let accept = self.accept_at.map(|at| at.saturating_duration_since(from));
         let linger = (self.lingering > 0).then_some(Duration::from_millis(100));
-        let life = self.life.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
+        let life = self.lifecycle.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
         let house = self.sink.period().map(|_| self.housekeep_at.saturating_duration_since(from));
-        let retry = self.retries.next_due().map(|at| at.saturating_duration_since(from));
+        let retry = self.connect_retries.next_due().map(|at| at.saturating_duration_since(from));
         [core, accept, linger, life, house, retry].into_iter().flatten().min()
     }
 
+    /// Gives an input to the core and carries its outputs out.
     fn feed(&mut self, input: Input<'_>) {
         let now = self.clock.now();
         self.core.handle(now, input, &mut self.outputs);
-        self.settle();
+        self.carry_out_all();
     }
 
-    fn writable(&mut self, now: bool) {
-        if std::mem::replace(&mut self.is_writable, now) != now {
-            self.core.handle(self.clock.now(), Input::Writable(now), &mut self.outputs);
+    /// Notifies the core if the ledger can be written again, or can't be any more.
+    fn set_ledger_writable(&mut self, writable: bool) {
+        if std::mem::replace(&mut self.ledger_writable, writable) != writable {
+            self.core.handle(self.clock.now(), Input::LedgerWritable(writable), &mut self.outputs);
         }
     }
 
     fn housekeep(&mut self) {
         let Some(period) = self.sink.period().filter(|_| self.housekeep_at <= Instant::now()) else { return };
         self.housekeep_at = Instant::now() + period;
-        for news in self.sink.housekeep() {
-            match news {
-                Input::Writable(now) => self.writable(now),
+        for event in self.sink.housekeep() {
+            match event {
+                Input::LedgerWritable(writable) => self.set_ledger_writable(writable),
                 other => self.feed(other),
             }
         }
@@ -243,11 +251,11 @@
             self.sink.figures(&self.core.budget_figures());
             self.sink.counters(self.core.counters());
         }
-        self.settle();
+        self.carry_out_all();
     }
 
-    /// Carries out outputs; bytes wait for the group's end.
-    fn settle(&mut self) {
+    /// Carries out outputs; bytes are written at the end of the group of events.
+    fn carry_out_all(&mut self) {
         while !self.outputs.is_empty() {
             for output in std::mem::take(&mut self.outputs) {
                 self.carry_out(output);
@@ -255,59 +263,60 @@
         }
     }
 
-    /// Ends a group of events: all its records are given to the ledger in one write, then its bytes to sockets,
-    /// until nothing is left that writing causes.
-    fn finish(&mut self) {
+    /// Ends a group of events: all its records go to the ledger in one write, then its bytes to sockets, until nothing is
+    /// left that writing causes.
+    fn flush(&mut self) {
         loop {
-            self.settle();
-            if std::mem::take(&mut self.unflushed) {
+            self.carry_out_all();
+            if std::mem::take(&mut self.records_pending) {
                 let written = self.sink.flush();
-                self.writable(written);
+                self.set_ledger_writable(written);
                 continue;
             }
-            let Some(key) = self.dirty.pop_first() else { return };
-            if self.begins_call(key) && self.hear_departures() {
-                // A client has gone: what was to be written may not be wanted any more.
-                self.dirty.insert(key);
+            let Some(key) = self.to_write.pop_first() else { return };
+            if self.begins_call(key) && self.poll_departures() {
+                // A client has gone: the core may have dropped what was to be written.
+                self.to_write.insert(key);
                 continue;
             }
             self.write(key);
         }
     }
 
+    /// Queues bytes that are written at the end of the group of events.
+    fn queue_bytes(&mut self, id: ConnId, bytes: Vec<u8>) {
+        let Some(key) = self.by_id.get(&id).copied() else { return };
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if connection.unsent.is_empty() {
+            connection.is_unwritten = true;
+            connection.unsent = bytes;
+        } else {
+            connection.unsent.extend_from_slice(&bytes);
+        }
+        if connection.state != ConnectionState::Connecting {
+            self.to_write.insert(key);
+        }
+    }
+
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Connect(id, address) => self.connect(id, address),
-            Output::Write(id, bytes) => {
-                if let Some(key) = self.by_id.get(&id).copied() {
-                    if let Some(sock) = self.socks.get_mut(key) {
-                        if sock.out.is_empty() {
-                            sock.fresh = true;
-                            sock.out = bytes;
-                        } else {
-                            sock.out.extend_from_slice(&bytes);
-                        }
-                        if sock.state != State::Connecting {
-                            self.dirty.insert(key);
-                        }
-                    }
-                }
-            }
+            Output::Write(id, bytes) => self.queue_bytes(id, bytes),
             Output::Close(id) => self.close(id, AfterClose::Drop),
             Output::CloseAnswered(id) => self.close(id, AfterClose::LeaveUnread),
             Output::CloseIfQuiet(id) => self.close_if_quiet(id),
             Output::Abort(id) => {
-                self.retries.forget(id);
+                self.connect_retries.forget(id);
                 if let Some(key) = self.by_id.get(&id).copied() {
                     self.remove(key);
                 }
             }
             Output::Pause(id) => self.pause(id, true),
             Output::Resume(id) => self.pause(id, false),
-            Output::KeepList(text) => self.sink.keep_list(&text),
+            Output::StoreEndpointList(text) => self.sink.store_endpoint_list(&text),
             Output::Record(number, record) => {
                 self.sink.record(number, &record);
-                self.unflushed = true;
+                self.records_pending = true;
             }
             Output::Finished(line) => self.sink.finished(line.0),
             Output::Tally(tally) => self.sink.tally(&tally),
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -17,14 +17,14 @@
 
 const ENDED: [Ended; 10] = [
     Ended::Served,
-    Ended::Refused,
+    Ended::Rejected,
     Ended::Failed,
     Ended::Broken,
     Ended::ClientGone,
     Ended::ClientSlow,
     Ended::Stopped,
-    Ended::Moved,
-    Ended::Turned,
+    Ended::Migrated,
+    Ended::RejectedAtIntake,
     Ended::Overdue,
 ];
 
@@ -51,14 +51,14 @@
         // Exhaustive: a new one belongs into the list.
         let expected = match ended {
             Ended::Served => 0,
-            Ended::Refused => 1,
+            Ended::Rejected => 1,
             Ended::Failed => 2,
             Ended::Broken => 3,
             Ended::ClientGone => 4,
             Ended::ClientSlow => 5,
             Ended::Stopped => 6,
-            Ended::Moved => 7,
-            Ended::Turned => 8,
+            Ended::Migrated => 7,
+            Ended::RejectedAtIntake => 8,
             Ended::Overdue => 9,
         };
         assert_eq!((place, *ended as usize), (expected, expected));
@@ -67,7 +67,7 @@
 
 const CHANGES: [Change; 7] = [
     Change::AttemptEnded,
-    Change::ReleasedBesideAttempt,
+    Change::ReleasedDuringAttempt,
     Change::ReleaseRepeated,
     Change::ReleaseProven,
     Change::ReleaseUnproven,
@@ -92,7 +92,7 @@
     for (place, change) in CHANGES.iter().enumerate() {
         let expected = match change {
             Change::AttemptEnded => 0,
-            Change::ReleasedBesideAttempt => 1,
+            Change::ReleasedDuringAttempt => 1,
             Change::ReleaseRepeated => 2,
             Change::ReleaseProven => 3,
             Change::ReleaseUnproven => 4,
@@ -104,7 +104,7 @@
 }
 
 const VIOLATIONS: [Violation; 3] =
-    [Violation::AnswerOverdue, Violation::EffectUnproven, Violation::HeldOverdue];
+    [Violation::AnswerOverdue, Violation::EffectUnproven, Violation::ReservationOverdue];
 
 #[test]
 fn each_violation_is_written_and_counted_by_its_name() {
@@ -116,7 +116,7 @@
         let expected = match violation {
             Violation::AnswerOverdue => 0,
             Violation::EffectUnproven => 1,
-            Violation::HeldOverdue => 2,
+            Violation::ReservationOverdue => 2,
         };
         assert_eq!((place, *violation as usize), (expected, expected));
     }
@@ -166,7 +166,7 @@
         identity: Some("k1".into()),
         session: Some("s1".into()),
         prefix: Some("p1".into()),
-        ended: Ended::Refused,
+        ended: Ended::Rejected,
         why: Some(RejectionReason::MayHaveRun),
         phase: "waiting",
         list_age_us: Some(4),
@@ -209,7 +209,7 @@
         worker: Some("w1".into()),
         connection: Some(2),
         rested_us: Some(3),
-        unheard_us: Some(4),
+        last_reply_us: Some(4),
         age_us: 5,
     };
     assert_eq!(
@@ -225,17 +225,17 @@
     let tally = Tally {
         second: 1,
         first: 2,
-        pulls: 3,
-        again_safe: 4,
-        again_ran: 5,
-        trials: 6,
-        cold: 7,
+        decodes: 3,
+        retries_not_run: 4,
+        retries_maybe_run: 5,
+        probes: 6,
+        slow_starts: 7,
         connects: 8,
         list_calls: 9,
-        list_news: 10,
+        list_changes: 10,
         releases: 11,
-        unheard: 12,
-        moved: 13,
+        dropped_clients: 12,
+        migrated: 13,
         open: 14,
     };
     assert_eq!(json(&tally), TALLY);
@@ -249,9 +249,9 @@
         requests: 1,
         answers: ByCause::from([("served", 3), ("refused", 2)]),
         given_up: counts("late", 4),
-        reads: counts("parsed", 5),
-        pulls: counts("no_state", 6),
-        wholes: counts("served", 7),
+        prefills: counts("parsed", 5),
+        decodes: counts("no_state", 6),
+        combined: counts("served", 7),
         releases: counts("begun", 8),
         denied: counts("answered", 9),
         violations: counts("held_overdue", 10),
@@ -260,7 +260,7 @@
         json(&counters),
         r#"{"requests":1,"answers":{"refused":2,"served":3},"given_up":{"late":4},"reads":{"parsed":5},"pulls":{"no_state":6},"wholes":{"served":7},"releases":{"begun":8},"denied":{"answered":9},"violations":{"held_overdue":10}}"#
     );
-    assert_eq!(counters.violated(), 10);
+    assert_eq!(counters.violation_count(), 10);
 }
 
 #[test]
@@ -281,7 +281,7 @@
         r#"{"open_requests":1,"clients":2,"engines":3,"connections":4,"draining":true,"has_list":false,"register":true,"identities":5,"lease":[6,7]}"#
     );
     let engines = Listed {
-        items: vec![EngineView {
+        items: vec![WorkerView {
             id: "m1".into(),
             address: "127.0.0.1:1".into(),
             role: "mixed",
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,7 +1,7 @@
 //! `<bounds>` and `<waits>`: limits on sizes and on time.
 
 use chalkyard_policy::Micros;
-use chalkyard_router::{Bounds, Waits};
+use chalkyard_router::{Bounds, Timeouts};
 
 use crate::values::TimeSpan;
 use crate::xml::{Element, Errors};
@@ -39,8 +39,8 @@
 }
 
 /// Reads `<waits>`.
-pub fn waits(element: &mut Element<'_, '_>, errors: &mut Errors) -> Waits {
-    let mut waits = Waits::default();
+pub fn timeouts(element: &mut Element<'_, '_>, errors: &mut Errors) -> Timeouts {
+    let mut waits = Timeouts::default();
     let mut span = |name: &'static str, value: &mut Micros| {
         *value = element.with_default(name, TimeSpan(*value), errors).0;
         if *value < Micros(1_000) {
@@ -53,7 +53,7 @@
     span("connect", &mut waits.connect);
     span("stream", &mut waits.stream);
     span("slow-client", &mut waits.slow_client);
-    span("register", &mut waits.register);
+    span("register", &mut waits.discovery);
     span("reply-margin", &mut waits.reply_margin);
     span("identity", &mut waits.identity);
     // The same limit before a client's first request as between its requests.
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -77,7 +77,7 @@
     assert_eq!(settings.control, Some(PathBuf::from("r7.sock")));
     assert_eq!(settings.drain_for, Duration::from_millis(1_500));
     let config = settings.config;
-    assert_eq!((config.name.as_str(), config.register), ("r7", Some("127.0.0.1:9000".parse().unwrap())));
+    assert_eq!((config.name.as_str(), config.discovery), ("r7", Some("127.0.0.1:9000".parse().unwrap())));
     assert!(config.dialect.is_none());
 }
 
@@ -117,12 +117,12 @@
 
 #[test]
 fn waits_are_read_and_those_without_an_attribute_follow() {
-    let w = stored().config.waits;
+    let w = stored().config.timeouts;
     assert_eq!([w.head, w.idle, w.engine_idle, w.connect], [1_000, 2_000, 3_000, 4_000].map(ms));
-    assert_eq!([w.stream, w.slow_client, w.register], [5_000, 6_000, 7_000].map(ms));
+    assert_eq!([w.stream, w.slow_client, w.discovery], [5_000, 6_000, 7_000].map(ms));
     assert_eq!([w.reply_margin, w.identity], [8_000, 9_000].map(ms));
-    assert_eq!([w.first, w.release, w.just_come, w.register_doubted], [2_000, 4_000, 500, 250].map(ms));
-    assert_eq!(w.leaving, None);
+    assert_eq!([w.first, w.release, w.drain_grace, w.discovery_probe], [2_000, 4_000, 500, 250].map(ms));
+    assert_eq!(w.migration, None);
 }
 
 #[test]
