--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -6,11 +6,12 @@
 use chalkyard_budget::{AccountKey, PeriodKind};
 use clap::{Args, Subcommand, ValueEnum};
 
+use crate::arguments::Format;
+use crate::error::CommandError;
 use crate::settle::{
     add_adjustment, adjusted, parts, restore_allocator, Adjustment, Adjustments, Change, Journal, Sums,
 };
 use crate::wall_clock::now;
-use crate::{Format, Trouble};
 use chalkyard_settings::{Budgets, Settlement};
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
@@ -108,30 +109,30 @@
     },
 }
 
-fn load(file: &PathBuf) -> Result<Budgets, Trouble> {
-    let none = || Trouble::BadInput(format!("{}: no <budgets>", file.display()));
+fn load(file: &PathBuf) -> Result<Budgets, CommandError> {
+    let none = || CommandError::BadInput(format!("{}: no <budgets>", file.display()));
     crate::load(file)?.budgets.ok_or_else(none)
 }
 
-fn settlement(budgets: &Budgets) -> Result<&Settlement, Trouble> {
-    let none = || Trouble::BadInput("the settings' <budgets> has no <settlement>".into());
+fn settlement(budgets: &Budgets) -> Result<&Settlement, CommandError> {
+    let none = || CommandError::BadInput("the settings' <budgets> has no <settlement>".into());
     budgets.settlement.as_ref().ok_or_else(none)
 }
 
-fn account(which: &Which, budgets: &Budgets) -> Result<AccountKey, Trouble> {
+fn account(which: &Which, budgets: &Budgets) -> Result<AccountKey, CommandError> {
     let class = which.class.as_deref().map(Into::into);
     let key = AccountKey { tenant: which.tenant.as_str().into(), class, kind: which.period.into() };
     if budgets.plan.limits.contains_key(&key) {
         return Ok(key);
     }
     let known: Vec<String> = budgets.plan.limits.keys().map(ToString::to_string).collect();
-    Err(Trouble::BadInput(format!("no budget {key} in the settings, which have: {}", known.join(", "))))
+    Err(CommandError::BadInput(format!("no budget {key} in the settings, which have: {}", known.join(", "))))
 }
 
-fn add(budgets: &Budgets, who: Who, what: Change) -> Result<ExitCode, Trouble> {
+fn add(budgets: &Budgets, who: Who, what: Change) -> Result<ExitCode, CommandError> {
     for (name, text) in [("--by", &who.by), ("--why", &who.why)] {
         if text.trim().is_empty() || text.len() > 1_000 {
-            return Err(Trouble::BadInput(format!("{name} must be 1 to 1000 bytes of text")));
+            return Err(CommandError::BadInput(format!("{name} must be 1 to 1000 bytes of text")));
         }
     }
     let adjustment = Adjustment { at: now(), by: who.by, why: who.why, what };
@@ -141,14 +142,14 @@
 }
 
 /// Carries out a command.
-pub fn command(command: Command) -> Result<ExitCode, Trouble> {
+pub fn command(command: Command) -> Result<ExitCode, CommandError> {
     match command {
         Command::Show { file, format } => show(&load(&file)?, format),
         Command::Set { which, tokens, who } => {
             let budgets = load(&which.file)?;
             let key = account(&which, &budgets)?;
             if tokens == Some(0) {
-                return Err(Trouble::BadInput("--tokens must be at least 1".into()));
+                return Err(CommandError::BadInput("--tokens must be at least 1".into()));
             }
             let start = budgets.plan.calendar.period(key.kind, now()).start;
             add(&budgets, who, Change::Set(key, start, tokens))
@@ -163,25 +164,25 @@
             let settings = crate::load(&file)?;
             let known = settings.config.tenants.iter().any(|t| t.name == tenant);
             if !known || !settings.config.classes.iter().any(|c| c.name == class) {
-                return Err(Trouble::BadInput(format!(
+                return Err(CommandError::BadInput(format!(
                     "no tenant `{tenant}` or no class `{class}` in the settings"
                 )));
             }
             let budgets = load(&file)?;
             match budgets.plan.calendar.parse_period(&day) {
                 Ok((PeriodKind::Day, _)) => {}
-                Ok(_) => return Err(Trouble::BadInput(format!("--day: `{day}` is no day"))),
-                Err(why) => return Err(Trouble::BadInput(format!("--day: {why}"))),
+                Ok(_) => return Err(CommandError::BadInput(format!("--day: `{day}` is no day"))),
+                Err(why) => return Err(CommandError::BadInput(format!("--day: {why}"))),
             }
             add(&budgets, who, Change::Bill { tenant, class, day, amount })
         }
     }
 }
 
-fn show(budgets: &Budgets, format: Format) -> Result<ExitCode, Trouble> {
+fn show(budgets: &Budgets, format: Format) -> Result<ExitCode, CommandError> {
     let (settlement, key) = parts(budgets)?;
     let journal = Journal::open(&settlement.journal, key)
-        .map_err(|e| Trouble::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
+        .map_err(|e| CommandError::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
     let mut allocator = restore_allocator(&budgets.plan, settlement, &journal)?;
     let mut by_hand = Adjustments::new(settlement);
     let changes = by_hand.read()?;
--- a/crates/daemon/src/compact.rs
+++ b/crates/daemon/src/compact.rs
@@ -10,8 +10,8 @@
 use chalkyard_settings::Budgets;
 
 use crate::bill::all_segments;
+use crate::error::CommandError;
 use crate::files::replace;
-use crate::Trouble;
 
 /// Old segments, as far as they were read.
 #[derive(Default)]
@@ -43,9 +43,9 @@
 }
 
 /// `chalkyard compact`: the sums of complete months are kept, their records go.
-pub fn compact(budgets: &Budgets, folder: &Path, before: &str) -> Result<ExitCode, Trouble> {
+pub fn compact(budgets: &Budgets, folder: &Path, before: &str) -> Result<ExitCode, CommandError> {
     let parsed = budgets.plan.calendar.parse_period(before);
-    let (_, cut) = parsed.map_err(|error| Trouble::BadInput(format!("--before: {error}")))?;
+    let (_, cut) = parsed.map_err(|error| CommandError::BadInput(format!("--before: {error}")))?;
     let old = old_segments(folder, cut.start)?;
     // A request's two records stay together: nothing may be open at the cut.
     if old.names.is_empty() || !old.open.is_empty() {
@@ -54,14 +54,14 @@
     }
     let target = folder.join(format!("sums-before-{before}.json"));
     if target.exists() {
-        return Err(Trouble::BadInput(format!("{}: is there already", target.display())));
+        return Err(CommandError::BadInput(format!("{}: is there already", target.display())));
     }
     let all = Period { start: Time(0), end: cut.start };
     let bill: Bill = old.biller.bill(&budgets.plan, all);
     let sums = serde_json::json!({
         "before": before, "segments": old.names, "records": old.records, "bill": bill,
     });
-    let failed = |e: std::io::Error| Trouble::CouldNotRun(format!("{}: {e}", folder.display()));
+    let failed = |e: std::io::Error| CommandError::CouldNotRun(format!("{}: {e}", folder.display()));
     replace(&target, sums.to_string().as_bytes()).map_err(failed)?;
     for name in &old.names {
         std::fs::remove_file(folder.join(name)).map_err(failed)?;
@@ -71,9 +71,9 @@
 }
 
 /// The segments that may go: a later one begins with a checkpoint, and no record in them is as late as the cut.
-fn old_segments(folder: &Path, cut: Time) -> Result<OldSegments, Trouble> {
+fn old_segments(folder: &Path, cut: Time) -> Result<OldSegments, CommandError> {
     let volume = DirectoryVolume::reader(folder);
-    let failed = |error: LedgerError| Trouble::BadInput(format!("{}: {error}", folder.display()));
+    let failed = |error: LedgerError| CommandError::BadInput(format!("{}: {error}", folder.display()));
     let names = all_segments(folder)?;
     let needed = last_segments(&volume, Record::is_checkpoint).map_err(failed)?;
     let mut old = OldSegments::default();
--- a/crates/daemon/src/grant_files.rs
+++ b/crates/daemon/src/grant_files.rs
@@ -8,8 +8,8 @@
 use chalkyard_router::shell::News;
 use tracing::warn;
 
+use crate::error::CommandError;
 use crate::files::{read_limited, replace};
-use crate::Trouble;
 
 /// A router looks for a new grant so often.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -37,7 +37,7 @@
     },
 }
 
-impl From<KeyFileError> for Trouble {
+impl From<KeyFileError> for CommandError {
     fn from(error: KeyFileError) -> Self {
         Self::BadInput(error.to_string())
     }
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -7,7 +7,7 @@
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
 use chalkyard_rehearsal::engine::Role;
-use chalkyard_rehearsal::record::{Effect, Line};
+use chalkyard_rehearsal::record::{Line, RetrySafety};
 use chalkyard_rehearsal::scenario::{Fault, Kind, Scenario};
 use chalkyard_rehearsal::topology::Topology;
 use chalkyard_rehearsal::Error;
@@ -58,17 +58,17 @@
 
 /// As the kit's settings for processes say it.
 fn config(scenario: &Scenario, name: &str, register: SocketAddr) -> Config {
-    let f = &scenario.figures;
+    let f = &scenario.limits;
     let classes = scenario.classes.iter().map(|c| p::Class {
-        aim: Micros(c.aim_us),
-        aim_per_1000_tokens: Micros(c.aim_per_1000_us),
+        latency_objective: Micros(c.latency_objective_us),
+        latency_objective_per_1000_tokens: Micros(c.latency_objective_per_1000_us),
         deadline: Micros(c.deadline_us),
-        effect: match c.effect {
-            Effect::Free => p::Effect::Free,
-            Effect::SingleShot => p::Effect::SingleShot,
-            Effect::Guarded => p::Effect::Guarded(p::Group::Cell),
+        retry_safety: match c.retry_safety {
+            RetrySafety::Idempotent => p::RetrySafety::Idempotent,
+            RetrySafety::NonIdempotent => p::RetrySafety::NonIdempotent,
+            RetrySafety::Deduplicated => p::RetrySafety::Deduplicated(p::DeduplicationScope::Cell),
         },
-        dedup_window: Micros(c.window_us),
+        dedup_window: Micros(c.deduplication_window_us),
     });
     let kind = |role, tokens| KindEntry { role, kv_tokens: Some(tokens) };
     let second = Micros(1_000_000);
@@ -79,21 +79,21 @@
             classes: classes.collect(),
             tenants: Vec::new(),
             discovery: p::Discovery::Push,
-            must_ask_in: Micros(10 * second.0),
+            max_poll_interval: Micros(10 * second.0),
             self_prefill: true,
             resume: false,
-            release: Micros(f.release_us),
+            reservation_timeout: Micros(f.release_us),
             max_attempts: 4,
             may_cancel: true,
             max_retry_after: second,
-            fall_multiple: f.fall_multiple,
-            fall_after: Micros(f.fall_us),
-            cold_from: f.cold_from,
-            cold_for: Micros(f.cold_us),
+            overload_multiple: f.fall_multiple,
+            overload_window: Micros(f.fall_us),
+            slow_start_initial_share: f.cold_from,
+            slow_start_duration: Micros(f.cold_us),
             answer_slack: Micros(f.slack_us),
             tick: Micros(1_000),
             weighted: false,
-            reports: p::Reports::InAnswers,
+            load_reporting: p::LoadReporting::InResponses,
         },
         classes: scenario.classes.iter().map(|c| ClassEntry { name: c.name.clone() }).collect(),
         default_class: 0,
@@ -101,9 +101,9 @@
         keys: KeyRing::new([0; 32]),
         zones: [("yard".to_owned(), p::ZoneId(0))].into(),
         kinds: [
-            (Role::Reader.name().to_owned(), kind(p::Role::Reader, 200_000)),
-            (Role::Writer.name().to_owned(), kind(p::Role::Writer, 120_000)),
-            (Role::Mixed.name().to_owned(), kind(p::Role::Mixed, 160_000)),
+            (Role::Reader.name().to_owned(), kind(p::Role::Prefill, 200_000)),
+            (Role::Writer.name().to_owned(), kind(p::Role::Decode, 120_000)),
+            (Role::Mixed.name().to_owned(), kind(p::Role::Combined, 160_000)),
         ]
         .into(),
         register: Some(register),
@@ -143,7 +143,7 @@
     };
     play.run()?;
     Ok(Emulated {
-        lines: play.topology.tape.lines,
+        lines: play.topology.recorder.lines,
         tallies: play.tallies.into_values().collect(),
         finished: play.finished,
     })
@@ -169,7 +169,7 @@
                 return Err(Error::CouldNotRun(format!("time stands still at {at} µs")));
             }
             at = at.max(next);
-            self.topology.at(at);
+            self.topology.advance_to(at);
             self.network();
             self.strike();
             if self.topology.tick() {
@@ -185,7 +185,7 @@
     fn network(&mut self) {
         while let Some(due) = self.topology.net.inner.pop() {
             match due {
-                Due::World(happened) => self.topology.spread(vec![happened]),
+                Due::World(happened) => self.topology.receive(vec![happened]),
                 Due::Core(i, conn, heard) => match heard {
                     Heard::Accepted => self.feed(i, Input::Accepted(conn)),
                     Heard::Connected => self.feed(i, Input::Connected(conn)),
@@ -200,7 +200,7 @@
 
     fn clock(&self, i: usize) -> Micros {
         let ahead = self.routers.get(i).map_or(0, |r| r.ahead);
-        Micros(UNIX + self.topology.tape.now + ahead)
+        Micros(UNIX + self.topology.recorder.now + ahead)
     }
 
     fn start(&mut self, i: usize) {
@@ -274,11 +274,11 @@
             if let Fault { kind: Kind::BalancerRoll, on, len, .. } = fault {
                 for (n, i) in on.iter().copied().enumerate().filter(|_| begins) {
                     self.kill(i);
-                    self.returns.push((self.topology.tape.now + len + n as u64 * BACK, i));
+                    self.returns.push((self.topology.recorder.now + len + n as u64 * BACK, i));
                 }
             }
         }
-        let now = self.topology.tape.now;
+        let now = self.topology.recorder.now;
         let due: Vec<usize> = self.returns.iter().filter(|(at, _)| *at <= now).map(|(_, i)| *i).collect();
         self.returns.retain(|(at, _)| *at > now);
         for i in due {
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -5,7 +5,11 @@
 //! own. The module that decides asks here before it acts, and the program around it asks again, from its own record
 //! of the connections, before anything is written.
 
-use crate::interface::{CellId, Effect, Group, Lifecycle, Micros, Outcome, Role, ZoneId};
+use crate::endpoints::{Lifecycle, Role};
+use crate::events::Outcome;
+use crate::ids::{CellId, ZoneId};
+use crate::settings::{DeduplicationScope, RetrySafety};
+use crate::time::Micros;
 
 /// Held state is released after this share of the told time: the rest is for the call to reach a running worker.
 const RELEASE_SHARE: f64 = 0.8;
@@ -18,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// At a reader: no effect, ends with state that waits there.
-    Read,
+    Prefill,
     /// At a writer or mixed server.
-    Write,
+    Decode,
 }
 
 /// A worker as the rules see it.
@@ -54,13 +58,13 @@
 impl AttemptFacts {
     /// An attempt that is sent now.
     pub fn new(stage: Stage, sent: Micros, target: Target) -> Self {
-        Self { stage, sent, target, open: true, may_have_run: stage == Stage::Write }
+        Self { stage, sent, target, open: true, may_have_run: stage == Stage::Decode }
     }
 
     /// It has ended so.
     pub fn end(&mut self, outcome: Outcome) {
         self.open = false;
-        self.may_have_run = self.stage == Stage::Write && !outcome.proves_not_run();
+        self.may_have_run = self.stage == Stage::Decode && !outcome.proves_not_run();
     }
 }
 
@@ -68,7 +72,7 @@
 /// nothing: bytes that the local system took may never have arrived.
 pub fn proves_arrival(outcome: Outcome) -> bool {
     match outcome {
-        Outcome::Served | Outcome::Parsed | Outcome::ServerError | Outcome::Refused { .. } => true,
+        Outcome::Served | Outcome::Prefilled | Outcome::ServerError | Outcome::Rejected { .. } => true,
         Outcome::TimedOut
         | Outcome::NoConnection
         | Outcome::ConnectionLost
@@ -129,9 +133,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct SendPermit(());
 
-/// Leave to refuse a request; only [`Obligations::may_refuse`] gives it.
+/// Leave to refuse a request; only [`Obligations::may_reject`] gives it.
 #[derive(Debug, PartialEq, Eq)]
-pub struct RefusePermit(());
+pub struct RejectPermit(());
 
 /// Leave to give a final answer; only [`Obligations::may_answer`] gives it.
 #[derive(Debug, PartialEq, Eq)]
@@ -141,9 +145,9 @@
 #[derive(Debug, Clone)]
 pub struct Obligations {
     /// Where it may be repeated.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// For guarded classes: how long repeats are discarded.
-    pub window: Micros,
+    pub deduplication_window: Micros,
     /// When its client gives it up.
     pub deadline: Micros,
     /// At most so many attempts.
@@ -153,7 +157,7 @@
     /// Its final answer.
     pub answer: AnswerState,
     /// Since when a worker holds state for it that nobody is known to have taken.
-    pub held_since: Option<Micros>,
+    pub reserved_at: Option<Micros>,
 }
 
 impl Obligations {
@@ -167,7 +171,7 @@
         if now >= self.deadline {
             return Err(Denied::PastDeadline);
         }
-        if target.lifecycle != Lifecycle::In {
+        if target.lifecycle != Lifecycle::Active {
             return Err(Denied::NotInService);
         }
         if self.attempts.len() >= self.max_attempts as usize {
@@ -188,10 +192,10 @@
         if ran.peek().is_none() {
             return true;
         }
-        match self.effect {
-            Effect::Free => true,
-            Effect::SingleShot => false,
-            Effect::Guarded(group) => {
+        match self.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => false,
+            RetrySafety::Deduplicated(group) => {
                 ran.all(|a| now < self.repeat_end(a) && is_same_group(group, &a.target, target))
             }
         }
@@ -199,7 +203,7 @@
 
     /// Until when a repeat of this attempt may be out.
     fn repeat_end(&self, ran: &AttemptFacts) -> Micros {
-        ran.sent + (self.window - WINDOW_MARGIN)
+        ran.sent + (self.deduplication_window - WINDOW_MARGIN)
     }
 
     /// When the next attempt has to be over, whatever has become of it: one that lies at a silent worker runs as that
@@ -207,16 +211,20 @@
     pub fn must_end(&self) -> Option<Micros> {
         let ran = self.attempts.iter().filter(|a| a.may_have_run);
         let ends = ran.map(|a| self.repeat_end(a)).min();
-        ends.filter(|_| matches!(self.effect, Effect::Guarded(_)))
+        ends.filter(|_| matches!(self.retry_safety, RetrySafety::Deduplicated(_)))
     }
 
     /// Whether a refusal, which says that trying again is harmless, would be true.
-    pub fn may_refuse(&self) -> Result<RefusePermit, Denied> {
+    pub fn may_reject(&self) -> Result<RejectPermit, Denied> {
         let may_have_run = self.attempts.iter().any(|a| a.may_have_run || a.open);
-        match self.effect {
-            Effect::Free | Effect::Guarded(Group::All) => Ok(RefusePermit(())),
-            Effect::Guarded(_) | Effect::SingleShot if may_have_run => Err(Denied::MayHaveRun),
-            Effect::Guarded(_) | Effect::SingleShot => Ok(RefusePermit(())),
+        match self.retry_safety {
+            RetrySafety::Idempotent | RetrySafety::Deduplicated(DeduplicationScope::All) => {
+                Ok(RejectPermit(()))
+            }
+            RetrySafety::Deduplicated(_) | RetrySafety::NonIdempotent if may_have_run => {
+                Err(Denied::MayHaveRun)
+            }
+            RetrySafety::Deduplicated(_) | RetrySafety::NonIdempotent => Ok(RejectPermit(())),
         }
     }
 
@@ -230,10 +238,10 @@
 
     /// Why no worker can ever take it: its attempts are used up, or one that may have run bars more.
     pub fn hopeless(&self, now: Micros) -> Option<Denied> {
-        let bars = |a: &AttemptFacts| match self.effect {
-            Effect::Free => false,
-            Effect::SingleShot => true,
-            Effect::Guarded(_) => now >= self.repeat_end(a),
+        let bars = |a: &AttemptFacts| match self.retry_safety {
+            RetrySafety::Idempotent => false,
+            RetrySafety::NonIdempotent => true,
+            RetrySafety::Deduplicated(_) => now >= self.repeat_end(a),
         };
         if self.attempts.iter().any(|a| a.may_have_run && bars(a)) {
             return Some(Denied::MayHaveRun);
@@ -244,7 +252,7 @@
     /// When its held state is to be released, whatever is open: a pull that has arrived keeps what it takes, and one that
     /// has not arrived takes nothing.
     pub fn release_due(&self, release: Micros) -> Option<Micros> {
-        self.held_since.map(|since| release_due(since, release))
+        self.reserved_at.map(|since| release_due(since, release))
     }
 }
 
@@ -253,10 +261,10 @@
     since + release.mul_f64(RELEASE_SHARE)
 }
 
-fn is_same_group(group: Group, one: &Target, other: &Target) -> bool {
+fn is_same_group(group: DeduplicationScope, one: &Target, other: &Target) -> bool {
     match group {
-        Group::All => true,
-        Group::Zone => one.zone == other.zone,
-        Group::Cell => one.cell == other.cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => one.zone == other.zone,
+        DeduplicationScope::Cell => one.cell == other.cell,
     }
 }
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -44,7 +44,7 @@
 /// Two readers and two writers, a pair in each of two cells.
 fn tiny() -> Vec<Worker> {
     let pair =
-        |i: u64| [worker(&format!("r{i}"), Role::Reader, i), worker(&format!("w{i}"), Role::Writer, i)];
+        |i: u64| [worker(&format!("r{i}"), Role::Prefill, i), worker(&format!("w{i}"), Role::Decode, i)];
     (0..2).flat_map(pair).collect()
 }
 
@@ -72,7 +72,7 @@
     }
     for (id, job) in &a.asked {
         for (n, t) in job.tries.iter().enumerate().filter(|(_, t)| t.ran.is_none()) {
-            let reader = a.workers[&t.worker].role == Role::Reader;
+            let reader = a.workers[&t.worker].role == Role::Prefill;
             let mut end = |outcome| out.push(Step::End(id.clone(), n, outcome));
             if t.streaming {
                 end(Outcome::Served);
@@ -80,7 +80,7 @@
                 continue;
             }
             if reader {
-                end(Outcome::Parsed);
+                end(Outcome::Prefilled);
             }
             scope.ends.iter().for_each(|o| end(*o));
             if a.called_back.contains(&(id.clone(), n)) {
@@ -98,9 +98,9 @@
         for id in &scope.listed {
             let id: WorkerId = (*id).into();
             let to: &[Lifecycle] = match a.workers[&id].lifecycle {
-                Lifecycle::In => &[Lifecycle::Draining, Lifecycle::Out],
-                Lifecycle::Draining => &[Lifecycle::In, Lifecycle::Out],
-                Lifecycle::Out => &[Lifecycle::In],
+                Lifecycle::Active => &[Lifecycle::Draining, Lifecycle::Removed],
+                Lifecycle::Draining => &[Lifecycle::Active, Lifecycle::Removed],
+                Lifecycle::Removed => &[Lifecycle::Active],
             };
             out.extend(to.iter().map(|to| Step::List(id.clone(), *to)));
         }
@@ -169,7 +169,11 @@
             assert!(j.over, "rule 1: {id:?} never answered");
             assert!(!j.held, "rule 5: {id:?} pinned at the end");
         }
-        assert!(format!("{:?}", last.rig.router).contains(" waiting: (0, 0),"), "nobody waits any more");
+        assert!(
+            format!("{:?}", last.rig.router)
+                .contains(" waiting: WaitingRequests { count: 0, arrival_sum: 0 }"),
+            "nobody waits any more"
+        );
         return;
     }
     for step in steps(a, scope, news) {
@@ -197,8 +201,8 @@
 fn all_ends() -> Vec<Outcome> {
     vec![
         Outcome::ServerError,
-        Outcome::Refused { no_state: false },
-        Outcome::Refused { no_state: true },
+        Outcome::Rejected { no_state: false },
+        Outcome::Rejected { no_state: true },
         Outcome::NoConnection,
         Outcome::ConnectionLost,
         Outcome::NotSent,
@@ -222,7 +226,7 @@
     Scope {
         depth: 7,
         asks: vec![(FREE, LONG), (SINGLE, LONG), (GUARDED, LONG)],
-        ends: vec![Outcome::ConnectionLost, Outcome::Refused { no_state: false }],
+        ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: false }],
         listed: vec!["r0", "r1", "w0", "w1"],
         news: 3,
         ..one_request()
@@ -235,7 +239,7 @@
         depth: 6,
         requests: 2,
         asks: vec![(FREE, LONG), (SINGLE, LONG), (GUARDED, SHORT)],
-        ends: vec![Outcome::ConnectionLost, Outcome::Refused { no_state: true }, Outcome::NoConnection],
+        ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: true }, Outcome::NoConnection],
         listed: vec!["w0"],
         news: 1,
     }
@@ -307,31 +311,37 @@
 #[test]
 #[should_panic(expected = "rule 2")]
 fn a_single_shot_that_is_sent_again_is_seen() {
-    lied(|s| s.classes[SINGLE.0].effect = Effect::Free, Some, Scope { depth: 4, ..one_request() });
+    lied(
+        |s| s.classes[SINGLE.0].retry_safety = RetrySafety::Idempotent,
+        Some,
+        Scope { depth: 4, ..one_request() },
+    );
 }
 
 #[test]
 #[should_panic(expected = "rule 2")]
 fn a_guarded_request_outside_its_group_is_seen() {
-    let wide = |s: &mut Settings| s.classes[GUARDED.0].effect = Effect::Guarded(Group::All);
+    let wide = |s: &mut Settings| {
+        s.classes[GUARDED.0].retry_safety = RetrySafety::Deduplicated(DeduplicationScope::All)
+    };
     lied(wide, Some, Scope { depth: 4, ..one_request() });
 }
 
 #[test]
 #[should_panic(expected = "rule 3")]
 fn a_send_to_a_draining_worker_is_seen() {
-    let deaf = |event| Some(event).filter(|e| !matches!(e, Event::Workers { .. }));
+    let deaf = |event| Some(event).filter(|e| !matches!(e, Event::Endpoints { .. }));
     lied(|_| {}, deaf, Scope { depth: 4, ..with_news() });
 }
 
 #[test]
 #[should_panic(expected = "rule 4")]
 fn a_cold_worker_that_is_pushed_over_is_seen() {
-    lied(|s| s.cold_for = Micros(0), Some, beside_a_cold_one());
+    lied(|s| s.slow_start_duration = Micros(0), Some, beside_a_cold_one());
 }
 
 #[test]
 #[should_panic(expected = "rule 5")]
 fn a_pinned_state_is_seen() {
-    lied(|s| s.release = secs(3.0), Some, Scope { depth: 5, ..with_news() });
+    lied(|s| s.reservation_timeout = secs(3.0), Some, Scope { depth: 5, ..with_news() });
 }
--- a/crates/rehearsal/src/runner.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::net::Sockets;
-use crate::record::{Line, Seen};
+use crate::network::Sockets;
+use crate::record::{Event, Line};
 use crate::routers::Routers;
 use crate::scenario::{Fault, Kind, Scenario, Sharing};
 use crate::topology::Topology;
@@ -40,9 +40,9 @@
     let mut runner = Runner { topology, routers, returns: Vec::new() };
     let result = runner.run();
     runner.routers.stop();
-    let looked = result.and_then(|()| look(runner.routers.folder(), &runner.topology.tape.lines));
+    let looked = result.and_then(|()| look(runner.routers.folder(), &runner.topology.recorder.lines));
     runner.routers.finish(looked.is_err());
-    Ok((runner.topology.tape.lines, looked?))
+    Ok((runner.topology.recorder.lines, looked?))
 }
 
 impl Runner<'_> {
@@ -58,7 +58,7 @@
         let start = Instant::now();
         loop {
             let now = start.elapsed().as_micros() as u64;
-            self.topology.at(now);
+            self.topology.advance_to(now);
             self.faults()?;
             if self.topology.tick() {
                 return Ok(());
@@ -66,8 +66,8 @@
             let returns = self.returns.iter().map(|(at, _)| *at).min().unwrap_or(u64::MAX);
             let wait = self.topology.next_due().min(returns).saturating_sub(now).clamp(0, 50_000);
             let happened = self.topology.net.inner.wait(Duration::from_micros(wait))?;
-            self.topology.at(start.elapsed().as_micros() as u64);
-            self.topology.spread(happened);
+            self.topology.advance_to(start.elapsed().as_micros() as u64);
+            self.topology.receive(happened);
         }
     }
 
@@ -84,16 +84,16 @@
                     return Err(Error::CouldNotRun(format!("no router came up at {address}")));
                 }
                 let happened = self.topology.net.inner.wait(Duration::from_millis(10))?;
-                self.topology.spread(happened);
+                self.topology.receive(happened);
             }
         }
         // Their first lists, and leases.
         for _ in 0..if self.topology.scenario.budgets.is_some() { 200 } else { 20 } {
             let happened = self.topology.net.inner.wait(Duration::from_millis(5))?;
-            self.topology.spread(happened);
+            self.topology.receive(happened);
         }
         for (name, _) in names {
-            self.topology.tape.add(Seen::Router { router: name, up: true });
+            self.topology.recorder.add(Event::Router { router: name, up: true });
         }
         Ok(())
     }
@@ -103,7 +103,7 @@
             self.topology.apply_fault(fault, begins);
             self.strike(fault, begins)?;
         }
-        let now = self.topology.tape.now;
+        let now = self.topology.recorder.now;
         let (due, rest) = std::mem::take(&mut self.returns).into_iter().partition(|(at, _)| *at <= now);
         self.returns = rest;
         let due: Vec<(u64, usize)> = due;
@@ -119,7 +119,7 @@
 
     /// What a fault does to the processes.
     fn strike(&mut self, fault: &Fault, begins: bool) -> Result<(), Error> {
-        let (now, seed) = (self.topology.tape.now, self.topology.scenario.seed);
+        let (now, seed) = (self.topology.recorder.now, self.topology.scenario.seed);
         match fault.kind {
             Kind::BalancerRoll if begins => {
                 for (n, i) in fault.on.iter().copied().enumerate() {
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -15,10 +15,10 @@
 /// The list's source is asked again so long after a call to it failed.
 const ASK_PAUSE: p::Micros = p::Micros(100_000);
 
-pub(super) fn report(header: Option<&str>) -> Option<p::Report> {
+pub(super) fn report(header: Option<&str>) -> Option<p::LoadReport> {
     let load = engine::load(header?)?;
     let named = load.named_metrics;
-    Some(p::Report {
+    Some(p::LoadReport {
         queued: named.queue_depth,
         slots_used: load.cpu_utilization,
         kv_used: load.mem_utilization,
@@ -40,8 +40,8 @@
         }
         let mut moved = Vec::new();
         for (worker, address) in &named {
-            let listed = worker.lifecycle != p::Lifecycle::Out;
-            let leaving = worker.lifecycle != p::Lifecycle::In;
+            let listed = worker.lifecycle != p::Lifecycle::Removed;
+            let leaving = worker.lifecycle != p::Lifecycle::Active;
             let host = address.to_string().into();
             let fresh = Engine {
                 address: *address,
@@ -74,8 +74,8 @@
 
     /// What the module is told of workers; then attempts that still wait for a connection to one that leaves are over:
     /// nothing of them was sent, and by the time it stands it may be too late.
-    fn tell_workers(&mut self, kind: p::ListKind, workers: Vec<p::Worker>) {
-        self.events.push_back(Event::Workers { kind, workers });
+    fn tell_workers(&mut self, update: p::EndpointUpdate, workers: Vec<p::Worker>) {
+        self.events.push_back(Event::Endpoints { update, workers });
         let leaves = |w: &p::WorkerId| self.engines.get(w).is_some_and(|e| e.leaving);
         let waits = |l: &&Link| l.waiting.is_some() && l.worker.as_ref().is_some_and(leaves);
         let attempt = |l: &Link| match &l.task {
@@ -122,7 +122,7 @@
     }
 
     /// Notes what a dialect has read; gives what the module is told.
-    pub(super) fn read_list(&mut self, list: List) -> (Vec<p::Worker>, p::ListKind) {
+    pub(super) fn read_list(&mut self, list: List) -> (Vec<p::Worker>, p::EndpointUpdate) {
         for wrong in &list.wrong {
             self.note("list", format!("an entry is left out: {wrong}"));
         }
@@ -130,13 +130,13 @@
         // What could not be read is asked for once more, with the whole list; what is wrong again is left out.
         let again = !list.wrong.is_empty() && self.version.is_some();
         self.version = (!again).then_some(list.version);
-        let kind = if list.whole { p::ListKind::Full } else { p::ListKind::Changes };
+        let kind = if list.whole { p::EndpointUpdate::Snapshot } else { p::EndpointUpdate::Delta };
         // Past the bound new workers are left out; what is told of those that are held, above all drains, is taken.
         let held = if list.whole { 0 } else { self.engines.len() };
         let mut room = self.config.bounds.workers.saturating_sub(held);
         let (mut workers, named) = (Vec::new(), list.workers.len());
         for (worker, address) in list.workers {
-            let known = worker.lifecycle == p::Lifecycle::Out || self.engines.contains_key(&worker.id);
+            let known = worker.lifecycle == p::Lifecycle::Removed || self.engines.contains_key(&worker.id);
             if known || room > 0 {
                 room -= usize::from(!known);
                 workers.push((worker, address));
@@ -184,7 +184,7 @@
             }
         };
         let (workers, kind) = self.read_list(list);
-        if kind == p::ListKind::Full || !workers.is_empty() {
+        if kind == p::EndpointUpdate::Snapshot || !workers.is_empty() {
             self.tell_workers(kind, workers);
         }
         // A source that has nothing new and does not wait is not asked in a hot loop; it is there, though.
@@ -225,7 +225,7 @@
             self.timers.set(self.now + ASK_PAUSE, Due::Watch);
             return;
         }
-        self.events.push_back(Event::Workers { kind: p::ListKind::Failed, workers: Vec::new() });
+        self.events.push_back(Event::Endpoints { update: p::EndpointUpdate::Failed, workers: Vec::new() });
         self.note("register", "lost or not reached; the list held stays".into());
     }
 
@@ -275,13 +275,15 @@
     /// An event of the watch; true: it goes on.
     fn watch_event(&mut self, conn: ConnId, event: &sse::Event) -> bool {
         let news = match event.name.as_str() {
-            "snapshot" => self.held.snapshot(&event.data, &self.config).map(|n| (n, p::ListKind::Full)),
+            "snapshot" => {
+                self.held.snapshot(&event.data, &self.config).map(|n| (n, p::EndpointUpdate::Snapshot))
+            }
             "change" => self.held.change(&event.data, &self.config).map(|(named, left_out)| {
                 if left_out > 0 {
                     let most = self.config.bounds.workers;
                     self.note("register", format!("more than {most} workers: {left_out} left out"));
                 }
-                (named, p::ListKind::Changes)
+                (named, p::EndpointUpdate::Delta)
             }),
             _ => return true,
         };
@@ -308,9 +310,9 @@
         }
     }
 
-    fn news(&mut self, named: Vec<Named>, kind: p::ListKind) {
+    fn news(&mut self, named: Vec<Named>, kind: p::EndpointUpdate) {
         self.has_list = true;
-        let workers = self.learn(named, kind == p::ListKind::Full);
+        let workers = self.learn(named, kind == p::EndpointUpdate::Snapshot);
         self.out.push(Output::KeepList(self.held.text()));
         self.tell_workers(kind, workers);
     }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -29,10 +29,10 @@
 
 pub fn config() -> Config {
     let class = |effect| p::Class {
-        aim: ms(1_000),
-        aim_per_1000_tokens: ms(60),
+        latency_objective: ms(1_000),
+        latency_objective_per_1000_tokens: ms(60),
         deadline: ms(4_000),
-        effect,
+        retry_safety: effect,
         dedup_window: ms(3_000),
     };
     let kind = |role| KindEntry { role, kv_tokens: Some(100_000) };
@@ -40,31 +40,31 @@
         name: "r1".into(),
         policy: p::Settings {
             routers: 1,
-            classes: vec![class(p::Effect::Free), class(p::Effect::SingleShot)],
+            classes: vec![class(p::RetrySafety::Idempotent), class(p::RetrySafety::NonIdempotent)],
             tenants: vec![],
             discovery: p::Discovery::Push,
-            must_ask_in: ms(10_000),
+            max_poll_interval: ms(10_000),
             self_prefill: true,
             resume: false,
-            release: ms(1_000),
+            reservation_timeout: ms(1_000),
             max_attempts: 4,
             may_cancel: true,
             max_retry_after: ms(1_000),
-            fall_multiple: 3.0,
-            fall_after: ms(2_000),
-            cold_from: 0.3,
-            cold_for: ms(8_000),
+            overload_multiple: 3.0,
+            overload_window: ms(2_000),
+            slow_start_initial_share: 0.3,
+            slow_start_duration: ms(8_000),
             answer_slack: ms(100),
             tick: ms(2),
             weighted: false,
-            reports: p::Reports::InAnswers,
+            load_reporting: p::LoadReporting::InResponses,
         },
         classes: vec![ClassEntry { name: "help".into() }, ClassEntry { name: "report".into() }],
         default_class: 0,
         tenants: vec![],
         keys: KeyRing::new([0; 32]),
         zones: BTreeMap::new(),
-        kinds: [("reader", p::Role::Reader), ("writer", p::Role::Writer), ("mixed", p::Role::Mixed)]
+        kinds: [("reader", p::Role::Prefill), ("writer", p::Role::Decode), ("mixed", p::Role::Combined)]
             .map(|(n, r)| (n.to_owned(), kind(r)))
             .into(),
         register: None,
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use chalkyard_policy::{Event, ListKind, Outcome};
+use chalkyard_policy::{EndpointUpdate, Event, Outcome};
 use chalkyard_router::*;
 use common::*;
 
@@ -165,7 +165,7 @@
         y.begin_stream(pull.conn);
         y.closed.insert(pull.conn);
         y.input(Input::Lost(pull.conn));
-        assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::ConnectionLost]);
+        assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::ConnectionLost]);
         if goes_on {
             let next = y.call();
             assert_ne!(next.port, pull.port, "the state still waits: another writer pulls it");
@@ -200,7 +200,7 @@
         let (name, last) = events.last().unwrap();
         assert_eq!((status, name.as_str()), (200, "message.broken"));
         assert_eq!(last["error"]["may_have_run"], true);
-        assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::ConnectionLost], "one verdict");
+        assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::ConnectionLost], "one verdict");
         assert!(!y.has_call() && y.core.open_requests() == 0);
     }
 }
@@ -215,7 +215,7 @@
     y.closed.insert(pull.conn);
     y.input(Input::Lost(pull.conn));
     assert_eq!(y.answer(client).1.last().unwrap().0, "message.closed");
-    assert_eq!(y.outcomes(), [Outcome::Parsed, Outcome::Served]);
+    assert_eq!(y.outcomes(), [Outcome::Prefilled, Outcome::Served]);
     let (_, next) = y.pulling("report");
     assert_ne!(next.conn, pull.conn);
 }
@@ -450,14 +450,14 @@
         .unwrap()
         .iter()
         .filter_map(|(_, e, _)| match e {
-            Event::Workers { kind: ListKind::Changes, workers } => Some(workers.len()),
+            Event::Endpoints { update: EndpointUpdate::Delta, workers } => Some(workers.len()),
             _ => None,
         })
         .sum();
     assert_eq!(told, 1, "the fourth worker is told of, no further one");
     news(&mut y, conn, "change", &list(10, &[entry("write-1", "writer", 2, "draining")]));
     let (_, event, _) = y.heard.lock().unwrap().last().cloned().unwrap();
-    let Event::Workers { kind: ListKind::Changes, workers } = event else { panic!("{event:?}") };
+    let Event::Endpoints { update: EndpointUpdate::Delta, workers } = event else { panic!("{event:?}") };
     assert_eq!(&*workers[0].id.0, "write-1", "a drain is still heard");
     assert_eq!(y.kept_list.as_ref().unwrap().matches("\"worker\"").count(), 4, "and none is held in secret");
     assert!(y.notes.iter().any(|n| n.contains("more than 4 workers")), "{:?}", y.notes);
