--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -9,8 +9,9 @@
 use chalkyard_budget::{Period, Record, Time};
 use chalkyard_ledger::{read, segment_number, DirectoryVolume, Volume};
 
+use crate::arguments::Format;
+use crate::error::CommandError;
 use crate::settle::{Adjustments, Change};
-use crate::{Format, Trouble};
 use chalkyard_settings::Budgets;
 
 /// Longest line of an engine's record.
@@ -29,29 +30,29 @@
 }
 
 /// All segments of a ledger, oldest first.
-pub fn all_segments(folder: &Path) -> Result<Vec<String>, Trouble> {
+pub fn all_segments(folder: &Path) -> Result<Vec<String>, CommandError> {
     let names = DirectoryVolume::reader(folder).list();
-    let names = names.map_err(|e| Trouble::BadInput(format!("{}: {e}", folder.display())))?;
+    let names = names.map_err(|e| CommandError::BadInput(format!("{}: {e}", folder.display())))?;
     let mut segments: Vec<(u64, String)> =
         names.into_iter().filter_map(|n| segment_number(&n).map(|i| (i, n))).collect();
     segments.sort();
     Ok(segments.into_iter().map(|(_, n)| n).collect())
 }
 
-fn read_ledger(folder: &Path, mut take: impl FnMut(u64, Record)) -> Result<Option<String>, Trouble> {
+fn read_ledger(folder: &Path, mut take: impl FnMut(u64, Record)) -> Result<Option<String>, CommandError> {
     let names = all_segments(folder)?;
     if names.is_empty() {
-        return Err(Trouble::BadInput(format!("{}: no ledger there", folder.display())));
+        return Err(CommandError::BadInput(format!("{}: no ledger there", folder.display())));
     }
     let report = read(&DirectoryVolume::reader(folder), &names, &mut take)
-        .map_err(|e| Trouble::BadInput(format!("{}: {e}", folder.display())))?;
+        .map_err(|e| CommandError::BadInput(format!("{}: {e}", folder.display())))?;
     Ok(report.describe_damage())
 }
 
-fn read_engines(file: &Path, biller: &mut Biller) -> Result<(), Trouble> {
-    let wrong = |n: usize, why: String| Trouble::BadInput(format!("{}:{n}: {why}", file.display()));
+fn read_engines(file: &Path, biller: &mut Biller) -> Result<(), CommandError> {
+    let wrong = |n: usize, why: String| CommandError::BadInput(format!("{}:{n}: {why}", file.display()));
     let opened =
-        std::fs::File::open(file).map_err(|e| Trouble::BadInput(format!("{}: {e}", file.display())))?;
+        std::fs::File::open(file).map_err(|e| CommandError::BadInput(format!("{}: {e}", file.display())))?;
     for (n, line) in std::io::BufReader::new(opened).lines().enumerate() {
         let line = line.map_err(|e| wrong(n + 1, e.to_string()))?;
         if line.len() > LINE_BYTES {
@@ -66,7 +67,7 @@
 }
 
 /// Makes the bill of a period; damage met in ledgers is told beside.
-pub fn make(sources: &Sources<'_>, period: Period) -> Result<(Bill, Vec<String>), Trouble> {
+pub fn make(sources: &Sources<'_>, period: Period) -> Result<(Bill, Vec<String>), CommandError> {
     let budgets = sources.budgets;
     let settled = budgets.settlement.iter().flat_map(|s| &s.routers).map(|(_, folder)| folder.clone());
     let mut folders: Vec<PathBuf> = sources.ledgers.clone();
@@ -115,7 +116,7 @@
 
 type ManualAmounts = BTreeMap<AdjustedLine, Vec<ManualAmount>>;
 
-fn manual_amounts(budgets: &Budgets) -> Result<ManualAmounts, Trouble> {
+fn manual_amounts(budgets: &Budgets) -> Result<ManualAmounts, CommandError> {
     let mut amounts = ManualAmounts::new();
     let Some(settlement) = &budgets.settlement else { return Ok(amounts) };
     for (number, adjustment) in Adjustments::new(settlement).read()? {
@@ -140,10 +141,10 @@
 }
 
 /// `chalkyard bill`: exit code 3 if engines and bill differ and nothing explains it.
-pub fn bill(sources: &Sources<'_>, period: &str, format: Format) -> Result<ExitCode, Trouble> {
+pub fn bill(sources: &Sources<'_>, period: &str, format: Format) -> Result<ExitCode, CommandError> {
     let calendar = &sources.budgets.plan.calendar;
     let parsed = calendar.parse_period(period);
-    let (_, span) = parsed.map_err(|error| Trouble::BadInput(format!("--period: {error}")))?;
+    let (_, span) = parsed.map_err(|error| CommandError::BadInput(format!("--period: {error}")))?;
     let (bill, damage) = make(sources, span)?;
     let (first, last) = (calendar.date(span.start), calendar.date(Time(span.end.0 - 1)));
     let mut manual = manual_amounts(sources.budgets)?;
--- a/crates/daemon/src/budget_runtime.rs
+++ b/crates/daemon/src/budget_runtime.rs
@@ -11,8 +11,8 @@
 use chalkyard_settings::Budgets;
 use tracing::{info, warn};
 
+use crate::error::CommandError;
 use crate::grant_files::{self, KeyFileError};
-use crate::Trouble;
 
 /// A full disk, and a full segment, are looked at so often.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
@@ -55,7 +55,7 @@
     Thread(std::io::Error),
 }
 
-impl From<RecoveryError> for Trouble {
+impl From<RecoveryError> for CommandError {
     fn from(error: RecoveryError) -> Self {
         match error {
             RecoveryError::Key(error) => error.into(),
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -14,10 +14,11 @@
 use signal_hook::iterator::Signals;
 use tracing::{info, warn};
 
+use crate::error::CommandError;
 use crate::files::read_limited;
 use crate::grant_files::{deliver, read_key};
+use crate::logs;
 use crate::wall_clock::now;
-use crate::{logs, Trouble};
 use chalkyard_settings::{Budgets, Settlement};
 
 /// Rounds kept in the journal, for whoever wants to look.
@@ -77,7 +78,7 @@
     }
 
     /// Reads what is new; all there are. An error leaves what was read.
-    pub fn read(&mut self) -> Result<&[(u64, Adjustment)], Trouble> {
+    pub fn read(&mut self) -> Result<&[(u64, Adjustment)], CommandError> {
         if self.folder.exists() {
             let read = &mut self.read;
             let told = self.follower.poll(
@@ -87,7 +88,8 @@
                     FollowEvent::Record(number, adjustment) => read.push((number, adjustment)),
                 },
             );
-            let wrong = |what: String| Trouble::CouldNotRun(format!("{}: {what}", self.folder.display()));
+            let wrong =
+                |what: String| CommandError::CouldNotRun(format!("{}: {what}", self.folder.display()));
             if let Some(trouble) = told.map_err(|e| wrong(e.to_string()))? {
                 return Err(wrong(trouble));
             }
@@ -97,9 +99,9 @@
 }
 
 /// Adds one. It holds from the next round on.
-pub fn add_adjustment(settlement: &Settlement, adjustment: &Adjustment) -> Result<u64, Trouble> {
+pub fn add_adjustment(settlement: &Settlement, adjustment: &Adjustment) -> Result<u64, CommandError> {
     let folder = adjustments(settlement);
-    let wrong = |e: String| Trouble::CouldNotRun(format!("{}: {e}", folder.display()));
+    let wrong = |e: String| CommandError::CouldNotRun(format!("{}: {e}", folder.display()));
     let volume = DirectoryVolume::writer(&folder).map_err(|e| wrong(e.to_string()))?;
     let limits = Limits { reserve_bytes: 0, ..Limits::default() };
     let opened =
@@ -251,8 +253,8 @@
 }
 
 /// What a settlement needs of the settings.
-pub fn parts(budgets: &Budgets) -> Result<(&Settlement, SigningKey), Trouble> {
-    let missing = |what: &str| Trouble::BadInput(format!("the settings' <budgets> has no {what}"));
+pub fn parts(budgets: &Budgets) -> Result<(&Settlement, SigningKey), CommandError> {
+    let missing = |what: &str| CommandError::BadInput(format!("the settings' <budgets> has no {what}"));
     let settlement = budgets.settlement.as_ref().ok_or_else(|| missing("<settlement>"))?;
     let key = budgets.key_file.as_ref().ok_or_else(|| missing("`key-file`"))?;
     Ok((settlement, read_key(key)?))
@@ -263,32 +265,32 @@
     plan: &Plan,
     settlement: &Settlement,
     journal: &Journal,
-) -> Result<LeaseAllocator, Trouble> {
+) -> Result<LeaseAllocator, CommandError> {
     let names: Vec<&str> = settlement.routers.iter().map(|(n, _)| n.as_str()).collect();
     let mut allocator = LeaseAllocator::new(plan.clone(), settlement.terms, &names);
     catch_up(&mut allocator, journal)?;
     Ok(allocator)
 }
 
-fn catch_up(allocator: &mut LeaseAllocator, journal: &Journal) -> Result<(), Trouble> {
-    if let Some(newest) = journal.newer(allocator.head()).map_err(Trouble::CouldNotRun)? {
+fn catch_up(allocator: &mut LeaseAllocator, journal: &Journal) -> Result<(), CommandError> {
+    if let Some(newest) = journal.newer(allocator.head()).map_err(CommandError::CouldNotRun)? {
         allocator.apply_round(&newest);
     }
     Ok(())
 }
 
 /// Runs rounds until it is told to stop; SIGHUP reads the settings again.
-pub fn settle(file: &PathBuf, rounds: Option<u64>) -> Result<ExitCode, Trouble> {
+pub fn settle(file: &PathBuf, rounds: Option<u64>) -> Result<ExitCode, CommandError> {
     logs::start("info");
     // Before anything slow: until then a signal ends the process.
     let mut signals =
-        Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| Trouble::CouldNotRun(e.to_string()))?;
-    let none = || Trouble::BadInput(format!("{}: no <budgets>", file.display()));
+        Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| CommandError::CouldNotRun(e.to_string()))?;
+    let none = || CommandError::BadInput(format!("{}: no <budgets>", file.display()));
     let mut budgets = crate::load(file)?.budgets.ok_or_else(none)?;
     let (settlement, key) = parts(&budgets)?;
     let settlement = settlement.clone();
     let journal = Journal::open(&settlement.journal, key)
-        .map_err(|e| Trouble::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
+        .map_err(|e| CommandError::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
     let mut allocator = restore_allocator(&budgets.plan, &settlement, &journal)?;
     let mut by_hand = Adjustments::new(&settlement);
     let mut sums = Sums::new(&settlement);
@@ -306,7 +308,7 @@
                 match crate::load(file).map(|s| s.budgets) {
                     Ok(Some(fresh)) => budgets.plan = fresh.plan,
                     Ok(None) => warn!(target: "settle", "not reloaded: no <budgets> any more"),
-                    Err(Trouble::BadInput(why) | Trouble::CouldNotRun(why)) => {
+                    Err(CommandError::BadInput(why) | CommandError::CouldNotRun(why)) => {
                         warn!(target: "settle", "not reloaded, all stays as it was: {why}");
                     }
                 }
@@ -319,7 +321,9 @@
                 let (plan, extra) = adjusted(&budgets.plan, changes);
                 allocator.replan(plan, extra);
             }
-            Err(Trouble::BadInput(why) | Trouble::CouldNotRun(why)) => warn!(target: "settle", "{why}"),
+            Err(CommandError::BadInput(why) | CommandError::CouldNotRun(why)) => {
+                warn!(target: "settle", "{why}")
+            }
         }
         one_round(&mut allocator, &mut sums, &journal)?;
     }
@@ -328,10 +332,10 @@
 
 /// One round: read, decide, let it stand, deliver. Should another job be first under the number, its round is
 /// learnt and the next one tried at the next epoch.
-fn one_round(allocator: &mut LeaseAllocator, sums: &mut Sums, journal: &Journal) -> Result<(), Trouble> {
+fn one_round(allocator: &mut LeaseAllocator, sums: &mut Sums, journal: &Journal) -> Result<(), CommandError> {
     catch_up(allocator, journal)?;
     sums.read(allocator);
-    let round = allocator.next_round(now()).map_err(|fork| Trouble::CouldNotRun(fork.to_string()))?;
+    let round = allocator.next_round(now()).map_err(|fork| CommandError::CouldNotRun(fork.to_string()))?;
     match journal.stand(&round) {
         Ok(true) => {
             allocator.apply_round(&round);
