--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -65,7 +65,7 @@
         for seed in plan.seed..plan.seed + arguments.seeds.unwrap_or(1) {
             let scenario = case(&name, seed, routers, seconds).map_err(Trouble::BadInput)?;
             // Processes take the machine's clock.
-            if !arguments.fed && scenario.clocks > 0 {
+            if !arguments.fed && scenario.clock_skew > 0 {
                 if arguments.case.is_some() {
                     return Err(Trouble::BadInput(format!(
                         "case `{name}`: clocks are apart in --fed time alone"
--- a/crates/fleet/src/cases.rs
+++ b/crates/fleet/src/cases.rs
@@ -1,4 +1,4 @@
-//! Days on which many routers can do harm together, each alone or several at once, and what their sums may be.
+//! Scenarios on which many routers can do harm together, each alone or several at once, and what their sums may be.
 
 use chalkyard_rehearsal::scenario::{base, EngineSpec, Fault, Kind, LinkScope, LinkSelector, Scenario};
 use rand::seq::SliceRandom;
@@ -10,13 +10,13 @@
 const S: u64 = 1_000_000;
 /// Engines are so many times those of the kit's small fleet.
 const FLEETS: usize = 3;
-/// First tries a second: half of what the engines carry (see `docs/fleet-model.md`).
+/// First attempts a second: half of what the engines carry (see `docs/fleet-model.md`).
 const RATE: f64 = 75.0;
 /// Goodput is back so long after the last fault at the latest: what is told of a cold engine's warmth, and a deadline.
 const RECOVERY_S: f64 = 12.0;
 /// The day goes on for so much longer, s.
 const AFTER: u64 = 4;
-/// With fewer first tries a second goodput of a few seconds says nothing.
+/// With fewer first attempts a second goodput of a few seconds says nothing.
 const RATE_LEAST: f64 = 10.0;
 /// Attempts beyond the first may be this share of first ones in any five seconds.
 const REPEATS_SHARE: f64 = 1.0;
@@ -84,7 +84,7 @@
         .collect();
     scenario.routers = routers;
     scenario.rate = RATE;
-    scenario.apart = true;
+    scenario.separate_addresses = true;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for part in name.split('+') {
         add(part, &mut scenario, &mut rng)?;
@@ -117,7 +117,7 @@
     match name {
         "calm" => {}
         "burst" => {
-            scenario.naive = 0.5;
+            scenario.impatient = 0.5;
             scenario.faults.push(fault(Kind::Burst, from, 8 * S, Vec::new(), 2.0));
         }
         "silent" => {
@@ -150,16 +150,16 @@
             scenario.faults.push(fault(Kind::Burst, from, 6 * S, Vec::new(), 1.5));
         }
         "clocks" => {
-            scenario.clocks = 2 * S;
+            scenario.clock_skew = 2 * S;
             replaced(scenario, from);
         }
         "cold" => scenario.faults.push(fault(Kind::Crash, from, S, (0..engines).collect(), 0.0)),
         "many" => {
-            scenario.told_routers = Some(routers as u32 * 10);
+            scenario.configured_routers = Some(routers as u32 * 10);
             replaced(scenario, from);
         }
         "few" => {
-            scenario.told_routers = Some((routers as u32 / 10).max(1));
+            scenario.configured_routers = Some((routers as u32 / 10).max(1));
             replaced(scenario, from);
         }
         "thin" => {
@@ -184,7 +184,7 @@
     mean + 3.0 * mean.sqrt() + 3.0
 }
 
-/// What the sums of a day may be, with what they are. None depends on a run: they follow from the day and the settings.
+/// What the sums of a scenario may be, with what they are. None depends on a run: they follow from the scenario and the settings.
 pub fn bounds(scenario: &Scenario, sums: &Sums) -> Vec<Bound> {
     let (routers, engines) = (scenario.routers as f64, scenario.engines.len() as f64);
     let bursts = scenario.faults.iter().filter(|f| f.kind == Kind::Burst).map(|f| f.size);
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -1,4 +1,4 @@
-//! Plays a day in fed time.
+//! Plays a scenario in fed time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::memory::{Due, Heard, Memory};
+use crate::memory::{CoreEvent, Due, Memory};
 
-/// The day's beginning, µs since 1970: any time will do, as long as it is always the same.
+/// The scenario's beginning, µs since 1970: any time will do, as long as it is always the same.
 const UNIX: u64 = 1_700_000_000_000_000;
 /// A router that was killed is back after this, and the next one this much later.
 const BACK: u64 = 300_000;
 /// Things done at one moment; more, and something goes round in a circle.
 const AT_ONCE: u32 = 1_000_000;
 
-/// What came of a day.
+/// What came of a scenario.
 #[derive(Debug)]
 pub struct Emulated {
     /// What engines, register and clients saw.
@@ -37,7 +37,7 @@
 
 struct Router {
     core: Option<Box<Core>>,
-    life: u64,
+    incarnation: u64,
     /// How far its clock is ahead.
     ahead: u64,
     due: Option<u64>,
@@ -47,7 +47,7 @@
     topology: Topology<'a, Memory>,
     routers: Vec<Router>,
     names: Vec<(String, SocketAddr)>,
-    registers: Vec<SocketAddr>,
+    discovery: Vec<SocketAddr>,
     /// When cores want to be woken.
     due: BTreeSet<(u64, usize)>,
     returns: Vec<(u64, usize)>,
@@ -75,7 +75,7 @@
     Config {
         name: name.into(),
         policy: p::Settings {
-            routers: scenario.told_routers.unwrap_or(scenario.routers as u32),
+            routers: scenario.configured_routers.unwrap_or(scenario.routers as u32),
             classes: classes.collect(),
             tenants: Vec::new(),
             discovery: p::Discovery::Push,
@@ -118,23 +118,23 @@
     }
 }
 
-/// Plays a day. The same day gives the same record.
+/// Plays a scenario. The same scenario gives the same record.
 pub fn emulate(scenario: &Scenario) -> Result<Emulated, Error> {
-    let (topology, (names, registers)) = Topology::new(scenario, Memory::new(), UNIX, |net, registers| {
+    let (topology, (names, discovery)) = Topology::new(scenario, Memory::new(), UNIX, |net, discovery| {
         let names: Vec<(String, SocketAddr)> =
             (1..=scenario.routers).map(|i| (format!("r{i}"), net.add_router())).collect();
-        Ok((names.clone(), (names, registers.to_vec())))
+        Ok((names.clone(), (names, discovery.to_vec())))
     })?;
     let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ 0xc10c);
     let routers = names.iter().map(|_| {
-        let ahead = if scenario.clocks == 0 { 0 } else { rng.random_range(0..=scenario.clocks) };
-        Router { core: None, life: 0, ahead, due: None }
+        let ahead = if scenario.clock_skew == 0 { 0 } else { rng.random_range(0..=scenario.clock_skew) };
+        Router { core: None, incarnation: 0, ahead, due: None }
     });
     let mut play = Play {
         routers: routers.collect(),
         topology,
         names,
-        registers,
+        discovery,
         due: BTreeSet::new(),
         returns: Vec::new(),
         outputs: Vec::new(),
@@ -171,7 +171,7 @@
             at = at.max(next);
             self.topology.advance_to(at);
             self.network();
-            self.strike();
+            self.apply_due_faults();
             if self.topology.tick() {
                 return Ok(());
             }
@@ -185,14 +185,14 @@
     fn network(&mut self) {
         while let Some(due) = self.topology.net.inner.pop() {
             match due {
-                Due::World(happened) => self.topology.receive(vec![happened]),
-                Due::Core(i, conn, heard) => match heard {
-                    Heard::Accepted => self.feed(i, Input::Accepted(conn)),
-                    Heard::Connected => self.feed(i, Input::Connected(conn)),
-                    Heard::Lost => self.feed(i, Input::Lost(conn)),
-                    Heard::Bytes(bytes) => self.feed(i, Input::Bytes(conn, &bytes)),
-                    Heard::Eof => self.feed(i, Input::Eof(conn)),
-                    Heard::Wrote(bytes) => self.feed(i, Input::Wrote(conn, bytes)),
+                Due::Fake(happened) => self.topology.receive(vec![happened]),
+                Due::Core(i, conn, event) => match event {
+                    CoreEvent::Accepted => self.feed(i, Input::Accepted(conn)),
+                    CoreEvent::Connected => self.feed(i, Input::Connected(conn)),
+                    CoreEvent::Lost => self.feed(i, Input::Lost(conn)),
+                    CoreEvent::Bytes(bytes) => self.feed(i, Input::Bytes(conn, &bytes)),
+                    CoreEvent::Eof => self.feed(i, Input::Eof(conn)),
+                    CoreEvent::Wrote(bytes) => self.feed(i, Input::Wrote(conn, bytes)),
                 },
             }
         }
@@ -206,11 +206,11 @@
     fn start(&mut self, i: usize) {
         let now = self.clock(i);
         let Some((name, _)) = self.names.get(i) else { return };
-        let register = self.registers.get(i).or(self.registers.first());
+        let register = self.discovery.get(i).or(self.discovery.first());
         let (Some(register), Some(router)) = (register, self.routers.get_mut(i)) else { return };
-        router.life += 1;
+        router.incarnation += 1;
         let scenario = self.topology.scenario;
-        let seed = scenario.seed.wrapping_mul(1_000).wrapping_add(i as u64 * 64 + router.life);
+        let seed = scenario.seed.wrapping_mul(1_000).wrapping_add(i as u64 * 64 + router.incarnation);
         let mut core = Box::new(Core::new(config(scenario, name, *register), seed, now));
         core.count_seconds();
         core.start(now, None, &mut self.outputs);
@@ -268,7 +268,7 @@
         }
     }
 
-    fn strike(&mut self) {
+    fn apply_due_faults(&mut self) {
         while let Some((fault, begins)) = self.topology.next_fault() {
             self.topology.apply_fault(fault, begins);
             if let Fault { kind: Kind::BalancerRoll, on, len, .. } = fault {
--- a/crates/fleet/src/memory/mod.rs
+++ b/crates/fleet/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! A network in memory between stand-ins and cores, in fed time: connections with a latency of their own, bytes in order.
+//! A network in memory between fakes and cores, in fed time: connections with a latency of their own, bytes in order.
 //!
 //! It behaves as loopback does to the shell: bytes given to it are taken at once, up to a bound where the peer reads
 //! nothing; a closed side is heard one latency later, after what was written before; writing to a side that has closed
@@ -22,7 +22,7 @@
 
 /// What a core hears of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
+pub enum CoreEvent {
     /// A client has connected.
     Accepted,
     /// A connection that it asked for stands.
@@ -40,49 +40,49 @@
 /// What is due on the network.
 #[derive(Debug)]
 pub enum Due {
-    /// A stand-in hears of it.
-    World(NetworkEvent),
+    /// A fake hears of it.
+    Fake(NetworkEvent),
     /// The router's core hears of it.
-    Core(usize, ConnId, Heard),
+    Core(usize, ConnId, CoreEvent),
 }
 
 #[derive(Debug)]
-enum Coming {
-    World(NetworkEvent),
-    Core(ConnectionId, Heard),
+enum Pending {
+    Fake(NetworkEvent),
+    Core(ConnectionId, CoreEvent),
     /// A core's connection reaches this address.
     Arrives(ConnectionId, SocketAddr),
-    /// A stand-in's connection reaches this router.
+    /// A fake's connection reaches this router.
     Reaches(ConnectionId, usize),
 }
 
 #[derive(Debug)]
 struct Pipe {
     router: usize,
-    life: u32,
+    incarnation: u32,
     id: ConnId,
     /// It stands: bytes may go.
     up: bool,
     /// The sides that are open.
-    world: bool,
+    fake_open: bool,
     core: bool,
     /// The core does not read now; what came meanwhile.
     paused: bool,
-    held: VecDeque<Heard>,
+    deferred: VecDeque<CoreEvent>,
     /// What the core has written before it stood.
     waiting: Vec<u8>,
-    /// The stand-in reads nothing; bytes that were taken all the same.
-    deaf: bool,
+    /// The fake reads nothing; bytes that were taken all the same.
+    ignores_input: bool,
     unread: usize,
     latency: u64,
     /// Nothing may overtake what was sent before.
-    to_world: u64,
-    to_core: u64,
+    last_to_fake: u64,
+    last_to_core: u64,
 }
 
 #[derive(Debug, Default)]
 struct Place {
-    life: u32,
+    incarnation: u32,
     alive: bool,
     next_client: u64,
 }
@@ -92,7 +92,7 @@
 pub struct Memory {
     now: u64,
     order: u64,
-    due: BTreeMap<(u64, u64), Coming>,
+    due: BTreeMap<(u64, u64), Pending>,
     listeners: BTreeMap<SocketAddr, ListenerId>,
     addresses: BTreeMap<ListenerId, SocketAddr>,
     routers: BTreeMap<SocketAddr, usize>,
@@ -117,14 +117,14 @@
     pub fn add_router(&mut self) -> SocketAddr {
         let address = loopback(self.port());
         self.routers.insert(address, self.places.len());
-        self.places.push(Place { life: 0, alive: false, next_client: 2 });
+        self.places.push(Place { incarnation: 0, alive: false, next_client: 2 });
         address
     }
 
     /// A router's process starts.
     pub fn start(&mut self, router: usize) {
         if let Some(place) = self.places.get_mut(router) {
-            place.life += 1;
+            place.incarnation += 1;
             place.alive = true;
         }
     }
@@ -152,10 +152,10 @@
         while self.next_due() <= self.now {
             let (_, coming) = self.due.pop_first()?;
             let due = match coming {
-                Coming::World(h) => self.at_world(h),
-                Coming::Core(conn, heard) => self.at_core(conn, heard),
-                Coming::Arrives(conn, address) => self.arrives(conn, address),
-                Coming::Reaches(conn, router) => self.reaches(conn, router),
+                Pending::Fake(h) => self.deliver_to_fake(h),
+                Pending::Core(conn, event) => self.deliver_to_core(conn, event),
+                Pending::Arrives(conn, address) => self.arrives(conn, address),
+                Pending::Reaches(conn, router) => self.reaches(conn, router),
             };
             if due.is_some() {
                 return due;
@@ -174,7 +174,7 @@
         self.next
     }
 
-    fn later(&mut self, at: u64, what: Coming) {
+    fn later(&mut self, at: u64, what: Pending) {
         self.order += 1;
         self.due.insert((at, self.order), what);
     }
@@ -185,22 +185,22 @@
 
     fn pipe(&mut self, router: usize, id: ConnId) -> ConnectionId {
         let conn = self.number();
-        let life = self.places.get(router).map_or(0, |p| p.life);
+        let incarnation = self.places.get(router).map_or(0, |p| p.incarnation);
         let pipe = Pipe {
             router,
-            life,
+            incarnation,
             id,
             up: false,
-            world: true,
+            fake_open: true,
             core: true,
             paused: false,
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
             waiting: Vec::new(),
-            deaf: false,
+            ignores_input: false,
             unread: 0,
             latency: Self::latency(conn),
-            to_world: 0,
-            to_core: 0,
+            last_to_fake: 0,
+            last_to_core: 0,
         };
         self.pipes.insert(conn, pipe);
         self.by_core.insert((router, id), conn);
@@ -217,23 +217,23 @@
     }
 
     /// Sent to the core's side, after all that was sent before.
-    fn send_core(&mut self, conn: ConnectionId, heard: Heard) {
+    fn send_to_core(&mut self, conn: ConnectionId, event: CoreEvent) {
         let now = self.now;
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        pipe.to_core = pipe.to_core.max(now + pipe.latency);
-        let at = pipe.to_core;
-        self.later(at, Coming::Core(conn, heard));
+        pipe.last_to_core = pipe.last_to_core.max(now + pipe.latency);
+        let at = pipe.last_to_core;
+        self.later(at, Pending::Core(conn, event));
     }
 
-    fn send_world(&mut self, conn: ConnectionId, happened: NetworkEvent) {
+    fn send_to_fake(&mut self, conn: ConnectionId, happened: NetworkEvent) {
         let now = self.now;
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        pipe.to_world = pipe.to_world.max(now + pipe.latency);
-        let at = pipe.to_world;
-        self.later(at, Coming::World(happened));
+        pipe.last_to_fake = pipe.last_to_fake.max(now + pipe.latency);
+        let at = pipe.last_to_fake;
+        self.later(at, Pending::Fake(happened));
     }
 
-    fn at_world(&mut self, happened: NetworkEvent) -> Option<Due> {
+    fn deliver_to_fake(&mut self, happened: NetworkEvent) -> Option<Due> {
         let conn = match &happened {
             NetworkEvent::Accepted(_, conn)
             | NetworkEvent::Connected(conn)
@@ -241,53 +241,53 @@
             | NetworkEvent::Closed(conn) => *conn,
         };
         let pipe = self.pipes.get_mut(&conn)?;
-        if !pipe.world {
+        if !pipe.fake_open {
             // Nobody reads any more: the writer's side is reset.
             if matches!(happened, NetworkEvent::Received(..)) && pipe.core {
-                self.send_core(conn, Heard::Lost);
+                self.send_to_core(conn, CoreEvent::Lost);
             } else if !pipe.core {
                 self.forget(conn);
             }
             return None;
         }
         if matches!(happened, NetworkEvent::Closed(_)) {
-            pipe.world = false;
+            pipe.fake_open = false;
             if !pipe.core {
                 self.forget(conn);
             }
-        } else if pipe.deaf && matches!(happened, NetworkEvent::Received(..)) {
+        } else if pipe.ignores_input && matches!(happened, NetworkEvent::Received(..)) {
             return None;
         }
-        Some(Due::World(happened))
+        Some(Due::Fake(happened))
     }
 
-    fn at_core(&mut self, conn: ConnectionId, heard: Heard) -> Option<Due> {
+    fn deliver_to_core(&mut self, conn: ConnectionId, event: CoreEvent) -> Option<Due> {
         let pipe = self.pipes.get_mut(&conn).filter(|p| p.core)?;
-        if pipe.paused && matches!(heard, Heard::Bytes(_) | Heard::Eof) {
-            pipe.held.push_back(heard);
+        if pipe.paused && matches!(event, CoreEvent::Bytes(_) | CoreEvent::Eof) {
+            pipe.deferred.push_back(event);
             return None;
         }
         let (router, id) = (pipe.router, pipe.id);
-        match heard {
-            Heard::Connected => {
+        match event {
+            CoreEvent::Connected => {
                 pipe.up = true;
                 let waiting = std::mem::take(&mut pipe.waiting);
                 if !waiting.is_empty() {
                     self.write(conn, waiting);
                 }
             }
-            Heard::Lost => {
+            CoreEvent::Lost => {
                 pipe.core = false;
-                let world = pipe.world;
-                if world {
-                    self.send_world(conn, NetworkEvent::Closed(conn));
+                let fake_open = pipe.fake_open;
+                if fake_open {
+                    self.send_to_fake(conn, NetworkEvent::Closed(conn));
                 } else {
                     self.forget(conn);
                 }
             }
             _ => {}
         }
-        Some(Due::Core(router, id, heard))
+        Some(Due::Core(router, id, event))
     }
 
     fn arrives(&mut self, conn: ConnectionId, address: SocketAddr) -> Option<Due> {
@@ -295,13 +295,13 @@
         let core = self.pipes.get(&conn).is_some_and(|p| p.core);
         match listener {
             // Where nobody listens any more, or nobody waits for it.
-            None => self.send_core(conn, Heard::Lost),
+            None => self.send_to_core(conn, CoreEvent::Lost),
             Some(listener) => {
-                self.send_core(conn, Heard::Connected);
+                self.send_to_core(conn, CoreEvent::Connected);
                 if !core {
-                    self.send_world(conn, NetworkEvent::Closed(conn));
+                    self.send_to_fake(conn, NetworkEvent::Closed(conn));
                 }
-                return Some(Due::World(NetworkEvent::Accepted(listener, conn)));
+                return Some(Due::Fake(NetworkEvent::Accepted(listener, conn)));
             }
         }
         None
@@ -310,24 +310,24 @@
     fn reaches(&mut self, conn: ConnectionId, router: usize) -> Option<Due> {
         let place = self.places.get(router)?;
         let pipe = self.pipes.get(&conn)?;
-        if !place.alive || place.life != pipe.life {
-            self.send_world(conn, NetworkEvent::Closed(conn));
+        if !place.alive || place.incarnation != pipe.incarnation {
+            self.send_to_fake(conn, NetworkEvent::Closed(conn));
             let pipe = self.pipes.get_mut(&conn)?;
             pipe.core = false;
             return None;
         }
         let id = pipe.id;
-        self.send_world(conn, NetworkEvent::Connected(conn));
+        self.send_to_fake(conn, NetworkEvent::Connected(conn));
         self.pipes.get_mut(&conn)?.up = true;
-        Some(Due::Core(router, id, Heard::Accepted))
+        Some(Due::Core(router, id, CoreEvent::Accepted))
     }
 
     fn core_closes(&mut self, conn: ConnectionId) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.core = false;
-        pipe.held.clear();
-        if pipe.world {
-            self.send_world(conn, NetworkEvent::Closed(conn));
+        pipe.deferred.clear();
+        if pipe.fake_open {
+            self.send_to_fake(conn, NetworkEvent::Closed(conn));
         } else {
             self.forget(conn);
         }
@@ -339,15 +339,15 @@
             return pipe.waiting.extend(bytes);
         }
         let mut taken = bytes.len();
-        if pipe.deaf {
+        if pipe.ignores_input {
             taken = taken.min(DEAF_BYTES.saturating_sub(pipe.unread));
             pipe.unread += taken;
         }
         if taken > 0 {
             let now = self.now;
-            self.later(now, Coming::Core(conn, Heard::Wrote(taken)));
+            self.later(now, Pending::Core(conn, CoreEvent::Wrote(taken)));
         }
-        self.send_world(conn, NetworkEvent::Received(conn, bytes));
+        self.send_to_fake(conn, NetworkEvent::Received(conn, bytes));
     }
 
     /// Carries out what a core wants done on the network. What is no matter of the network comes back.
@@ -357,7 +357,7 @@
             Output::Connect(id, address) => {
                 let conn = self.pipe(router, id);
                 let at = self.now + Self::latency(conn);
-                self.later(at, Coming::Arrives(conn, address));
+                self.later(at, Pending::Arrives(conn, address));
             }
             Output::Write(id, bytes) => {
                 if let Some(conn) = find(self, id) {
@@ -379,9 +379,9 @@
                 if let Some(conn) = find(self, id) {
                     let pipe = self.pipes.get_mut(&conn)?;
                     pipe.paused = false;
-                    for heard in std::mem::take(&mut pipe.held) {
+                    for event in std::mem::take(&mut pipe.deferred) {
                         self.order += 1;
-                        self.due.insert((self.now, self.order), Coming::Core(conn, heard));
+                        self.due.insert((self.now, self.order), Pending::Core(conn, event));
                     }
                 }
             }
--- a/crates/fleet/src/memory/net.rs
+++ b/crates/fleet/src/memory/net.rs
@@ -1,4 +1,4 @@
-//! The side of the stand-ins: they listen, connect, send and cut as on sockets.
+//! The side of the fakes: they listen, connect, send and cut as on sockets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use chalkyard_rehearsal::network::{ConnectionId, Link, ListenerId, Network};
 use chalkyard_router::ConnId;
 
-use super::{loopback, Coming, Heard, Memory};
+use super::{loopback, CoreEvent, Memory, Pending};
 
 impl Network for Memory {
     fn set_time(&mut self, now: u64) {
@@ -37,30 +37,30 @@
         place.next_client += 2;
         let conn = self.pipe(router, id);
         let at = self.now + Self::latency(conn);
-        self.later(at, Coming::Reaches(conn, router));
+        self.later(at, Pending::Reaches(conn, router));
         if let Some(pipe) = self.pipes.get_mut(&conn) {
-            pipe.to_core = at;
+            pipe.last_to_core = at;
         }
         Ok(conn)
     }
 
     fn send(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        if self.pipes.get(&conn).is_some_and(|p| p.world) {
-            self.send_core(conn, Heard::Bytes(bytes.to_vec()));
+        if self.pipes.get(&conn).is_some_and(|p| p.fake_open) {
+            self.send_to_core(conn, CoreEvent::Bytes(bytes.to_vec()));
         }
     }
 
     fn stop_reading(&mut self, conn: ConnectionId) {
         if let Some(pipe) = self.pipes.get_mut(&conn) {
-            pipe.deaf = true;
+            pipe.ignores_input = true;
         }
     }
 
     fn close(&mut self, conn: ConnectionId) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        pipe.world = false;
+        pipe.fake_open = false;
         if pipe.core {
-            self.send_core(conn, Heard::Eof);
+            self.send_to_core(conn, CoreEvent::Eof);
         } else {
             self.forget(conn);
         }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -10,7 +10,7 @@
 use crate::cases::bounds;
 use crate::sums::{sums, Bound, Sums};
 
-/// A day as one build played it.
+/// A scenario as one build played it.
 #[derive(Debug, Clone, Serialize)]
 pub struct Played {
     /// The five rules.
@@ -25,7 +25,7 @@
 }
 
 impl Played {
-    /// Judges a record of the day.
+    /// Judges a record of the scenario.
     pub fn judge(scenario: &Scenario, lines: &[Line]) -> Self {
         let report = judge(lines);
         Self {
--- a/crates/fleet/src/shrink.rs
+++ b/crates/fleet/src/shrink.rs
@@ -2,11 +2,11 @@
 
 use chalkyard_rehearsal::scenario::Scenario;
 
-/// Takes faults away, one after the other and then again, as long as the day still fails; gives the day with the fewest
-/// that were found, and how many days were tried. Taking any one more away would have it pass.
+/// Takes faults away, one after the other and then again, as long as the scenario still fails; gives the scenario with the fewest
+/// that were found, and how many scenarios were tried. Taking any one more away would have it pass.
 pub fn shrink(scenario: &Scenario, mut fails: impl FnMut(&Scenario) -> bool) -> (Scenario, u32) {
     let (mut least, mut tried) = (scenario.clone(), 0);
-    // Large parts first, so that a day of many faults takes few tries.
+    // Large parts first, so that a scenario of many faults takes few attempts.
     let mut part = least.faults.len().div_ceil(2);
     while part > 0 {
         let mut at = 0;
--- a/crates/fleet/src/sums.rs
+++ b/crates/fleet/src/sums.rs
@@ -10,7 +10,7 @@
 /// Goodput counts as back at this share of what it was, over this many seconds.
 const BACK_SHARE: f64 = 0.95;
 const BACK_S: usize = 3;
-/// The day's beginning is not judged: routers know nothing yet.
+/// The scenario's beginning is not judged: routers know nothing yet.
 const WARM_UP_S: usize = 3;
 /// Shares are taken over spans of so many seconds in which so many first attempts fell.
 const SPAN_S: usize = 5;
@@ -33,7 +33,7 @@
     pub most: f64,
 }
 
-/// Sums over all routers of a day.
+/// Sums over all routers of a scenario.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Sums {
     /// Worth answered in time over worth asked, the whole day.
@@ -58,7 +58,7 @@
     /// Standard deviation over routers of the share they refused, while any was; less what counts of that size
     /// scatter by themselves. Of those whose links failed and of the others, the larger.
     pub shed_spread: f64,
-    /// Refused tries over all.
+    /// Refused attempts over all.
     pub refused_share: f64,
 }
 
@@ -113,7 +113,7 @@
     out
 }
 
-/// Measures a record of this day.
+/// Measures a record of this scenario.
 pub fn sums(scenario: &Scenario, lines: &[Line]) -> Sums {
     let seconds = by_second(lines);
     let second = |t: u64| (t / 1_000_000) as usize;
@@ -126,7 +126,7 @@
         goodput_during: goodput(part(second(first), second(last))),
         ..Sums::default()
     };
-    // The last seconds of the day may hold too little to be judged.
+    // The last seconds of the scenario may hold too little to be judged.
     let end = second(scenario.length).min(seconds.len());
     let back = |at: &usize| goodput(part(*at, at + BACK_S)) >= BACK_SHARE * out.goodput_before;
     let at = (second(last)..(end + 1).saturating_sub(BACK_S)).find(back);
--- a/crates/fleet/tests/forms.rs
+++ b/crates/fleet/tests/forms.rs
@@ -82,10 +82,10 @@
         scenario.routers,
         scenario.engines.len(),
         scenario.rate,
-        scenario.naive,
+        scenario.impatient,
         scenario.favourite,
-        scenario.told_routers,
-        scenario.clocks
+        scenario.configured_routers,
+        scenario.clock_skew
     );
     for f in &scenario.faults {
         let links = f.links.as_ref().map(|l| (serde_json::to_string(&l.of).unwrap(), &l.routers));
--- a/crates/rehearsal/src/budgets.rs
+++ b/crates/rehearsal/src/budgets.rs
@@ -19,7 +19,7 @@
 pub struct TenantFigures {
     /// Its name.
     pub tenant: String,
-    /// The day's budget; none: no limit.
+    /// The budget of the day; none: no limit.
     pub budget: Option<u64>,
     /// Of answers that clients got, as engines counted them.
     pub used: u64,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Plays the day three times: with leases, with equal shares, and without reservations.
+/// Plays the scenario three times: with leases, with equal shares, and without reservations.
 pub fn rehearse(plan: &Plan) -> Result<BudgetReport, Error> {
     let seconds = plan.seconds.unwrap_or(30);
     let play = |sharing| {
@@ -234,7 +234,7 @@
 }
 
 /// A try, as its client saw it.
-struct Try<'a> {
+struct ClientAttempt<'a> {
     tenant: &'a str,
     router: &'a str,
     identity: &'a str,
@@ -253,20 +253,29 @@
     answered: bool,
 }
 
-fn tries(lines: &[Line]) -> BTreeMap<u64, Try<'_>> {
-    let mut tries: BTreeMap<u64, Try<'_>> = BTreeMap::new();
+fn client_attempts(lines: &[Line]) -> BTreeMap<u64, ClientAttempt<'_>> {
+    let mut client_attempts: BTreeMap<u64, ClientAttempt<'_>> = BTreeMap::new();
     for line in lines {
         match &line.event {
             Event::Request { number, identity, router, tenant, .. } => {
                 let (asked, ended) = (line.t, u64::MAX);
-                let t = Try { tenant, router, identity, asked, first: false, ended, how: None, left: false };
-                tries.insert(*number, t);
+                let t = ClientAttempt {
+                    tenant,
+                    router,
+                    identity,
+                    asked,
+                    first: false,
+                    ended,
+                    how: None,
+                    left: false,
+                };
+                client_attempts.insert(*number, t);
             }
             Event::FirstToken { number }
             | Event::Answer { number, .. }
             | Event::ClientLeft { number }
             | Event::ConnectionLost { number, .. } => {
-                let Some(t) = tries.get_mut(number) else { continue };
+                let Some(t) = client_attempts.get_mut(number) else { continue };
                 match &line.event {
                     Event::FirstToken { .. } => t.first = true,
                     Event::Answer { how, .. } => (t.how, t.ended) = (Some(*how), line.t),
@@ -277,7 +286,7 @@
             _ => {}
         }
     }
-    tries
+    client_attempts
 }
 
 /// What tenants used, from the answers that clients got and the engines' counts of them.
@@ -307,14 +316,16 @@
             _ => {}
         }
     }
-    let tries = tries(lines);
+    let client_attempts = client_attempts(lines);
     let specs = scenario.budgets.iter().flat_map(|b| &b.tenants);
     let margin = scenario.budgets.as_ref().map_or(0, |b| b.margin);
     // What an engine may count beyond the reservation: its share over four bytes a token, less the margin.
-    let excess = longest * scenario.counts_more.saturating_sub(margin) / (1_000 + scenario.counts_more) + 2;
+    let excess = longest * scenario.extra_token_permille.saturating_sub(margin)
+        / (1_000 + scenario.extra_token_permille)
+        + 2;
     let tenants: Vec<TenantFigures> = specs
         .map(|spec| {
-            let own = || tries.values().filter(|t| t.tenant == spec.name);
+            let own = || client_attempts.values().filter(|t| t.tenant == spec.name);
             let used = own().filter(|t| t.how == Some(Answer::Served) || (t.left && t.first)).map(|t| {
                 let attempts = writes.get(&(t.router, t.identity)).into_iter().flatten();
                 let done = attempts
@@ -345,9 +356,9 @@
 }
 
 /// The highest number in flight at each router, added up.
-fn peaks<'a>(tries: impl Iterator<Item = &'a Try<'a>>) -> u64 {
+fn peaks<'a>(client_attempts: impl Iterator<Item = &'a ClientAttempt<'a>>) -> u64 {
     let mut moments: BTreeMap<&str, Vec<(u64, i64)>> = BTreeMap::new();
-    for t in tries {
+    for t in client_attempts {
         let of_router = moments.entry(t.router).or_default();
         of_router.push((t.asked, 1));
         of_router.push((t.ended, -1));
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,7 +1,7 @@
-//! The rehearsal kit: stand-in engines, a register and clients on loopback, scripted faults, and the
+//! The rehearsal kit: fake workers, discovery and clients on loopback, scripted faults, and the
 //! audit of the traffic that crossed their sockets.
 //!
-//! Routers under rehearsal are processes of their own; nothing here knows their insides. The stand-ins
+//! Routers under rehearsal are processes of their own; nothing here knows their internals. The fakes
 //! are models for rehearsing failures, not measurements of real engines.
 
 mod audit;
@@ -45,11 +45,11 @@
 pub struct Plan {
     /// The program that runs routers.
     pub exe: PathBuf,
-    /// Seed of the day.
+    /// Seed of the scenario.
     pub seed: u64,
     /// Where the recorded traffic is written.
     pub record: Option<PathBuf>,
-    /// Length in seconds; the day's own if not given.
+    /// Length in seconds; the scenario's own if not given.
     pub seconds: Option<u64>,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Plays a day by its name, or by the path of a day file that the bench printed.
+/// Plays a scenario by its name, or by the path of a scenario file that the bench printed.
 pub fn rehearse(scenario: &str, plan: &Plan) -> Result<Report, Error> {
     let scenario = scenario::load(scenario, plan.seed, plan.seconds).map_err(Error::BadInput)?;
     let lines = runner::play(&scenario, plan)?;
--- a/crates/rehearsal/src/network.rs
+++ b/crates/rehearsal/src/network.rs
@@ -34,7 +34,7 @@
     Clients,
     /// The engine at this index of the scenario.
     Engine(usize),
-    /// The register.
+    /// Discovery.
     Discovery,
 }
 
--- a/crates/rehearsal/src/restart_scenario.rs
+++ b/crates/rehearsal/src/restart_scenario.rs
@@ -16,7 +16,7 @@
     pub restarts: u64,
     /// Of the traffic.
     pub goodput: f64,
-    /// Tries that found no router though it was up.
+    /// Clients' attempts that found no router though it was up.
     pub unreached: u64,
     /// Connections lost that no kill excuses.
     pub broken: u64,
@@ -122,7 +122,7 @@
     lines.iter().filter(|line| begins(&line.event)).count() as u64
 }
 
-/// Tries that found no router though the kit had not killed it.
+/// Clients' attempts that found no router though the kit had not killed it.
 fn unreached(lines: &[Line]) -> u64 {
     let mut down: Vec<&str> = Vec::new();
     let mut count = 0;
--- a/crates/rehearsal/src/router_settings.rs
+++ b/crates/rehearsal/src/router_settings.rs
@@ -64,7 +64,7 @@
     <kind name="mixed" role="mixed" kv-tokens="160000"/>
   </kinds>
 "#,
-        scenario.told_routers.map_or(scenario.routers, |n| n as usize),
+        scenario.configured_routers.map_or(scenario.routers, |n| n as usize),
         folder.display(),
         limits.release_us,
         limits.fall_multiple,
--- a/crates/rehearsal/src/router_settings_test.rs
+++ b/crates/rehearsal/src/router_settings_test.rs
@@ -20,7 +20,7 @@
 fn routers_are_given_the_same_settings_as_ever() {
     let mut scenario = base("calm-day", 1, 20_000_000);
     assert_eq!(written(&scenario), include_str!("../tests/data/settings_small.xml"));
-    scenario.told_routers = Some(30);
+    scenario.configured_routers = Some(30);
     assert!(written(&scenario).contains("routers=\"30\""));
     let shared =
         [(Sharing::Leases, "leases"), (Sharing::Equal, "equal"), (Sharing::Unreserved, "unreserved")];
--- a/crates/rehearsal/src/runner.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a day on sockets: one loop for all stand-ins, routers beside it as processes.
+//! Plays a scenario on sockets: one loop for all fakes, routers beside it as processes.
 
 use std::net::TcpStream;
 use std::path::Path;
@@ -21,20 +21,20 @@
     returns: Vec<(u64, usize)>,
 }
 
-/// Plays the day and gives all that crossed the sockets.
+/// Plays the scenario and gives all that crossed the sockets.
 pub fn play(scenario: &Scenario, plan: &Plan) -> Result<Vec<Line>, Error> {
     play_and(scenario, plan, |_, _| Ok(())).map(|(lines, ())| lines)
 }
 
-/// Plays the day, and looks at what the routers left behind before it goes.
+/// Plays the scenario, and looks at what the routers left behind before it goes.
 pub fn play_and<T>(
     scenario: &Scenario,
     plan: &Plan,
     look: impl FnOnce(&Path, &[Line]) -> Result<T, Error>,
 ) -> Result<(Vec<Line>, T), Error> {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-    let (topology, routers) = Topology::new(scenario, Sockets::new()?, unix, |_, register| {
-        let routers = Routers::new(scenario, plan.exe.clone(), register)?;
+    let (topology, routers) = Topology::new(scenario, Sockets::new()?, unix, |_, discovery| {
+        let routers = Routers::new(scenario, plan.exe.clone(), discovery)?;
         Ok((routers.names.clone(), routers))
     })?;
     let mut runner = Runner { topology, routers, returns: Vec::new() };
@@ -54,43 +54,43 @@
         if scenario.budgets.as_ref().is_some_and(|b| b.sharing == Sharing::Leases) {
             self.routers.start_settlement()?;
         }
-        self.wait_ready()?;
+        self.await_ready()?;
         let start = Instant::now();
         loop {
             let now = start.elapsed().as_micros() as u64;
             self.topology.advance_to(now);
-            self.faults()?;
+            self.apply_due_faults()?;
             if self.topology.tick() {
                 return Ok(());
             }
             let returns = self.returns.iter().map(|(at, _)| *at).min().unwrap_or(u64::MAX);
             let wait = self.topology.next_due().min(returns).saturating_sub(now).clamp(0, 50_000);
-            let happened = self.topology.net.inner.wait(Duration::from_micros(wait))?;
+            let events = self.topology.net.inner.wait(Duration::from_micros(wait))?;
             self.topology.advance_to(start.elapsed().as_micros() as u64);
-            self.topology.receive(happened);
+            self.topology.receive(events);
         }
     }
 
-    /// The stand-ins answer while the routers start, since these ask the register first.
-    fn wait_ready(&mut self) -> Result<(), Error> {
+    /// The fakes answer while the routers start, since these ask discovery first.
+    fn await_ready(&mut self) -> Result<(), Error> {
         let start = Instant::now();
         let names = self.routers.names.clone();
         for (_, address) in &names {
             while TcpStream::connect_timeout(address, Duration::from_millis(50)).is_err() {
-                if let Some(why) = self.routers.ended() {
-                    return Err(Error::CouldNotRun(why));
+                if let Some(error) = self.routers.ended() {
+                    return Err(Error::CouldNotRun(error));
                 }
                 if start.elapsed() > READY {
                     return Err(Error::CouldNotRun(format!("no router came up at {address}")));
                 }
-                let happened = self.topology.net.inner.wait(Duration::from_millis(10))?;
-                self.topology.receive(happened);
+                let events = self.topology.net.inner.wait(Duration::from_millis(10))?;
+                self.topology.receive(events);
             }
         }
         // Their first lists, and leases.
         for _ in 0..if self.topology.scenario.budgets.is_some() { 200 } else { 20 } {
-            let happened = self.topology.net.inner.wait(Duration::from_millis(5))?;
-            self.topology.receive(happened);
+            let events = self.topology.net.inner.wait(Duration::from_millis(5))?;
+            self.topology.receive(events);
         }
         for (name, _) in names {
             self.topology.recorder.add(Event::Router { router: name, up: true });
@@ -98,10 +98,10 @@
         Ok(())
     }
 
-    fn faults(&mut self) -> Result<(), Error> {
+    fn apply_due_faults(&mut self) -> Result<(), Error> {
         while let Some((fault, begins)) = self.topology.next_fault() {
             self.topology.apply_fault(fault, begins);
-            self.strike(fault, begins)?;
+            self.apply_fault(fault, begins)?;
         }
         let now = self.topology.recorder.now;
         let (due, rest) = std::mem::take(&mut self.returns).into_iter().partition(|(at, _)| *at <= now);
@@ -111,14 +111,14 @@
             self.routers.start(i, self.topology.scenario.seed)?;
             self.topology.router_is(i, true);
         }
-        if let Some(why) = self.routers.ended() {
-            return Err(Error::CouldNotRun(why));
+        if let Some(error) = self.routers.ended() {
+            return Err(Error::CouldNotRun(error));
         }
         Ok(())
     }
 
     /// What a fault does to the processes.
-    fn strike(&mut self, fault: &Fault, begins: bool) -> Result<(), Error> {
+    fn apply_fault(&mut self, fault: &Fault, begins: bool) -> Result<(), Error> {
         let (now, seed) = (self.topology.recorder.now, self.topology.scenario.seed);
         match fault.kind {
             Kind::BalancerRoll if begins => {
--- a/crates/rehearsal/src/scenario/bench_file.rs
+++ b/crates/rehearsal/src/scenario/bench_file.rs
@@ -1,10 +1,10 @@
-//! Days that the operators' bench printed, played on the kit's stand-ins.
+//! Scenarios that the operators' bench printed, played on the kit's fakes.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 
-use super::named::{base, strike, S};
+use super::named::{base, choose_targets, S};
 use super::{Fault, Kind, Scenario, KINDS};
 
 #[derive(Deserialize)]
@@ -42,7 +42,7 @@
     for (i, t) in bench.troubles.iter().enumerate() {
         let kind = KINDS.iter().find(|(name, _)| *name == t.kind).map(|(_, k)| *k);
         let kind = kind.ok_or_else(|| format!("field `troubles[{i}].kind`: unknown trouble `{}`", t.kind))?;
-        let mut on = strike(kind, t.size, &scenario, &mut rng);
+        let mut on = choose_targets(kind, t.size, &scenario, &mut rng);
         if kind.on_engines() && !matches!(kind, Kind::MassRestart | Kind::Flush) && !bench.servers.is_empty()
         {
             let part = t.on.len() as f64 / bench.servers.len() as f64;
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Days: a fleet, traffic and faults, by name or from a day file that the bench printed.
+//! Scenarios: a fleet, traffic and faults, by name or from a scenario file that the bench printed.
 
 mod bench_file;
 mod named;
@@ -84,7 +84,7 @@
     All,
 }
 
-/// How the routers of a day keep budgets.
+/// How the routers of a scenario keep budgets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharing {
     Leases,
@@ -100,11 +100,11 @@
     pub key: &'static str,
     /// Of the traffic.
     pub share: f64,
-    /// A day's budget in tokens; none: no limit.
+    /// The budget of a day in tokens; none: no limit.
     pub tokens: Option<u64>,
 }
 
-/// What a day with budgets has besides.
+/// What a scenario with budgets has besides.
 #[derive(Debug, Clone)]
 pub struct BudgetSpec {
     pub sharing: Sharing,
@@ -172,13 +172,13 @@
     }
 }
 
-/// A fault. Times in µs from the day's beginning.
+/// A fault. Times in µs from the scenario's beginning.
 #[derive(Debug, Clone)]
 pub struct Fault {
     pub kind: Kind,
     pub at: u64,
     pub len: u64,
-    /// Engines or routers that it strikes, by place in the day's lists.
+    /// Engines or routers that it strikes, by place in the scenario's lists.
     pub on: Vec<usize>,
     /// How hard: a factor, or a share, by kind.
     pub size: f64,
@@ -186,7 +186,7 @@
     pub links: Option<LinkSelector>,
 }
 
-/// A day.
+/// A scenario.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub name: String,
@@ -195,32 +195,32 @@
     pub routers: usize,
     pub engines: Vec<EngineSpec>,
     pub classes: Vec<Class>,
-    /// Of the first tries, one a class.
+    /// Of the first attempts, one a class.
     pub shares: Vec<f64>,
-    /// First tries a second.
+    /// First attempts a second.
     pub rate: f64,
-    /// The register tells of changes after this.
-    pub notice: u64,
+    /// Discovery tells of changes after this.
+    pub discovery_delay: u64,
     pub limits: RuleLimits,
     pub faults: Vec<Fault>,
     /// Thousandths by which engines count more prompt tokens than a token for four bytes, at most.
-    pub counts_more: u64,
+    pub extra_token_permille: u64,
     pub budgets: Option<BudgetSpec>,
     /// Share of clients that come again at once when they are refused.
-    pub naive: f64,
-    /// Tries of one request, the first one counted.
-    pub tries: u32,
+    pub impatient: f64,
+    /// Clients' attempts of one request, the first one counted.
+    pub max_attempts: u32,
     /// A router that gets so many times what each other one gets.
     pub favourite: Option<(usize, f64)>,
     /// Each router reaches engines and register at addresses of its own, so that links can be told apart.
-    pub apart: bool,
+    pub separate_addresses: bool,
     /// How many routers the settings say there are, where that is not so.
-    pub told_routers: Option<u32>,
+    pub configured_routers: Option<u32>,
     /// How far routers' clocks are apart at most, µs; where the clock is fed.
-    pub clocks: u64,
+    pub clock_skew: u64,
 }
 
-/// A day by name, or a bench's day file by its path.
+/// A scenario by name, or a bench's day file by its path.
 pub fn load(scenario: &str, seed: u64, seconds: Option<u64>) -> Result<Scenario, String> {
     match scenario {
         "bad-day" => Ok(bad_day(seed, seconds.unwrap_or(60))),
--- a/crates/rehearsal/src/scenario/named.rs
+++ b/crates/rehearsal/src/scenario/named.rs
@@ -1,4 +1,4 @@
-//! The days of the kit: what stands there, and which faults strike when.
+//! The scenarios of the kit: what stands there, and which faults strike when.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,7 +9,7 @@
 
 pub(super) const S: u64 = 1_000_000;
 
-/// What an engine of a role is like in the kit's days.
+/// What an engine of a role is like in the kit's scenarios.
 pub fn model(role: Role) -> EngineModel {
     let (slots, queue, memory, capacity_per_s) = match role {
         Role::Prefill => (6, 30, 200_000, 14.0),
@@ -64,7 +64,7 @@
         ],
         shares: vec![0.6, 0.25, 0.15],
         rate: 18.0,
-        notice: 1_500_000,
+        discovery_delay: 1_500_000,
         limits: RuleLimits {
             slack_us: 100_000,
             release_us: S,
@@ -76,14 +76,14 @@
             noise_us: 300_000,
         },
         faults: Vec::new(),
-        counts_more: 0,
+        extra_token_permille: 0,
         budgets: None,
-        naive: 0.0,
-        tries: 3,
+        impatient: 0.0,
+        max_attempts: 3,
         favourite: None,
-        apart: false,
-        told_routers: None,
-        clocks: 0,
+        separate_addresses: false,
+        configured_routers: None,
+        clock_skew: 0,
     }
 }
 
@@ -130,16 +130,16 @@
     scenario
 }
 
-/// A day of budgets: sixteen routers, bursting tenants, kills of routers and of the settlement job.
+/// A scenario of budgets: sixteen routers, bursting tenants, kills of routers and of the settlement job.
 pub fn budgets(seed: u64, seconds: u64, sharing: Sharing) -> Scenario {
     let mut scenario = base("budgets", seed, seconds * S);
     scenario.routers = 16;
     scenario.rate = 60.0;
-    scenario.counts_more = 180;
+    scenario.extra_token_permille = 180;
     for e in &mut scenario.engines {
         (e.model.slots, e.model.queue) = (e.model.slots * 2, e.model.queue * 4);
     }
-    // Somewhat less than each tenant will ask for, so that what strands shows: conversations grow with the day.
+    // Somewhat less than each tenant will ask for, so that what strands shows: conversations grow with the scenario.
     let each = (160 + 5 * seconds).min(330);
     let tokens = |share: f64| (seconds as f64 * scenario.rate * share) as u64 * each;
     let tenant = |name, key, share, limited: bool| TenantSpec {
@@ -170,7 +170,7 @@
     scenario
 }
 
-/// Most of the faults, overlapping; times as shares of the day, so that it can be shortened.
+/// Most of the faults, overlapping; times as shares of the scenario, so that it can be shortened.
 pub(super) fn bad_day(seed: u64, seconds: u64) -> Scenario {
     let mut scenario = base("bad-day", seed, seconds * S);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -201,12 +201,12 @@
     scenario
 }
 
-/// Adds faults: kind, beginning and length as shares of the day, size. Each begins a little earlier or later.
+/// Adds faults: kind, beginning and length as shares of the scenario, size. Each begins a little earlier or later.
 fn play(scenario: &mut Scenario, rng: &mut ChaCha8Rng, plan: &[(Kind, f64, f64, f64)]) {
     let length = scenario.length as f64;
     for (kind, at, len, size) in plan.iter().copied() {
         let at = (at + rng.random_range(-0.02..0.02)).max(0.03);
-        let on = strike(kind, size, scenario, rng);
+        let on = choose_targets(kind, size, scenario, rng);
         scenario.faults.push(Fault {
             kind,
             at: (at * length) as u64,
@@ -220,7 +220,7 @@
 }
 
 /// Whom a fault strikes: one engine, all of a role in a restart of a whole kind, or some routers.
-pub(super) fn strike(kind: Kind, size: f64, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<usize> {
+pub(super) fn choose_targets(kind: Kind, size: f64, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<usize> {
     match kind {
         Kind::MassRestart => {
             let role = if rng.random_bool(0.5) { Role::Prefill } else { Role::Decode };
--- a/crates/rehearsal/src/soak/client.rs
+++ b/crates/rehearsal/src/soak/client.rs
@@ -55,7 +55,7 @@
 }
 
 impl Client {
-    /// Asks from the beginning to the end of the day.
+    /// Asks from the beginning to the end of the scenario.
     pub async fn run(mut self) {
         let mut connection = None;
         let length = self.plan.length_ms * 1_000;
--- a/crates/rehearsal/src/soak/messages.rs
+++ b/crates/rehearsal/src/soak/messages.rs
@@ -1,4 +1,4 @@
-//! HTTP messages over a connection of a stand-in.
+//! HTTP messages over a connection of a fake.
 
 use std::io;
 
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -1,7 +1,7 @@
 //! A randomized soak: real router processes on the platform's protocol, faults that overlap in time, and an oracle that
 //! judges the five rules from what crossed the sockets.
 //!
-//! One seed draws settings and faults (the module `plan`); stand-in workers, discovery and clients play them on loopback and write a
+//! One seed draws settings and faults (the module `plan`); fake workers, discovery and clients play them on loopback and write a
 //! record; the module `oracle` judges it. The plan of a seed is the same every time; the order in which the system runs the
 //! processes is not.
 
@@ -177,7 +177,7 @@
     Ok(record.lines().into_iter().map(|(t, event)| (t.saturating_sub(offset), event)).collect())
 }
 
-/// Notes when the machine that the stand-ins run on stood still.
+/// Notes when the machine that the fakes run on stood still.
 async fn beat(record: Record) {
     loop {
         let from = Instant::now();
--- a/crates/rehearsal/src/soak/oracle/mod.rs
+++ b/crates/rehearsal/src/soak/oracle/mod.rs
@@ -88,10 +88,10 @@
 /// Of the requests of the calm time so many are served.
 const SERVED_LEAST: f64 = 0.9;
 const SERVED_OF_LEAST: usize = 20;
-/// The calm time that is judged ends so long before the day's end, and lasts so long.
+/// The calm time that is judged ends so long before the scenario's end, and lasts so long.
 const SERVICE_END_US: u64 = 1_000_000;
 const SERVICE_SPAN_US: u64 = 2_500_000;
-/// The stand-ins' own scheduling, on a machine that is shared.
+/// The fakes' own scheduling, on a machine that is shared.
 const NOISE_US: u64 = 30_000;
 
 /// One incarnation of a router: from the start of its process to its end.
--- a/crates/rehearsal/src/soak/plan.rs
+++ b/crates/rehearsal/src/soak/plan.rs
@@ -139,7 +139,7 @@
 
 /// Faults begin after this.
 const WARM_UP_MS: u64 = 1_000;
-/// So much of the day's end is left for the service to come back.
+/// So much of the scenario's end is left for the service to come back.
 pub const CALM_MS: u64 = 10_000;
 
 impl SoakPlan {
--- a/crates/rehearsal/src/soak/record.rs
+++ b/crates/rehearsal/src/soak/record.rs
@@ -72,7 +72,7 @@
     Logged { router: usize, line: String },
     /// A router's descriptors and resident memory.
     Size { router: usize, descriptors: usize, memory_kb: u64 },
-    /// The stand-ins' own machine stood still for so long.
+    /// The fakes' own machine stood still for so long.
     MachineStalled { for_us: u64 },
 }
 
--- a/crates/rehearsal/src/soak/report.rs
+++ b/crates/rehearsal/src/soak/report.rs
@@ -24,7 +24,7 @@
     pub lost_answers: usize,
     /// See `lost_answers`.
     pub lost_answer_longest_us: u64,
-    /// The longest that the stand-ins' own machine stood still, us.
+    /// The longest that the fakes' own machine stood still, us.
     pub machine_stalled_us: u64,
     /// All that was broken.
     pub findings: Vec<Finding>,
--- a/crates/rehearsal/src/soak/worker/mod.rs
+++ b/crates/rehearsal/src/soak/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker on the platform's protocol: reads, pulls, releases, and all the ways in which it can fail.
+//! A fake worker on the platform's protocol: reads, pulls, releases, and all the ways in which it can fail.
 
 mod answers;
 
@@ -49,7 +49,7 @@
     reset: Notify,
 }
 
-/// A stand-in worker.
+/// A fake worker.
 pub struct Worker {
     pub index: usize,
     pub name: String,
--- a/crates/rehearsal/src/workers/calls.rs
+++ b/crates/rehearsal/src/workers/calls.rs
@@ -249,7 +249,7 @@
     /// The worker's own count of a prompt: more than four bytes a token make, by up to the scenario's share.
     fn count_tokens(&self, prompt: &str) -> u64 {
         let tokens = (prompt.len() / TOKEN_BYTES) as u64;
-        tokens + tokens * (prompt.len() as u64 % (self.counts_more + 1)) / 1_000
+        tokens + tokens * (prompt.len() as u64 % (self.extra_token_permille + 1)) / 1_000
     }
 
     /// Where the state of a prefill is, and when it will have been fetched; none if it is there no more.
--- a/crates/rehearsal/src/workers/mod.rs
+++ b/crates/rehearsal/src/workers/mod.rs
@@ -149,7 +149,7 @@
     classes: Vec<crate::record::Class>,
     limits: crate::record::RuleLimits,
     discovery_delay: u64,
-    counts_more: u64,
+    extra_token_permille: u64,
     rng: ChaCha8Rng,
 }
 
@@ -167,7 +167,8 @@
     net: &mut dyn Network,
     to: LinkPeer,
 ) -> std::io::Result<(Vec<ListenerId>, Vec<SocketAddr>)> {
-    let routers = if scenario.apart { (0..scenario.routers).map(Some).collect() } else { vec![None] };
+    let routers =
+        if scenario.separate_addresses { (0..scenario.routers).map(Some).collect() } else { vec![None] };
     let listening = routers.into_iter().map(|router| net.listen(0, Link { router, to }));
     Ok(listening.collect::<std::io::Result<Vec<_>>>()?.into_iter().unzip())
 }
@@ -202,8 +203,8 @@
             executions: BTreeMap::new(),
             classes: scenario.classes.clone(),
             limits: scenario.limits.clone(),
-            discovery_delay: scenario.notice,
-            counts_more: scenario.counts_more,
+            discovery_delay: scenario.discovery_delay,
+            extra_token_permille: scenario.extra_token_permille,
             rng,
         };
         for (i, spec) in scenario.engines.iter().enumerate() {
--- a/crates/rehearsal/tests/forms.rs
+++ b/crates/rehearsal/tests/forms.rs
@@ -207,8 +207,8 @@
         scenario.routers,
         scenario.engines.len(),
         scenario.rate,
-        scenario.tries,
-        scenario.notice
+        scenario.max_attempts,
+        scenario.discovery_delay
     );
     for f in &scenario.faults {
         out += &format!("{} at {} len {} on {:?} size {}\n", f.kind.name(), f.at, f.len, f.on, f.size);
