--- a/crates/adapter/src/session.rs
+++ b/crates/adapter/src/session.rs
@@ -50,23 +50,38 @@
         raw: &RawValue,
         orders: &mut Vec<wire::Order>,
     ) -> Result<(), String> {
-        let kind = head.kind.as_str();
-        match kind {
-            "Init" => {
-                let init: wire::Init = read(kind, raw)?;
-                let (settings, names) =
-                    translate::settings(&init.params).map_err(|e| format!("{kind}: {e}"))?;
-                let router = Router::new(settings, init.prng);
-                self.instances.insert(head.who, Instance { router, names });
-                return Ok(());
-            }
+        match head.kind.as_str() {
+            "Init" => return self.start_instance(head, raw),
             "Destroy" => {
                 self.instances.remove(&head.who);
                 return Ok(());
             }
             _ => {}
         }
-        let known = self.instances.get_mut(&head.who);
+        let Some(event) = self.read_event(head, raw)? else { return Ok(()) };
+        if let Some(instance) = self.instances.get_mut(&head.who) {
+            let mut actions: Vec<Action> = Vec::new();
+            instance.router.handle(now, event, &mut actions);
+            orders
+                .extend(actions.into_iter().map(|a| wire::Order { who: head.who, deed: translate::deed(a) }));
+        }
+        Ok(())
+    }
+
+    /// Starts an instance, in place of an older one of the same number.
+    fn start_instance(&mut self, head: &wire::Head, raw: &RawValue) -> Result<(), String> {
+        let kind = head.kind.as_str();
+        let init: wire::Init = read(kind, raw)?;
+        let (settings, names) = translate::settings(&init.params).map_err(|e| format!("{kind}: {e}"))?;
+        let router = Router::new(settings, init.prng);
+        self.instances.insert(head.who, Instance { router, names });
+        Ok(())
+    }
+
+    /// The event for the decision module; none where the message says nothing to it.
+    fn read_event(&mut self, head: &wire::Head, raw: &RawValue) -> Result<Option<Event>, String> {
+        let kind = head.kind.as_str();
+        let known = self.instances.get(&head.who);
         // Events for an instance that is not held are read all the same: a malformed one is said.
         let none = translate::Names::default();
         let names = known.as_ref().map_or(&none, |i| &i.names);
@@ -76,7 +91,7 @@
             "JobIn" => {
                 let job: wire::JobIn = read(kind, raw)?;
                 if !living {
-                    return Ok(());
+                    return Ok(None);
                 }
                 translate::request(names, &job)
             }
@@ -91,21 +106,14 @@
                 Ok(Event::Timer(TimerId(fired.name)))
             }
             // Answers to what this module never asks for.
-            "AnswerAhead" | "Health" | "PeerData" => return Ok(()),
+            "AnswerAhead" | "Health" | "PeerData" => return Ok(None),
             other => {
                 if self.unknown.insert(other.to_owned()) {
                     eprintln!("chalkyard-adapter: passed over: unknown message kind `{other}`");
                 }
-                return Ok(());
+                return Ok(None);
             }
-        }
-        .map_err(|e| format!("{kind}: {e}"))?;
-        if let Some(instance) = known {
-            let mut actions: Vec<Action> = Vec::new();
-            instance.router.handle(now, event, &mut actions);
-            orders
-                .extend(actions.into_iter().map(|a| wire::Order { who: head.who, deed: translate::deed(a) }));
-        }
-        Ok(())
+        };
+        event.map(Some).map_err(|e| format!("{kind}: {e}"))
     }
 }
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -52,46 +52,13 @@
 
 /// Reads the settings. A word that the wire page does not know is an error naming its field.
 pub fn settings(w: &wire::Params) -> Result<(p::Settings, Names), String> {
-    let mut names = Names::default();
-    for (i, z) in w.dcs.iter().enumerate() {
-        names.zones.insert(z.clone(), p::ZoneId(i));
-    }
-    for (i, kind) in w.kinds.iter().enumerate() {
-        let role = match w.family_info.role_by_kind.get(i).map(String::as_str) {
-            Some("read") => p::Role::Prefill,
-            Some("write") => p::Role::Decode,
-            Some("both") | None => p::Role::Combined,
-            Some(other) => return Err(format!("field `role_by_kind`: unknown role `{other}`")),
-        };
-        let kv = w.family_info.kv_tokens.get(i).map(|t| tokens(*t));
-        names.kinds.insert(kind.clone(), (role, kv));
-    }
-    let mut classes = Vec::new();
-    for (i, c) in w.categories.iter().enumerate() {
-        names.classes.insert(c.name.clone(), p::ClassId(i));
-        let group = match c.group.as_str() {
-            "zone" => p::DeduplicationScope::Zone,
-            "cell" => p::DeduplicationScope::Cell,
-            _ => p::DeduplicationScope::All,
-        };
-        let retry_safety = match c.repeat.as_str() {
-            "free" => p::RetrySafety::Idempotent,
-            "guarded" => p::RetrySafety::Deduplicated(group),
-            "single_shot" => p::RetrySafety::NonIdempotent,
-            other => return Err(format!("field `repeat`: unknown value `{other}`")),
-        };
-        let at = |list: &[f64]| list.get(i).copied().unwrap_or(0.0);
-        classes.push(p::Class {
-            latency_objective: secs(c.goal_time_s),
-            latency_objective_per_1000_tokens: secs(at(&w.family_info.aim_us_per_1000_prompt_tokens) / 1e6),
-            deadline: secs(c.deadline_s),
-            retry_safety,
-            dedup_window: secs(c.dedup_window_s),
-        });
-    }
-    for (i, t) in w.tenants.iter().enumerate() {
-        names.tenants.insert(t.name.clone(), p::TenantId(i));
-    }
+    let names = Names {
+        classes: positions(w.categories.iter().map(|c| c.name.as_str()), p::ClassId),
+        tenants: positions(w.tenants.iter().map(|t| t.name.as_str()), p::TenantId),
+        zones: positions(w.dcs.iter().map(String::as_str), p::ZoneId),
+        kinds: kinds(w)?,
+    };
+    let classes = w.categories.iter().enumerate().map(|(i, c)| class(w, i, c)).collect::<Result<_, _>>()?;
     let settings = p::Settings {
         routers: w.balancers,
         classes,
@@ -120,6 +87,50 @@
     Ok((settings, names))
 }
 
+/// The position of each name in its list.
+fn positions<'a, T>(names: impl Iterator<Item = &'a str>, id: impl Fn(usize) -> T) -> BTreeMap<String, T> {
+    names.enumerate().map(|(i, name)| (name.to_owned(), id(i))).collect()
+}
+
+/// What the machines of each kind do, and their memory.
+fn kinds(w: &wire::Params) -> Result<BTreeMap<String, (p::Role, Option<u64>)>, String> {
+    let mut kinds = BTreeMap::new();
+    for (i, kind) in w.kinds.iter().enumerate() {
+        let role = match w.family_info.role_by_kind.get(i).map(String::as_str) {
+            Some("read") => p::Role::Prefill,
+            Some("write") => p::Role::Decode,
+            Some("both") | None => p::Role::Combined,
+            Some(other) => return Err(format!("field `role_by_kind`: unknown role `{other}`")),
+        };
+        let kv_tokens = w.family_info.kv_tokens.get(i).map(|t| tokens(*t));
+        kinds.insert(kind.clone(), (role, kv_tokens));
+    }
+    Ok(kinds)
+}
+
+/// The class at position `i`.
+fn class(w: &wire::Params, i: usize, c: &wire::Category) -> Result<p::Class, String> {
+    let scope = match c.group.as_str() {
+        "zone" => p::DeduplicationScope::Zone,
+        "cell" => p::DeduplicationScope::Cell,
+        _ => p::DeduplicationScope::All,
+    };
+    let retry_safety = match c.repeat.as_str() {
+        "free" => p::RetrySafety::Idempotent,
+        "guarded" => p::RetrySafety::Deduplicated(scope),
+        "single_shot" => p::RetrySafety::NonIdempotent,
+        other => return Err(format!("field `repeat`: unknown value `{other}`")),
+    };
+    let per_1000_us = w.family_info.aim_us_per_1000_prompt_tokens.get(i).copied().unwrap_or(0.0);
+    Ok(p::Class {
+        latency_objective: secs(c.goal_time_s),
+        latency_objective_per_1000_tokens: secs(per_1000_us / 1e6),
+        deadline: secs(c.deadline_s),
+        retry_safety,
+        dedup_window: secs(c.dedup_window_s),
+    })
+}
+
 /// Reads a list of workers.
 pub fn registry(names: &Names, w: &wire::Registry) -> Result<p::Event, String> {
     let update = match w.mode.as_str() {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -38,7 +38,6 @@
 
 use self::arguments::{Arguments, Command, Format, RouterTarget};
 use self::error::CommandError;
-use self::error::CommandError as Trouble;
 use self::settings_file::{control_socket, load, load_budgets, load_text, read};
 
 /// A request allocates and frees hundreds of small objects on one thread.
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -17,7 +17,7 @@
 use tracing::{info, warn};
 
 use crate::line_budget::LineBudget;
-use crate::{logs, Trouble};
+use crate::{logs, CommandError};
 
 /// Where the platform says the configuration is.
 const FILE: &str = "GW_CONFIG";
@@ -132,15 +132,15 @@
 }
 
 /// Runs a router. SIGTERM or SIGINT ends it once all that is open has ended; SIGHUP has the configuration read again.
-pub fn platform(file: Option<PathBuf>) -> Result<ExitCode, Trouble> {
+pub fn platform(file: Option<PathBuf>) -> Result<ExitCode, CommandError> {
     logs::start("info");
-    let could_not = |what: &str, e: std::io::Error| Trouble::CouldNotRun(format!("{what}: {e}"));
+    let could_not = |what: &str, e: std::io::Error| CommandError::CouldNotRun(format!("{what}: {e}"));
     // Before anything slow: until then a signal ends the process. What comes before the loop runs waits for it.
     let signals = with_retries(STARTUP_ATTEMPTS, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
     let mut signals = signals.map_err(|e| could_not("signals", e))?;
-    let none = || Trouble::BadInput(format!("{FILE} names no configuration; give its file"));
+    let none = || CommandError::BadInput(format!("{FILE} names no configuration; give its file"));
     let file = file.or_else(|| std::env::var_os(FILE).map(PathBuf::from)).ok_or_else(none)?;
-    let started = read(&file).map_err(Trouble::BadInput)?;
+    let started = read(&file).map_err(CommandError::BadInput)?;
     let clock = Clock::new();
     let mut config = started.config;
     config.policy.tick = config.policy.tick.max(granularity());
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -21,7 +21,7 @@
 use crate::line_budget::LineBudget;
 use crate::reload::Reloader;
 use crate::router_sink::{RouterSink, PENDING_NEWS};
-use crate::{control, logs, Trouble};
+use crate::{control, logs, CommandError};
 
 /// The first line of a decisions file: what the module was started with.
 #[derive(serde::Serialize, serde::Deserialize)]
@@ -55,10 +55,10 @@
     seed: Option<u64>,
     decisions: Option<PathBuf>,
     take_over: bool,
-) -> Result<ExitCode, Trouble> {
+) -> Result<ExitCode, CommandError> {
     logs::start("info");
     let began = std::time::Instant::now();
-    let could_not = |what: &str, e: std::io::Error| Trouble::CouldNotRun(format!("{what}: {e}"));
+    let could_not = |what: &str, e: std::io::Error| CommandError::CouldNotRun(format!("{what}: {e}"));
     // Before anything slow: until then a signal ends the process. What comes before the loop runs waits for it.
     let signals = with_retries(STARTUP_ATTEMPTS, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
     let mut signals = signals.map_err(|e| could_not("signals", e))?;
@@ -71,7 +71,7 @@
     config.policy.tick = granularity();
     let mut predecessor: Option<Predecessor> = None;
     let address = if take_over {
-        let none = || Trouble::BadInput(format!("{}: <router> names no `control`", file.display()));
+        let none = || CommandError::BadInput(format!("{}: <router> names no `control`", file.display()));
         let taken = control::take_over(settings.control.as_ref().ok_or_else(none)?)?;
         predecessor = taken.before.map(|lines| Box::new(lines) as Predecessor);
         ListenAddress::adopt(taken.listener, settings.shared_port)
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::speak::{Platform, WATCH_MS};
+use crate::dialect::{Platform, WATCH_MS};
 
 #[derive(Deserialize)]
 struct File<'a> {
--- a/crates/platform/src/speak.rs
+++ b/crates/platform/src/dialect.rs
@@ -10,7 +10,7 @@
 };
 use serde::Deserialize;
 
-use crate::beside::{self, Lines};
+use crate::response_observer::{self, Lines};
 use crate::{discovery, head};
 
 /// Discovery is asked to wait so long for news.
@@ -93,7 +93,7 @@
     }
 
     fn load_report(&self, head: &Head) -> Option<p::LoadReport> {
-        head.header("x-server-load").and_then(beside::report)
+        head.header("x-server-load").and_then(response_observer::report)
     }
 
     fn cached_tokens(&self, body: &[u8]) -> u64 {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,11 +2,11 @@
 //! the configuration that a router is started with. No sockets, no decisions: [`Platform`] is a
 //! [`chalkyard_router::dialect::Dialect`] that the router's core speaks.
 
-mod beside;
 mod config;
+mod dialect;
 mod discovery;
 mod head;
-mod speak;
+mod response_observer;
 
 pub use config::{ConfigError, Limits, Started};
-pub use speak::Platform;
+pub use dialect::Platform;
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -1,5 +1,5 @@
 //! What a router owes for one request, and what it may do for it now: whether a call may be sent or repeated, whether the
-//! request may be refused, answered or have its connection closed, and when its held state has to be released.
+//! request may be rejected, answered or have its connection closed, and when its reserved state has to be released.
 //!
 //! Only what a peer has proven counts: an attempt without an answer proves nothing of its peer, and stops no clock but its
 //! own. The module that decides asks here before it acts, and the program around it asks again, from its own record
@@ -11,7 +11,7 @@
 use crate::settings::{DeduplicationScope, RetrySafety};
 use crate::time::Micros;
 
-/// Held state is released after this share of the told time: the rest is for the call to reach a running worker.
+/// Reserved state is released after this share of the time allowed: the rest is for the call to reach a running worker.
 const RELEASE_SHARE: f64 = 0.8;
 
 /// A repeat is over so long before its window ends: as long as a router may stand still between reading its clock and
@@ -21,9 +21,9 @@
 /// What an attempt does at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// At a reader: no effect, ends with state that waits there.
+    /// At a prefill worker: no effect, ends with state that is reserved there.
     Prefill,
-    /// At a writer or mixed server.
+    /// At a decode or combined worker.
     Decode,
 }
 
@@ -133,7 +133,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct SendPermit(());
 
-/// Leave to refuse a request; only [`Obligations::may_reject`] gives it.
+/// Leave to reject a request; only [`Obligations::may_reject`] gives it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RejectPermit(());
 
@@ -144,9 +144,9 @@
 /// One request's obligations, as they stand.
 #[derive(Debug, Clone)]
 pub struct Obligations {
-    /// Where it may be repeated.
+    /// Whether and where it may be attempted again.
     pub retry_safety: RetrySafety,
-    /// For guarded classes: how long repeats are discarded.
+    /// For deduplicated classes: how long repeats are discarded.
     pub deduplication_window: Micros,
     /// When its client gives it up.
     pub deadline: Micros,
@@ -156,7 +156,7 @@
     pub attempts: Vec<AttemptFacts>,
     /// Its final answer.
     pub answer: AnswerState,
-    /// Since when a worker holds state for it that nobody is known to have taken.
+    /// Since when a worker reserves state for it that nobody is known to have taken.
     pub reserved_at: Option<Micros>,
 }
 
@@ -195,8 +195,8 @@
         match self.retry_safety {
             RetrySafety::Idempotent => true,
             RetrySafety::NonIdempotent => false,
-            RetrySafety::Deduplicated(group) => {
-                ran.all(|a| now < self.repeat_end(a) && is_same_group(group, &a.target, target))
+            RetrySafety::Deduplicated(scope) => {
+                ran.all(|a| now < self.repeat_end(a) && is_in_scope(scope, &a.target, target))
             }
         }
     }
@@ -214,7 +214,7 @@
         ends.filter(|_| matches!(self.retry_safety, RetrySafety::Deduplicated(_)))
     }
 
-    /// Whether a refusal, which says that trying again is harmless, would be true.
+    /// Whether a rejection, which says that trying again is harmless, would be true.
     pub fn may_reject(&self) -> Result<RejectPermit, Denied> {
         let may_have_run = self.attempts.iter().any(|a| a.may_have_run || a.open);
         match self.retry_safety {
@@ -249,20 +249,20 @@
         (self.attempts.len() >= self.max_attempts as usize).then_some(Denied::AttemptsUsed)
     }
 
-    /// When its held state is to be released, whatever is open: a pull that has arrived keeps what it takes, and one that
+    /// When its reserved state is to be released, whatever is open: a pull that has arrived keeps what it takes, and one that
     /// has not arrived takes nothing.
     pub fn release_due(&self, release: Micros) -> Option<Micros> {
         self.reserved_at.map(|since| release_due(since, release))
     }
 }
 
-/// When state that is held since then is to be released.
+/// When state that is reserved since then is to be released.
 pub fn release_due(since: Micros, release: Micros) -> Micros {
     since + release.mul_f64(RELEASE_SHARE)
 }
 
-fn is_same_group(group: DeduplicationScope, one: &Target, other: &Target) -> bool {
-    match group {
+fn is_in_scope(scope: DeduplicationScope, one: &Target, other: &Target) -> bool {
+    match scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Zone => one.zone == other.zone,
         DeduplicationScope::Cell => one.cell == other.cell,
--- a/crates/policy/src/outcomes.rs
+++ b/crates/policy/src/outcomes.rs
@@ -5,7 +5,7 @@
 use crate::events::Outcome;
 use crate::ids::{AttemptNo, ClassId, RequestId};
 use crate::obligations::{proves_arrival, Stage};
-use crate::outlier_detection::{self, waited_on_hung_worker};
+use crate::outlier_detection::{self, waited_on_unresponsive_worker};
 use crate::request_state::{Attempt, AttemptEnd, RequestState};
 use crate::router::Router;
 use crate::time::Micros;
@@ -45,10 +45,10 @@
         self.requests.put(request);
     }
 
-    /// Learns from the time that a first token took, unless its worker hung meanwhile.
+    /// Learns from the time that a first token took, unless its worker unresponsive meanwhile.
     fn observe_first_token(&mut self, request: &RequestState, number: AttemptNo, elapsed: Micros) {
         let attempt = request.attempt(number);
-        if attempt.is_some_and(|attempt| waited_on_hung_worker(&self.workers, attempt)) {
+        if attempt.is_some_and(|attempt| waited_on_unresponsive_worker(&self.workers, attempt)) {
             return;
         }
         let seconds = elapsed.as_secs_f64();
@@ -73,7 +73,7 @@
         attempt.facts.end(end.outcome);
         attempt.overdue_at = None;
         attempt.unreached = matches!(end.outcome, Outcome::NoConnection | Outcome::NotSent);
-        let hung = waited_on_hung_worker(&self.workers, attempt);
+        let unresponsive = waited_on_unresponsive_worker(&self.workers, attempt);
         // What is not proven to have reached anybody was never out: the time for which the state is reserved runs on.
         if proves_arrival(end.outcome) || request.reserved_on.is_none() {
             request.reserved_at = self.now;
@@ -84,7 +84,7 @@
             attempt.overdue = false;
         }
         self.record_session(request, number, end);
-        self.record_prefill(request, number, end, hung);
+        self.record_prefill(request, number, end, unresponsive);
         // An answer that broke may be attempted again, and has then not begun.
         request.streaming = false;
         request.waits_on_silent_worker = false;
@@ -153,12 +153,12 @@
         request: &mut RequestState,
         number: AttemptNo,
         end: &AttemptEnd,
-        hung: bool,
+        unresponsive: bool,
     ) {
         match end.outcome {
             Outcome::Prefilled => {
-                // What waited on a hung worker says nothing of the time that prefills take.
-                let seconds = self.observed.prefill_seconds.mean().filter(|_| hung);
+                // What waited on a unresponsive worker says nothing of the time that prefills take.
+                let seconds = self.observed.prefill_seconds.mean().filter(|_| unresponsive);
                 let seconds = seconds.unwrap_or(end.elapsed.as_secs_f64());
                 self.observed.prefill_seconds.add(seconds);
                 request.reserved_on = request.attempt(number).map(|attempt| attempt.worker.clone());
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -89,7 +89,7 @@
 }
 
 /// Whether an attempt was overdue while its worker responded to nobody: how long it took is no sign of load.
-pub fn waited_on_hung_worker(workers: &WorkerTable, attempt: &Attempt) -> bool {
+pub fn waited_on_unresponsive_worker(workers: &WorkerTable, attempt: &Attempt) -> bool {
     let worker = workers.get(&attempt.worker);
     attempt.overdue && worker.is_some_and(|worker| worker.last_response < attempt.facts.sent)
 }
