--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -44,7 +44,7 @@
         }
         let attempts = serde_json::to_string(&r.attempts).unwrap_or_default();
         let ended = serde_json::to_string(&r.ended).unwrap_or_default();
-        let why = r.why.and_then(|w| serde_json::to_string(&w).ok());
+        let why = r.rejection_reason.and_then(|w| serde_json::to_string(&w).ok());
         info!(
             target: "request",
             id = r.id,
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -83,7 +83,7 @@
     pub(super) answer_timer: Option<TimerKey>,
     pub(super) answer: FinalAnswer,
     /// Why the policy rejected it or gave it up.
-    pub(super) why: Option<p::RejectionReason>,
+    pub(super) rejection_reason: Option<p::RejectionReason>,
     pub(super) first_token_at: Option<Micros>,
     /// The attempt whose answer goes to the client.
     pub(super) answering_attempt: Option<usize>,
@@ -118,7 +118,7 @@
             released_during_decode: None,
             answer_timer: None,
             answer: FinalAnswer::Pending,
-            why: None,
+            rejection_reason: None,
             first_token_at: None,
             answering_attempt: None,
             worker_paused: false,
@@ -248,7 +248,7 @@
             worker: a.worker.0.to_string(),
             stage: a.stage.name(),
             outcome: a.ended.map_or("open", |end| outcome_name(end.outcome)),
-            care: a.care,
+            kind: a.kind,
             sent_us: since(a.sent_at, self.arrived_at),
             took_us: since(a.ended.map_or(now, |end| end.at), a.sent_at),
             kept_tokens: a.cached_tokens,
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -14,10 +14,10 @@
 
 impl Core {
     /// The policy rejects the request. If an attempt may have run, the client is told of a failure instead.
-    pub(super) fn reject(&mut self, id: &RequestId, retry_after: Option<Micros>, why: p::RejectionReason) {
+    pub(super) fn reject(&mut self, id: &RequestId, retry_after: Option<Micros>, reason: p::RejectionReason) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        request.why = Some(why);
-        increment(&mut self.counters.given_up, why.name());
+        request.rejection_reason = Some(reason);
+        increment(&mut self.counters.given_up, reason.name());
         if let Err(denied) = request.obligations(&self.config.policy).may_reject() {
             self.record_denial(id, denied);
             return self.answer_given_up(id);
@@ -33,10 +33,10 @@
     }
 
     /// The policy gives the request up.
-    pub(super) fn fail_request(&mut self, id: &RequestId, why: p::RejectionReason) {
+    pub(super) fn fail_request(&mut self, id: &RequestId, reason: p::RejectionReason) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        request.why = Some(why);
-        increment(&mut self.counters.given_up, why.name());
+        request.rejection_reason = Some(reason);
+        increment(&mut self.counters.given_up, reason.name());
         self.answer_given_up(id);
     }
 
@@ -200,7 +200,7 @@
             session: request.spec.session.as_ref().map(|s| s.0.to_string()),
             prefix: request.spec.prefix.as_ref().map(|p| p.0.to_string()),
             ended,
-            why: request.why,
+            rejection_reason: request.rejection_reason,
             list_age_us: self.discovery.changed_at.map(|changed_at| since(at, changed_at)),
             open: self.requests.len() + 1,
             phase,
--- a/crates/router/src/core/attempt.rs
+++ b/crates/router/src/core/attempt.rs
@@ -75,7 +75,7 @@
     pub(super) deadline: Micros,
     /// How long its connection may take, if not as long as usual.
     pub(super) connect_timeout: Option<Micros>,
-    pub(super) care: p::AttemptKind,
+    pub(super) kind: p::AttemptKind,
     pub(super) conn: Option<ConnId>,
     pub(super) timer: Option<TimerKey>,
     pub(super) report: Option<p::LoadReport>,
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -47,7 +47,7 @@
         id: &RequestId,
         worker: WorkerId,
         limits: AttemptLimits,
-        care: p::AttemptKind,
+        kind: p::AttemptKind,
     ) {
         let target = self.workers.get(&worker).map_or(REMOVED, WorkerEndpoint::target);
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -64,7 +64,7 @@
             facts: AttemptFacts::new(stage.obligation(), self.now, target),
             deadline,
             connect_timeout: limits.connect_timeout,
-            care,
+            kind,
             conn: None,
             timer: None,
             report: None,
@@ -73,7 +73,7 @@
             ended: None,
         });
         if let Some(tally) = &mut self.tally {
-            tally.count_attempt(call, care);
+            tally.count_attempt(call, kind);
         }
         match permit {
             Ok(permit) => self.place_first_call(permit, id, no),
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -61,7 +61,8 @@
     /// How it ended.
     pub outcome: &'static str,
     /// What the policy knew of the worker.
-    pub care: p::AttemptKind,
+    #[serde(rename = "care")]
+    pub kind: p::AttemptKind,
     /// From the request's arrival to its sending, µs.
     pub sent_us: u64,
     /// From its sending to its end, µs.
@@ -92,7 +93,8 @@
     /// Who ended it.
     pub ended: Ended,
     /// The policy's reason, where it ended it.
-    pub why: Option<p::RejectionReason>,
+    #[serde(rename = "why")]
+    pub rejection_reason: Option<p::RejectionReason>,
     /// In which phase: `waiting`, `reading`, `held`, `pulling`, `writing`, `streaming`.
     pub phase: &'static str,
     /// Since the endpoint list last changed, µs; none: it has not since the start.
@@ -131,7 +133,7 @@
             session: None,
             prefix: None,
             ended: Ended::RejectedAtIntake,
-            why: None,
+            rejection_reason: None,
             phase: "unheard",
             list_age_us: None,
             open: 0,
--- a/crates/router/tests/common/day.rs
+++ b/crates/router/tests/common/day.rs
@@ -339,7 +339,7 @@
         assert_eq!(ids.len(), self.asked.len());
         for f in &self.y.finished {
             let given_up = matches!(f.ended, Ended::Rejected | Ended::Failed);
-            assert_eq!(given_up, f.why.is_some(), "{f:?}");
+            assert_eq!(given_up, f.rejection_reason.is_some(), "{f:?}");
         }
         let policy_events = self.y.policy_events.lock().unwrap();
         let (mut sends, mut verdicts): (BTreeMap<String, u32>, BTreeSet<(String, u32)>) = Default::default();
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -122,12 +122,12 @@
     }
 }
 
-fn attempt(care: AttemptKind, report: Option<LoadReport>) -> AttemptRecord {
+fn attempt(kind: AttemptKind, report: Option<LoadReport>) -> AttemptRecord {
     AttemptRecord {
         worker: "w1".into(),
         stage: "read",
         outcome: "parsed",
-        care,
+        kind,
         sent_us: 1,
         took_us: 2,
         kept_tokens: 3,
@@ -147,12 +147,12 @@
 #[test]
 fn an_attempt_is_written_with_what_was_known_of_its_worker() {
     assert_eq!(json(&attempt(AttemptKind::Probe, Some(report()))), FULL_ATTEMPT);
-    for (care, written) in
+    for (kind, written) in
         [(AttemptKind::Normal, "usual"), (AttemptKind::SlowStart, "cold"), (AttemptKind::Probe, "trial")]
     {
         let expected = FULL_ATTEMPT.replace("trial", written);
         let (without_report, _) = expected.split_once(r#""report""#).unwrap();
-        assert_eq!(json(&attempt(care, None)), format!(r#"{without_report}"report":null}}"#));
+        assert_eq!(json(&attempt(kind, None)), format!(r#"{without_report}"report":null}}"#));
     }
 }
 
@@ -167,7 +167,7 @@
         session: Some("s1".into()),
         prefix: Some("p1".into()),
         ended: Ended::Rejected,
-        why: Some(RejectionReason::MayHaveRun),
+        rejection_reason: Some(RejectionReason::MayHaveRun),
         phase: "waiting",
         list_age_us: Some(4),
         open: 5,
@@ -189,7 +189,7 @@
         identity: None,
         session: None,
         prefix: None,
-        why: None,
+        rejection_reason: None,
         list_age_us: None,
         first_token_us: None,
         attempts: Vec::new(),
