--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -23,7 +23,7 @@
 const FILE: &str = "GW_CONFIG";
 /// Without any list of workers the router listens after this, µs.
 const START: u64 = 3_000_000;
-/// Told to end, it takes what still comes for so long, µs: new connections come for 0.4 s, and what arrives later than
+/// LogSink to end, it takes what still comes for so long, µs: new connections come for 0.4 s, and what arrives later than
 /// 0.7 s must have its answer when the process is killed, which streams can't where they may not move.
 const LEAVE: u64 = 500_000;
 const LEAVE_MOVING: u64 = 1_500_000;
@@ -35,19 +35,20 @@
 /// keeps house, which is well within the 4 s after which what it says counts.
 const READ_AGAIN: u32 = 20;
 
-struct Told {
+/// What a router on the platform does with its records: log lines, within a budget.
+struct LogSink {
     log: logs::Log,
     lines: LineBudget,
-    /// Each request is told.
+    /// Each request is logged.
     all: bool,
     file: PathBuf,
     /// Tries left to read another configuration; none: nothing is to be read.
     rereads: Option<u32>,
 }
 
-impl Told {
-    /// Whether a line about one request may be written; what was left out is told with the next one.
-    fn may_tell(&mut self) -> bool {
+impl LogSink {
+    /// Whether a line about one request may be written; what was left out is counted with the next one.
+    fn may_log(&mut self) -> bool {
         let left_out = self.lines.take(Instant::now());
         if let Some(lines) = left_out.filter(|lines| *lines > 0) {
             info!(target: "router", lines, "left out of the log");
@@ -56,17 +57,17 @@
     }
 }
 
-impl Sink for Told {
+impl Sink for LogSink {
     /// What was served or refused is no news, and what a client leaves is its own: these are counted.
     fn finished(&mut self, record: Finished) {
         let usual = matches!(record.ended, Ended::Served | Ended::Rejected | Ended::ClientGone);
-        if self.all || (!usual && self.may_tell()) {
+        if self.all || (!usual && self.may_log()) {
             self.log.finished(&record);
         }
     }
 
     fn transition(&mut self, transition: &Transition) {
-        if self.all || transition.change == Change::Violation || self.may_tell() {
+        if self.all || transition.change == Change::Violation || self.may_log() {
             self.log.transition(transition);
         }
     }
@@ -153,7 +154,7 @@
         core.count_seconds();
     }
     let log = logs::Log { list_file: None };
-    let told = Told { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
+    let told = LogSink { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
     let timeouts =
         LifecycleTimeouts { endpoint_wait: START, lame_duck: leave, drain: DRAIN, flush: FAREWELL };
     let mut shell = Shell::new(core, told, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -3,14 +3,15 @@
 use std::collections::VecDeque;
 use std::fs::File;
 use std::io::{BufWriter, Write};
-use std::path::PathBuf;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::mpsc::sync_channel;
 use std::sync::{Arc, Mutex};
 
 use chalkyard_budget::Time;
 use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
-use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell};
+use chalkyard_router::shell::{granularity, Clock, Handle, ListenAddress, Shell};
 use chalkyard_router::Core;
 use chalkyard_state::{LifecycleEvent, LifecycleTimeouts};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -58,7 +59,6 @@
 ) -> Result<ExitCode, CommandError> {
     logs::start("info");
     let began = std::time::Instant::now();
-    let could_not = |what: &str, e: std::io::Error| CommandError::CouldNotRun(format!("{what}: {e}"));
     // Before anything slow: until then a signal ends the process. What comes before the loop runs waits for it.
     let signals = with_retries(STARTUP_ATTEMPTS, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
     let mut signals = signals.map_err(|e| could_not("signals", e))?;
@@ -69,16 +69,13 @@
     let seed = seed.unwrap_or(clock.now().0);
     let mut config = settings.config;
     config.policy.tick = granularity();
-    let mut predecessor: Option<Predecessor> = None;
-    let address = if take_over {
+    let place = Place { listen: settings.listen, shared_port: settings.shared_port };
+    let (address, predecessor) = if take_over {
         let none = || CommandError::BadInput(format!("{}: <router> names no `control`", file.display()));
-        let taken = control::take_over(settings.control.as_ref().ok_or_else(none)?)?;
-        predecessor = taken.before.map(|lines| Box::new(lines) as Predecessor);
-        ListenAddress::adopt(taken.listener, settings.shared_port)
+        adopt_address(&place, settings.control.as_ref().ok_or_else(none)?)?
     } else {
-        with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(settings.listen, settings.shared_port))
+        (bind_address(&place)?, None)
     };
-    let address = address.map_err(|e| could_not(&format!("listening at {}", settings.listen), e))?;
     let started = Started { settings: config.policy.clone(), seed };
     let name = config.name.clone();
     let mut core = Core::new(config, seed, clock.now());
@@ -94,13 +91,7 @@
         ledger = Some(recovered.ledger);
     }
     if let Some(file) = decisions {
-        let out = File::create(&file).map_err(|e| could_not(&file.display().to_string(), e))?;
-        let mut out = BufWriter::new(out);
-        let _ = writeln!(out, "{}", line(&started));
-        core.observe(Box::new(move |now, event, actions| {
-            let decided = Decided { now, event, actions };
-            let _ = writeln!(out, "{}", line(&decided));
-        }));
+        record_decisions(&mut core, &file, &started)?;
     }
     let last_list = match (&settings.list_file, settings.engines) {
         (_, Some(engines)) => Some(engines),
@@ -129,15 +120,7 @@
         .control
         .map(|path| control::serve(&path, handle.clone(), reloader.clone(), take_over))
         .transpose()?;
-    std::thread::spawn(move || {
-        for signal in signals.forever() {
-            let event = if signal == SIGHUP { LifecycleEvent::Reload } else { LifecycleEvent::Terminate };
-            info!(target: "router", signal, "told to {}", if signal == SIGHUP { "reload" } else { "end" });
-            if !handle.notify(event) {
-                warn!(target: "router", signal, "the loop does not listen");
-            }
-        }
-    });
+    std::thread::spawn(move || forward_signals(&mut signals, &handle));
     let (stop, left) = shell.run(last_list.as_deref()).map_err(|e| could_not("running", e))?;
     // What was settled last is said to a successor before the process ends.
     drop(shell);
@@ -146,6 +129,56 @@
     Ok(ExitCode::from(stop.exit_code()))
 }
 
+/// Where a router listens.
+struct Place {
+    listen: SocketAddr,
+    shared_port: bool,
+}
+
+fn could_not(what: &str, error: std::io::Error) -> CommandError {
+    CommandError::CouldNotRun(format!("{what}: {error}"))
+}
+
+fn bind_address(place: &Place) -> Result<ListenAddress, CommandError> {
+    with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(place.listen, place.shared_port))
+        .map_err(|e| could_not(&format!("listening at {}", place.listen), e))
+}
+
+/// Takes the listening socket over from the router that answers at the control socket.
+fn adopt_address(
+    place: &Place,
+    control: &Path,
+) -> Result<(ListenAddress, Option<Predecessor>), CommandError> {
+    let taken = control::take_over(control)?;
+    let predecessor = taken.before.map(|lines| Box::new(lines) as Predecessor);
+    let address = ListenAddress::adopt(taken.listener, place.shared_port)
+        .map_err(|e| could_not(&format!("listening at {}", place.listen), e))?;
+    Ok((address, predecessor))
+}
+
+/// Writes each event of the decision module and its actions to a file, as JSON lines.
+fn record_decisions(core: &mut Core, file: &Path, started: &Started) -> Result<(), CommandError> {
+    let out = File::create(file).map_err(|e| could_not(&file.display().to_string(), e))?;
+    let mut out = BufWriter::new(out);
+    let _ = writeln!(out, "{}", line(started));
+    core.observe(Box::new(move |now, event, actions| {
+        let decided = Decided { now, event, actions };
+        let _ = writeln!(out, "{}", line(&decided));
+    }));
+    Ok(())
+}
+
+/// Passes signals on to the loop, for as long as the process lives.
+fn forward_signals(signals: &mut Signals, handle: &Handle) {
+    for signal in signals.forever() {
+        let event = if signal == SIGHUP { LifecycleEvent::Reload } else { LifecycleEvent::Terminate };
+        info!(target: "router", signal, "told to {}", if signal == SIGHUP { "reload" } else { "end" });
+        if !handle.notify(event) {
+            warn!(target: "router", signal, "the loop does not listen");
+        }
+    }
+}
+
 fn line(value: &impl serde::Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
