--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -3,6 +3,8 @@
 //! The adapter's binary drives whole batches by it; the router on the platform reads the same settings object and the
 //! same load reports.
 
+#![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
+
 pub mod session;
 pub mod translate;
 pub mod wire;
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -5,6 +5,8 @@
 //! - [`keys`]: API keys, stored only as keyed hashes.
 //! - [`tokens`]: estimates of a prompt's tokens.
 
+#![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
+
 pub mod client;
 pub mod engine;
 pub mod keys;
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -5,6 +5,8 @@
 //! the next epoch; [`bill`] joins ledgers with the engines' own records of tokens. The bound on overrun and
 //! its proof stand in `docs/budgets.md`.
 
+#![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
+
 pub mod bill;
 mod budget_enforcer;
 mod calendar;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,6 +12,8 @@
 //! - [`obligations`]: what is owed for one request and what may be done for it now;
 //! - `view`, `statistics`, `hashing`: what these share.
 
+#![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
+
 mod actions;
 mod admission;
 mod affinity;
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -4,6 +4,8 @@
 //! (request smuggling) is refused with a status and a [`Reason`]. Sources: RFC 9112; for event streams the HTML standard,
 //! section "Server-sent events".
 
+#![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
+
 mod body;
 mod decode;
 pub mod encode;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,6 +5,8 @@
 //! record for the log. [`shell`] drives it with mio; tests drive it by hand. Every decision about
 //! workers, retries and load shedding is the policy's ([`chalkyard_policy`]).
 
+#![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
+
 mod config;
 mod core;
 pub mod dialect;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,6 +2,8 @@
 //!
 //! The time and memory for reading a file are proportional to its length, however many tenants it names.
 
+#![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
+
 mod budgets;
 mod classes;
 mod document;
