--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -113,7 +113,7 @@
                 if let Some(address) = address {
                     info!(target: "router", discovery = %address, "another configuration");
                 }
-                address.map(Input::DiscoveryMoved).into_iter().collect()
+                address.map(Input::DiscoveryAddressChanged).into_iter().collect()
             }
             Err(why) => {
                 self.rereads = left.checked_sub(1);
@@ -151,7 +151,7 @@
     let mut core = Core::new(config, started.seed.unwrap_or(clock.now().0), clock.now());
     let all = std::env::var_os(logs::LEVEL_NAME).is_some();
     if all {
-        core.count_seconds();
+        core.enable_tally();
     }
     let log = logs::Log { list_file: None };
     let told = LogSink { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -80,14 +80,14 @@
     let name = config.name.clone();
     let mut core = Core::new(config, seed, clock.now());
     if std::env::var_os(logs::LEVEL_NAME).is_some() {
-        core.count_seconds();
+        core.enable_tally();
     }
     // All that was spent is known before the first request is taken.
     let (told, news) = sync_channel(PENDING_NEWS);
     let mut ledger = None;
     if let Some(budgets) = &settings.budgets {
         let recovered = budget_runtime::recover(budgets, &name, Time(clock.now().0), predecessor, &told)?;
-        core.keep_budgets(recovered.enforcer);
+        core.enforce_budgets(recovered.enforcer);
         ledger = Some(recovered.ledger);
     }
     if let Some(file) = decisions {
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -214,7 +214,7 @@
         let scenario = self.topology.scenario;
         let seed = scenario.seed.wrapping_mul(1_000).wrapping_add(i as u64 * 64 + router.incarnation);
         let mut core = Box::new(Core::new(config(scenario, name, *register), seed, now));
-        core.count_seconds();
+        core.enable_tally();
         core.start(now, None, &mut self.outputs);
         router.core = Some(core);
         self.topology.net.inner.start(i);
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -60,7 +60,7 @@
     let fifth = watch(&mut y);
     assert_eq!((fifth.conn, fifth.target.as_str()), (sixth.conn, "/discovery/hosts?after=6&wait_ms=2000"));
     // Another configuration: the new address at once.
-    y.input(Input::DiscoveryMoved(format!("127.0.0.1:{OTHER_AGENT}").parse().unwrap()));
+    y.input(Input::DiscoveryAddressChanged(format!("127.0.0.1:{OTHER_AGENT}").parse().unwrap()));
     assert!(y.closed.contains(&fifth.conn));
     assert_eq!(watch(&mut y).port, OTHER_AGENT);
 }
@@ -83,7 +83,7 @@
     let mut many: Vec<_> = (0..3_000).map(|n| member(&format!("x{n}"), "writes", 30, "up")).collect();
     many.push(member("w2", "writes", 3, "draining"));
     reply(&mut y, call.conn, 200, &[], &members(5, false, &many));
-    assert_eq!(y.core.counts().engines, 2_000);
+    assert_eq!(y.core.status().engines, 2_000);
     let policy_events = y.policy_events.lock().unwrap();
     let drained = policy_events.iter().any(|(_, e, _)| match e {
         Event::Endpoints { workers, .. } => {
--- a/crates/platform/tests/flow.rs
+++ b/crates/platform/tests/flow.rs
@@ -275,7 +275,7 @@
         .collect();
     let mut out = Vec::new();
     let now = y.now;
-    y.core.leave(now);
+    y.core.begin_shutdown(now);
     let up = y.client();
     y.bytes(up, &encode::request("GET", "/up", "a", &[], b""));
     assert_eq!(first_status(&y, up), Some(503));
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -158,7 +158,7 @@
     }
 
     /// The process ends now: each open request is answered with a failure that says whether it may have run.
-    pub fn answer_all(&mut self, now: Micros, out: &mut Vec<Output>) {
+    pub fn fail_open_requests(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.stopping = true;
         let open: Vec<RequestId> =
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -17,7 +17,7 @@
 impl Core {
     /// Enforces budgets from now on; to be called before the start. Requests that may have run in an earlier process and
     /// must not run twice are known from its ledger.
-    pub fn keep_budgets(&mut self, budgets: BudgetEnforcer) {
+    pub fn enforce_budgets(&mut self, budgets: BudgetEnforcer) {
         let (now, wait) = (self.now, self.config.timeouts.identity);
         for ran in &budgets.state().executed {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -141,7 +141,7 @@
     }
 
     /// Service discovery is at another address from now on.
-    pub(super) fn move_discovery(&mut self, address: SocketAddr) {
+    pub(super) fn change_discovery_address(&mut self, address: SocketAddr) {
         self.config.discovery = Some(address);
         if let Some(old) = self.discovery.connection.take() {
             self.abort_connection(old);
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -15,7 +15,7 @@
 
 impl ConnId {
     /// Whether the core chose it, for a connection to a worker or to service discovery.
-    pub(crate) fn is_to_worker(self) -> bool {
+    pub(crate) fn is_outbound(self) -> bool {
         self.0 % 2 == 1
     }
 }
@@ -52,7 +52,7 @@
     /// The previous process has ended a request that it had accepted.
     PredecessorSettled(Box<Settled>),
     /// Service discovery is at this address from now on.
-    DiscoveryMoved(SocketAddr),
+    DiscoveryAddressChanged(SocketAddr),
     /// The previous process has ended.
     PredecessorEnded,
 }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -166,7 +166,7 @@
     }
 
     /// Has an [`Output::Tally`] given out for each second in which anything was done.
-    pub fn count_seconds(&mut self) {
+    pub fn enable_tally(&mut self) {
         self.tally = Some(Tally::default());
     }
 
@@ -236,7 +236,7 @@
             Input::BudgetPlan(plan) => self.replace_budget_plan(*plan),
             Input::Reconfigure(settings) => self.reconfigure(*settings),
             Input::PredecessorSettled(settled) => self.settled_by_predecessor(&settled),
-            Input::DiscoveryMoved(address) => self.move_discovery(address),
+            Input::DiscoveryAddressChanged(address) => self.change_discovery_address(address),
             Input::PredecessorEnded => self.predecessor_finished(),
         }
         while let Some(due) = self.timers.pop(self.now) {
@@ -253,7 +253,7 @@
     }
 
     /// Begins the graceful shutdown: health checks fail, but requests are still accepted until clients have learned of it.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn begin_shutdown(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.leaving_since = Some(self.now);
         if let Some(migration) = self.config.timeouts.migration {
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -88,7 +88,7 @@
 
 impl Core {
     /// Counts.
-    pub fn counts(&self) -> Counts {
+    pub fn status(&self) -> Counts {
         let lease = self.budgets.as_ref().map(|k| k.state().lease);
         Counts {
             open_requests: self.requests.len(),
@@ -109,7 +109,7 @@
     }
 
     /// Open requests, the first in order of their ids.
-    pub fn open_view(&self) -> Listed<OpenRequest> {
+    pub fn request_view(&self) -> Listed<OpenRequest> {
         let items: Vec<OpenRequest> = self
             .requests
             .iter()
@@ -120,7 +120,7 @@
     }
 
     /// One open request.
-    pub fn open_one(&self, id: &str) -> Option<OpenRequest> {
+    pub fn find_request(&self, id: &str) -> Option<OpenRequest> {
         let id: p::RequestId = id.into();
         self.requests.get(&id).map(|request| self.describe_open(&id, request))
     }
--- a/crates/router/src/shell/connection.rs
+++ b/crates/router/src/shell/connection.rs
@@ -76,7 +76,7 @@
     /// read: the call would be lost, or answered by what is not its reply. Nothing of the call is written yet.
     pub(super) fn has_unexpected_bytes(&self) -> bool {
         let begins = self.is_unwritten && self.state == ConnectionState::Open;
-        begins && self.id.is_to_worker() && self.peek().is_ok()
+        begins && self.id.is_outbound() && self.peek().is_ok()
     }
 
     /// Peeks for a byte; an interrupted call is repeated.
--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -77,7 +77,7 @@
     pub(super) fn begins_call(&self, key: usize) -> bool {
         self.connections
             .get(key)
-            .is_some_and(|s| s.is_unwritten && s.id.is_to_worker() && s.state == ConnectionState::Open)
+            .is_some_and(|s| s.is_unwritten && s.id.is_outbound() && s.state == ConnectionState::Open)
     }
 
     pub(super) fn pause(&mut self, id: ConnId, paused: bool) {
@@ -144,7 +144,7 @@
             return self.read_closing(key);
         }
         let id = connection.id;
-        if connection.paused && connection.end_pending && !id.is_to_worker() {
+        if connection.paused && connection.end_pending && !id.is_outbound() {
             self.notice_departure(key);
             return false;
         }
--- a/crates/router/src/shell/lifecycle.rs
+++ b/crates/router/src/shell/lifecycle.rs
@@ -60,7 +60,7 @@
                 self.lifecycle_event(event);
             }
             LifecycleAction::EnterLameDuck => {
-                self.core.leave(self.clock.now());
+                self.core.begin_shutdown(self.clock.now());
                 self.sink.counters(self.core.counters());
             }
             LifecycleAction::StopAccepting { .. } => {
@@ -83,7 +83,9 @@
                 }
             }
             LifecycleAction::ReloadSettings => self.sink.reload(),
-            LifecycleAction::AnswerOpenRequests => self.core.answer_all(self.clock.now(), &mut self.outputs),
+            LifecycleAction::AnswerOpenRequests => {
+                self.core.fail_open_requests(self.clock.now(), &mut self.outputs)
+            }
             LifecycleAction::Exit(stop) => self.stop = Some(stop),
             LifecycleAction::NotifyReady
             | LifecycleAction::NotifyReloading
@@ -112,7 +114,7 @@
     /// The answer to a query, as one JSON object.
     pub(super) fn answer(&self, query: &AdminQuery) -> String {
         let json = match query {
-            AdminQuery::Status => serde_json::to_value(self.core.counts()).map(|mut counts| {
+            AdminQuery::Status => serde_json::to_value(self.core.status()).map(|mut counts| {
                 if let Some(object) = counts.as_object_mut() {
                     object.insert("phase".into(), serde_json::json!(self.lifecycle.phase()));
                     object.insert("at".into(), serde_json::json!(self.listen_address.at().to_string()));
@@ -122,8 +124,8 @@
                 counts
             }),
             AdminQuery::Engines => serde_json::to_value(self.core.worker_view()),
-            AdminQuery::Requests => serde_json::to_value(self.core.open_view()),
-            AdminQuery::Trace(id) => match self.core.open_one(id) {
+            AdminQuery::Requests => serde_json::to_value(self.core.request_view()),
+            AdminQuery::Trace(id) => match self.core.find_request(id) {
                 Some(open) => serde_json::to_value(open),
                 None => match self.sink.recent_request(id) {
                     Some(ended) => return ended,
--- a/crates/router/src/shell/turn.rs
+++ b/crates/router/src/shell/turn.rs
@@ -22,8 +22,8 @@
     pub(super) fn queue_events(&mut self) {
         for event in &self.events {
             let readiness = Readiness::from(event);
-            let is_to_worker = connection_of(readiness.token).is_some_and(ConnId::is_to_worker);
-            self.ready.push(readiness, if is_to_worker { Side::Worker } else { Side::Client });
+            let is_outbound = connection_of(readiness.token).is_some_and(ConnId::is_outbound);
+            self.ready.push(readiness, if is_outbound { Side::Worker } else { Side::Client });
         }
     }
 
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -34,7 +34,7 @@
 
 fn harness_with(plan: Plan) -> Harness {
     let mut harness = Harness::new(config(), &usual());
-    harness.core.keep_budgets(BudgetEnforcer::new("r1", plan, State::default(), Time(START.0)));
+    harness.core.enforce_budgets(BudgetEnforcer::new("r1", plan, State::default(), Time(START.0)));
     harness
 }
 
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -237,7 +237,7 @@
     for conn in idle {
         y.input(Input::Eof(conn));
     }
-    assert_eq!(y.core.counts().connections, 0);
+    assert_eq!(y.core.status().connections, 0);
     let client = y.ask("report");
     let read = y.call();
     y.parsed(&read);
@@ -268,7 +268,7 @@
         y.advance(ms(1_000));
         assert_eq!(y.releases().len(), 1, "told to let go, {read_ends_after}: {:?}", y.notes);
         y.advance(ms(5_000));
-        assert_eq!(y.core.counts().connections, 1, "and forgotten then");
+        assert_eq!(y.core.status().connections, 1, "and forgotten then");
         assert_eq!(y.core.worker_view().items.len(), 2);
     }
 }
@@ -394,13 +394,13 @@
             y.reply(release.conn, 200, "{}");
         }
         y.advance(ms(60_000));
-        let counts = y.core.counts();
+        let counts = y.core.status();
         assert!(counts.identities <= 11, "ten minutes of them are remembered: {counts:?}");
         assert!(counts.connections <= 6 && counts.clients <= 2 && counts.open_requests == 0, "{counts:?}");
     }
     assert_eq!(y.finished.len(), 2_880);
     y.advance(ms(120_000));
-    assert_eq!(y.core.counts().connections, 0, "all pools are idle for longer than they may");
+    assert_eq!(y.core.status().connections, 0, "all pools are idle for longer than they may");
     assert_eq!(y.core.next_due(), None, "no timer is left");
 }
 
@@ -467,7 +467,7 @@
 fn a_malformed_reply_of_the_register_is_no_standing_watch() {
     let (mut y, conn) = watched();
     y.bytes(conn, b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n");
-    assert!(!y.core.counts().register, "told as lost");
+    assert!(!y.core.status().register, "told as lost");
     // Half to one and a half times the pause of a second.
     y.advance(ms(1_600));
     assert!(y.calls.iter().any(|c| c.target.contains("watch")), "and asked for again");
--- a/crates/router/tests/outputs.rs
+++ b/crates/router/tests/outputs.rs
@@ -25,7 +25,7 @@
 impl Recorder {
     fn new(title: &str, config: Config) -> Self {
         let mut y = Harness::new(config, &usual());
-        y.core.count_seconds();
+        y.core.enable_tally();
         let text = format!("# {title}\n");
         Self { y, text, finished: 0, transitions: 0, tallies: 0, notes: 0, clients: Vec::new() }
     }
@@ -36,7 +36,7 @@
 
     fn views(&mut self) {
         let (counts, open, engines) =
-            (self.y.core.counts(), self.y.core.open_view(), self.y.core.worker_view());
+            (self.y.core.status(), self.y.core.request_view(), self.y.core.worker_view());
         self.line("counts", &counts);
         self.line("open", &open);
         self.line("engines", &engines);
