--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -147,7 +147,7 @@
     /// Whether and where it may be attempted again.
     pub retry_safety: RetrySafety,
     /// For deduplicated classes: how long repeats are discarded.
-    pub deduplication_window: Micros,
+    pub dedup_window: Micros,
     /// When its client gives it up.
     pub deadline: Micros,
     /// At most so many attempts.
@@ -203,7 +203,7 @@
 
     /// Until when a repeat of this attempt may be out.
     fn repeat_end(&self, ran: &AttemptFacts) -> Micros {
-        ran.sent + (self.deduplication_window - WINDOW_MARGIN)
+        ran.sent + (self.dedup_window - WINDOW_MARGIN)
     }
 
     /// When the next attempt has to be over, whatever has become of it: one that lies at a silent worker runs as that
@@ -237,7 +237,7 @@
     }
 
     /// Why no worker can ever take it: its attempts are used up, or one that may have run bars more.
-    pub fn hopeless(&self, now: Micros) -> Option<Denied> {
+    pub fn permanent_denial(&self, now: Micros) -> Option<Denied> {
         let bars = |a: &AttemptFacts| match self.retry_safety {
             RetrySafety::Idempotent => false,
             RetrySafety::NonIdempotent => true,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -24,10 +24,10 @@
 
 /// What is owed for a request, as it stands.
 pub fn obligations(settings: &Settings, request: &RequestState) -> Obligations {
-    let (retry_safety, deduplication_window) = retry_safety(settings, request);
+    let (retry_safety, dedup_window) = retry_safety(settings, request);
     Obligations {
         retry_safety,
-        deduplication_window,
+        dedup_window,
         deadline: request.request.deadline,
         max_attempts: settings.max_attempts,
         attempts: request.attempts.iter().map(|attempt| attempt.facts).collect(),
@@ -79,7 +79,7 @@
 
 /// Why no worker can ever take a request again, if so.
 pub fn reason_if_hopeless(view: &View<'_>, request: &RequestState) -> Option<RejectionReason> {
-    let denied = obligations(view.settings, request).hopeless(view.now)?;
+    let denied = obligations(view.settings, request).permanent_denial(view.now)?;
     Some(match denied {
         Denied::MayHaveRun => RejectionReason::MayHaveRun,
         _ => RejectionReason::AttemptsExhausted,
--- a/crates/policy/tests/obligations.rs
+++ b/crates/policy/tests/obligations.rs
@@ -16,7 +16,7 @@
 fn owed(retry_safety: RetrySafety, attempts: Vec<AttemptFacts>) -> Obligations {
     Obligations {
         retry_safety,
-        deduplication_window: secs(2.0),
+        dedup_window: secs(2.0),
         deadline: NOW + secs(5.0),
         max_attempts: 4,
         attempts,
@@ -51,7 +51,7 @@
         let single = owed(RetrySafety::NonIdempotent, earlier.clone());
         assert_eq!(denied(&single, &writer), Some(Denied::MayHaveRun), "{outcome:?}");
         assert_eq!(single.may_reject().err(), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(single.hopeless(NOW), Some(Denied::MayHaveRun), "{outcome:?}");
+        assert_eq!(single.permanent_denial(NOW), Some(Denied::MayHaveRun), "{outcome:?}");
         assert_eq!(denied(&owed(RetrySafety::Idempotent, earlier.clone()), &writer), None);
         // A guarded one goes again within its group and window alone.
         let guarded = owed(RetrySafety::Deduplicated(DeduplicationScope::Cell), earlier);
@@ -59,12 +59,12 @@
         let elsewhere = Target { cell: CellId(2), ..writer };
         assert_eq!(denied(&guarded, &elsewhere), Some(Denied::MayHaveRun));
         assert_eq!(guarded.may_send(NOW + secs(1.0), &writer).err(), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(guarded.hopeless(NOW + secs(1.0)), Some(Denied::MayHaveRun));
+        assert_eq!(guarded.permanent_denial(NOW + secs(1.0)), Some(Denied::MayHaveRun));
     }
     for outcome in proven {
         let single = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Decode, outcome)]);
         assert_eq!(denied(&single, &writer), None, "{outcome:?}");
-        assert!(single.may_reject().is_ok() && single.hopeless(NOW).is_none(), "{outcome:?}");
+        assert!(single.may_reject().is_ok() && single.permanent_denial(NOW).is_none(), "{outcome:?}");
     }
     for outcome in unproven {
         let read = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Prefill, outcome)]);
@@ -84,7 +84,7 @@
     assert_eq!(denied(&owed(RetrySafety::Idempotent, vec![open]), &writer), Some(Denied::AttemptOpen));
     let used = vec![ended(Stage::Decode, Outcome::NoConnection); 4];
     assert_eq!(denied(&owed(RetrySafety::Idempotent, used.clone()), &writer), Some(Denied::AttemptsUsed));
-    assert_eq!(owed(RetrySafety::Idempotent, used).hopeless(NOW), Some(Denied::AttemptsUsed));
+    assert_eq!(owed(RetrySafety::Idempotent, used).permanent_denial(NOW), Some(Denied::AttemptsUsed));
     assert_eq!(fresh.may_send(NOW + secs(5.0), &writer).err(), Some(Denied::PastDeadline));
     for (answer, why) in [(AnswerState::Given, Denied::Answered), (AnswerState::Begun, Denied::Begun)] {
         let owed = Obligations { answer, ..fresh.clone() };
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -192,7 +192,7 @@
         };
         Obligations {
             retry_safety,
-            deduplication_window: window,
+            dedup_window: window,
             deadline: self.spec.deadline,
             max_attempts: settings.max_attempts,
             attempts: self.attempts.iter().map(|a| a.facts).collect(),
