--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -173,7 +173,7 @@
         session: w.session_id.as_ref().and_then(wire::Key::text).map(Into::into),
         prefix: w.system_prompt.as_ref().and_then(wire::Key::text).map(Into::into),
         prompt_tokens: tokens(w.prompt_tokens),
-        max_output: tokens(w.output_cap),
+        max_output_tokens: tokens(w.output_cap),
         deadline: secs(w.client_deadline_s),
         resumed: w.came_back,
     }))
@@ -182,9 +182,9 @@
 /// Reads a load report.
 pub fn report(s: &wire::Stats) -> p::LoadReport {
     p::LoadReport {
-        queued: s.depth,
-        slots_used: s.load_share,
-        kv_used: s.x0,
+        queued_requests: s.depth,
+        slot_utilization: s.load_share,
+        kv_utilization: s.x0,
         waiting_tokens: s.x1.map(|k| k * 1e3),
     }
 }
--- a/crates/daemon/src/logs_test.rs
+++ b/crates/daemon/src/logs_test.rs
@@ -61,7 +61,7 @@
             sent_us: 1,
             took_us: 2,
             kept_tokens: 3,
-            report: Some(LoadReport { queued: Some(1.0), ..LoadReport::default() }),
+            report: Some(LoadReport { queued_requests: Some(1.0), ..LoadReport::default() }),
         }],
         arrived_us: 6,
         first_token_us: Some(7),
--- a/crates/daemon/tests/serialized_decisions.rs
+++ b/crates/daemon/tests/serialized_decisions.rs
@@ -70,7 +70,7 @@
         session: Some("s1".into()),
         prefix: Some("p1".into()),
         prompt_tokens: 1_200,
-        max_output: 300,
+        max_output_tokens: 300,
         deadline: Micros(5_000_000),
         resumed: true,
     }
@@ -121,9 +121,9 @@
 
 fn report() -> LoadReport {
     LoadReport {
-        queued: Some(2.0),
-        slots_used: Some(0.5),
-        kv_used: Some(0.25),
+        queued_requests: Some(2.0),
+        slot_utilization: Some(0.5),
+        kv_utilization: Some(0.25),
         waiting_tokens: Some(4_000.0),
     }
 }
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -158,7 +158,7 @@
         session: session.map(Into::into),
         prefix: attributes.prefix.map(Into::into),
         prompt_tokens: attributes.prompt_tokens.unwrap_or(body_bytes / BYTES_PER_TOKEN),
-        max_output: attributes.max_output.unwrap_or(0),
+        max_output_tokens: attributes.max_output.unwrap_or(0),
         deadline: arrived + timeout,
         resumed: one(head, "X-Retried")?.is_some_and(|v| v.eq_ignore_ascii_case("again")),
     })
--- a/crates/platform/tests/flow.rs
+++ b/crates/platform/tests/flow.rs
@@ -67,7 +67,7 @@
         _ => None,
     });
     let (kept, report) = last.unwrap();
-    assert_eq!((kept, report.queued, report.slots_used), (4096, Some(2.0), Some(0.61)));
+    assert_eq!((kept, report.queued_requests, report.slot_utilization), (4096, Some(2.0), Some(0.61)));
 }
 
 #[test]
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -163,7 +163,7 @@
         worker.info.lifecycle == Lifecycle::Active && view.now - worker.last_response < REQUEST_RATE_SPAN
     };
     for worker in view.workers.values().filter(responded_lately) {
-        let Some(queued) = worker.load_report.and_then(|report| report.queued) else { continue };
+        let Some(queued) = worker.load_report.and_then(|report| report.queued_requests) else { continue };
         let reports = by_role.entry(worker.info.role).or_default();
         reports.count += 1.0;
         reports.queueing += f64::from(u8::from(queued >= 1.0));
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -78,11 +78,14 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LoadReport {
     /// Requests that wait.
-    pub queued: Option<f64>,
+    #[cfg_attr(feature = "serde", serde(rename = "queued"))]
+    pub queued_requests: Option<f64>,
     /// Share of its slots in use, 0 to 1.
-    pub slots_used: Option<f64>,
+    #[cfg_attr(feature = "serde", serde(rename = "slots_used"))]
+    pub slot_utilization: Option<f64>,
     /// Share of its memory in use, 0 to 1.
-    pub kv_used: Option<f64>,
+    #[cfg_attr(feature = "serde", serde(rename = "kv_used"))]
+    pub kv_utilization: Option<f64>,
     /// Prompt tokens that wait to be prefilled or pulled.
     pub waiting_tokens: Option<f64>,
 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -57,7 +57,8 @@
     /// Prompt tokens in all.
     pub prompt_tokens: u64,
     /// The longest answer allowed, in tokens.
-    pub max_output: u64,
+    #[cfg_attr(feature = "serde", serde(rename = "max_output"))]
+    pub max_output_tokens: u64,
     /// When the client gives it up.
     pub deadline: Micros,
     /// The client resumes a stream that broke or was migrated.
--- a/crates/policy/src/outcomes.rs
+++ b/crates/policy/src/outcomes.rs
@@ -217,7 +217,7 @@
 
 /// Leaves a worker alone for a class that it rejected, longer each time.
 fn back_off(worker: &mut WorkerState, class: ClassId, now: Micros) {
-    let queued = worker.load_report.and_then(|report| report.queued).unwrap_or(0.0);
+    let queued = worker.load_report.and_then(|report| report.queued_requests).unwrap_or(0.0);
     let capacity = worker.reported_capacity();
     let is_idle = queued < 1.0 && capacity.is_some_and(|capacity| capacity > IDLE_CAPACITY);
     let doublings = if is_idle { IDLE_REJECTION_DOUBLINGS } else { 1 };
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -89,10 +89,10 @@
     /// Free capacity as last reported, as a share of the whole.
     pub fn reported_capacity(&self) -> Option<f64> {
         let report = self.load_report?;
-        if report.kv_used.is_none() && report.slots_used.is_none() {
+        if report.kv_utilization.is_none() && report.slot_utilization.is_none() {
             return None;
         }
-        let used = report.kv_used.unwrap_or(0.0).max(report.slots_used.unwrap_or(0.0));
+        let used = report.kv_utilization.unwrap_or(0.0).max(report.slot_utilization.unwrap_or(0.0));
         Some(1.0 - used)
     }
 
@@ -103,7 +103,9 @@
         let waiting_tokens =
             report.waiting_tokens.unwrap_or(0.0) + self.tokens_since_report * f64::from(routers);
         let capacity = self.reported_capacity().unwrap_or(average);
-        capacity - waiting_tokens / self.memory_tokens() - report.queued.unwrap_or(0.0) * CAPACITY_PER_QUEUED
+        capacity
+            - waiting_tokens / self.memory_tokens()
+            - report.queued_requests.unwrap_or(0.0) * CAPACITY_PER_QUEUED
     }
 
     /// For how long it has been warming up; none once it is warm.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -112,7 +112,7 @@
             session: Some(session.into()),
             prefix: None,
             prompt_tokens: tokens,
-            max_output: 200,
+            max_output_tokens: 200,
             deadline: self.now + secs(5.0),
             resumed: false,
         }
--- a/crates/policy/tests/joiner.rs
+++ b/crates/policy/tests/joiner.rs
@@ -98,7 +98,7 @@
                 continue;
             }
             let report = (self.case.reports == LoadReporting::InResponses).then(|| LoadReport {
-                kv_used: Some(self.held.get(&w).copied().unwrap_or(0.0) / 100_000.0),
+                kv_utilization: Some(self.held.get(&w).copied().unwrap_or(0.0) / 100_000.0),
                 ..LoadReport::default()
             });
             let outcome = if what == Due::Parsed { Outcome::Prefilled } else { Outcome::Served };
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -458,7 +458,7 @@
 /// The reader tells that so many wait there, the answer begins.
 fn begins(queued: Option<f64>) -> impl Fn(&mut Rig, &str) {
     move |rig, id| {
-        let report = queued.map(|q| LoadReport { queued: Some(q), ..LoadReport::default() });
+        let report = queued.map(|q| LoadReport { queued_requests: Some(q), ..LoadReport::default() });
         rig.end_with(id, 0, Outcome::Prefilled, 0, report);
         rig.stream(id, 1);
     }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -129,7 +129,7 @@
         rig.stream(&id, 1);
         rig.wait(0.5);
         let used = if writer == "w1" { 0.1 } else { 0.8 };
-        let report = LoadReport { slots_used: Some(used), ..LoadReport::default() };
+        let report = LoadReport { slot_utilization: Some(used), ..LoadReport::default() };
         rig.end_with(&id, 1, Outcome::Served, 0, Some(report));
         writers.insert(writer);
     }
@@ -155,7 +155,7 @@
             pulled.insert(at.clone());
         }
         let held = if at.starts_with('m') { mixed_held } else { writers_held };
-        let report = LoadReport { kv_used: Some(held), ..LoadReport::default() };
+        let report = LoadReport { kv_utilization: Some(held), ..LoadReport::default() };
         rig.stream(&id, u32::from(reads));
         rig.end_with(&id, u32::from(reads), Outcome::Served, 0, Some(report));
         rig.wait(0.5);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -404,12 +404,12 @@
 #[test]
 fn a_worker_that_turns_one_class_away_is_left_alone_for_that_class() {
     let idle = Some(LoadReport {
-        queued: Some(0.0),
-        slots_used: Some(0.1),
-        kv_used: Some(0.1),
+        queued_requests: Some(0.0),
+        slot_utilization: Some(0.1),
+        kv_utilization: Some(0.1),
         waiting_tokens: None,
     });
-    let busy = idle.map(|r| LoadReport { queued: Some(9.0), slots_used: Some(1.0), ..r });
+    let busy = idle.map(|r| LoadReport { queued_requests: Some(9.0), slot_utilization: Some(1.0), ..r });
     for (report, most) in [(idle, 5), (busy, 9)] {
         let mut rig = Rig::new(settings(), readers(1));
         let (mut free, mut single) = (0, 0);
@@ -582,7 +582,7 @@
 #[test]
 fn herds_are_foreseen_between_two_reports() {
     let mut rig = Rig::new(settings(), fleet());
-    let report = |used| Some(LoadReport { kv_used: Some(used), ..LoadReport::default() });
+    let report = |used| Some(LoadReport { kv_utilization: Some(used), ..LoadReport::default() });
     // All writers have told their room; the nearest has a little more.
     let mut n = 0;
     let mut told = std::collections::BTreeSet::new();
@@ -735,7 +735,7 @@
         let id = format!("l{i}");
         rig.ask(&id, &id, FREE, 4_000);
         rig.wait(0.1);
-        let report = Some(LoadReport { queued, ..LoadReport::default() });
+        let report = Some(LoadReport { queued_requests: queued, ..LoadReport::default() });
         rig.end_with(&id, 0, Outcome::Prefilled, 0, report);
         rig.stream(&id, 1);
         rig.wait(0.05);
@@ -792,7 +792,7 @@
             let id = format!("s{i}");
             rig.ask(&id, &id, FREE, 4_000);
             rig.wait(0.9);
-            let report = Some(LoadReport { queued: Some(queued), ..LoadReport::default() });
+            let report = Some(LoadReport { queued_requests: Some(queued), ..LoadReport::default() });
             rig.end_with(&id, 0, Outcome::Prefilled, 0, report);
             rig.stream(&id, 1);
             rig.end(&id, 1, Outcome::Served, 0);
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -211,7 +211,7 @@
         if let ClientCall::Messages(call) = &mut self.call {
             call.max_tokens = call.max_tokens.min(tokens);
         }
-        self.spec.max_output = self.spec.max_output.min(tokens);
+        self.spec.max_output_tokens = self.spec.max_output_tokens.min(tokens);
     }
 
     /// Bytes of its body that are kept for further attempts.
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -63,7 +63,7 @@
             class,
             identity: request.idempotency_key(),
             prompt: request.spec.prompt_tokens,
-            output: request.spec.max_output,
+            output: request.spec.max_output_tokens,
         };
         let admission = budgets.admit(now, reservation).map_err(|denial| {
             let status = if denial.reason == DenialReason::LedgerUnavailable { 503 } else { 429 };
--- a/crates/router/src/core/load_report.rs
+++ b/crates/router/src/core/load_report.rs
@@ -8,9 +8,9 @@
     let load = engine::load(header?)?;
     let named = load.named_metrics;
     Some(p::LoadReport {
-        queued: named.queue_depth,
-        slots_used: load.cpu_utilization,
-        kv_used: load.mem_utilization,
+        queued_requests: named.queue_depth,
+        slot_utilization: load.cpu_utilization,
+        kv_utilization: load.mem_utilization,
         waiting_tokens: named.waiting_tokens,
     })
 }
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -259,7 +259,7 @@
             }),
             prefix: call.prefix.as_ref().map(|(hash, _)| hash.as_str().into()),
             prompt_tokens: call.prompt_tokens,
-            max_output: call.max_tokens,
+            max_output_tokens: call.max_tokens,
             deadline: self.now + (timeout - margin),
             resumed: call.came_back,
         };
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -136,7 +136,12 @@
 }
 
 fn report() -> LoadReport {
-    LoadReport { queued: Some(1.0), slots_used: Some(0.5), kv_used: None, waiting_tokens: Some(9.0) }
+    LoadReport {
+        queued_requests: Some(1.0),
+        slot_utilization: Some(0.5),
+        kv_utilization: None,
+        waiting_tokens: Some(9.0),
+    }
 }
 
 const FULL_ATTEMPT: &str = concat!(
