--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::sync::OnceLock;
 
-use chalkyard_router::{Counters, Finished, Tally, Transition};
+use chalkyard_router::{Counters, RequestRecord, Tally, Transition};
 use tracing::{info, warn};
 use tracing_subscriber::EnvFilter;
 
@@ -38,7 +38,7 @@
 }
 
 impl Log {
-    pub fn finished(&self, r: &Finished) {
+    pub fn finished(&self, r: &RequestRecord) {
         if !tracing::enabled!(target: "request", tracing::Level::INFO) {
             return;
         }
--- a/crates/daemon/src/logs_test.rs
+++ b/crates/daemon/src/logs_test.rs
@@ -4,7 +4,9 @@
 use std::sync::{Arc, Mutex};
 
 use chalkyard_policy::{AttemptKind, LoadReport, RejectionReason};
-use chalkyard_router::{AttemptRecord, ByCause, Change, Counters, Ended, Finished, Tally, Transition};
+use chalkyard_router::{
+    AttemptRecord, Counters, CountsByCause, RequestOutcome, RequestRecord, Tally, Transition, TransitionKind,
+};
 
 use super::Log;
 
@@ -38,8 +40,8 @@
     String::from_utf8(bytes).unwrap()
 }
 
-fn finished() -> Finished {
-    Finished {
+fn finished() -> RequestRecord {
+    RequestRecord {
         id: "r1-1".into(),
         class: "help".into(),
         came_back: true,
@@ -47,7 +49,7 @@
         identity: Some("k1".into()),
         session: Some("s1".into()),
         prefix: Some("p1".into()),
-        ended: Ended::ClientGone,
+        ended: RequestOutcome::ClientGone,
         rejection_reason: Some(RejectionReason::MayHaveRun),
         phase: "waiting",
         list_age_us: Some(4),
@@ -92,7 +94,7 @@
 
 #[test]
 fn a_finished_request_without_optional_fields_leaves_them_out() {
-    let bare = Finished {
+    let bare = RequestRecord {
         tenant: None,
         identity: None,
         session: None,
@@ -119,7 +121,7 @@
 fn a_transition_is_one_line_with_every_field_that_is_known() {
     let transition = Transition {
         id: "r1-1".into(),
-        change: Change::ReleasedDuringAttempt,
+        change: TransitionKind::ReleasedDuringAttempt,
         cause: "held_time_up",
         attempt: Some(1),
         worker: Some("w1".into()),
@@ -159,8 +161,8 @@
 fn counters_and_the_counts_of_a_second_are_json_in_a_line() {
     let counters = Counters {
         requests: 3,
-        answers: ByCause::from([("served", 2)]),
-        violations: ByCause::from([("held_overdue", 1)]),
+        answers: CountsByCause::from([("served", 2)]),
+        violations: CountsByCause::from([("held_overdue", 1)]),
         ..Counters::default()
     };
     assert_eq!(
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -10,7 +10,9 @@
 use chalkyard_platform::Started;
 use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
 use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell, Sink, SinkEvent};
-use chalkyard_router::{Change, Core, Counters, Ended, Finished, Input, Tally, Transition};
+use chalkyard_router::{
+    Core, Counters, Input, RequestOutcome, RequestRecord, Tally, Transition, TransitionKind,
+};
 use chalkyard_state::{LifecycleAction, LifecycleEvent, LifecycleTimeouts};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -59,15 +61,18 @@
 
 impl Sink for LogSink {
     /// What was served or refused is no news, and what a client leaves is its own: these are counted.
-    fn finished(&mut self, record: Finished) {
-        let usual = matches!(record.ended, Ended::Served | Ended::Rejected | Ended::ClientGone);
+    fn finished(&mut self, record: RequestRecord) {
+        let usual = matches!(
+            record.ended,
+            RequestOutcome::Served | RequestOutcome::Rejected | RequestOutcome::ClientGone
+        );
         if self.all || (!usual && self.may_log()) {
             self.log.finished(&record);
         }
     }
 
     fn transition(&mut self, transition: &Transition) {
-        if self.all || transition.change == Change::Violation || self.may_log() {
+        if self.all || transition.change == TransitionKind::Violation || self.may_log() {
             self.log.transition(transition);
         }
     }
--- a/crates/daemon/src/router_sink.rs
+++ b/crates/daemon/src/router_sink.rs
@@ -8,7 +8,7 @@
 
 use chalkyard_budget::{Figures, Record, Settled};
 use chalkyard_router::shell::{Sink, SinkEvent};
-use chalkyard_router::{Counters, Finished, Tally, Transition};
+use chalkyard_router::{Counters, RequestRecord, Tally, Transition};
 use chalkyard_state::LifecycleAction;
 use tracing::{info, warn};
 
@@ -38,7 +38,7 @@
     /// The successor that the ledger was handed to.
     pub successor: Option<SyncSender<Settled>>,
     /// Requests that ended lately, newest last.
-    pub recent: VecDeque<Finished>,
+    pub recent: VecDeque<RequestRecord>,
     /// What the first ready line says.
     pub name: String,
     /// Likewise.
@@ -54,7 +54,7 @@
 }
 
 impl Sink for RouterSink {
-    fn finished(&mut self, record: Finished) {
+    fn finished(&mut self, record: RequestRecord) {
         self.log.finished(&record);
         if self.recent.len() >= RECENT_REQUESTS {
             self.recent.pop_front();
--- a/crates/daemon/tests/common/shell_router.rs
+++ b/crates/daemon/tests/common/shell_router.rs
@@ -7,7 +7,7 @@
 
 use chalkyard_platform::Started;
 use chalkyard_router::shell::{Clock, Handle, ListenAddress, Shell, Sink};
-use chalkyard_router::{Core, Finished};
+use chalkyard_router::{Core, RequestRecord};
 use chalkyard_state::{LifecycleEvent, LifecycleTimeouts};
 
 use crate::peers::{ask, config, own_address, wait, Agent, Setting, PATIENCE};
@@ -28,7 +28,7 @@
 struct StallingSink;
 
 impl Sink for StallingSink {
-    fn finished(&mut self, record: Finished) {
+    fn finished(&mut self, record: RequestRecord) {
         let stall = record.id.strip_prefix(STALL).and_then(|rest| rest.split('-').next()?.parse().ok());
         std::thread::sleep(Duration::from_millis(stall.unwrap_or(0)));
     }
--- a/crates/fleet/src/emulate.rs
+++ b/crates/fleet/src/emulate.rs
@@ -12,7 +12,7 @@
 use chalkyard_rehearsal::topology::Topology;
 use chalkyard_rehearsal::Error;
 use chalkyard_router::{
-    Bounds, ClassConfig, Config, Core, Finished, Input, Output, Tally, Timeouts, WorkerKind,
+    Bounds, ClassConfig, Config, Core, Input, Output, RequestRecord, Tally, Timeouts, WorkerKind,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -34,7 +34,7 @@
     /// What the routers counted, a second of all together.
     pub tallies: Vec<Tally>,
     /// Each request that ended, with its router.
-    pub finished: Vec<(usize, Finished)>,
+    pub finished: Vec<(usize, RequestRecord)>,
 }
 
 struct Router {
@@ -55,7 +55,7 @@
     returns: Vec<(u64, usize)>,
     outputs: Vec<Output>,
     tallies: BTreeMap<u64, Tally>,
-    finished: Vec<(usize, Finished)>,
+    finished: Vec<(usize, RequestRecord)>,
 }
 
 /// As the kit's settings for processes say it.
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 
 use super::attempt::{outcome_name, Attempt, AttemptStage};
-use super::record::{since, AttemptRecord, Ended};
+use super::record::{since, AttemptRecord, RequestOutcome};
 use super::tally::CallKind;
 use super::ConnId;
 use crate::dialect::ForwardedRequest;
@@ -49,7 +49,7 @@
     /// The stream to the client has begun.
     Streaming,
     /// It was given, or the client has left.
-    Given { ended: Ended, phase: &'static str, reason: String, at: Micros },
+    Given { ended: RequestOutcome, phase: &'static str, reason: String, at: Micros },
 }
 
 /// KV state that a prefill worker holds for the request; see [`super::reservations`] for who writes it.
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -8,9 +8,9 @@
 use super::active_request::{ActiveRequest, ClientCall, FinalAnswer};
 use super::attempt::outcome_name;
 use super::counters::{increment, Violation};
-use super::record::{since, Ended, Finished};
+use super::record::{since, RequestOutcome, RequestRecord};
 use super::view::OpenRequest;
-use super::{Core, FinishedLine, Output};
+use super::{Core, FinishedOutput, Output};
 
 impl Core {
     /// The policy rejects the request. If an attempt may have run, the client is told of a failure instead.
@@ -29,7 +29,7 @@
             may_have_run: false,
             retry_after: retry_after.map(Micros::as_secs_f64),
         };
-        self.answer_with_error(id, Ended::Rejected, 503, error);
+        self.answer_with_error(id, RequestOutcome::Rejected, 503, error);
     }
 
     /// The policy gives the request up.
@@ -44,11 +44,17 @@
         let Some(request) = self.requests.get(id) else { return };
         let last = request.attempts.iter().rev().find_map(|a| a.ended);
         let last = last.map_or("none", |end| outcome_name(end.outcome));
-        self.answer_failure(id, Ended::Failed, 504, format!("failed; last attempt: {last}"));
+        self.answer_failure(id, RequestOutcome::Failed, 504, format!("failed; last attempt: {last}"));
     }
 
     /// Answers that the request has failed, and whether it may have run.
-    pub(super) fn answer_failure(&mut self, id: &RequestId, ended: Ended, status: u16, reason: String) {
+    pub(super) fn answer_failure(
+        &mut self,
+        id: &RequestId,
+        ended: RequestOutcome,
+        status: u16,
+        reason: String,
+    ) {
         let Some(request) = self.requests.get(id) else { return };
         let error = request.failure(reason);
         self.answer_with_error(id, ended, status, error);
@@ -62,7 +68,7 @@
         let stop_reason = request.stop_reason.clone().unwrap_or_else(|| "stop".into());
         let (is_streamed, has_begun) = (request.call.is_streamed(), request.is_streaming());
         let text = std::mem::take(&mut request.text);
-        self.record_answer(permit, id, Ended::Served, String::new());
+        self.record_answer(permit, id, RequestOutcome::Served, String::new());
         if self.config.dialect.is_some() {
             return self.end_forwarded(client);
         }
@@ -78,7 +84,7 @@
         }
     }
 
-    fn answer_with_error(&mut self, id: &RequestId, ended: Ended, status: u16, error: ErrorBody) {
+    fn answer_with_error(&mut self, id: &RequestId, ended: RequestOutcome, status: u16, error: ErrorBody) {
         let Some(request) = self.requests.get(id) else { return };
         let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
         let (client, has_begun) = (request.client, request.is_streaming());
@@ -95,7 +101,13 @@
     }
 
     /// Records that the final answer is given; the only place that does.
-    fn record_answer(&mut self, _permit: AnswerPermit, id: &RequestId, ended: Ended, reason: String) {
+    fn record_answer(
+        &mut self,
+        _permit: AnswerPermit,
+        id: &RequestId,
+        ended: RequestOutcome,
+        reason: String,
+    ) {
         let remembered_until = self.now + self.config.timeouts.identity;
         self.settle_budget(id, ended);
         increment(&mut self.counters.answers, ended.name());
@@ -111,7 +123,7 @@
     }
 
     /// The client is gone: nothing more is owed, and no work goes on for it.
-    pub(super) fn client_left(&mut self, id: &RequestId, ended: Ended) {
+    pub(super) fn client_left(&mut self, id: &RequestId, ended: RequestOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
         self.record_answer(permit, id, ended, String::new());
@@ -134,7 +146,7 @@
         let (client, has_begun) = (request.client, request.is_streaming());
         let reason = "the client closed its side of the connection, which is taken as leaving".into();
         let error = request.failure(reason);
-        self.client_left(id, Ended::ClientGone);
+        self.client_left(id, RequestOutcome::ClientGone);
         if has_begun && self.config.dialect.is_some() {
             self.close_answered(client);
         } else if has_begun {
@@ -153,7 +165,7 @@
         }
         self.record_violation(id, Violation::AnswerOverdue, None);
         self.note("overdue", format!("{} had no final answer from the module in time", id.0));
-        self.answer_failure(id, Ended::Overdue, 504, "no answer in time".into());
+        self.answer_failure(id, RequestOutcome::Overdue, 504, "no answer in time".into());
         self.abandon(id, Outcome::TimedOut);
     }
 
@@ -164,7 +176,7 @@
         let open: Vec<RequestId> =
             self.requests.iter().filter(|(_, r)| !r.is_answered()).map(|(id, _)| id.clone()).collect();
         for id in open {
-            self.answer_failure(&id, Ended::Stopped, 503, "this router is stopping".into());
+            self.answer_failure(&id, RequestOutcome::Stopped, 503, "this router is stopping".into());
             self.abandon(&id, Outcome::Cancelled);
             self.forget_completed(&id);
         }
@@ -183,15 +195,15 @@
             self.timers.cancel(key);
         }
         if let Some(record) = self.finished_record(id, request) {
-            self.outputs.push(Output::Finished(Box::new(FinishedLine(record))));
+            self.outputs.push(Output::Finished(Box::new(FinishedOutput(record))));
         }
     }
 
     /// The record of a request that was removed just now.
-    fn finished_record(&self, id: &RequestId, request: ActiveRequest) -> Option<Finished> {
+    fn finished_record(&self, id: &RequestId, request: ActiveRequest) -> Option<RequestRecord> {
         let attempts = request.attempt_records(self.now);
         let FinalAnswer::Given { ended, phase, reason, at } = request.answer else { return None };
-        Some(Finished {
+        Some(RequestRecord {
             id: id.0.to_string(),
             class: self.class_name(request.spec.class),
             came_back: request.spec.resumed,
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -9,9 +9,9 @@
 use super::active_request::{ActiveRequest, ClientCall, Reservation};
 use super::attempt::{outcome_name, Attempt, AttemptEnd, AttemptStage, ReplyState};
 use super::counters::{increment, Violation};
-use super::record::Ended;
+use super::record::RequestOutcome;
 use super::reservations::DeferredEvent;
-use super::transitions::{Change, Subject};
+use super::transitions::{Subject, TransitionKind};
 use super::worker_connection::{Payload, Task, WorkerEndpoint};
 use super::{ConnId, Core, TimerEvent};
 
@@ -99,7 +99,7 @@
     /// Something that the policy asked for is not done.
     pub(super) fn record_denial(&mut self, id: &RequestId, denied: Denied) {
         increment(&mut self.counters.denied, denied.name());
-        self.record_transition(id, Change::Denied, denied.name(), Subject::default());
+        self.record_transition(id, TransitionKind::Denied, denied.name(), Subject::default());
         if denied == Denied::MayHaveRun {
             self.record_violation(id, Violation::EffectUnproven, None);
         }
@@ -270,7 +270,7 @@
         }
         let subject =
             Subject { attempt: Some(no.0), worker: Some(&ended.worker), connection: ended.conn, since: None };
-        self.record_transition(id, Change::AttemptEnded, name, subject);
+        self.record_transition(id, TransitionKind::AttemptEnded, name, subject);
     }
 
     /// What the client is answered at an attempt's end, where that is for the core to say.
@@ -282,7 +282,7 @@
         if request.call.is_streamed() {
             // What was streamed can't be taken back.
             let reason = format!("the answer broke off: {}", outcome_name(outcome));
-            return self.answer_failure(id, Ended::Broken, 502, reason);
+            return self.answer_failure(id, RequestOutcome::Broken, 502, reason);
         }
         // Nothing has reached the client: the policy may retry.
         request.answering_attempt = None;
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -9,7 +9,7 @@
 use chalkyard_policy as p;
 
 use super::active_request::ActiveRequest;
-use super::record::Ended;
+use super::record::RequestOutcome;
 use super::request_intake::Rejection;
 use super::{Core, Output};
 use crate::identity::RequestIdentity;
@@ -90,19 +90,23 @@
     }
 
     /// The final answer is given: what the request has cost is known.
-    pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: Ended) {
+    pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: RequestOutcome) {
         let now = self.time();
         let Some((budgets, request)) = self.budgets.as_mut().zip(self.requests.get(id)) else { return };
         let begun = request.is_streaming();
         let ending = match ended {
-            Ended::Served => Ending::Served,
-            Ended::Rejected | Ended::RejectedAtIntake => Ending::Refused,
-            Ended::Failed | Ended::Overdue | Ended::Stopped if !begun => Ending::Failed,
-            Ended::Failed | Ended::Overdue | Ended::Stopped | Ended::Broken | Ended::Migrated => {
-                Ending::Broken
+            RequestOutcome::Served => Ending::Served,
+            RequestOutcome::Rejected | RequestOutcome::RejectedAtIntake => Ending::Refused,
+            RequestOutcome::Failed | RequestOutcome::Overdue | RequestOutcome::Stopped if !begun => {
+                Ending::Failed
             }
-            Ended::ClientGone | Ended::ClientSlow if begun => Ending::Left,
-            Ended::ClientGone | Ended::ClientSlow => Ending::LeftEarly,
+            RequestOutcome::Failed
+            | RequestOutcome::Overdue
+            | RequestOutcome::Stopped
+            | RequestOutcome::Broken
+            | RequestOutcome::Migrated => Ending::Broken,
+            RequestOutcome::ClientGone | RequestOutcome::ClientSlow if begun => Ending::Left,
+            RequestOutcome::ClientGone | RequestOutcome::ClientSlow => Ending::LeftEarly,
         };
         let usage: Usage = request.billed_tokens(ending == Ending::Left);
         budgets.settle(now, &id.0, ending, usage, request.billed_attempts(), request.may_have_run());
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -9,7 +9,7 @@
 
 use super::client_answers::{error, JSON};
 use super::client_connection::{ClientConnection, ClientPhase};
-use super::record::Ended;
+use super::record::RequestOutcome;
 use super::{ConnId, Core, Output, TimerEvent};
 
 impl Core {
@@ -194,7 +194,7 @@
                 if is_full && is_blocked {
                     self.forget_client(conn);
                     self.outputs.push(Output::Abort(conn));
-                    self.client_left(&id, Ended::ClientSlow);
+                    self.client_left(&id, RequestOutcome::ClientSlow);
                 } else if is_full {
                     self.arm_slow_client(conn);
                 }
@@ -211,7 +211,7 @@
     pub(super) fn client_lost(&mut self, conn: ConnId) {
         let Some(client) = self.forget_client(conn) else { return };
         if let ClientPhase::Serving(id) = client.phase {
-            self.client_left(&id, Ended::ClientGone);
+            self.client_left(&id, RequestOutcome::ClientGone);
         }
     }
 }
--- a/crates/router/src/core/counters.rs
+++ b/crates/router/src/core/counters.rs
@@ -7,7 +7,7 @@
 use super::attempt::AttemptStage;
 
 /// Counts by a name from a fixed set.
-pub type ByCause = BTreeMap<&'static str, u64>;
+pub type CountsByCause = BTreeMap<&'static str, u64>;
 
 /// An obligation that was violated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -39,29 +39,29 @@
     /// Requests accepted.
     pub requests: u64,
     /// Final answers, by who ended the request.
-    pub answers: ByCause,
+    pub answers: CountsByCause,
     /// Requests that the policy rejected or gave up, by its reason.
-    pub given_up: ByCause,
+    pub given_up: CountsByCause,
     /// Ends of prefill attempts, by outcome.
     #[serde(rename = "reads")]
-    pub prefills: ByCause,
+    pub prefills: CountsByCause,
     /// Ends of decode attempts, by outcome.
     #[serde(rename = "pulls")]
-    pub decodes: ByCause,
+    pub decodes: CountsByCause,
     /// Ends of attempts that prefill and decode, by outcome.
     #[serde(rename = "wholes")]
-    pub combined: ByCause,
+    pub combined: CountsByCause,
     /// Releases of reservations: begun, during an open attempt, calls made, proven by an answer, given up unproven.
-    pub releases: ByCause,
+    pub releases: CountsByCause,
     /// What the policy asked for and was not done, by reason.
-    pub denied: ByCause,
+    pub denied: CountsByCause,
     /// Violated obligations.
-    pub violations: ByCause,
+    pub violations: CountsByCause,
 }
 
 impl Counters {
     /// Ends of attempts of this stage.
-    pub(super) fn attempts(&mut self, stage: AttemptStage) -> &mut ByCause {
+    pub(super) fn attempts(&mut self, stage: AttemptStage) -> &mut CountsByCause {
         match stage {
             AttemptStage::Prefill => &mut self.prefills,
             AttemptStage::Decode => &mut self.decodes,
@@ -76,6 +76,6 @@
 }
 
 /// Adds one.
-pub(super) fn increment(counts: &mut ByCause, cause: &'static str) {
+pub(super) fn increment(counts: &mut CountsByCause, cause: &'static str) {
     *counts.entry(cause).or_default() += 1;
 }
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -4,7 +4,7 @@
 
 use chalkyard_budget::{Grant, Plan, Record, Settled};
 
-use super::record::Finished;
+use super::record::RequestRecord;
 use super::tally::Tally;
 use super::transitions::Transition;
 use crate::config::RuntimeSettings;
@@ -84,7 +84,7 @@
     /// Write this to the ledger, under this number: before anything that follows it leaves the router.
     Record(u64, Box<Record>),
     /// A request is over.
-    Finished(Box<FinishedLine>),
+    Finished(Box<FinishedOutput>),
     /// What was done in one second.
     Tally(Box<Tally>),
     /// A transition of a request's state that is out of the ordinary.
@@ -95,9 +95,9 @@
 
 /// A record with its own comparison, so that outputs can be compared in tests.
 #[derive(Debug, Clone)]
-pub struct FinishedLine(pub Finished);
+pub struct FinishedOutput(pub RequestRecord);
 
-impl PartialEq for FinishedLine {
+impl PartialEq for FinishedOutput {
     fn eq(&self, other: &Self) -> bool {
         self.0.id == other.0.id
     }
--- a/crates/router/src/core/migration.rs
+++ b/crates/router/src/core/migration.rs
@@ -2,7 +2,7 @@
 
 use chalkyard_policy::{AttemptNo, Micros, Outcome, RequestId};
 
-use super::record::Ended;
+use super::record::RequestOutcome;
 use super::{Core, TimerEvent};
 
 /// Streams are migrated in groups, one in each such span.
@@ -13,7 +13,7 @@
     pub(super) fn migrate(&mut self, id: &RequestId) {
         let request = self.requests.get(id).filter(|r| !r.is_answered());
         let Some(no) = request.and_then(|r| r.answering_attempt) else { return };
-        self.answer_failure(id, Ended::Migrated, 503, "moved: come back and it goes on".into());
+        self.answer_failure(id, RequestOutcome::Migrated, 503, "moved: come back and it goes on".into());
         self.end_attempt(id, AttemptNo(no as u32), Outcome::Cancelled, 0);
     }
 
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -47,7 +47,7 @@
 use client_connection::ClientConnection;
 use counters::Counters;
 use discovery::DiscoveryState;
-pub use messages::{ConnId, FinishedLine, Input, Output};
+pub use messages::{ConnId, FinishedOutput, Input, Output};
 use reservations::Release;
 use tally::Tally;
 use worker_connection::{IdleTimeout, ReleaseId, WorkerConnection, WorkerEndpoint};
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -7,7 +7,7 @@
 /// Who ended a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ended {
+pub enum RequestOutcome {
     /// A worker answered to the end.
     Served,
     /// The policy rejected it.
@@ -33,7 +33,7 @@
     Overdue,
 }
 
-impl Ended {
+impl RequestOutcome {
     /// As it is counted.
     pub fn name(self) -> &'static str {
         match self {
@@ -75,7 +75,7 @@
 
 /// One finished request.
 #[derive(Debug, Clone, Serialize)]
-pub struct Finished {
+pub struct RequestRecord {
     /// The router's id of it.
     pub id: String,
     /// Class.
@@ -91,7 +91,7 @@
     /// The shared prefix of its prompt.
     pub prefix: Option<String>,
     /// Who ended it.
-    pub ended: Ended,
+    pub ended: RequestOutcome,
     /// The policy's reason, where it ended it.
     #[serde(rename = "why")]
     pub rejection_reason: Option<p::RejectionReason>,
@@ -121,7 +121,7 @@
     pub output_tokens: u64,
 }
 
-impl Finished {
+impl RequestRecord {
     /// A request that the policy was never asked about.
     pub(super) fn rejected_at_intake(id: String, now: Micros, reason: String) -> Self {
         Self {
@@ -132,7 +132,7 @@
             identity: None,
             session: None,
             prefix: None,
-            ended: Ended::RejectedAtIntake,
+            ended: RequestOutcome::RejectedAtIntake,
             rejection_reason: None,
             phase: "unheard",
             list_age_us: None,
--- a/crates/router/src/core/relay.rs
+++ b/crates/router/src/core/relay.rs
@@ -6,7 +6,7 @@
 
 use super::active_request::FinalAnswer;
 use super::attempt::ReplyState;
-use super::record::Ended;
+use super::record::RequestOutcome;
 use super::worker_connection::Task;
 use super::{ConnId, Core, Output, TimerEvent};
 use crate::dialect::StreamProgress;
@@ -130,7 +130,7 @@
             request.text.push_str(&chunk.text);
             if request.text.len() > max_text {
                 let reason = "the answer is longer than its bound".into();
-                self.answer_failure(id, Ended::Broken, 502, reason);
+                self.answer_failure(id, RequestOutcome::Broken, 502, reason);
                 self.end_attempt(id, no, Outcome::Cancelled, 0);
             }
             return;
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -9,8 +9,8 @@
 use super::active_request::{ActiveRequest, ClientCall};
 use super::client_answers::error;
 use super::client_connection::ClientPhase;
-use super::record::Finished;
-use super::{ConnId, Core, FinishedLine, Output, TimerEvent};
+use super::record::RequestRecord;
+use super::{ConnId, Core, FinishedOutput, Output, TimerEvent};
 use crate::dialect::ParsedRequest;
 use crate::identity::{IdentityError, RequestIdentity};
 
@@ -106,8 +106,8 @@
             }
             Err(Rejection { status, body }) => {
                 let id = head.header(engine::REQUEST_ID).unwrap_or_default().to_owned();
-                let record = Finished::rejected_at_intake(id, self.now, body.reason.clone());
-                self.outputs.push(Output::Finished(Box::new(FinishedLine(record))));
+                let record = RequestRecord::rejected_at_intake(id, self.now, body.reason.clone());
+                self.outputs.push(Output::Finished(Box::new(FinishedOutput(record))));
                 self.answer_error(conn, status, &body);
             }
         }
--- a/crates/router/src/core/reservations.rs
+++ b/crates/router/src/core/reservations.rs
@@ -14,7 +14,7 @@
 
 use super::active_request::{ActiveRequest, Reservation};
 use super::counters::{increment, Violation};
-use super::transitions::{Change, Subject};
+use super::transitions::{Subject, TransitionKind};
 use super::worker_connection::{Payload, ReleaseId, Task};
 use super::{ConnId, Core, TimerEvent};
 use crate::timers::TimerKey;
@@ -110,7 +110,7 @@
     fn released_during_attempt(&mut self, id: &RequestId, worker: &WorkerId) {
         increment(&mut self.counters.releases, "beside_attempt");
         let subject = Subject { worker: Some(worker), ..Subject::default() };
-        self.record_transition(id, Change::ReleasedDuringAttempt, "held_time_up", subject);
+        self.record_transition(id, TransitionKind::ReleasedDuringAttempt, "held_time_up", subject);
         if let Some(request) = self.requests.get_mut(id) {
             request.released_during_decode = Some(worker.clone());
         }
@@ -182,7 +182,7 @@
         increment(&mut self.counters.releases, "calls");
         if calls > 1 {
             let subject = Subject { worker: Some(&worker), since: Some(started_at), ..Subject::default() };
-            self.record_transition(&id, Change::ReleaseRepeated, "unanswered", subject);
+            self.record_transition(&id, TransitionKind::ReleaseRepeated, "unanswered", subject);
         }
         self.count(|t| t.releases += 1);
         let bytes = self.encode_release(&id, &worker);
@@ -216,7 +216,7 @@
         increment(&mut self.counters.releases, "proven");
         if release.called.len() > 1 {
             let subject = release.subject();
-            self.record_transition(&release.request, Change::ReleaseProven, "answered", subject);
+            self.record_transition(&release.request, TransitionKind::ReleaseProven, "answered", subject);
         }
         self.events.extend(release.deferred.map(|deferred| deferred.event));
     }
@@ -255,7 +255,12 @@
     fn give_up_release(&mut self, release: ReleaseId) {
         let Some(release) = self.forget_release(release) else { return };
         increment(&mut self.counters.releases, "unproven");
-        self.record_transition(&release.request, Change::ReleaseUnproven, "time_up", release.subject());
+        self.record_transition(
+            &release.request,
+            TransitionKind::ReleaseUnproven,
+            "time_up",
+            release.subject(),
+        );
         let last = release.called.last().map_or("", |w| &*w.0);
         self.note("release", format!("{last} could not be told to let go of {}", release.request.0));
     }
--- a/crates/router/src/core/transitions.rs
+++ b/crates/router/src/core/transitions.rs
@@ -10,7 +10,7 @@
 /// What has happened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Change {
+pub enum TransitionKind {
     /// An attempt ended without an answer, or with an error.
     AttemptEnded,
     /// A reservation is released while a decode attempt is open: nothing has proven that its call arrived.
@@ -34,7 +34,7 @@
     /// The request.
     pub id: String,
     /// What has happened.
-    pub change: Change,
+    pub change: TransitionKind,
     /// Why.
     pub cause: &'static str,
     /// The attempt that it is about.
@@ -67,7 +67,7 @@
     pub(super) fn record_transition(
         &mut self,
         id: &RequestId,
-        change: Change,
+        change: TransitionKind,
         cause: &'static str,
         subject: Subject<'_>,
     ) {
@@ -94,7 +94,7 @@
     pub(super) fn record_violation(&mut self, id: &RequestId, violation: Violation, since: Option<Micros>) {
         increment(&mut self.counters.violations, violation.name());
         let subject = Subject { since, ..Subject::default() };
-        self.record_transition(id, Change::Violation, violation.name(), subject);
+        self.record_transition(id, TransitionKind::Violation, violation.name(), subject);
     }
 
     /// What has been done since the start.
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -56,7 +56,7 @@
 
 /// Counts of a running core.
 #[derive(Debug, Clone, Serialize)]
-pub struct Counts {
+pub struct CoreStatus {
     /// Requests without a final answer, or with an open attempt or a reservation.
     pub open_requests: usize,
     /// Client connections.
@@ -79,7 +79,7 @@
 
 /// A bounded list.
 #[derive(Debug, Clone, Serialize)]
-pub struct Listed<T> {
+pub struct BoundedList<T> {
     /// The first of them, in order of their ids.
     pub items: Vec<T>,
     /// So many more there are.
@@ -88,9 +88,9 @@
 
 impl Core {
     /// Counts.
-    pub fn status(&self) -> Counts {
+    pub fn status(&self) -> CoreStatus {
         let lease = self.budgets.as_ref().map(|k| k.state().lease);
-        Counts {
+        CoreStatus {
             open_requests: self.requests.len(),
             clients: self.clients.len(),
             engines: self.workers.values().filter(|e| e.listed).count(),
@@ -109,14 +109,14 @@
     }
 
     /// Open requests, the first in order of their ids.
-    pub fn request_view(&self) -> Listed<OpenRequest> {
+    pub fn request_view(&self) -> BoundedList<OpenRequest> {
         let items: Vec<OpenRequest> = self
             .requests
             .iter()
             .take(MAX_ITEMS)
             .map(|(id, request)| self.describe_open(id, request))
             .collect();
-        Listed { more: self.requests.len() - items.len(), items }
+        BoundedList { more: self.requests.len() - items.len(), items }
     }
 
     /// One open request.
@@ -126,7 +126,7 @@
     }
 
     /// Workers, the first in order of their ids.
-    pub fn worker_view(&self) -> Listed<WorkerView> {
+    pub fn worker_view(&self) -> BoundedList<WorkerView> {
         let role = |role| match role {
             p::Role::Prefill => "reader",
             p::Role::Decode => "writer",
@@ -142,6 +142,6 @@
             attempts: e.open.saturating_sub(e.idle.len()),
         };
         let items: Vec<WorkerView> = self.workers.iter().take(MAX_ITEMS).map(view).collect();
-        Listed { more: self.workers.len() - items.len(), items }
+        BoundedList { more: self.workers.len() - items.len(), items }
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -20,9 +20,9 @@
 pub use crate::config::{
     Bounds, ClassConfig, Config, MigrationWindow, RuntimeSettings, TenantConfig, Timeouts, WorkerKind,
 };
-pub use crate::core::counters::{ByCause, Counters, Violation};
-pub use crate::core::record::{AttemptRecord, Ended, Finished};
+pub use crate::core::counters::{Counters, CountsByCause, Violation};
+pub use crate::core::record::{AttemptRecord, RequestOutcome, RequestRecord};
 pub use crate::core::tally::Tally;
-pub use crate::core::transitions::{Change, Transition};
-pub use crate::core::view::{Counts, Listed, OpenRequest, WorkerView};
+pub use crate::core::transitions::{Transition, TransitionKind};
+pub use crate::core::view::{BoundedList, CoreStatus, OpenRequest, WorkerView};
 pub use crate::core::{ConnId, Core, Input, Output};
--- a/crates/router/src/shell/sink.rs
+++ b/crates/router/src/shell/sink.rs
@@ -9,12 +9,12 @@
 use chalkyard_budget::{Figures, Record, Settled};
 use chalkyard_state::LifecycleAction;
 
-use crate::{Counters, Finished, Input, Tally, Transition};
+use crate::{Counters, Input, RequestRecord, Tally, Transition};
 
 /// Takes what a router gives out. All methods are called in the loop and must not block.
 pub trait Sink {
     /// A request is over.
-    fn finished(&mut self, record: Finished);
+    fn finished(&mut self, record: RequestRecord);
     /// What was done in a second, if the core counts.
     fn tally(&mut self, _tally: &Tally) {}
     /// A transition of a request's state that is out of the ordinary.
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -27,7 +27,7 @@
     }
     y.advance(ms(11_000));
     assert!(y.closed.contains(&client) && y.closed.contains(&pull.conn));
-    assert_eq!(y.finished[0].ended, Ended::ClientSlow);
+    assert_eq!(y.finished[0].ended, RequestOutcome::ClientSlow);
     assert_eq!(y.outcomes().last(), Some(&Outcome::Cancelled));
 }
 
--- a/crates/router/tests/common/day.rs
+++ b/crates/router/tests/common/day.rs
@@ -338,7 +338,7 @@
         let ids: BTreeSet<&str> = self.y.finished.iter().map(|f| f.id.as_str()).collect();
         assert_eq!(ids.len(), self.asked.len());
         for f in &self.y.finished {
-            let given_up = matches!(f.ended, Ended::Rejected | Ended::Failed);
+            let given_up = matches!(f.ended, RequestOutcome::Rejected | RequestOutcome::Failed);
             assert_eq!(given_up, f.rejection_reason.is_some(), "{f:?}");
         }
         let policy_events = self.y.policy_events.lock().unwrap();
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -116,7 +116,7 @@
     pub refused_ports: BTreeSet<u16>,
     pub closed: BTreeSet<ConnId>,
     pub paused: BTreeSet<ConnId>,
-    pub finished: Vec<Finished>,
+    pub finished: Vec<RequestRecord>,
     pub tallies: Vec<Tally>,
     pub notes: Vec<String>,
     pub transitions: Vec<Transition>,
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -162,7 +162,7 @@
     y.reply(read.conn, 200, "{}");
     assert_eq!(y.outcomes(), [Outcome::Cancelled]);
     assert_eq!(y.releases().len(), 1, "what the read may have left is let go");
-    assert_eq!(y.finished[0].ended, Ended::ClientGone);
+    assert_eq!(y.finished[0].ended, RequestOutcome::ClientGone);
     assert_eq!(y.core.open_requests(), 0);
 }
 
--- a/crates/router/tests/outputs.rs
+++ b/crates/router/tests/outputs.rs
@@ -279,16 +279,16 @@
 #[test]
 fn labels_of_outputs_match_the_recorded_names() {
     let ended = [
-        Ended::Served,
-        Ended::Rejected,
-        Ended::Failed,
-        Ended::Broken,
-        Ended::ClientGone,
-        Ended::ClientSlow,
-        Ended::Stopped,
-        Ended::Migrated,
-        Ended::RejectedAtIntake,
-        Ended::Overdue,
+        RequestOutcome::Served,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::Broken,
+        RequestOutcome::ClientGone,
+        RequestOutcome::ClientSlow,
+        RequestOutcome::Stopped,
+        RequestOutcome::Migrated,
+        RequestOutcome::RejectedAtIntake,
+        RequestOutcome::Overdue,
     ];
     let names = [
         "served",
@@ -307,13 +307,13 @@
         assert_eq!(serde_json::to_string(ended).unwrap(), format!("\"{name}\""));
     }
     let changes = [
-        (Change::AttemptEnded, "attempt_ended"),
-        (Change::ReleasedDuringAttempt, "released_beside_attempt"),
-        (Change::ReleaseRepeated, "release_repeated"),
-        (Change::ReleaseProven, "release_proven"),
-        (Change::ReleaseUnproven, "release_unproven"),
-        (Change::Denied, "denied"),
-        (Change::Violation, "violation"),
+        (TransitionKind::AttemptEnded, "attempt_ended"),
+        (TransitionKind::ReleasedDuringAttempt, "released_beside_attempt"),
+        (TransitionKind::ReleaseRepeated, "release_repeated"),
+        (TransitionKind::ReleaseProven, "release_proven"),
+        (TransitionKind::ReleaseUnproven, "release_unproven"),
+        (TransitionKind::Denied, "denied"),
+        (TransitionKind::Violation, "violation"),
     ];
     for (change, name) in changes {
         assert_eq!(serde_json::to_string(&change).unwrap(), format!("\"{name}\""));
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -15,17 +15,17 @@
     variants.iter().map(|v| serde_json::to_value(v).unwrap().as_str().unwrap().to_owned()).collect()
 }
 
-const ENDED: [Ended; 10] = [
-    Ended::Served,
-    Ended::Rejected,
-    Ended::Failed,
-    Ended::Broken,
-    Ended::ClientGone,
-    Ended::ClientSlow,
-    Ended::Stopped,
-    Ended::Migrated,
-    Ended::RejectedAtIntake,
-    Ended::Overdue,
+const ENDED: [RequestOutcome; 10] = [
+    RequestOutcome::Served,
+    RequestOutcome::Rejected,
+    RequestOutcome::Failed,
+    RequestOutcome::Broken,
+    RequestOutcome::ClientGone,
+    RequestOutcome::ClientSlow,
+    RequestOutcome::Stopped,
+    RequestOutcome::Migrated,
+    RequestOutcome::RejectedAtIntake,
+    RequestOutcome::Overdue,
 ];
 
 #[test]
@@ -46,33 +46,33 @@
             "overdue"
         ]
     );
-    assert_eq!(ENDED.map(Ended::name).to_vec(), written);
+    assert_eq!(ENDED.map(RequestOutcome::name).to_vec(), written);
     for (place, ended) in ENDED.iter().enumerate() {
         // Exhaustive: a new one belongs into the list.
         let expected = match ended {
-            Ended::Served => 0,
-            Ended::Rejected => 1,
-            Ended::Failed => 2,
-            Ended::Broken => 3,
-            Ended::ClientGone => 4,
-            Ended::ClientSlow => 5,
-            Ended::Stopped => 6,
-            Ended::Migrated => 7,
-            Ended::RejectedAtIntake => 8,
-            Ended::Overdue => 9,
+            RequestOutcome::Served => 0,
+            RequestOutcome::Rejected => 1,
+            RequestOutcome::Failed => 2,
+            RequestOutcome::Broken => 3,
+            RequestOutcome::ClientGone => 4,
+            RequestOutcome::ClientSlow => 5,
+            RequestOutcome::Stopped => 6,
+            RequestOutcome::Migrated => 7,
+            RequestOutcome::RejectedAtIntake => 8,
+            RequestOutcome::Overdue => 9,
         };
         assert_eq!((place, *ended as usize), (expected, expected));
     }
 }
 
-const CHANGES: [Change; 7] = [
-    Change::AttemptEnded,
-    Change::ReleasedDuringAttempt,
-    Change::ReleaseRepeated,
-    Change::ReleaseProven,
-    Change::ReleaseUnproven,
-    Change::Denied,
-    Change::Violation,
+const CHANGES: [TransitionKind; 7] = [
+    TransitionKind::AttemptEnded,
+    TransitionKind::ReleasedDuringAttempt,
+    TransitionKind::ReleaseRepeated,
+    TransitionKind::ReleaseProven,
+    TransitionKind::ReleaseUnproven,
+    TransitionKind::Denied,
+    TransitionKind::Violation,
 ];
 
 #[test]
@@ -91,13 +91,13 @@
     );
     for (place, change) in CHANGES.iter().enumerate() {
         let expected = match change {
-            Change::AttemptEnded => 0,
-            Change::ReleasedDuringAttempt => 1,
-            Change::ReleaseRepeated => 2,
-            Change::ReleaseProven => 3,
-            Change::ReleaseUnproven => 4,
-            Change::Denied => 5,
-            Change::Violation => 6,
+            TransitionKind::AttemptEnded => 0,
+            TransitionKind::ReleasedDuringAttempt => 1,
+            TransitionKind::ReleaseRepeated => 2,
+            TransitionKind::ReleaseProven => 3,
+            TransitionKind::ReleaseUnproven => 4,
+            TransitionKind::Denied => 5,
+            TransitionKind::Violation => 6,
         };
         assert_eq!((place, *change as usize), (expected, expected));
     }
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_finished_request_is_written_with_every_field() {
-    let finished = Finished {
+    let finished = RequestRecord {
         id: "r1-1".into(),
         class: "help".into(),
         came_back: true,
@@ -171,7 +171,7 @@
         identity: Some("k1".into()),
         session: Some("s1".into()),
         prefix: Some("p1".into()),
-        ended: Ended::Rejected,
+        ended: RequestOutcome::Rejected,
         rejection_reason: Some(RejectionReason::MayHaveRun),
         phase: "waiting",
         list_age_us: Some(4),
@@ -189,7 +189,7 @@
     let head = r#"{"id":"r1-1","class":"help","came_back":true,"tenant":"nord","identity":"k1","session":"s1","prefix":"p1","ended":"refused","why":"may_have_run","phase":"waiting","list_age_us":4,"open":5,"reason":"not taken now","attempts":["#;
     let tail = r#"],"arrived_us":6,"first_token_us":7,"total_us":8,"estimated_tokens":9,"prompt_tokens":10,"kept_tokens":11,"output_tokens":12}"#;
     assert_eq!(json(&finished), format!("{head}{FULL_ATTEMPT}{tail}"));
-    let bare = Finished {
+    let bare = RequestRecord {
         tenant: None,
         identity: None,
         session: None,
@@ -208,7 +208,7 @@
 fn a_transition_is_written_with_every_field() {
     let transition = Transition {
         id: "r1-1".into(),
-        change: Change::Denied,
+        change: TransitionKind::Denied,
         cause: "past_deadline",
         attempt: Some(1),
         worker: Some("w1".into()),
@@ -249,10 +249,10 @@
 
 #[test]
 fn counters_since_the_start_are_written_by_cause() {
-    let counts = |name: &'static str, n: u64| ByCause::from([(name, n)]);
+    let counts = |name: &'static str, n: u64| CountsByCause::from([(name, n)]);
     let counters = Counters {
         requests: 1,
-        answers: ByCause::from([("served", 3), ("refused", 2)]),
+        answers: CountsByCause::from([("served", 3), ("refused", 2)]),
         given_up: counts("late", 4),
         prefills: counts("parsed", 5),
         decodes: counts("no_state", 6),
@@ -270,7 +270,7 @@
 
 #[test]
 fn what_operators_ask_for_is_written_with_every_field() {
-    let counts = Counts {
+    let counts = CoreStatus {
         open_requests: 1,
         clients: 2,
         engines: 3,
@@ -285,7 +285,7 @@
         json(&counts),
         r#"{"open_requests":1,"clients":2,"engines":3,"connections":4,"draining":true,"has_list":false,"register":true,"identities":5,"lease":[6,7]}"#
     );
-    let engines = Listed {
+    let engines = BoundedList {
         items: vec![WorkerView {
             id: "m1".into(),
             address: "127.0.0.1:1".into(),
