--- a/crates/load/src/clients.rs
+++ b/crates/load/src/clients.rs
@@ -200,7 +200,7 @@
     }
     while let Some(part) = c.decoder.next_part().map_err(io::Error::other)? {
         match part {
-            Part::Head(head) => c.status = head.start == chalkyard_proto::Start::Response { status: 200 },
+            Part::Head(head) => c.status = head.start == chalkyard_proto::StartLine::Response { status: 200 },
             Part::Data(_) if !c.reading && !c.first => {
                 c.first = true;
                 if let Some(since) = c.since {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -119,14 +119,14 @@
             body_bytes: BODY_BYTES,
             chunk_bytes: BODY_BYTES,
             pipelined_bytes: 16 * 1024,
-            chunk_extras: false,
+            allow_chunk_extensions: false,
         };
         Bounds {
             client: side,
             engine: chalkyard_proto::Limits {
                 body_bytes: 16 * 1024 * 1024,
                 pipelined_bytes: 16 * 1024,
-                chunk_extras: true,
+                allow_chunk_extensions: true,
                 ..side
             },
             event_bytes: 64 * 1024,
--- a/crates/platform/src/dialect.rs
+++ b/crates/platform/src/dialect.rs
@@ -3,7 +3,7 @@
 use chalkyard_adapter::translate::Names;
 use chalkyard_policy as p;
 use chalkyard_policy::{Micros, Outcome};
-use chalkyard_proto::{encode, Head, Start};
+use chalkyard_proto::{encode, Head, StartLine};
 use chalkyard_router::dialect::{
     Dialect, EndpointList, EndpointListError, ForwardedRequest, ParsedRequest, ReplyHead, ResponseObserver,
     Stage,
@@ -40,7 +40,7 @@
 
 impl Dialect for Platform {
     fn parse_request(&self, arrived_at: Micros, head: &Head, body: Vec<u8>) -> ParsedRequest {
-        let Start::Request { method, target } = &head.start else {
+        let StartLine::Request { method, target } = &head.start else {
             return invalid(400, "not a request".into());
         };
         let path = target.split('?').next().unwrap_or_default();
@@ -79,7 +79,9 @@
     }
 
     fn parse_reply(&self, stage: Stage, head: &Head) -> ReplyHead {
-        let Start::Response { status } = head.start else { return ReplyHead::Ended(Outcome::ServerError) };
+        let StartLine::Response { status } = head.start else {
+            return ReplyHead::Ended(Outcome::ServerError);
+        };
         // Only this mark proves that nothing ran, whatever the status.
         let not_run = head.count("x-not-processed") == 1 && head.header("x-not-processed") == Some("1");
         let events = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
--- a/crates/proto/src/body.rs
+++ b/crates/proto/src/body.rs
@@ -115,9 +115,10 @@
 
     /// Reads the size line of a chunk.
     fn chunk_size(&mut self, bytes: &[u8], limits: &Limits) -> Result<Option<Step>, Error> {
-        let max_bytes = if limits.chunk_extras { EXTENDED_LINE_BYTES } else { CHUNK_SIZE_LINE_BYTES };
+        let max_bytes =
+            if limits.allow_chunk_extensions { EXTENDED_LINE_BYTES } else { CHUNK_SIZE_LINE_BYTES };
         let Some(line) = take_line(bytes, max_bytes, Reason::BadChunk)? else { return Ok(None) };
-        let digits = if limits.chunk_extras { without_extension(line)? } else { line };
+        let digits = if limits.allow_chunk_extensions { without_extension(line)? } else { line };
         let size = parse_chunk_size(digits)?;
         if size > limits.chunk_bytes {
             return Err(Reason::ChunkTooLong.into());
@@ -126,7 +127,7 @@
             return Err(Reason::BodyTooLong.into());
         }
         self.state = match size {
-            0 if limits.chunk_extras => State::Trailers(0),
+            0 if limits.allow_chunk_extensions => State::Trailers(0),
             0 => State::LastLine,
             size => State::Chunk(size),
         };
--- a/crates/proto/src/decode.rs
+++ b/crates/proto/src/decode.rs
@@ -1,7 +1,7 @@
 //! The incremental decoder of one direction of a connection.
 
 use crate::body::Body;
-use crate::{head, Error, Head, Limits, Reason, Start};
+use crate::{head, Error, Head, Limits, Reason, StartLine};
 
 /// Capacity of the buffer that an idle connection keeps.
 const IDLE_BUFFER_BYTES: usize = 1_024;
@@ -29,7 +29,7 @@
 /// Decodes the messages of one direction, however their bytes are split.
 ///
 /// Buffers at most one head, or what was pushed and not yet consumed: beyond [`Limits::pipelined_bytes`] the caller should
-/// stop reading ([`Decoder::is_crowded`]).
+/// stop reading ([`Decoder::is_over_pipeline_limit`]).
 #[derive(Debug)]
 pub struct Decoder {
     side: Side,
@@ -71,7 +71,7 @@
     }
 
     /// Whether so many bytes wait after the current message that no more should be read until they are decoded.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_over_pipeline_limit(&self) -> bool {
         self.buffer.len() > self.limits.pipelined_bytes
     }
 
@@ -134,8 +134,8 @@
             self.scanned = 0;
             // Interim responses are skipped, but switching protocols was never requested.
             match head.start {
-                Start::Response { status: 101 } => return Err(Reason::Malformed.into()),
-                Start::Response { status: 100..=199 } => continue,
+                StartLine::Response { status: 101 } => return Err(Reason::Malformed.into()),
+                StartLine::Response { status: 100..=199 } => continue,
                 _ => {}
             }
             self.body = Some(Body::new(framing));
--- a/crates/proto/src/head.rs
+++ b/crates/proto/src/head.rs
@@ -5,7 +5,7 @@
 
 /// The start line of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// Of a request.
     Request {
         /// Method, as sent.
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
     /// Its start line.
-    pub start: Start,
+    pub start: StartLine,
     /// HTTP/1.1, not 1.0.
     pub http11: bool,
     /// Names in lower case, with values as sent.
@@ -101,19 +101,19 @@
 /// Start line and headers; what follows from them is not filled in yet.
 fn parse_fields(bytes: &[u8], side: Side) -> Result<Head, Error> {
     let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let (start, version, parsed): (Start, Option<u8>, &[httparse::Header<'_>]) = match side {
+    let (start, version, parsed): (StartLine, Option<u8>, &[httparse::Header<'_>]) = match side {
         Side::Request => {
             let mut request = httparse::Request::new(&mut table);
             request.parse(bytes).map_err(parse_failure)?;
             let (method, target) = request.method.zip(request.path).ok_or(Reason::Malformed)?;
-            let start = Start::Request { method: method.into(), target: target.into() };
+            let start = StartLine::Request { method: method.into(), target: target.into() };
             (start, request.version, request.headers)
         }
         Side::Response => {
             let mut response = httparse::Response::new(&mut table);
             response.parse(bytes).map_err(parse_failure)?;
             let status = response.code.ok_or(Reason::Malformed)?;
-            (Start::Response { status }, response.version, response.headers)
+            (StartLine::Response { status }, response.version, response.headers)
         }
     };
     let mut headers = Vec::with_capacity(parsed.len());
@@ -180,10 +180,10 @@
         return Err(Reason::BodyTooLong.into());
     }
     Ok(match (&head.start, length) {
-        (Start::Response { status: 100..=199 | 204 | 304 }, _) => Framing::Length(0),
+        (StartLine::Response { status: 100..=199 | 204 | 304 }, _) => Framing::Length(0),
         _ if encodings > 0 => Framing::Chunked,
         (_, Some(length)) => Framing::Length(length),
-        (Start::Request { .. }, None) => Framing::Length(0),
-        (Start::Response { .. }, None) => Framing::UntilClose,
+        (StartLine::Request { .. }, None) => Framing::Length(0),
+        (StartLine::Response { .. }, None) => Framing::UntilClose,
     })
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use decode::{Decoder, Part, Side};
 pub use error::{Error, Reason};
-pub use head::{Head, Start};
+pub use head::{Head, StartLine};
 
 /// Limits of one connection's decoder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     pub pipelined_bytes: usize,
     /// Well-formed chunk extensions and trailers are skipped instead of refused. For responses only: the end of a request
     /// must be unambiguous.
-    pub chunk_extras: bool,
+    pub allow_chunk_extensions: bool,
 }
 
 /// Most headers of one message; a constant, since they are parsed into a table of this size.
@@ -48,7 +48,7 @@
             body_bytes: 1024 * 1024,
             chunk_bytes: 1024 * 1024,
             pipelined_bytes: 64 * 1024,
-            chunk_extras: false,
+            allow_chunk_extensions: false,
         }
     }
 }
--- a/crates/proto/src/sse.rs
+++ b/crates/proto/src/sse.rs
@@ -15,7 +15,7 @@
 
 /// Parses a stream of events, however its bytes are split.
 #[derive(Debug)]
-pub struct Reader {
+pub struct Parser {
     max_event_bytes: usize,
     /// The line that is not complete yet.
     line: Vec<u8>,
@@ -28,7 +28,7 @@
     has_data: bool,
 }
 
-impl Reader {
+impl Parser {
     /// A parser at the start of a stream; neither an event nor a line may be longer than `max_event_bytes`.
     pub fn new(max_event_bytes: usize) -> Self {
         Self {
--- a/crates/proto/tests/messages.rs
+++ b/crates/proto/tests/messages.rs
@@ -86,9 +86,9 @@
     assert_eq!(rejection(&format!("GET / HTTP/1.1\r\nHost: a\r\n{many}\r\n")), Reason::TooManyHeaders);
     let mut d = Decoder::new(Side::Request, Limits::default());
     d.push(&vec![b'a'; 64 * 1024]);
-    assert!(!d.is_crowded());
+    assert!(!d.is_over_pipeline_limit());
     d.push(b"a");
-    assert!(d.is_crowded(), "no more should be read");
+    assert!(d.is_over_pipeline_limit(), "no more should be read");
     assert_eq!(d.buffered(), 64 * 1024 + 1, "what was read is kept for its turn");
     assert!(d.next_part().is_err());
     d.push(&vec![b'a'; 70_000]);
@@ -112,13 +112,13 @@
 #[test]
 fn events_with_any_line_end_are_parsed() {
     let mut out = Vec::new();
-    let mut r = sse::Reader::new(100);
+    let mut r = sse::Parser::new(100);
     r.push(b"\xef\xbb\xbfevent: a\rdata: 1\r\ndata:2\n\n: comment\n\nid: 7\ndata\n\n", &mut out).unwrap();
     let (one, two) = (&out[0], &out[1]);
     assert_eq!((one.name.as_str(), one.data.as_str()), ("a", "1\n2"));
     assert_eq!((two.id.as_str(), two.data.as_str()), ("7", ""));
-    assert!(sse::Reader::new(10).push(b"data: 0123456789", &mut out).is_err());
-    let mut many = sse::Reader::new(10);
+    assert!(sse::Parser::new(10).push(b"data: 0123456789", &mut out).is_err());
+    let mut many = sse::Parser::new(10);
     assert!(many.push(b"data: abc\ndata: abc\ndata: abc\n", &mut out).is_err());
 }
 
@@ -184,7 +184,7 @@
             sse::write(&mut bytes, name, Some(i as u64), data);
         }
         let mut got = Vec::new();
-        let mut reader = sse::Reader::new(4_096);
+        let mut reader = sse::Parser::new(4_096);
         for piece in cut(&bytes, &at) {
             reader.push(&piece, &mut got).unwrap();
         }
--- a/crates/rehearsal/src/clients/attempt.rs
+++ b/crates/rehearsal/src/clients/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a client: sent to a router, and its answer read.
 
-use chalkyard_proto::{sse, Decoder, Limits, Part, Side, Start};
+use chalkyard_proto::{sse, Decoder, Limits, Part, Side, StartLine};
 use rand::Rng;
 use serde_json::Value;
 
@@ -22,7 +22,7 @@
     /// What is still to be sent.
     pub bytes: Vec<u8>,
     decoder: Decoder,
-    events: sse::Reader,
+    events: sse::Parser,
     status: u16,
     body: Vec<u8>,
     pub sent: bool,
@@ -63,7 +63,7 @@
             router,
             bytes,
             decoder: Decoder::new(Side::Response, limits),
-            events: sse::Reader::new(EVENT_BYTES),
+            events: sse::Parser::new(EVENT_BYTES),
             status: 0,
             body: Vec::new(),
             sent: false,
@@ -158,7 +158,7 @@
         loop {
             match attempt.decoder.next_part() {
                 Ok(Some(Part::Head(head))) => {
-                    if let Start::Response { status } = head.start {
+                    if let StartLine::Response { status } = head.start {
                         attempt.status = status;
                     }
                     let content_type = head.header("content-type");
--- a/crates/rehearsal/src/soak/client.rs
+++ b/crates/rehearsal/src/soak/client.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chalkyard_proto::{Part, Side, Start};
+use chalkyard_proto::{Part, Side, StartLine};
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -170,7 +170,7 @@
                 Ok(Some(Part::Head(head))) => {
                     begun = true;
                     keep = head.keep_alive;
-                    if let Start::Response { status } = head.start {
+                    if let StartLine::Response { status } = head.start {
                         self.record.add(Event::AnswerBegan { id: id.to_owned(), status });
                     }
                     until = Instant::now() + STREAM_MOST;
--- a/crates/rehearsal/src/soak/messages.rs
+++ b/crates/rehearsal/src/soak/messages.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use chalkyard_proto::{Decoder, Head, Limits, Part, Side, Start};
+use chalkyard_proto::{Decoder, Head, Limits, Part, Side, StartLine};
 use tokio::net::TcpStream;
 
 /// A message that is whole; its body is not kept.
@@ -21,8 +21,8 @@
     /// A request's method and target.
     pub fn request(&self) -> (&str, &str) {
         match &self.head.start {
-            Start::Request { method, target } => (method, target),
-            Start::Response { .. } => ("", ""),
+            StartLine::Request { method, target } => (method, target),
+            StartLine::Response { .. } => ("", ""),
         }
     }
 }
--- a/crates/rehearsal/src/workers/calls.rs
+++ b/crates/rehearsal/src/workers/calls.rs
@@ -1,6 +1,6 @@
 //! Calls of routers: connections taken and lost, bytes read, completions begun.
 
-use chalkyard_proto::{Decoder, Head, Limits, Part, Side, Start};
+use chalkyard_proto::{Decoder, Head, Limits, Part, Side, StartLine};
 use rand::Rng;
 
 use super::{
@@ -119,7 +119,7 @@
         net: &mut dyn Network,
         recorder: &mut Recorder,
     ) {
-        let Start::Request { target, .. } = &head.start else { return };
+        let StartLine::Request { target, .. } = &head.start else { return };
         match target.as_str() {
             "/v1/completions" => self.complete(i, conn, head, body, net, recorder),
             "/v1/kv/release" => {
--- a/crates/rehearsal/src/workers/discovery.rs
+++ b/crates/rehearsal/src/workers/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use chalkyard_proto::{encode, sse, Head, Start};
+use chalkyard_proto::{encode, sse, Head, StartLine};
 
 use super::{router_of, EndpointChange, FakeWorkers};
 use crate::network::{ConnectionId, Network};
@@ -41,7 +41,7 @@
             .map(|(i, (state, started))| self.entry(*i, state, *started, &router))
             .collect();
         let list = serde_json::json!({ "version": self.version, "workers": workers }).to_string();
-        let streams = matches!(&head.start, Start::Request { target, .. } if target.contains("watch=1"));
+        let streams = matches!(&head.start, StartLine::Request { target, .. } if target.contains("watch=1"));
         for (i, (state, started)) in &self.endpoints {
             recorder.add(self.notification(&router, *i, state, *started));
         }
--- a/crates/router/src/core/attempt.rs
+++ b/crates/router/src/core/attempt.rs
@@ -47,7 +47,7 @@
     /// A body that is collected: the answer to a prefill, or an error.
     Body { status: u16, body: Vec<u8> },
     /// A stream of events that is translated for the client.
-    Events(Box<sse::Reader>),
+    Events(Box<sse::Parser>),
     /// A stream that is forwarded unchanged.
     Forwarding {
         observer: Box<dyn ResponseObserver>,
--- a/crates/router/src/core/client_reading.rs
+++ b/crates/router/src/core/client_reading.rs
@@ -18,7 +18,7 @@
         let begins_request = client.is_idle();
         client.decoder.push(bytes);
         if let ClientPhase::Serving(_) = client.phase {
-            client.pipeline_full = client.decoder.is_crowded();
+            client.pipeline_full = client.decoder.is_over_pipeline_limit();
             return self.update_reading(conn);
         }
         if begins_request {
@@ -37,7 +37,7 @@
             let is_full = self.is_full(conn);
             let Some(client) = self.clients.get_mut(&conn) else { return };
             if matches!(client.phase, ClientPhase::Serving(_)) {
-                client.pipeline_full = client.decoder.is_crowded();
+                client.pipeline_full = client.decoder.is_over_pipeline_limit();
                 return self.update_reading(conn);
             }
             // A client that goes on asking without taking its answers is not read until it does.
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -7,7 +7,7 @@
 
 use chalkyard_policy as p;
 use chalkyard_policy::{Event, Micros};
-use chalkyard_proto::{encode, sse, Part, Start};
+use chalkyard_proto::{encode, sse, Part, StartLine};
 
 use super::worker_connection::{Payload, Task, WorkerConnection, WorkerEndpoint};
 use super::{ConnId, Core, Output, TimerEvent};
@@ -121,7 +121,7 @@
         self.count(|t| t.list_calls += 1);
         let host = address.to_string();
         let call = encode::request("GET", "/v1/workers?watch=1", &host, &[("via", &self.via)], &[]);
-        let task = Task::WatchEndpoints(Box::new(sse::Reader::new(LIST_BYTES)));
+        let task = Task::WatchEndpoints(Box::new(sse::Parser::new(LIST_BYTES)));
         self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
 
@@ -191,7 +191,7 @@
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         let Task::PollEndpoints(body) = &mut connection.task else { return false };
         match part {
-            Part::Head(head) if head.start == (Start::Response { status: 200 }) => {
+            Part::Head(head) if head.start == (StartLine::Response { status: 200 }) => {
                 // It answers again; a long list may take longer than its first bytes.
                 if std::mem::take(&mut self.discovery.suspect) {
                     self.arm_discovery_timeout(conn);
@@ -292,7 +292,7 @@
     /// A part of the answer to a watch; true: go on reading.
     pub(super) fn watch_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let data = match part {
-            Part::Head(head) if head.start == (Start::Response { status: 200 }) => return true,
+            Part::Head(head) if head.start == (StartLine::Response { status: 200 }) => return true,
             Part::Data(data) => data,
             Part::Head(_) | Part::End => return self.close_discovery(conn),
         };
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -2,7 +2,7 @@
 
 use chalkyard_api::engine::{self, StreamItem};
 use chalkyard_policy::{AttemptNo, Outcome, RequestId};
-use chalkyard_proto::{sse, Head, Part, Start};
+use chalkyard_proto::{sse, Head, Part, StartLine};
 
 use super::attempt::{AttemptStage, ReplyState};
 use super::load_report::load_report;
@@ -115,11 +115,11 @@
         let event_bytes = self.config.bounds.event_bytes;
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
         attempt.report = load_report(head.header(engine::LOAD));
-        let Start::Response { status } = head.start else { return false };
+        let StartLine::Response { status } = head.start else { return false };
         let is_event_stream = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         let reply = match (status, attempt.stage) {
             (200, AttemptStage::Decode | AttemptStage::Combined) if is_event_stream => {
-                ReplyState::Events(Box::new(sse::Reader::new(event_bytes)))
+                ReplyState::Events(Box::new(sse::Parser::new(event_bytes)))
             }
             (200, AttemptStage::Decode | AttemptStage::Combined) => {
                 ReplyState::Body { status: 500, body: Vec::new() }
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -4,7 +4,7 @@
 use chalkyard_api::engine;
 use chalkyard_policy as p;
 use chalkyard_policy::{Event, Micros};
-use chalkyard_proto::{encode, Head, Start};
+use chalkyard_proto::{encode, Head, StartLine};
 
 use super::active_request::{ActiveRequest, ClientCall};
 use super::client_answers::error;
@@ -58,7 +58,7 @@
 
 /// Whether a call asks for the router's health; an error if it is neither that nor a request to be served.
 fn is_health_check(head: &Head) -> Result<bool, Rejection> {
-    let Start::Request { method, target } = &head.start else {
+    let StartLine::Request { method, target } = &head.start else {
         return Err(Rejection::new(400, ErrorKind::Invalid, "not a request"));
     };
     match (method.as_str(), target.as_str()) {
--- a/crates/router/src/core/reservations.rs
+++ b/crates/router/src/core/reservations.rs
@@ -9,7 +9,7 @@
 
 use chalkyard_api::engine;
 use chalkyard_policy::{obligations, Event, Micros, RequestId, WorkerId};
-use chalkyard_proto::{encode, Part, Start};
+use chalkyard_proto::{encode, Part, StartLine};
 use serde_json::value::RawValue;
 
 use super::active_request::{ActiveRequest, Reservation};
@@ -286,7 +286,7 @@
         let Part::Head(head) = part else {
             return part != Part::End;
         };
-        let is_success = matches!(head.start, Start::Response { status: 200..=299 });
+        let is_success = matches!(head.start, StartLine::Response { status: 200..=299 });
         if let Task::Release(release) = std::mem::replace(&mut connection.task, Task::DrainReply) {
             if is_success {
                 self.release_proven(release);
--- a/crates/router/src/core/worker_connection.rs
+++ b/crates/router/src/core/worker_connection.rs
@@ -99,7 +99,7 @@
     /// Nothing any more, but the rest of a reply has to be read before the connection can be reused.
     DrainReply,
     /// The watch of the endpoint list.
-    WatchEndpoints(Box<sse::Reader>),
+    WatchEndpoints(Box<sse::Parser>),
     /// Polls of the endpoint list, one after the other; the present answer so far.
     PollEndpoints(Vec<u8>),
 }
--- a/crates/router/tests/common/answers.rs
+++ b/crates/router/tests/common/answers.rs
@@ -2,7 +2,7 @@
 
 use chalkyard_policy as p;
 use chalkyard_policy::Event;
-use chalkyard_proto::{sse, Decoder, Limits, Part, Side, Start};
+use chalkyard_proto::{sse, Decoder, Limits, Part, Side, StartLine};
 use chalkyard_router::ConnId;
 
 use super::Harness;
@@ -16,7 +16,7 @@
         while let Some(part) = d.next_part().expect("clients get well-formed answers") {
             match part {
                 Part::Head(head) => {
-                    let Start::Response { status: s } = head.start else { panic!() };
+                    let StartLine::Response { status: s } = head.start else { panic!() };
                     status = s;
                     streams = head.header("content-type") == Some("text/event-stream");
                 }
@@ -26,7 +26,7 @@
                     let mut events = Vec::new();
                     if streams {
                         let mut read = Vec::new();
-                        sse::Reader::new(1 << 20).push(&body, &mut read).unwrap();
+                        sse::Parser::new(1 << 20).push(&body, &mut read).unwrap();
                         for e in read {
                             events.push((e.name, serde_json::from_str(&e.data).unwrap()));
                         }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use chalkyard_api::keys::KeyRing;
 use chalkyard_policy as p;
 use chalkyard_policy::{Action, Event, Micros};
-use chalkyard_proto::{encode, sse, Decoder, Limits, Part, Side, Start};
+use chalkyard_proto::{encode, sse, Decoder, Limits, Part, Side, StartLine};
 use chalkyard_router::*;
 
 pub const START: Micros = Micros(1_700_000_000_000_000);
@@ -245,7 +245,7 @@
                 Part::Data(data) => body.extend(data),
                 Part::End => {
                     let head = self.heads.remove(&conn).unwrap();
-                    let Start::Request { target, .. } = head.start else { panic!() };
+                    let StartLine::Request { target, .. } = head.start else { panic!() };
                     let body = serde_json::from_slice(&std::mem::take(&mut body)).unwrap_or_default();
                     self.calls.push(Call {
                         at: self.now,
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -106,7 +106,7 @@
     let b = stored().config.bounds;
     let c = b.client;
     assert_eq!((c.start_line_bytes, c.head_bytes, c.body_bytes), (1_001, 2_002, 3_003));
-    assert_eq!((c.chunk_bytes, c.pipelined_bytes, c.chunk_extras), (4_004, 5_005, false));
+    assert_eq!((c.chunk_bytes, c.pipelined_bytes, c.allow_chunk_extensions), (4_004, 5_005, false));
     assert_eq!((b.engine.head_bytes, b.engine.body_bytes), (2_002, 256 * 1024 * 1024));
     assert_eq!((b.event_bytes, b.answer_bytes, b.clients, b.open), (6_006, 7_007, 8, 9));
     assert_eq!((b.engine_connections, b.engine_idle, b.client_buffer), (10, 11, 12_012));
