--- a/crates/api/src/client.rs
+++ b/crates/api/src/client.rs
@@ -5,9 +5,12 @@
 mod prompt;
 mod request;
 
-pub use answer::{Event, Usage, WholeAnswer};
-pub use error::{ErrorBody, ErrorKind, Refusal};
-pub use request::{identity, is_name, Bounds, MessageRole, MessagesRequest, Sampling, NAME_BYTES};
+pub use answer::{CompleteAnswer, Event, Usage};
+pub use error::{ErrorBody, ErrorKind, RequestError};
+pub use request::{
+    is_valid_name, parse_idempotency_key, MessageRole, MessagesRequest, RequestLimits, Sampling,
+    MAX_NAME_BYTES,
+};
 
 #[cfg(test)]
 #[path = "client_test.rs"]
--- a/crates/api/src/client/answer.rs
+++ b/crates/api/src/client/answer.rs
@@ -10,7 +10,8 @@
     /// Prompt tokens.
     pub prompt_tokens: u64,
     /// Of these, cached tokens that the prefill worker found.
-    pub kept_tokens: u64,
+    #[serde(rename = "kept_tokens")]
+    pub cached_tokens: u64,
     /// Tokens of the answer.
     pub output_tokens: u64,
 }
@@ -64,7 +65,7 @@
 
 /// A complete answer that is not streamed.
 #[derive(Debug, Serialize)]
-pub struct WholeAnswer<'a> {
+pub struct CompleteAnswer<'a> {
     /// Id of the request.
     pub id: &'a str,
     /// The model.
--- a/crates/api/src/client/error.rs
+++ b/crates/api/src/client/error.rs
@@ -4,7 +4,7 @@
 
 /// A call that is rejected before any engine has seen it: the field, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refusal {
+pub struct RequestError {
     /// Status of the response.
     pub status: u16,
     /// Path of the field.
@@ -13,7 +13,7 @@
     pub reason: String,
 }
 
-impl Refusal {
+impl RequestError {
     /// A refusal with status 400.
     pub fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self { status: 400, field: field.into(), reason: reason.into() }
--- a/crates/api/src/client/request.rs
+++ b/crates/api/src/client/request.rs
@@ -3,13 +3,13 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use super::error::Refusal;
+use super::error::RequestError;
 use super::prompt;
 use crate::tokens;
 
 /// Limits of one call.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct RequestLimits {
     /// Most messages.
     pub messages: usize,
     /// Most tokens of the prompt, as estimated.
@@ -18,14 +18,14 @@
     pub max_tokens: u64,
 }
 
-impl Default for Bounds {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self { messages: 1_000, prompt_tokens: 128_000, max_tokens: 4_096 }
     }
 }
 
 /// Longest name that a client may choose: of a session, class, idempotency key or model.
-pub const NAME_BYTES: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// Most stop sequences of one call.
 const STOP_SEQUENCES: usize = 4;
@@ -69,7 +69,8 @@
     session: Option<String>,
     deadline_ms: Option<u64>,
     retry: bool,
-    came_back: bool,
+    #[serde(rename = "came_back")]
+    resumed: bool,
 }
 
 #[derive(Debug, Deserialize)]
@@ -131,21 +132,21 @@
     /// The client retries an earlier request.
     pub retry: bool,
     /// The client returns after a stream that broke off.
-    pub came_back: bool,
+    pub resumed: bool,
     /// Sampling parameters.
     pub sampling: Sampling,
 }
 
-/// Whether a name that a client chose is valid: 1 to [`NAME_BYTES`] visible ASCII characters without quotes.
-pub fn is_name(text: &str) -> bool {
-    (1..=NAME_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic() && b != b'"')
+/// Whether a name that a client chose is valid: 1 to [`MAX_NAME_BYTES`] visible ASCII characters without quotes.
+pub fn is_valid_name(text: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic() && b != b'"')
 }
 
-fn check_name(field: &str, value: Option<&str>) -> Result<(), Refusal> {
+fn check_name(field: &str, value: Option<&str>) -> Result<(), RequestError> {
     match value {
-        Some(name) if !is_name(name) => Err(Refusal::new(
+        Some(name) if !is_valid_name(name) => Err(RequestError::new(
             field,
-            format!("must be 1 to {NAME_BYTES} visible ASCII characters without quotes"),
+            format!("must be 1 to {MAX_NAME_BYTES} visible ASCII characters without quotes"),
         )),
         _ => Ok(()),
     }
@@ -155,7 +156,7 @@
 ///
 /// # Errors
 /// The key is not a valid name.
-pub fn identity(header: &str) -> Result<String, Refusal> {
+pub fn parse_idempotency_key(header: &str) -> Result<String, RequestError> {
     let unquoted = header.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
     let key = unquoted.unwrap_or(header).to_owned();
     check_name("Idempotency-Key", Some(&key))?;
@@ -167,14 +168,14 @@
     ///
     /// # Errors
     /// The first field that is wrong, and why.
-    pub fn parse(body: &[u8], bounds: &Bounds) -> Result<Self, Refusal> {
+    pub fn parse(body: &[u8], bounds: &RequestLimits) -> Result<Self, RequestError> {
         let raw = RawRequest::parse(body)?;
         raw.check(bounds)?;
         let (prompt, prompt_tokens) = prompt::build(raw.system.as_deref(), &raw.messages)
-            .map_err(|e| Refusal::new("messages", e.to_string()))?;
+            .map_err(|e| RequestError::new("messages", e.to_string()))?;
         if prompt_tokens > bounds.prompt_tokens {
             let reason = format!("about {prompt_tokens} prompt tokens, over {}", bounds.prompt_tokens);
-            return Err(Refusal { status: 413, field: "messages".into(), reason });
+            return Err(RequestError { status: 413, field: "messages".into(), reason });
         }
         Ok(Self {
             prefix: raw.prefix(),
@@ -187,47 +188,47 @@
             session: raw.metadata.session,
             deadline_ms: raw.metadata.deadline_ms,
             retry: raw.metadata.retry,
-            came_back: raw.metadata.came_back,
+            resumed: raw.metadata.resumed,
             sampling: Sampling { temperature: raw.temperature, top_p: raw.top_p, stop: raw.stop_sequences },
         })
     }
 }
 
 impl RawRequest {
-    fn parse(body: &[u8]) -> Result<Self, Refusal> {
+    fn parse(body: &[u8]) -> Result<Self, RequestError> {
         let mut json = serde_json::Deserializer::from_slice(body);
         let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
             let path = e.path().to_string();
             // The body itself is wrong, not one of its fields.
             let field = if path == "." || path == "?" { "body".into() } else { path };
-            Refusal::new(field, e.into_inner().to_string())
+            RequestError::new(field, e.into_inner().to_string())
         })?;
-        json.end().map_err(|e| Refusal::new("body", e.to_string()))?;
+        json.end().map_err(|e| RequestError::new("body", e.to_string()))?;
         Ok(raw)
     }
 
     /// Checks what the JSON types alone do not.
-    fn check(&self, bounds: &Bounds) -> Result<(), Refusal> {
+    fn check(&self, bounds: &RequestLimits) -> Result<(), RequestError> {
         check_name("model", Some(&self.model))?;
         check_name("metadata.class", self.metadata.class.as_deref())?;
         check_name("metadata.session", self.metadata.session.as_deref())?;
         self.check_messages(bounds)?;
         if !(1..=bounds.max_tokens).contains(&self.max_tokens(bounds)) {
-            return Err(Refusal::new("max_tokens", format!("must be 1 to {}", bounds.max_tokens)));
+            return Err(RequestError::new("max_tokens", format!("must be 1 to {}", bounds.max_tokens)));
         }
         if self.metadata.deadline_ms == Some(0) {
-            return Err(Refusal::new("metadata.deadline_ms", "must be at least 1"));
+            return Err(RequestError::new("metadata.deadline_ms", "must be at least 1"));
         }
         self.check_sampling()
     }
 
-    fn check_messages(&self, bounds: &Bounds) -> Result<(), Refusal> {
+    fn check_messages(&self, bounds: &RequestLimits) -> Result<(), RequestError> {
         if !(1..=bounds.messages).contains(&self.messages.len()) {
-            return Err(Refusal::new("messages", format!("must be 1 to {} messages", bounds.messages)));
+            return Err(RequestError::new("messages", format!("must be 1 to {} messages", bounds.messages)));
         }
         if self.messages.last().is_some_and(|message| message.role != MessageRole::User) {
             let last = self.messages.len() - 1;
-            return Err(Refusal::new(
+            return Err(RequestError::new(
                 format!("messages[{last}].role"),
                 "the last message must be the user's",
             ));
@@ -235,21 +236,21 @@
         Ok(())
     }
 
-    fn check_sampling(&self) -> Result<(), Refusal> {
+    fn check_sampling(&self) -> Result<(), RequestError> {
         if self.temperature.is_some_and(|t| !(0.0..=2.0).contains(&t)) {
-            return Err(Refusal::new("temperature", "must be 0 to 2"));
+            return Err(RequestError::new("temperature", "must be 0 to 2"));
         }
         if self.top_p.is_some_and(|p| !(0.0..=1.0).contains(&p)) {
-            return Err(Refusal::new("top_p", "must be 0 to 1"));
+            return Err(RequestError::new("top_p", "must be 0 to 1"));
         }
-        let is_stop_valid = |stop: &String| (1..=NAME_BYTES).contains(&stop.len());
+        let is_stop_valid = |stop: &String| (1..=MAX_NAME_BYTES).contains(&stop.len());
         if self.stop_sequences.len() > STOP_SEQUENCES || !self.stop_sequences.iter().all(is_stop_valid) {
-            return Err(Refusal::new("stop_sequences", "must be at most 4 texts of 1 to 128 bytes"));
+            return Err(RequestError::new("stop_sequences", "must be at most 4 texts of 1 to 128 bytes"));
         }
         Ok(())
     }
 
-    fn max_tokens(&self, bounds: &Bounds) -> u64 {
+    fn max_tokens(&self, bounds: &RequestLimits) -> u64 {
         self.max_tokens.unwrap_or(bounds.max_tokens)
     }
 
--- a/crates/api/src/client_test.rs
+++ b/crates/api/src/client_test.rs
@@ -4,7 +4,7 @@
 use crate::tokens;
 
 fn refused(body: &str) -> (String, String) {
-    let r = MessagesRequest::parse(body.as_bytes(), &Bounds::default()).unwrap_err();
+    let r = MessagesRequest::parse(body.as_bytes(), &RequestLimits::default()).unwrap_err();
     (r.field, r.reason)
 }
 
@@ -13,7 +13,7 @@
     let body = r#"{"model":"m","system":"You help.","max_tokens":9,"stream":true,
         "messages":[{"role":"user","content":[{"type":"text","text":"Hello"}]}],
         "metadata":{"class":"help","session":"s1","deadline_ms":900,"retry":true}}"#;
-    let r = MessagesRequest::parse(body.as_bytes(), &Bounds::default()).unwrap();
+    let r = MessagesRequest::parse(body.as_bytes(), &RequestLimits::default()).unwrap();
     assert!(r.prompt.get().starts_with(r#""You help.\n\nuser: Hello\n"#));
     assert_eq!((r.max_tokens, r.stream, r.retry, r.deadline_ms), (9, true, true, Some(900)));
     assert_eq!(r.prefix.unwrap().1, 3);
@@ -26,7 +26,7 @@
     let body = serde_json::json!({"model": "m", "system": said, "messages": [
         {"role": "user", "content": [{"type": "text", "text": said}, {"type": "text", "text": "b"}]},
         {"role": "assistant", "content": said}, {"role": "user", "content": "plain"}]});
-    let r = MessagesRequest::parse(body.to_string().as_bytes(), &Bounds::default()).unwrap();
+    let r = MessagesRequest::parse(body.to_string().as_bytes(), &RequestLimits::default()).unwrap();
     let prompt: String = serde_json::from_str(r.prompt.get()).unwrap();
     assert_eq!(prompt, format!("{said}\n\nuser: {said}b\nassistant: {said}\nuser: plain\nassistant: "));
     assert_eq!(r.prompt_tokens, tokens::estimate(&prompt), "piece by piece as at once");
@@ -66,8 +66,8 @@
 
 #[test]
 fn idempotency_keys_quoted_or_bare_are_accepted_within_their_length() {
-    assert_eq!(identity("\"k-1\"").unwrap(), "k-1");
-    assert_eq!(identity("k-1").unwrap(), "k-1");
-    assert!(identity("\"\"").is_err());
-    assert!(identity(&"k".repeat(NAME_BYTES + 1)).is_err());
+    assert_eq!(parse_idempotency_key("\"k-1\"").unwrap(), "k-1");
+    assert_eq!(parse_idempotency_key("k-1").unwrap(), "k-1");
+    assert!(parse_idempotency_key("\"\"").is_err());
+    assert!(parse_idempotency_key(&"k".repeat(MAX_NAME_BYTES + 1)).is_err());
 }
--- a/crates/api/src/engine.rs
+++ b/crates/api/src/engine.rs
@@ -99,7 +99,7 @@
         let cached_tokens = raw.prompt_tokens_details.and_then(|details| details.cached_tokens);
         Self {
             prompt_tokens: raw.prompt_tokens,
-            kept_tokens: cached_tokens.unwrap_or(0),
+            cached_tokens: cached_tokens.unwrap_or(0),
             output_tokens: raw.completion_tokens,
         }
     }
--- a/crates/api/src/engine_test.rs
+++ b/crates/api/src/engine_test.rs
@@ -1,12 +1,12 @@
 //! Tests of `engine`.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 use super::*;
-use crate::client::Bounds;
+use crate::client::RequestLimits;
 
 #[test]
 fn completion_calls_carry_the_transfer_parameters_of_the_prefill_answer() {
     let body = br#"{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":5,"top_p":0.5}"#;
-    let request = MessagesRequest::parse(body, &Bounds::default()).unwrap();
+    let request = MessagesRequest::parse(body, &RequestLimits::default()).unwrap();
     let json = |stage| serde_json::from_slice::<serde_json::Value>(&completion(&request, stage)).unwrap();
     let read = json(Stage::Read);
     assert_eq!((&read["max_tokens"], &read["stream"]), (&1.into(), &false.into()));
@@ -15,7 +15,7 @@
         br#"{"usage":{"prompt_tokens":7,"prompt_tokens_details":{"cached_tokens":3}},"kv_transfer_params":{"a":[1]}}"#,
     )
     .unwrap();
-    assert_eq!((usage.prompt_tokens, usage.kept_tokens), (7, 3));
+    assert_eq!((usage.prompt_tokens, usage.cached_tokens), (7, 3));
     let pull = json(Stage::Pull(&params));
     assert_eq!((&pull["kv_transfer_params"]["a"][0], &pull["max_tokens"]), (&1.into(), &5.into()));
     assert_eq!(pull["top_p"], 0.5);
--- a/crates/api/src/keys.rs
+++ b/crates/api/src/keys.rs
@@ -63,7 +63,7 @@
 
     /// The same keys under other owners. Keys for which `owner` gives none are dropped.
     #[must_use]
-    pub fn owned_by(&self, owner: impl Fn(Owner) -> Option<Owner>) -> Self {
+    pub fn remap_owners(&self, owner: impl Fn(Owner) -> Option<Owner>) -> Self {
         let mut keys: BTreeMap<[u8; 4], Vec<(blake3::Hash, Owner)>> = BTreeMap::new();
         for (hash, old) in self.keys.values().flatten() {
             if let Some(new) = owner(*old) {
--- a/crates/api/src/keys_test.rs
+++ b/crates/api/src/keys_test.rs
@@ -14,6 +14,6 @@
     assert_eq!(KeyRing::new([8; 32]).owner("secret"), None);
     assert_ne!(KeyRing::new([8; 32]).hash("secret"), hash);
     assert_eq!(format!("{ring:?}"), "KeyRing(1 keys)");
-    assert_eq!(ring.owned_by(|owner| (owner == 3).then_some(7)).owner("secret"), Some(7));
-    assert_eq!(ring.owned_by(|_| None).owner("secret"), None);
+    assert_eq!(ring.remap_owners(|owner| (owner == 3).then_some(7)).owner("secret"), Some(7));
+    assert_eq!(ring.remap_owners(|_| None).owner("secret"), None);
 }
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod keys;
 pub mod tokens;
 
-pub use client::{ErrorKind, MessagesRequest, Refusal};
+pub use client::{ErrorKind, MessagesRequest, RequestError};
--- a/crates/api/tests/wire_forms.rs
+++ b/crates/api/tests/wire_forms.rs
@@ -1,13 +1,13 @@
 //! The calls of clients and to engines as they go over the wire: every field by its name and form.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
-use chalkyard_api::client::{Bounds, ErrorBody, ErrorKind, Event, Usage, WholeAnswer};
+use chalkyard_api::client::{CompleteAnswer, ErrorBody, ErrorKind, Event, RequestLimits, Usage};
 use chalkyard_api::engine::{self, Load, NamedLoad, Stage, StreamItem};
-use chalkyard_api::{MessagesRequest, Refusal};
+use chalkyard_api::{MessagesRequest, RequestError};
 use serde_json::{json, Value};
 
-fn parse(body: &Value) -> Result<MessagesRequest, Refusal> {
-    MessagesRequest::parse(body.to_string().as_bytes(), &Bounds::default())
+fn parse(body: &Value) -> Result<MessagesRequest, RequestError> {
+    MessagesRequest::parse(body.to_string().as_bytes(), &RequestLimits::default())
 }
 
 fn full() -> Value {
@@ -29,7 +29,7 @@
     assert_eq!(r.prefix, Some(("6052de764c9b4ccc7a1b29a9743ea2ae".into(), 3)));
     assert_eq!((r.prompt_tokens, r.max_tokens, r.stream), (20, 9, true));
     assert_eq!((r.model.as_str(), r.class.as_deref(), r.session.as_deref()), ("m", Some("c"), Some("s")));
-    assert_eq!((r.deadline_ms, r.retry, r.came_back), (Some(900), true, true));
+    assert_eq!((r.deadline_ms, r.retry, r.resumed), (Some(900), true, true));
     assert_eq!((r.sampling.temperature, r.sampling.top_p), (Some(0.5), Some(0.25)));
     assert_eq!(r.sampling.stop, ["a", "b"]);
 }
@@ -38,7 +38,7 @@
 fn a_call_with_the_least_fields_has_defaults() {
     let r = parse(&json!({"model": "m", "messages": [{"role": "user", "content": "one"}]})).unwrap();
     assert_eq!((r.prefix, r.max_tokens, r.stream), (None, 4_096, false));
-    assert_eq!((r.class, r.session, r.deadline_ms, r.retry, r.came_back), (None, None, None, false, false));
+    assert_eq!((r.class, r.session, r.deadline_ms, r.retry, r.resumed), (None, None, None, false, false));
 }
 
 #[test]
@@ -91,7 +91,7 @@
 
 #[test]
 fn names_of_events_and_their_data_are_as_clients_know_them() {
-    let usage = Usage { prompt_tokens: 1, kept_tokens: 2, output_tokens: 3 };
+    let usage = Usage { prompt_tokens: 1, cached_tokens: 2, output_tokens: 3 };
     let error = ErrorBody {
         kind: ErrorKind::Refused,
         reason: "busy".into(),
@@ -126,7 +126,7 @@
         String::from_utf8(bare.json()).unwrap(),
         r#"{"error":{"may_have_run":false,"reason":"busy","type":"refused"}}"#
     );
-    let answer = WholeAnswer { id: "q", model: "m", content: "t", stop_reason: "stop", usage };
+    let answer = CompleteAnswer { id: "q", model: "m", content: "t", stop_reason: "stop", usage };
     assert_eq!(
         serde_json::to_string(&answer).unwrap(),
         format!(r#"{{"id":"q","model":"m","content":"t","stop_reason":"stop",{usage_json}}}"#)
@@ -165,7 +165,7 @@
     assert_eq!(body(Stage::Whole), format!("{{{prompt},{streamed},{sampling}}}"));
     let answer = br#"{"usage":{"prompt_tokens":7,"completion_tokens":1,"prompt_tokens_details":{"cached_tokens":3}},"kv_transfer_params":{"a": [1]}}"#;
     let (usage, params) = engine::read_answer(answer).unwrap();
-    assert_eq!(usage, Usage { prompt_tokens: 7, kept_tokens: 3, output_tokens: 1 });
+    assert_eq!(usage, Usage { prompt_tokens: 7, cached_tokens: 3, output_tokens: 1 });
     assert_eq!(
         body(Stage::Pull(&params)),
         format!("{{{prompt},{streamed},\"kv_transfer_params\":{{\"a\": [1]}},{sampling}}}")
@@ -191,7 +191,7 @@
     let chunk = r#"{"choices":[{"text":"a","finish_reason":"length"}],"usage":{"prompt_tokens":4,"completion_tokens":5}}"#;
     let StreamItem::Chunk(chunk) = engine::stream_item(chunk).unwrap() else { panic!("no chunk") };
     assert_eq!((chunk.text.as_str(), chunk.stop_reason.as_deref()), ("a", Some("length")));
-    assert_eq!(chunk.usage, Some(Usage { prompt_tokens: 4, kept_tokens: 0, output_tokens: 5 }));
+    assert_eq!(chunk.usage, Some(Usage { prompt_tokens: 4, cached_tokens: 0, output_tokens: 5 }));
 }
 
 #[test]
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -169,7 +169,7 @@
         let own_places: BTreeMap<usize, usize> = placed.collect();
         let classes = |place: &Option<usize>| fresh.config.tenants.get((*place)?)?.classes.clone();
         RuntimeSettings {
-            keys: fresh.config.keys.owned_by(|owner| own_places.get(&owner).copied()),
+            keys: fresh.config.keys.remap_owners(|owner| own_places.get(&owner).copied()),
             classes: places.iter().map(classes).collect(),
             bounds: fresh.config.bounds,
             timeouts: fresh.config.timeouts,
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -43,7 +43,7 @@
     /// Of worker connections' decoders; the body's length is that of one complete stream.
     pub engine: chalkyard_proto::Limits,
     /// Of one call.
-    pub call: client::Bounds,
+    pub call: client::RequestLimits,
     /// Bytes of one event of a worker's stream.
     pub event_bytes: usize,
     /// Bytes of one answer's text that is collected for a client that wants it in one body.
@@ -76,7 +76,7 @@
         Self {
             client,
             engine: chalkyard_proto::Limits { body_bytes: 256 * 1024 * 1024, ..client },
-            call: client::Bounds::default(),
+            call: client::RequestLimits::default(),
             event_bytes: 1024 * 1024,
             answer_bytes: 4 * 1024 * 1024,
             clients: 20_000,
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -227,7 +227,7 @@
         let usage = self.usage;
         let prompt = if usage.prompt_tokens == 0 { self.spec.prompt_tokens } else { usage.prompt_tokens };
         let output = if is_cut_off || usage.output_tokens == 0 { self.pieces } else { usage.output_tokens };
-        BilledTokens { prompt, cached: usage.kept_tokens.min(prompt), output }
+        BilledTokens { prompt, cached: usage.cached_tokens.min(prompt), output }
     }
 
     /// The numbers of the prefill attempt for the answer that was given, and of the attempt that gave it.
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -1,6 +1,6 @@
 //! Final answers to clients, each given once, and the end of a request.
 
-use chalkyard_api::client::{ErrorBody, ErrorKind, Event as ClientEvent, WholeAnswer};
+use chalkyard_api::client::{CompleteAnswer, ErrorBody, ErrorKind, Event as ClientEvent};
 use chalkyard_policy as p;
 use chalkyard_policy::obligations::AnswerPermit;
 use chalkyard_policy::{AttemptNo, Event, Micros, Outcome, RequestId};
@@ -79,7 +79,7 @@
             self.end_stream(client, &ClientEvent::Closed { stop_reason: &stop_reason, usage });
         } else {
             let answer =
-                WholeAnswer { id: &id.0, model: &model, content: &text, stop_reason: &stop_reason, usage };
+                CompleteAnswer { id: &id.0, model: &model, content: &text, stop_reason: &stop_reason, usage };
             self.write_body_answer(client, id, &answer);
         }
     }
@@ -223,7 +223,7 @@
             total_us: since(at, request.arrived_at),
             estimated_tokens: request.spec.prompt_tokens,
             prompt_tokens: request.usage.prompt_tokens,
-            kept_tokens: request.usage.kept_tokens,
+            kept_tokens: request.usage.cached_tokens,
             output_tokens: request.usage.output_tokens,
         })
     }
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -244,10 +244,10 @@
             self.timers.cancel(key);
         }
         attempt.cached_tokens =
-            if outcome == Outcome::Served { request.usage.kept_tokens } else { cached_tokens };
+            if outcome == Outcome::Served { request.usage.cached_tokens } else { cached_tokens };
         if outcome == Outcome::Served && attempt.stage == AttemptStage::Decode {
             if let Some(cached_tokens) = request.cached_at_prefill {
-                request.usage.kept_tokens = cached_tokens;
+                request.usage.cached_tokens = cached_tokens;
             }
         }
         Some(EndedAttempt {
--- a/crates/router/src/core/client_answers.rs
+++ b/crates/router/src/core/client_answers.rs
@@ -103,7 +103,7 @@
         &mut self,
         conn: ConnId,
         id: &p::RequestId,
-        answer: &client::WholeAnswer<'_>,
+        answer: &client::CompleteAnswer<'_>,
     ) {
         let body = serde_json::to_vec(answer).unwrap_or_default();
         let keep_alive = self.announce_keep_alive(conn);
--- a/crates/router/src/core/relay.rs
+++ b/crates/router/src/core/relay.rs
@@ -68,7 +68,7 @@
         if let Some(usage) = progress.usage {
             request.usage = Usage {
                 prompt_tokens: usage.prompt_tokens,
-                kept_tokens: usage.cached_tokens,
+                cached_tokens: usage.cached_tokens,
                 output_tokens: usage.output_tokens,
             };
         }
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -209,12 +209,12 @@
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
         if let Some(request) = self.requests.get_mut(id) {
             request.usage = usage;
-            request.cached_at_prefill = Some(usage.kept_tokens);
+            request.cached_at_prefill = Some(usage.cached_tokens);
         }
         if let Some(worker) = worker {
             self.reserve(id, worker, Some(transfer_params));
         }
-        (Outcome::Prefilled, usage.kept_tokens)
+        (Outcome::Prefilled, usage.cached_tokens)
     }
 
     /// The reply to an attempt has ended well: its connection may be reused.
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -1,6 +1,6 @@
 //! A client's complete request: checked, and accepted or answered before anything has run.
 
-use chalkyard_api::client::{self, ErrorBody, ErrorKind, MessagesRequest, Refusal};
+use chalkyard_api::client::{self, ErrorBody, ErrorKind, MessagesRequest, RequestError};
 use chalkyard_api::engine;
 use chalkyard_policy as p;
 use chalkyard_policy::{Event, Micros};
@@ -36,8 +36,8 @@
 }
 
 /// A field of the request is invalid.
-impl From<Refusal> for Rejection {
-    fn from(refusal: Refusal) -> Self {
+impl From<RequestError> for Rejection {
+    fn from(refusal: RequestError) -> Self {
         let body = ErrorBody { field: Some(refusal.field), ..error(ErrorKind::Invalid, refusal.reason) };
         Self { status: refusal.status, body }
     }
@@ -78,11 +78,11 @@
     Err(Rejection::new(415, ErrorKind::Invalid, "content-type must be application/json"))
 }
 
-fn idempotency_key(head: &Head) -> Result<Option<String>, Refusal> {
+fn idempotency_key(head: &Head) -> Result<Option<String>, RequestError> {
     if head.count("idempotency-key") > 1 {
-        return Err(Refusal::new("Idempotency-Key", "more than one"));
+        return Err(RequestError::new("Idempotency-Key", "more than one"));
     }
-    head.header("idempotency-key").map(client::identity).transpose()
+    head.header("idempotency-key").map(client::parse_idempotency_key).transpose()
 }
 
 impl Core {
@@ -219,18 +219,18 @@
     }
 
     /// The class that the request names, if the tenant's keys allow it.
-    fn class(&self, call: &MessagesRequest, tenant: Option<usize>) -> Result<usize, Refusal> {
+    fn class(&self, call: &MessagesRequest, tenant: Option<usize>) -> Result<usize, RequestError> {
         let class = match &call.class {
             None => self.config.default_class,
             Some(name) => {
                 let found = self.config.classes.iter().position(|c| c.name == *name);
-                found.ok_or_else(|| Refusal::new("metadata.class", format!("unknown class `{name}`")))?
+                found.ok_or_else(|| RequestError::new("metadata.class", format!("unknown class `{name}`")))?
             }
         };
         let allowed = tenant.and_then(|t| self.config.tenants.get(t)).and_then(|t| t.classes.as_ref());
         if allowed.is_some_and(|a| !a.contains(&class)) {
             let reason = "this key does not allow the class";
-            return Err(Refusal { status: 403, field: "metadata.class".into(), reason: reason.into() });
+            return Err(RequestError { status: 403, field: "metadata.class".into(), reason: reason.into() });
         }
         Ok(class)
     }
@@ -261,7 +261,7 @@
             prompt_tokens: call.prompt_tokens,
             max_output_tokens: call.max_tokens,
             deadline: self.now + (timeout - margin),
-            resumed: call.came_back,
+            resumed: call.resumed,
         };
         ActiveRequest::new(conn, spec, ClientCall::Messages(Box::new(call)), identity, self.now)
     }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -27,7 +27,7 @@
 
 impl Value for Name {
     fn parse(text: &str) -> Result<Self, ValueError> {
-        let is_valid = chalkyard_api::client::is_name(text) && !text.contains(['/', ',', '<']);
+        let is_valid = chalkyard_api::client::is_valid_name(text) && !text.contains(['/', ',', '<']);
         let value = is_valid.then(|| Self(text.into()));
         value.ok_or_else(|| "must be 1 to 128 visible ASCII characters without / , < \"".into())
     }
