--- a/crates/api/src/engine.rs
+++ b/crates/api/src/engine.rs
@@ -10,15 +10,15 @@
 use crate::client::{MessagesRequest, Usage};
 
 /// Target of the completion call.
-pub const COMPLETIONS: &str = "/v1/completions";
+pub const COMPLETIONS_PATH: &str = "/v1/completions";
 /// Target of the release call.
-pub const RELEASE: &str = "/v1/kv/release";
+pub const RELEASE_PATH: &str = "/v1/kv/release";
 /// Header with the request's id, the same in all calls for it.
-pub const REQUEST_ID: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Header with the number of the attempt within its request, by which an engine's token records are joined with a bill.
-pub const ATTEMPT: &str = "x-attempt";
+pub const ATTEMPT_HEADER: &str = "x-attempt";
 /// Header with the load report.
-pub const LOAD: &str = "endpoint-load-metrics";
+pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
 /// Parameters by which an engine keeps its KV state for another one.
 const REMOTE_DECODE: &str = r#"{"do_remote_decode":true,"do_remote_prefill":false}"#;
@@ -27,11 +27,11 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Stage<'a> {
     /// Prefill, and keep the KV state.
-    Read,
+    Prefill,
     /// Pull the KV state that these parameters name, and decode.
-    Pull(&'a RawValue),
+    Decode(&'a RawValue),
     /// Prefill and decode.
-    Whole,
+    Combined,
 }
 
 #[derive(Serialize)]
@@ -54,9 +54,9 @@
 }
 
 /// The body of the completion call.
-pub fn completion(request: &MessagesRequest, stage: Stage<'_>) -> Vec<u8> {
+pub fn completion_body(request: &MessagesRequest, stage: Stage<'_>) -> Vec<u8> {
     let remote_decode = RawValue::from_string(REMOTE_DECODE.into()).ok();
-    let is_prefill = matches!(stage, Stage::Read);
+    let is_prefill = matches!(stage, Stage::Prefill);
     let call = Completion {
         model: &request.model,
         prompt: &request.prompt,
@@ -64,9 +64,9 @@
         stream: !is_prefill,
         stream_options: (!is_prefill).then_some(StreamOptions { include_usage: true }),
         kv_transfer_params: match stage {
-            Stage::Read => remote_decode.as_deref(),
-            Stage::Pull(params) => Some(params),
-            Stage::Whole => None,
+            Stage::Prefill => remote_decode.as_deref(),
+            Stage::Decode(params) => Some(params),
+            Stage::Combined => None,
         },
         sampling: &request.sampling,
     };
@@ -74,7 +74,7 @@
 }
 
 /// The body of the release call.
-pub fn naming(request_id: &str) -> Vec<u8> {
+pub fn release_body(request_id: &str) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({ "request_id": request_id })).unwrap_or_default()
 }
 
@@ -114,7 +114,7 @@
 }
 
 /// Longest transfer parameters of a prefill answer; they are kept until the KV state is pulled.
-pub const PARAMS_BYTES: usize = 16 * 1024;
+pub const MAX_PARAMS_BYTES: usize = 16 * 1024;
 
 /// An answer of an engine that can't be used.
 #[derive(Debug, thiserror::Error)]
@@ -125,7 +125,7 @@
     /// A prefill answer without the parameters by which its KV state is pulled.
     #[error("no kv_transfer_params")]
     NoTransferParameters,
-    /// Its transfer parameters are longer than [`PARAMS_BYTES`].
+    /// Its transfer parameters are longer than [`MAX_PARAMS_BYTES`].
     #[error("kv_transfer_params too long")]
     TransferParametersTooLong,
     /// The engine reports an error of its own.
@@ -137,10 +137,10 @@
 ///
 /// # Errors
 /// The answer is malformed, or its transfer parameters are missing or too long.
-pub fn read_answer(body: &[u8]) -> Result<(Usage, Box<RawValue>), EngineAnswerError> {
+pub fn parse_prefill_answer(body: &[u8]) -> Result<(Usage, Box<RawValue>), EngineAnswerError> {
     let raw: RawRead = serde_json::from_slice(body)?;
     let params = raw.kv_transfer_params.ok_or(EngineAnswerError::NoTransferParameters)?;
-    if params.get().len() > PARAMS_BYTES {
+    if params.get().len() > MAX_PARAMS_BYTES {
         return Err(EngineAnswerError::TransferParametersTooLong);
     }
     Ok((raw.usage.unwrap_or_default().into(), params))
@@ -199,7 +199,7 @@
 ///
 /// # Errors
 /// The data is malformed, or the engine reports an error.
-pub fn stream_item(data: &str) -> Result<StreamItem, EngineAnswerError> {
+pub fn parse_stream_item(data: &str) -> Result<StreamItem, EngineAnswerError> {
     if data == END_MARKER {
         return Ok(StreamItem::Done);
     }
@@ -213,7 +213,7 @@
 }
 
 /// Whether the body of a 409 says that there is no KV state to pull.
-pub fn says_no_state(body: &[u8]) -> bool {
+pub fn is_no_state_error(body: &[u8]) -> bool {
     let raw: Option<RawChunk> = serde_json::from_slice(body).ok();
     raw.and_then(|r| r.error).and_then(|e| e.kind).is_some_and(|k| k == "no_state")
 }
@@ -221,7 +221,7 @@
 /// A load report, with ORCA's names.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct Load {
+pub struct LoadReport {
     /// Share of slots in use, 0 to 1.
     pub cpu_utilization: Option<f64>,
     /// Share of KV memory in use, 0 to 1.
@@ -231,13 +231,13 @@
     /// Errors a second.
     pub eps: Option<f64>,
     /// Metrics without a standard name.
-    pub named_metrics: NamedLoad,
+    pub named_metrics: NamedMetrics,
 }
 
 /// The named metrics that are used; others are ignored.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct NamedLoad {
+pub struct NamedMetrics {
     /// Requests in flight.
     pub in_flight: Option<f64>,
     /// Requests that wait.
@@ -249,7 +249,7 @@
 }
 
 /// Parses the header in its JSON or TEXT form. None where it is malformed: reports are optional.
-pub fn load(header: &str) -> Option<Load> {
+pub fn parse_load_report(header: &str) -> Option<LoadReport> {
     let mut load = match header.trim().split_once(' ')? {
         ("JSON", json) => serde_json::from_str(json).ok()?,
         ("TEXT", pairs) => text_load(pairs),
@@ -260,8 +260,8 @@
 }
 
 /// Parses `name=value` pairs with commas between them; unknown names are ignored.
-fn text_load(pairs: &str) -> Load {
-    let mut load = Load::default();
+fn text_load(pairs: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in pairs.split(',').filter_map(|pair| pair.split_once('=')) {
         let value = value.trim().parse::<f64>().ok();
         match name.trim() {
@@ -279,7 +279,7 @@
     load
 }
 
-impl Load {
+impl LoadReport {
     /// Drops metrics that are negative, infinite or not a number.
     fn drop_invalid(&mut self) {
         let named = &mut self.named_metrics;
--- a/crates/api/src/engine_test.rs
+++ b/crates/api/src/engine_test.rs
@@ -7,44 +7,47 @@
 fn completion_calls_carry_the_transfer_parameters_of_the_prefill_answer() {
     let body = br#"{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":5,"top_p":0.5}"#;
     let request = MessagesRequest::parse(body, &RequestLimits::default()).unwrap();
-    let json = |stage| serde_json::from_slice::<serde_json::Value>(&completion(&request, stage)).unwrap();
-    let read = json(Stage::Read);
+    let json =
+        |stage| serde_json::from_slice::<serde_json::Value>(&completion_body(&request, stage)).unwrap();
+    let read = json(Stage::Prefill);
     assert_eq!((&read["max_tokens"], &read["stream"]), (&1.into(), &false.into()));
     assert_eq!(read["kv_transfer_params"]["do_remote_decode"], true);
-    let (usage, params) = read_answer(
+    let (usage, params) = parse_prefill_answer(
         br#"{"usage":{"prompt_tokens":7,"prompt_tokens_details":{"cached_tokens":3}},"kv_transfer_params":{"a":[1]}}"#,
     )
     .unwrap();
     assert_eq!((usage.prompt_tokens, usage.cached_tokens), (7, 3));
-    let pull = json(Stage::Pull(&params));
+    let pull = json(Stage::Decode(&params));
     assert_eq!((&pull["kv_transfer_params"]["a"][0], &pull["max_tokens"]), (&1.into(), &5.into()));
     assert_eq!(pull["top_p"], 0.5);
-    assert!(json(Stage::Whole).get("kv_transfer_params").is_none());
-    assert!(read_answer(b"{}").is_err());
+    assert!(json(Stage::Combined).get("kv_transfer_params").is_none());
+    assert!(parse_prefill_answer(b"{}").is_err());
 }
 
 #[test]
 fn stream_events_are_chunks_the_end_marker_or_errors() {
-    let item = stream_item(r#"{"choices":[{"text":"a","finish_reason":"stop"}],"usage":null}"#).unwrap();
+    let item =
+        parse_stream_item(r#"{"choices":[{"text":"a","finish_reason":"stop"}],"usage":null}"#).unwrap();
     assert!(
         matches!(item, StreamItem::Chunk(c) if c.text == "a" && c.stop_reason.as_deref() == Some("stop"))
     );
-    assert_eq!(stream_item("[DONE]").unwrap(), StreamItem::Done);
-    assert!(stream_item(r#"{"error":{"message":"out of memory"}}"#)
+    assert_eq!(parse_stream_item("[DONE]").unwrap(), StreamItem::Done);
+    assert!(parse_stream_item(r#"{"error":{"message":"out of memory"}}"#)
         .unwrap_err()
         .to_string()
         .contains("out of memory"));
-    assert!(stream_item("{").is_err());
-    assert!(says_no_state(br#"{"error":{"type":"no_state","message":""}}"#));
-    assert!(!says_no_state(b"busy"));
+    assert!(parse_stream_item("{").is_err());
+    assert!(is_no_state_error(br#"{"error":{"type":"no_state","message":""}}"#));
+    assert!(!is_no_state_error(b"busy"));
 }
 
 #[test]
 fn load_reports_in_json_and_text_form_are_equal_and_invalid_ones_are_dropped() {
-    let json = load(r#"JSON {"mem_utilization":0.5,"named_metrics":{"queue_depth":3,"x":1}}"#).unwrap();
-    let text = load("TEXT mem_utilization=0.5,named_metrics.queue_depth=3,other=1").unwrap();
+    let json =
+        parse_load_report(r#"JSON {"mem_utilization":0.5,"named_metrics":{"queue_depth":3,"x":1}}"#).unwrap();
+    let text = parse_load_report("TEXT mem_utilization=0.5,named_metrics.queue_depth=3,other=1").unwrap();
     assert_eq!(json, text);
-    assert_eq!(load("TEXT mem_utilization=-1").unwrap().mem_utilization, None);
-    assert_eq!(load("BIN abc"), None);
-    assert_eq!(load("JSON {"), None);
+    assert_eq!(parse_load_report("TEXT mem_utilization=-1").unwrap().mem_utilization, None);
+    assert_eq!(parse_load_report("BIN abc"), None);
+    assert_eq!(parse_load_report("JSON {"), None);
 }
--- a/crates/api/tests/wire_forms.rs
+++ b/crates/api/tests/wire_forms.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_api::client::{CompleteAnswer, ErrorBody, ErrorKind, Event, RequestLimits, Usage};
-use chalkyard_api::engine::{self, Load, NamedLoad, Stage, StreamItem};
+use chalkyard_api::engine::{self, LoadReport, NamedMetrics, Stage, StreamItem};
 use chalkyard_api::{MessagesRequest, RequestError};
 use serde_json::{json, Value};
 
@@ -152,26 +152,32 @@
 #[test]
 fn completion_calls_have_the_published_fields() {
     let request = parse(&full()).unwrap();
-    let body = |stage| String::from_utf8(engine::completion(&request, stage)).unwrap();
+    let body = |stage| String::from_utf8(engine::completion_body(&request, stage)).unwrap();
     let prompt =
         r#""model":"m","prompt":"You help.\n\nuser: one\nassistant: two\nuser: threefour\nassistant: ""#;
     let sampling = r#""temperature":0.5,"top_p":0.25,"stop":["a","b"]"#;
     let handed = r#""kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}"#;
     assert_eq!(
-        body(Stage::Read),
+        body(Stage::Prefill),
         format!("{{{prompt},\"max_tokens\":1,\"stream\":false,{handed},{sampling}}}")
     );
     let streamed = r#""max_tokens":9,"stream":true,"stream_options":{"include_usage":true}"#;
-    assert_eq!(body(Stage::Whole), format!("{{{prompt},{streamed},{sampling}}}"));
+    assert_eq!(body(Stage::Combined), format!("{{{prompt},{streamed},{sampling}}}"));
     let answer = br#"{"usage":{"prompt_tokens":7,"completion_tokens":1,"prompt_tokens_details":{"cached_tokens":3}},"kv_transfer_params":{"a": [1]}}"#;
-    let (usage, params) = engine::read_answer(answer).unwrap();
+    let (usage, params) = engine::parse_prefill_answer(answer).unwrap();
     assert_eq!(usage, Usage { prompt_tokens: 7, cached_tokens: 3, output_tokens: 1 });
     assert_eq!(
-        body(Stage::Pull(&params)),
+        body(Stage::Decode(&params)),
         format!("{{{prompt},{streamed},\"kv_transfer_params\":{{\"a\": [1]}},{sampling}}}")
     );
-    assert_eq!(String::from_utf8(engine::naming("q1")).unwrap(), r#"{"request_id":"q1"}"#);
-    let names = [engine::COMPLETIONS, engine::RELEASE, engine::REQUEST_ID, engine::ATTEMPT, engine::LOAD];
+    assert_eq!(String::from_utf8(engine::release_body("q1")).unwrap(), r#"{"request_id":"q1"}"#);
+    let names = [
+        engine::COMPLETIONS_PATH,
+        engine::RELEASE_PATH,
+        engine::REQUEST_ID_HEADER,
+        engine::ATTEMPT_HEADER,
+        engine::LOAD_HEADER,
+    ];
     assert_eq!(
         names,
         ["/v1/completions", "/v1/kv/release", "x-request-id", "x-attempt", "endpoint-load-metrics"]
@@ -180,28 +186,28 @@
 
 #[test]
 fn answers_of_engines_that_cannot_be_used_are_told_with_their_cause() {
-    let read = |body: &str| engine::read_answer(body.as_bytes()).unwrap_err().to_string();
+    let read = |body: &str| engine::parse_prefill_answer(body.as_bytes()).unwrap_err().to_string();
     assert_eq!(read("{}"), "no kv_transfer_params");
     assert_eq!(read("{"), "EOF while parsing an object at line 1 column 1");
-    let long = format!("{{\"kv_transfer_params\":\"{}\"}}", "x".repeat(engine::PARAMS_BYTES));
+    let long = format!("{{\"kv_transfer_params\":\"{}\"}}", "x".repeat(engine::MAX_PARAMS_BYTES));
     assert_eq!(read(&long), "kv_transfer_params too long");
-    let item = |data: &str| engine::stream_item(data).unwrap_err().to_string();
+    let item = |data: &str| engine::parse_stream_item(data).unwrap_err().to_string();
     assert_eq!(item(r#"{"error":{"message":"out of memory"}}"#), "engine error: out of memory");
     assert_eq!(item("{"), "EOF while parsing an object at line 1 column 1");
     let chunk = r#"{"choices":[{"text":"a","finish_reason":"length"}],"usage":{"prompt_tokens":4,"completion_tokens":5}}"#;
-    let StreamItem::Chunk(chunk) = engine::stream_item(chunk).unwrap() else { panic!("no chunk") };
+    let StreamItem::Chunk(chunk) = engine::parse_stream_item(chunk).unwrap() else { panic!("no chunk") };
     assert_eq!((chunk.text.as_str(), chunk.stop_reason.as_deref()), ("a", Some("length")));
     assert_eq!(chunk.usage, Some(Usage { prompt_tokens: 4, cached_tokens: 0, output_tokens: 5 }));
 }
 
 #[test]
 fn each_figure_of_a_load_report_is_read_in_both_forms() {
-    let full = Load {
+    let full = LoadReport {
         cpu_utilization: Some(0.1),
         mem_utilization: Some(0.2),
         rps_fractional: Some(0.3),
         eps: Some(0.4),
-        named_metrics: NamedLoad {
+        named_metrics: NamedMetrics {
             in_flight: Some(5.0),
             queue_depth: Some(6.0),
             latency_ms: Some(7.0),
@@ -209,9 +215,9 @@
         },
     };
     let json = r#"JSON {"cpu_utilization":0.1,"mem_utilization":0.2,"rps_fractional":0.3,"eps":0.4,"named_metrics":{"in_flight":5,"queue_depth":6,"latency_ms":7,"waiting_tokens":8}}"#;
-    assert_eq!(engine::load(json), Some(full));
+    assert_eq!(engine::parse_load_report(json), Some(full));
     let text = "TEXT cpu_utilization=0.1,mem_utilization=0.2, rps_fractional = 0.3 ,eps=0.4,named_metrics.in_flight=5,named_metrics.queue_depth=6,named_metrics.latency_ms=7,named_metrics.waiting_tokens=8";
-    assert_eq!(engine::load(text), Some(full));
+    assert_eq!(engine::parse_load_report(text), Some(full));
     let wrong = "TEXT cpu_utilization=-1,mem_utilization=inf,rps_fractional=x,named_metrics.in_flight=nan";
-    assert_eq!(engine::load(wrong), Some(Load::default()));
+    assert_eq!(engine::parse_load_report(wrong), Some(LoadReport::default()));
 }
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -140,21 +140,21 @@
             }
         };
         let stage = match (attempt.stage, &request.reservation) {
-            (AttemptStage::Prefill, _) => engine::Stage::Read,
+            (AttemptStage::Prefill, _) => engine::Stage::Prefill,
             (AttemptStage::Decode, Some(Reservation { transfer_params: Some(params), .. })) => {
-                engine::Stage::Pull(params)
+                engine::Stage::Decode(params)
             }
-            _ => engine::Stage::Whole,
+            _ => engine::Stage::Combined,
         };
-        let body = engine::completion(call, stage);
+        let body = engine::completion_body(call, stage);
         let class = self.config.classes.get(request.spec.class.0).map_or("", |c| c.name.as_str());
         let number = no.0.to_string();
         let mut fields = vec![
             ("content-type", "application/json"),
             ("via", &*self.via),
-            (engine::REQUEST_ID, &*id.0),
+            (engine::REQUEST_ID_HEADER, &*id.0),
             ("x-class", class),
-            (engine::ATTEMPT, &number),
+            (engine::ATTEMPT_HEADER, &number),
         ];
         // Workers know the keys of all tenants together, so the tenant is a part of the key.
         let key = request.identity.as_ref().map(|identity| {
@@ -164,7 +164,7 @@
         if let Some(key) = &key {
             fields.push(("idempotency-key", key));
         }
-        Some(encode::request("POST", engine::COMPLETIONS, &host, &fields, &body))
+        Some(encode::request("POST", engine::COMPLETIONS_PATH, &host, &fields, &body))
     }
 
     pub(super) fn attempt_mut(&mut self, id: &RequestId, no: AttemptNo) -> Option<&mut Attempt> {
--- a/crates/router/src/core/load_report.rs
+++ b/crates/router/src/core/load_report.rs
@@ -5,7 +5,7 @@
 
 /// Reads a load report; none if there is none or it can't be read.
 pub(super) fn load_report(header: Option<&str>) -> Option<p::LoadReport> {
-    let load = engine::load(header?)?;
+    let load = engine::parse_load_report(header?)?;
     let named = load.named_metrics;
     Some(p::LoadReport {
         queued_requests: named.queue_depth,
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -66,7 +66,7 @@
                 self.relay_events(conn, &id, no, &events, is_well_formed)
             }
             (Part::Data(data), ReplyState::Body { body, .. }) => {
-                if body.len() + data.len() <= ERROR_BYTES + engine::PARAMS_BYTES {
+                if body.len() + data.len() <= ERROR_BYTES + engine::MAX_PARAMS_BYTES {
                     body.extend(data);
                     return true;
                 }
@@ -114,7 +114,7 @@
     fn engine_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let event_bytes = self.config.bounds.event_bytes;
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
-        attempt.report = load_report(head.header(engine::LOAD));
+        attempt.report = load_report(head.header(engine::LOAD_HEADER));
         let StartLine::Response { status } = head.start else { return false };
         let is_event_stream = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         let reply = match (status, attempt.stage) {
@@ -148,7 +148,7 @@
         is_well_formed: bool,
     ) -> bool {
         for event in events {
-            match engine::stream_item(&event.data) {
+            match engine::parse_stream_item(&event.data) {
                 Ok(StreamItem::Chunk(chunk)) => self.relay_chunk(id, no, chunk),
                 Ok(StreamItem::Done) => return self.end_before_reply(conn, id, no, Outcome::Served),
                 Err(_) => {
@@ -176,7 +176,7 @@
             }
             (200, AttemptStage::Prefill) => self.engine_prefilled(id, no, body),
             (429, _) => (Outcome::Rejected { no_state: false }, 0),
-            (409, AttemptStage::Decode) if engine::says_no_state(body) => {
+            (409, AttemptStage::Decode) if engine::is_no_state_error(body) => {
                 (Outcome::Rejected { no_state: true }, 0)
             }
             _ => (Outcome::ServerError, 0),
@@ -203,7 +203,7 @@
 
     /// A prefill is complete, if its answer can be read: its outcome, and the number of cached tokens.
     fn engine_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
-        let Ok((usage, transfer_params)) = engine::read_answer(body) else {
+        let Ok((usage, transfer_params)) = engine::parse_prefill_answer(body) else {
             return (Outcome::ServerError, 0);
         };
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -105,7 +105,7 @@
                 self.answered(conn);
             }
             Err(Rejection { status, body }) => {
-                let id = head.header(engine::REQUEST_ID).unwrap_or_default().to_owned();
+                let id = head.header(engine::REQUEST_ID_HEADER).unwrap_or_default().to_owned();
                 let record = RequestRecord::rejected_at_intake(id, self.now, body.reason.clone());
                 self.outputs.push(Output::Finished(Box::new(FinishedOutput(record))));
                 self.answer_error(conn, status, &body);
--- a/crates/router/src/core/reservations.rs
+++ b/crates/router/src/core/reservations.rs
@@ -206,8 +206,8 @@
             return dialect.release_call(id, &host);
         }
         let fields =
-            [("content-type", "application/json"), ("via", &*self.via), (engine::REQUEST_ID, &*id.0)];
-        encode::request("POST", engine::RELEASE, &host, &fields, &engine::naming(&id.0))
+            [("content-type", "application/json"), ("via", &*self.via), (engine::REQUEST_ID_HEADER, &*id.0)];
+        encode::request("POST", engine::RELEASE_PATH, &host, &fields, &engine::release_body(&id.0))
     }
 
     /// A worker has answered: the state is free.
