--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use chalkyard_platform::Started;
+use chalkyard_platform::StartupConfig;
 use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
 use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell, Sink, SinkEvent};
 use chalkyard_router::{
@@ -132,9 +132,9 @@
     }
 }
 
-fn read(file: &std::path::Path) -> Result<Started, String> {
+fn read(file: &std::path::Path) -> Result<StartupConfig, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Started::read(&text).map_err(|e| format!("{}: {e}", file.display()))
+    StartupConfig::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
 /// Runs a router. SIGTERM or SIGINT ends it once all that is open has ended; SIGHUP has the configuration read again.
@@ -163,7 +163,7 @@
     let timeouts =
         LifecycleTimeouts { endpoint_wait: START, lame_duck: leave, drain: DRAIN, flush: FAREWELL };
     let mut shell = Shell::new(core, told, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
-    shell.bound_lingering(started.lingering);
+    shell.bound_lingering(started.max_lingering);
     let handle = shell.handle();
     let wait_for_signals = move || {
         for signal in signals.forever() {
@@ -174,7 +174,8 @@
         }
     };
     std::thread::Builder::new().spawn(wait_for_signals).map_err(|e| could_not("the signals' thread", e))?;
-    let (stop, left) = shell.run(started.known.as_deref()).map_err(|e| could_not("running", e))?;
+    let (stop, left) =
+        shell.run(started.last_endpoint_list.as_deref()).map_err(|e| could_not("running", e))?;
     info!(target: "router", left, code = stop.exit_code(), "stopped");
     Ok(ExitCode::from(stop.exit_code()))
 }
--- a/crates/daemon/tests/common/shell_router.rs
+++ b/crates/daemon/tests/common/shell_router.rs
@@ -5,7 +5,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use chalkyard_platform::Started;
+use chalkyard_platform::StartupConfig;
 use chalkyard_router::shell::{Clock, Handle, ListenAddress, Shell, Sink};
 use chalkyard_router::{Core, RequestRecord};
 use chalkyard_state::{LifecycleEvent, LifecycleTimeouts};
@@ -48,15 +48,15 @@
 impl ShellRouter {
     pub fn start(agent: &Agent, setting: &Setting) -> Self {
         let at = own_address();
-        let started = Started::read(&config(at, agent, setting).to_string()).unwrap();
+        let started = StartupConfig::parse(&config(at, agent, setting).to_string()).unwrap();
         let clock = Clock::new();
         let core = Core::new(started.config, 7, clock.now());
         let timeouts =
             LifecycleTimeouts { endpoint_wait: 3_000_000, lame_duck: 0, drain: 5_000_000, flush: 200_000 };
         let address = ListenAddress::bind(at, false).unwrap();
         let mut shell = Shell::new(core, StallingSink, clock, address, timeouts).unwrap();
-        shell.bound_lingering(started.lingering);
-        let (handle, known) = (shell.handle(), started.known);
+        shell.bound_lingering(started.max_lingering);
+        let (handle, known) = (shell.handle(), started.last_endpoint_list);
         let thread = std::thread::spawn(move || {
             shell.run(known.as_deref()).unwrap();
         });
--- a/crates/load/src/scale/hollow.rs
+++ b/crates/load/src/scale/hollow.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use chalkyard_platform::Started;
+use chalkyard_platform::StartupConfig;
 use chalkyard_policy::Micros;
 use chalkyard_proto::encode;
 use chalkyard_router::{ConnId, Core, Input, Output};
@@ -91,10 +91,10 @@
     pub fn new(size: &Size, name: u64, seed: u64, events: Events) -> Result<Self, Error> {
         let port = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
         let text = configuration(size, port(1), port(DISCOVERY_PORT)).to_string();
-        let started = Started::read(&text)?;
+        let started = StartupConfig::parse(&text)?;
         let mut outputs = Vec::new();
         let mut core = Core::new(started.config, seed.wrapping_mul(1_000_003).wrapping_add(name), START);
-        core.start(START, started.known.as_deref(), &mut outputs);
+        core.start(START, started.last_endpoint_list.as_deref(), &mut outputs);
         let histogram = || Histogram::<u64>::new_with_bounds(1, MOST_RECORDED, 3);
         let mut router = Self {
             core,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -46,15 +46,15 @@
 
 /// A router's start.
 #[derive(Debug)]
-pub struct Started {
+pub struct StartupConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// For the module's random numbers; none was given where it is none.
     pub seed: Option<u64>,
     /// The list of workers as last had, as text.
-    pub known: Option<String>,
+    pub last_endpoint_list: Option<String>,
     /// Connections that may linger.
-    pub lingering: usize,
+    pub max_lingering: usize,
     /// All that the core is told.
     pub config: Config,
 }
@@ -145,12 +145,12 @@
     }
 }
 
-impl Started {
+impl StartupConfig {
     /// Reads the configuration.
     ///
     /// # Errors
     /// The first field that is wrong, and why.
-    pub fn read(text: &str) -> Result<Self, ConfigError> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: File<'_> = serde_json::from_str(text)?;
         file.limits.check()?;
         let params: wire::Params =
@@ -181,7 +181,7 @@
             identity: Micros(0),
         };
         let open = params.limits.max_open.filter(|n| *n >= 1.0).map_or(20_000, |n| n as usize);
-        let (_, lingering, _) = file.limits.shares();
+        let (_, max_lingering, _) = file.limits.shares();
         let config = Config {
             name: file.name,
             policy,
@@ -203,8 +203,8 @@
         Ok(Self {
             listen: address("listen", &file.listen)?,
             seed: u64::from_str_radix(&file.seed, 16).ok(),
-            known: file.known.map(|known| known.get().to_owned()),
-            lingering,
+            last_endpoint_list: file.known.map(|list| list.get().to_owned()),
+            max_lingering,
             config,
         })
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -8,5 +8,5 @@
 mod head;
 mod response_observer;
 
-pub use config::{ConfigError, Limits, Started};
+pub use config::{ConfigError, Limits, StartupConfig};
 pub use dialect::Platform;
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -11,7 +11,7 @@
 #[path = "../../../router/tests/common/mod.rs"]
 mod harness;
 
-use chalkyard_platform::Started;
+use chalkyard_platform::StartupConfig;
 use chalkyard_proto::encode;
 use chalkyard_router::*;
 use serde_json::json;
@@ -57,8 +57,8 @@
 }
 
 pub fn harness_with(resume: bool) -> Harness {
-    let started = Started::read(&file(resume, &members(4, true, &usual_members()))).unwrap();
-    Harness::started(started.config, started.known.as_deref())
+    let started = StartupConfig::parse(&file(resume, &members(4, true, &usual_members()))).unwrap();
+    Harness::started(started.config, started.last_endpoint_list.as_deref())
 }
 
 /// With another release time and another wait for connections, ms, and a third writer in another zone.
@@ -70,9 +70,9 @@
         .replace(r#""release_s":1.0"#, &format!(r#""release_s":{}"#, release as f64 / 1e3))
         .replace(r#""connect_timeout_s":0.25"#, &format!(r#""connect_timeout_s":{}"#, connect as f64 / 1e3))
         .replace(r#""dcs":["hall"]"#, r#""dcs":["hall","harness"]"#);
-    let started = Started::read(&told).unwrap();
+    let started = StartupConfig::parse(&told).unwrap();
     assert_eq!(started.config.policy.reservation_timeout, ms(release));
-    Harness::started(started.config, started.known.as_deref())
+    Harness::started(started.config, started.last_endpoint_list.as_deref())
 }
 
 pub fn harness() -> Harness {
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use chalkyard_platform::Started;
+use chalkyard_platform::StartupConfig;
 use chalkyard_policy::Outcome;
 use chalkyard_router::*;
 use common::*;
@@ -84,8 +84,8 @@
 fn what_is_held_anew_is_not_let_go_of_by_calls_for_an_earlier_read() {
     let mut all = usual_members();
     all.push(member("r2", "reads", 4, "up"));
-    let started = Started::read(&file(false, &members(4, true, &all))).unwrap();
-    let mut y = Harness::started(started.config, started.known.as_deref());
+    let started = StartupConfig::parse(&file(false, &members(4, true, &all))).unwrap();
+    let mut y = Harness::started(started.config, started.last_endpoint_list.as_deref());
     ask(&mut y, "id-1", "chat");
     let read = call(&mut y);
     while !y.closed.contains(&read.conn) {
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_adapter::translate::Names;
-use chalkyard_platform::{ConfigError, Platform, Started};
+use chalkyard_platform::{ConfigError, Platform, StartupConfig};
 use chalkyard_policy::Micros;
 use chalkyard_proto::{Decoder, Part, Side};
 use chalkyard_router::dialect::{Dialect, ParsedRequest};
@@ -21,10 +21,10 @@
     })
 }
 
-fn with(change: impl Fn(&mut Value)) -> Result<Started, ConfigError> {
+fn with(change: impl Fn(&mut Value)) -> Result<StartupConfig, ConfigError> {
     let mut value = config();
     change(&mut value);
-    Started::read(&value.to_string())
+    StartupConfig::parse(&value.to_string())
 }
 
 #[test]
@@ -42,7 +42,7 @@
         let why = with(change).unwrap_err().to_string();
         assert!(why.contains(field), "{field}: {why}");
     }
-    assert!(Started::read("{").is_err());
+    assert!(StartupConfig::parse("{").is_err());
 }
 
 #[test]
@@ -51,7 +51,7 @@
         let started = with(|v| v["limits"] = json!({"sockets": sockets, "memory_mb": memory_mb})).unwrap();
         let b = started.config.bounds;
         // Standard streams, the loop's own, listening and discovery besides.
-        assert!(b.clients + started.lingering + b.links + 12 <= sockets, "{sockets}");
+        assert!(b.clients + started.max_lingering + b.links + 12 <= sockets, "{sockets}");
         assert!(b.clients * 3 >= sockets, "a third is for requests: {sockets}");
         let buffers = b.bodies + (b.clients * b.client_buffer) as u64;
         assert!(buffers * 2 <= (memory_mb as u64) << 20, "{memory_mb} MB");
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use chalkyard_platform::Started;
+use chalkyard_platform::StartupConfig;
 use chalkyard_policy::{
     CellId, Class, DeduplicationScope, Discovery, Lifecycle, LoadReporting, Micros, RetrySafety, Role,
     Settings, Tenant, Worker, ZoneId,
@@ -15,8 +15,8 @@
 
 const CONFIG: &str = include_str!("data/config.json");
 
-fn started() -> Started {
-    Started::read(CONFIG).unwrap()
+fn started() -> StartupConfig {
+    StartupConfig::parse(CONFIG).unwrap()
 }
 
 const fn ms(n: u64) -> Micros {
@@ -68,7 +68,7 @@
 fn name_addresses_seed_and_limits_are_read() {
     let started = started();
     assert_eq!(started.listen, "127.0.0.1:5000".parse().unwrap());
-    assert_eq!((started.seed, started.lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
+    assert_eq!((started.seed, started.max_lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
     let config = started.config;
     assert_eq!((config.name.as_str(), config.discovery), ("n3", Some("127.0.0.1:9".parse().unwrap())));
     let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
@@ -104,7 +104,7 @@
 #[test]
 fn the_kept_endpoint_list_is_read_with_every_field() {
     let started = started();
-    let known = started.known.unwrap();
+    let known = started.last_endpoint_list.unwrap();
     assert_eq!(
         serde_json::from_str::<Value>(&known).unwrap(),
         serde_json::from_str::<Value>(CONFIG).unwrap()["known"],
@@ -177,7 +177,7 @@
     let told = |path: &str, value: Value| {
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         *config.pointer_mut(path).unwrap() = value;
-        Started::read(&config.to_string()).map(drop).unwrap_err().to_string()
+        StartupConfig::parse(&config.to_string()).map(drop).unwrap_err().to_string()
     };
     assert_eq!(told("/listen", json!("here")), "field `listen`: `here` is no address with a port");
     assert_eq!(told("/discovery", json!("x")), "field `discovery`: `x` is no address with a port");
@@ -196,7 +196,7 @@
         "field `settings`: missing field `balancers` at line 1 column 2"
     );
     assert_eq!(
-        Started::read("{").map(drop).unwrap_err().to_string(),
+        StartupConfig::parse("{").map(drop).unwrap_err().to_string(),
         "EOF while parsing an object at line 1 column 1"
     );
 }
