--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that a router is started with, and the bounds that follow from its limits.
+//! The configuration file of a router, and the bounds derived from its resource limits.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::dialect::{Platform, WATCH_MS};
+use crate::dialect::{Platform, LONG_POLL_MS};
 
 #[derive(Deserialize)]
-struct File<'a> {
+struct ConfigFile<'a> {
     name: String,
     listen: String,
     discovery: String,
@@ -27,117 +27,120 @@
     settings: &'a RawValue,
 }
 
-/// What a router may use.
+/// Resource limits of the router process.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct Limits {
-    /// Memory, MB.
+    /// Memory, in MiB.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
-/// Descriptors that are no connections: standard streams, the loop's own, listening, discovery.
-const OWN_SOCKETS: usize = 20;
-/// The fewest descriptors and the least memory with which a router can serve.
-const SOCKETS_LEAST: usize = 128;
-const MEMORY_LEAST_MB: f64 = 16.0;
-/// Bytes of a body.
-const BODY_BYTES: u64 = 256 * 1024;
+/// File descriptors that are not available for client or worker connections: standard streams, the event loop's own,
+/// the listening socket and service discovery.
+const RESERVED_SOCKETS: usize = 20;
+/// The fewest file descriptors with which a router can serve.
+const MIN_SOCKETS: usize = 128;
+/// The least memory with which a router can serve, in MiB.
+const MIN_MEMORY_MB: f64 = 16.0;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: u64 = 256 * 1024;
 
-/// A router's start.
+/// The parsed configuration of a router.
 #[derive(Debug)]
 pub struct StartupConfig {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// For the module's random numbers; none was given where it is none.
+    /// Seed of the policy's random numbers; `None` if the file has no valid seed.
     pub seed: Option<u64>,
-    /// The list of workers as last had, as text.
+    /// The endpoint list that the platform stored in the file, as JSON text.
     pub last_endpoint_list: Option<String>,
-    /// Connections that may linger.
+    /// Maximum number of closing connections that linger so that the client can read the end of its answer.
     pub max_lingering: usize,
-    /// All that the core is told.
+    /// The configuration of the router's core.
     pub config: Config,
 }
 
-/// A configuration that can't be used: the field, and why.
+/// An invalid configuration, reported by its field and the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The configuration is malformed, or a field is missing or of another type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The same of the settings in it.
+    /// The `settings` object is malformed, or one of its fields is missing or of another type.
     #[error("field `settings`: {0}")]
     SettingsJson(#[source] serde_json::Error),
-    /// A value in the settings is unknown.
+    /// A field of `settings` has an unknown value.
     #[error("field `settings`: {0}")]
     Settings(String),
-    /// A field holds no address.
-    #[error("field `{field}`: `{text}` is no address with a port")]
+    /// A field is not a socket address.
+    #[error("field `{field}`: `{text}` is not an IP address with a port")]
     Address {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Value of the field.
         text: String,
     },
-    /// Too few file descriptors for a router to serve.
-    #[error("field `limits.sockets`: under {SOCKETS_LEAST}")]
+    /// The limit of file descriptors is too low for a router to serve.
+    #[error("field `limits.sockets`: must be at least {MIN_SOCKETS}")]
     Sockets,
-    /// Too little memory for a router to serve.
-    #[error("field `limits.memory_mb`: under {MEMORY_LEAST_MB}")]
+    /// The memory limit is too low for a router to serve.
+    #[error("field `limits.memory_mb`: must be at least {MIN_MEMORY_MB}")]
     Memory,
 }
 
-fn address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::Address { field, text: text.to_owned() })
 }
 
 impl Limits {
     fn check(&self) -> Result<(), ConfigError> {
-        if self.sockets < SOCKETS_LEAST {
+        if self.sockets < MIN_SOCKETS {
             return Err(ConfigError::Sockets);
         }
-        if !(self.memory_mb.is_finite() && self.memory_mb >= MEMORY_LEAST_MB) {
+        if !(self.memory_mb.is_finite() && self.memory_mb >= MIN_MEMORY_MB) {
             return Err(ConfigError::Memory);
         }
         Ok(())
     }
 
-    /// Connections: clients', those that linger, and those to engines. Together they fit.
-    fn shares(&self) -> (usize, usize, usize) {
-        let sockets = self.sockets - OWN_SOCKETS;
+    /// Divides the file descriptors into client connections, lingering connections and worker connections, in this order.
+    fn connection_shares(&self) -> (usize, usize, usize) {
+        let sockets = self.sockets - RESERVED_SOCKETS;
         let (clients, lingering) = (sockets * 9 / 20, sockets / 20);
         (clients, lingering, sockets - clients - lingering)
     }
 
-    /// An eighth of the memory each for bodies that wait and for answers that clients have not taken.
+    /// Derives the router's bounds. One eighth of the memory is for request bodies that wait, and one eighth for answers
+    /// that clients have not read yet.
     fn bounds(&self, open: usize) -> Bounds {
-        let (clients, _, links) = self.shares();
-        let eighth = self.memory_mb * 1024.0 * 1024.0 / 8.0;
-        let side = chalkyard_proto::Limits {
+        let (clients, _, links) = self.connection_shares();
+        let eighth_bytes = self.memory_mb * 1024.0 * 1024.0 / 8.0;
+        let client_limits = chalkyard_proto::Limits {
             start_line_bytes: 2_048,
             head_bytes: 8 * 1024,
-            body_bytes: BODY_BYTES,
-            chunk_bytes: BODY_BYTES,
+            body_bytes: MAX_BODY_BYTES,
+            chunk_bytes: MAX_BODY_BYTES,
             pipelined_bytes: 16 * 1024,
             allow_chunk_extensions: false,
         };
         Bounds {
-            client: side,
+            client: client_limits,
             engine: chalkyard_proto::Limits {
                 body_bytes: 16 * 1024 * 1024,
                 pipelined_bytes: 16 * 1024,
                 allow_chunk_extensions: true,
-                ..side
+                ..client_limits
             },
             event_bytes: 64 * 1024,
             clients,
             evict: true,
-            bodies: eighth as u64,
+            bodies: eighth_bytes as u64,
             open,
             engine_connections: links,
             links,
             engine_idle: links,
-            client_buffer: ((eighth / clients as f64) as usize).clamp(4 * 1024, 64 * 1024),
+            client_buffer: ((eighth_bytes / clients as f64) as usize).clamp(4 * 1024, 64 * 1024),
             workers: 2_000,
             identities: 0,
             ..Bounds::default()
@@ -146,42 +149,45 @@
 }
 
 impl StartupConfig {
-    /// Reads the configuration.
+    /// Parses the text of the configuration file.
     ///
     /// # Errors
-    /// The first field that is wrong, and why.
+    /// The first invalid field, with the cause.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let file: File<'_> = serde_json::from_str(text)?;
+        let file: ConfigFile<'_> = serde_json::from_str(text)?;
         file.limits.check()?;
         let params: wire::Params =
             serde_json::from_str(file.settings.get()).map_err(ConfigError::SettingsJson)?;
         let (policy, names) = translate::settings(&params).map_err(ConfigError::Settings)?;
         let ms = |n: u64| Micros(n * 1_000);
-        let told = |s: Option<f64>, default: Micros| s.map_or(default, Micros::from_secs_f64);
-        let idle = told(params.limits.conn_idle_s, ms(20_000));
+        let seconds_or = |s: Option<f64>, default: Micros| s.map_or(default, Micros::from_secs_f64);
+        let worker_idle = seconds_or(params.limits.conn_idle_s, ms(20_000));
         let timeouts = Timeouts {
             head: ms(2_500),
             idle: ms(15_000),
             first: ms(2_500),
             release: ms(150),
-            // The process is killed 3.7 s after it is told to end, at the soonest.
+            // The platform kills the process no sooner than 3.7 s after it has asked it to terminate.
             migration: policy.resume.then_some(MigrationWindow { from: ms(1_800), until: ms(3_300) }),
             drain_grace: ms(100),
-            // Well under the told time: a call that crosses the engine's close is lost.
-            engine_idle: idle.mul_f64(0.5).min(ms(10_000)),
-            connect: told(params.limits.connect_timeout_s, ms(250)),
-            // Under the 5 s after which a client counts as left waiting.
+            // At most half of the configured idle timeout of workers: a call that is sent while the worker closes the
+            // connection is lost.
+            engine_idle: worker_idle.mul_f64(0.5).min(ms(10_000)),
+            connect: seconds_or(params.limits.connect_timeout_s, ms(250)),
+            // Below the 5 s after which the platform counts a client as left without an answer.
             stream: ms(4_000),
             slow_client: ms(5_000),
-            // News count as told 2 s after the wait is over.
-            discovery: ms(WATCH_MS + 1_000),
-            // An agent on the same machine answers at once; as long as a connection is waited for.
-            discovery_probe: told(params.limits.connect_timeout_s, ms(250)),
+            // Allows 1 s more than the long poll. The platform counts changes of the list as delivered 2 s after the end
+            // of the long poll.
+            discovery: ms(LONG_POLL_MS + 1_000),
+            // The discovery agent runs on the same machine and answers a short poll at once, so the connect timeout is
+            // long enough.
+            discovery_probe: seconds_or(params.limits.connect_timeout_s, ms(250)),
             reply_margin: Micros(0),
             identity: Micros(0),
         };
         let open = params.limits.max_open.filter(|n| *n >= 1.0).map_or(20_000, |n| n as usize);
-        let (_, max_lingering, _) = file.limits.shares();
+        let (_, max_lingering, _) = file.limits.connection_shares();
         let config = Config {
             name: file.name,
             policy,
@@ -195,13 +201,13 @@
             keys: KeyRing::new([0; 32]),
             zones: BTreeMap::new(),
             kinds: BTreeMap::new(),
-            discovery: Some(address("discovery", &file.discovery)?),
+            discovery: Some(parse_address("discovery", &file.discovery)?),
             bounds: file.limits.bounds(open),
             timeouts,
             dialect: Some(Arc::new(Platform::new(names))),
         };
         Ok(Self {
-            listen: address("listen", &file.listen)?,
+            listen: parse_address("listen", &file.listen)?,
             seed: u64::from_str_radix(&file.seed, 16).ok(),
             last_endpoint_list: file.known.map(|list| list.get().to_owned()),
             max_lingering,
--- a/crates/platform/src/dialect.rs
+++ b/crates/platform/src/dialect.rs
@@ -1,4 +1,5 @@
-//! The dialect: requests and streams pass through, engines' answers are read by what they prove.
+//! The platform's dialect. Requests and streams are forwarded unchanged; the reply of a worker is classified by whether
+//! it proves that the request was not processed.
 
 use chalkyard_adapter::translate::Names;
 use chalkyard_policy as p;
@@ -10,27 +11,28 @@
 };
 use serde::Deserialize;
 
-use crate::response_observer::{self, Lines};
+use crate::response_observer::{self, StreamObserver};
 use crate::{discovery, head};
 
-/// Discovery is asked to wait so long for news.
-pub(crate) const WATCH_MS: u64 = 2_000;
+/// Maximum time for which service discovery holds a long poll, in ms.
+pub(crate) const LONG_POLL_MS: u64 = 2_000;
 
-/// How a router speaks on the platform.
+/// The platform's protocol, for the core of a router.
 #[derive(Debug)]
 pub struct Platform {
     names: Names,
 }
 
 impl Platform {
-    /// By the names in the settings.
+    /// Creates the dialect from the names in the settings.
     pub fn new(names: Names) -> Self {
         Self { names }
     }
 }
 
+/// The body of a reply to a prefill.
 #[derive(Deserialize)]
-struct CachedTokens {
+struct PrefillReply {
     cached_tokens: u64,
 }
 
@@ -50,8 +52,8 @@
             (_, "/up" | "/v1/chat/completions") => return invalid(405, "no such method here".into()),
             _ => return invalid(404, "no such call".into()),
         }
-        let request = head::request(&self.names, arrived_at, head, body.len() as u64);
-        match request.and_then(|request| Ok((request, head::idempotency_key(head)?))) {
+        let request = head::parse_request(&self.names, arrived_at, head, body.len() as u64);
+        match request.and_then(|request| Ok((request, head::parse_idempotency_key(head)?))) {
             Ok((request, idempotency_key)) => {
                 let (method, target) = (method.clone(), target.clone());
                 let forwarded = ForwardedRequest { method, target, idempotency_key, body };
@@ -82,28 +84,29 @@
         let StartLine::Response { status } = head.start else {
             return ReplyHead::Ended(Outcome::ServerError);
         };
-        // Only this mark proves that nothing ran, whatever the status.
-        let not_run = head.count("x-not-processed") == 1 && head.header("x-not-processed") == Some("1");
-        let events = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
+        // Only this header proves that the request was not processed, whatever the status.
+        let is_unprocessed =
+            head.count("x-not-processed") == 1 && head.header("x-not-processed") == Some("1");
+        let is_event_stream = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         match (status, stage) {
-            (200, Stage::Decode) if events => ReplyHead::Stream,
+            (200, Stage::Decode) if is_event_stream => ReplyHead::Stream,
             (202, Stage::Prefill) => ReplyHead::Prefilled,
-            (410, _) if not_run => ReplyHead::Ended(Outcome::Rejected { no_state: true }),
-            (503 | 504, _) if not_run => ReplyHead::Ended(Outcome::Rejected { no_state: false }),
+            (410, _) if is_unprocessed => ReplyHead::Ended(Outcome::Rejected { no_state: true }),
+            (503 | 504, _) if is_unprocessed => ReplyHead::Ended(Outcome::Rejected { no_state: false }),
             _ => ReplyHead::Ended(Outcome::ServerError),
         }
     }
 
     fn load_report(&self, head: &Head) -> Option<p::LoadReport> {
-        head.header("x-server-load").and_then(response_observer::report)
+        head.header("x-server-load").and_then(response_observer::parse_load_report)
     }
 
     fn cached_tokens(&self, body: &[u8]) -> u64 {
-        serde_json::from_slice::<CachedTokens>(body).map_or(0, |reply| reply.cached_tokens)
+        serde_json::from_slice::<PrefillReply>(body).map_or(0, |reply| reply.cached_tokens)
     }
 
     fn response_observer(&self) -> Box<dyn ResponseObserver> {
-        Box::<Lines>::default()
+        Box::<StreamObserver>::default()
     }
 
     fn release_call(&self, id: &p::RequestId, host: &str) -> Vec<u8> {
@@ -111,15 +114,15 @@
     }
 
     fn list_call(&self, after: Option<u64>, long_poll: bool, host: &str) -> Vec<u8> {
-        let wait = if long_poll { WATCH_MS } else { 0 };
+        let wait_ms = if long_poll { LONG_POLL_MS } else { 0 };
         let target = match after {
-            Some(version) => format!("/discovery/hosts?after={version}&wait_ms={wait}"),
+            Some(version) => format!("/discovery/hosts?after={version}&wait_ms={wait_ms}"),
             None => "/discovery/hosts".into(),
         };
         encode::request("GET", &target, host, &[], &[])
     }
 
     fn parse_list(&self, body: &[u8]) -> Result<EndpointList, EndpointListError> {
-        discovery::list(&self.names, body)
+        discovery::parse_list(&self.names, body)
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,8 @@
-//! The platform's protocol, sans-IO: what a client's head says, what an engine's answer means, discovery's lists, and
-//! the configuration that a router is started with. No sockets, no decisions: [`Platform`] is a
-//! [`chalkyard_router::dialect::Dialect`] that the router's core speaks.
+//! The platform's protocol, sans-IO: heads of client requests, replies of workers, endpoint lists of service discovery,
+//! and the configuration file of a router.
+//!
+//! This crate has no sockets and makes no routing decisions. [`Platform`] implements
+//! [`chalkyard_router::dialect::Dialect`] for the router's core.
 
 mod config;
 mod dialect;
--- a/crates/platform/src/response_observer.rs
+++ b/crates/platform/src/response_observer.rs
@@ -1,23 +1,24 @@
-//! Reads a stream beside its being passed on: whether an event has come, what it says of tokens, and its load report.
+//! Observes a stream of server-sent events while it is forwarded: its events, token usage and load reports.
 
 use chalkyard_adapter::{translate, wire};
 use chalkyard_policy as p;
 use chalkyard_router::dialect::{ResponseObserver, StreamProgress, TokenUsage};
 use serde::Deserialize;
 
-/// Bytes of a line that are kept; what says of tokens or load is shorter.
-const LINE_BYTES: usize = 2_048;
-/// A comment that holds a load report, as it begins.
-const REPORT: &[u8] = b": X-Server-Load:";
+/// Maximum bytes of a line that are buffered; lines with token usage or a load report are shorter.
+const MAX_LINE_BYTES: usize = 2_048;
+/// Beginning of a comment line that contains a load report.
+const LOAD_REPORT_PREFIX: &[u8] = b": X-Server-Load:";
 
-/// A stream's lines, as far as they are needed.
+/// Incremental parser of the parts of a stream that the router needs.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
+pub(crate) struct StreamObserver {
+    /// The line that is not complete yet, up to [`MAX_LINE_BYTES`].
     line: Vec<u8>,
-    /// The line is longer than is kept.
-    long: bool,
-    /// The event that comes holds data.
-    data: bool,
+    /// The line exceeds [`MAX_LINE_BYTES`], and `line` has only its beginning.
+    is_truncated: bool,
+    /// The event that is not complete yet has a data line.
+    has_data: bool,
     progress: StreamProgress,
 }
 
@@ -42,9 +43,9 @@
     cached_tokens: u64,
 }
 
-/// Reads `inflight=7,queue=2,util=0.61`, by the simulator's or the sockets' names of the fields. One that can't be read is
-/// as good as none.
-pub(crate) fn report(text: &str) -> Option<p::LoadReport> {
+/// Parses a load report such as `inflight=7,queue=2,util=0.61`, with the field names of the simulator or of the workers'
+/// HTTP headers. `None` if the text is malformed: load reports are optional.
+pub(crate) fn parse_load_report(text: &str) -> Option<p::LoadReport> {
     let mut stats = wire::Stats::default();
     for pair in text.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
@@ -60,19 +61,20 @@
     Some(translate::report(&stats))
 }
 
-impl Lines {
+impl StreamObserver {
+    /// Evaluates the complete line in the buffer, and clears the buffer for the next line.
     fn end_line(&mut self) {
         let line = self.line.strip_suffix(b"\r").unwrap_or(&self.line);
-        if line.is_empty() && !self.long {
-            if std::mem::take(&mut self.data) {
+        if line.is_empty() && !self.is_truncated {
+            if std::mem::take(&mut self.has_data) {
                 self.progress.begun = true;
                 self.progress.events += 1;
             }
         } else if let Some(data) = line.strip_prefix(b"data:") {
-            self.data = true;
-            let says = !self.long && data.windows(8).any(|w| w == b"\"usage\":");
+            self.has_data = true;
+            let has_usage = !self.is_truncated && data.windows(8).any(|w| w == b"\"usage\":");
             if let Some(usage) =
-                says.then(|| serde_json::from_slice::<Chunk>(data).ok()).flatten().and_then(|c| c.usage)
+                has_usage.then(|| serde_json::from_slice::<Chunk>(data).ok()).flatten().and_then(|c| c.usage)
             {
                 self.progress.usage = Some(TokenUsage {
                     prompt_tokens: usage.prompt_tokens,
@@ -80,24 +82,25 @@
                     output_tokens: usage.completion_tokens,
                 });
             }
-        } else if let Some(text) = line.strip_prefix(REPORT).filter(|_| !self.long) {
-            self.progress.report = std::str::from_utf8(text).ok().and_then(report).or(self.progress.report);
+        } else if let Some(text) = line.strip_prefix(LOAD_REPORT_PREFIX).filter(|_| !self.is_truncated) {
+            self.progress.report =
+                std::str::from_utf8(text).ok().and_then(parse_load_report).or(self.progress.report);
         }
         self.line.clear();
-        self.long = false;
+        self.is_truncated = false;
     }
 }
 
-impl ResponseObserver for Lines {
+impl ResponseObserver for StreamObserver {
     fn push(&mut self, bytes: &[u8]) {
         let mut rest = bytes;
         while let Some(end) = rest.iter().position(|b| *b == b'\n') {
             let (line, after) = rest.split_at(end);
-            self.take(line);
+            self.append(line);
             self.end_line();
             rest = after.get(1..).unwrap_or_default();
         }
-        self.take(rest);
+        self.append(rest);
     }
 
     fn progress(&self) -> StreamProgress {
@@ -105,10 +108,11 @@
     }
 }
 
-impl Lines {
-    fn take(&mut self, bytes: &[u8]) {
-        let room = LINE_BYTES.saturating_sub(self.line.len());
-        self.long |= bytes.len() > room;
-        self.line.extend_from_slice(bytes.get(..room).unwrap_or(bytes));
+impl StreamObserver {
+    /// Appends bytes to the buffered line, up to [`MAX_LINE_BYTES`].
+    fn append(&mut self, bytes: &[u8]) {
+        let capacity = MAX_LINE_BYTES.saturating_sub(self.line.len());
+        self.is_truncated |= bytes.len() > capacity;
+        self.line.extend_from_slice(bytes.get(..capacity).unwrap_or(bytes));
     }
 }
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -1,5 +1,5 @@
-//! A configuration of the platform with every field, and the endpoint list that it keeps (`known`): what each is read
-//! as. The platform writes these files; a field that moves is a router that does not start.
+//! Tests of a configuration file with every field, and of the endpoint list in it (`known`). The platform writes these
+//! files, so a renamed field would keep routers from starting.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
     assert_eq!(
         serde_json::from_str::<Value>(&known).unwrap(),
         serde_json::from_str::<Value>(CONFIG).unwrap()["known"],
-        "kept as text, and read when the core starts"
+        "the list stays JSON text, which the core parses at its start"
     );
     let list = started.config.dialect.unwrap().parse_list(known.as_bytes()).unwrap();
     assert_eq!((list.version, list.complete, list.invalid.len()), (41, true, 0));
@@ -163,8 +163,8 @@
         reasons,
         [
             "`b`: unknown phase `asleep`",
-            "`c`: host_port is no address",
-            "`d`: host_port is no address",
+            "`c`: host_port is not an IP address with a port",
+            "`d`: host_port is not an IP address with a port",
             "missing field `id` at line 1 column 14",
             "invalid type: integer `7`, expected struct Member at line 1 column 1",
         ]
@@ -179,10 +179,10 @@
         *config.pointer_mut(path).unwrap() = value;
         StartupConfig::parse(&config.to_string()).map(drop).unwrap_err().to_string()
     };
-    assert_eq!(told("/listen", json!("here")), "field `listen`: `here` is no address with a port");
-    assert_eq!(told("/discovery", json!("x")), "field `discovery`: `x` is no address with a port");
-    assert_eq!(told("/limits/sockets", json!(127)), "field `limits.sockets`: under 128");
-    assert_eq!(told("/limits/memory_mb", json!(15.9)), "field `limits.memory_mb`: under 16");
+    assert_eq!(told("/listen", json!("here")), "field `listen`: `here` is not an IP address with a port");
+    assert_eq!(told("/discovery", json!("x")), "field `discovery`: `x` is not an IP address with a port");
+    assert_eq!(told("/limits/sockets", json!(127)), "field `limits.sockets`: must be at least 128");
+    assert_eq!(told("/limits/memory_mb", json!(15.9)), "field `limits.memory_mb`: must be at least 16");
     assert_eq!(
         told("/settings/categories/0/repeat", json!("twice")),
         "field `settings`: field `repeat`: unknown value `twice`"
