--- a/crates/api/src/client.rs
+++ b/crates/api/src/client.rs
@@ -1,4 +1,4 @@
-//! The messages call of clients, `POST /v1/messages`: its request, its answers and its errors.
+//! The messages call of clients, `POST /v1/messages`: request, answers and errors.
 
 mod answer;
 mod error;
--- a/crates/api/src/client/answer.rs
+++ b/crates/api/src/client/answer.rs
@@ -7,47 +7,47 @@
 /// Tokens that a request has used, as the engines counted them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Prompt tokens.
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Of these, cached tokens that the prefill worker found.
+    /// Tokens of the prompt that the prefill worker found in its cache.
     #[serde(rename = "kept_tokens")]
     pub cached_tokens: u64,
     /// Tokens of the answer.
     pub output_tokens: u64,
 }
 
-/// An event of a streamed answer. In order: one `Opened`, any `Delta`s, then one `Closed` or one `Broken`.
+/// An event of a streamed answer. The order is: one `Opened`, any number of `Delta`s, then one `Closed` or `Broken`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Event<'a> {
-    /// The answer begins.
+    /// Start of the answer.
     Opened {
         /// Id of the request.
         id: &'a str,
-        /// The model.
+        /// Name of the model.
         model: &'a str,
     },
-    /// Text of the answer.
+    /// Next part of the answer.
     Delta {
-        /// The text.
+        /// Text to append.
         text: &'a str,
     },
-    /// The end marker: the answer is complete.
+    /// End of a complete answer.
     Closed {
-        /// Why the engine stopped.
+        /// Reason for which the engine stopped.
         stop_reason: &'a str,
         /// Tokens used.
         usage: Usage,
     },
-    /// The stream ends here, and the answer is incomplete.
+    /// End of an incomplete answer.
     Broken {
-        /// What happened.
+        /// Error that interrupted the answer.
         error: ErrorBody,
     },
 }
 
 impl Event<'_> {
-    /// Name of the event on the stream.
+    /// Returns the event's name in the stream.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Opened { .. } => "message.opened",
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Its data as JSON.
+    /// Encodes the event's data as JSON.
     pub fn json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
@@ -68,11 +68,11 @@
 pub struct CompleteAnswer<'a> {
     /// Id of the request.
     pub id: &'a str,
-    /// The model.
+    /// Name of the model.
     pub model: &'a str,
-    /// The text.
+    /// Text of the answer.
     pub content: &'a str,
-    /// Why the engine stopped.
+    /// Reason for which the engine stopped.
     pub stop_reason: &'a str,
     /// Tokens used.
     pub usage: Usage,
--- a/crates/api/src/client/error.rs
+++ b/crates/api/src/client/error.rs
@@ -2,39 +2,39 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A call that is rejected before any engine has seen it: the field, and why.
+/// A request that is rejected before it is sent to any engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestError {
-    /// Status of the response.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Path of the field.
+    /// Path of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Cause, as a text for people.
     pub reason: String,
 }
 
 impl RequestError {
-    /// A refusal with status 400.
+    /// Creates an error with status 400.
     pub fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self { status: 400, field: field.into(), reason: reason.into() }
     }
 }
 
-/// Kind of an error.
+/// Kind of an [`ErrorBody`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
-    /// The call is invalid; it would be rejected again.
+    /// The request is invalid, and a retry would be rejected too.
     Invalid,
-    /// No API key, or an unknown one.
+    /// The API key is missing or unknown.
     Unauthorized,
-    /// The API key does not permit this.
+    /// The API key does not permit the request.
     Forbidden,
-    /// Rejected for now. Nothing ran, so a retry is safe.
+    /// The request was rejected for now. Nothing has run, so a retry is safe.
     Refused,
-    /// Failed. Where it may have run, the client should look it up before a retry.
+    /// The request failed. If `may_have_run` is set, the client should check for an effect before it retries.
     Failed,
-    /// Another request with the same idempotency key is or was handled here.
+    /// This router handles or has handled another request with the same idempotency key.
     Duplicate,
 }
 
@@ -46,18 +46,18 @@
     pub kind: ErrorKind,
     /// Description for people.
     pub reason: String,
-    /// Field of the call that it is about.
+    /// Path of the request's field that caused the error.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
     /// Whether the request may have had its effect.
     pub may_have_run: bool,
-    /// Seconds after which a retry is welcome.
+    /// Seconds after which the client should retry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<f64>,
 }
 
 impl ErrorBody {
-    /// The body of an error response.
+    /// Encodes the body of an error response.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(&serde_json::json!({ "error": self })).unwrap_or_default()
     }
--- a/crates/api/src/client/prompt.rs
+++ b/crates/api/src/client/prompt.rs
@@ -1,24 +1,24 @@
-//! The prompt that engines receive: one text made of a request's messages.
+//! Builds the prompt that engines receive: one text made of a request's messages.
 
 use serde_json::value::RawValue;
 
 use super::request::{Block, Content, MessageRole, RawMessage};
 use crate::tokens;
 
-/// In front of a message of the model, and at the end of the prompt, where its answer begins.
+/// Label of the model's messages. It also ends the prompt, so that the model continues with its answer.
 const ASSISTANT_LABEL: &str = "assistant: ";
 
-/// A prompt that is built piece by piece, as a JSON string, with its estimated tokens.
-struct Prompt {
+/// Builder of a prompt as a JSON string, with its estimated tokens.
+struct PromptBuilder {
     json: String,
     tokens: u64,
 }
 
-impl Prompt {
-    /// Appends a label, which needs no escaping, and the client's text, which is escaped where it has to be.
+impl PromptBuilder {
+    /// Appends a label, which needs no escaping, and the client's text, which is escaped where necessary.
     fn push(&mut self, label: &str, text: &str) -> Result<(), serde_json::Error> {
         self.json.push_str(label);
-        // Most text needs no escaping; looked at without branches, since all text passes here.
+        // Every prompt goes through this loop: it has no branches, and most text is then copied without escaping.
         let needs_escape = |b: u8| (b < b' ') | (b == b'"') | (b == b'\\');
         let is_plain = !text.bytes().fold(false, |found, b| found | needs_escape(b));
         if is_plain {
@@ -32,13 +32,13 @@
     }
 }
 
-/// Builds the prompt and estimates its tokens: the system text first, then the messages in order. So the next prompt of a
-/// session has this one as a prefix, and sessions with the same system text share that prefix.
+/// Builds the prompt and estimates its tokens. The system text comes first, then the messages in order, so that a prompt is
+/// a prefix of the next one of its session, and sessions with the same system text share that prefix.
 pub(super) fn build(
     system: Option<&str>,
     messages: &[RawMessage],
 ) -> Result<(Box<RawValue>, u64), serde_json::Error> {
-    let mut prompt = Prompt { json: String::from('"'), tokens: 0 };
+    let mut prompt = PromptBuilder { json: String::from('"'), tokens: 0 };
     if let Some(system) = system {
         prompt.push("", system)?;
         prompt.json.push_str("\\n\\n");
--- a/crates/api/src/client/request.rs
+++ b/crates/api/src/client/request.rs
@@ -1,4 +1,4 @@
-//! The request of the messages call: its body, checked field by field.
+//! The request of the messages call, validated field by field.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -7,14 +7,14 @@
 use super::prompt;
 use crate::tokens;
 
-/// Limits of one call.
+/// Limits of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestLimits {
-    /// Most messages.
+    /// Maximum number of messages.
     pub messages: usize,
-    /// Most tokens of the prompt, as estimated.
+    /// Maximum estimated tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer; also the default where the client names none.
+    /// Maximum tokens of the answer; also the default if the request has no `max_tokens`.
     pub max_tokens: u64,
 }
 
@@ -24,12 +24,12 @@
     }
 }
 
-/// Longest name that a client may choose: of a session, class, idempotency key or model.
+/// Maximum length of a name that a client chooses: a session, class, idempotency key or model.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Most stop sequences of one call.
-const STOP_SEQUENCES: usize = 4;
-/// Hexadecimal digits of a prefix's hash.
+/// Maximum number of stop sequences of one request.
+const MAX_STOP_SEQUENCES: usize = 4;
+/// Number of hexadecimal digits in the hash of a prefix.
 const PREFIX_HASH_DIGITS: usize = 32;
 
 /// The author of a message.
@@ -108,30 +108,30 @@
     pub stop: Vec<String>,
 }
 
-/// A checked call.
+/// A validated request.
 #[derive(Debug, Clone)]
 pub struct MessagesRequest {
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
     /// The complete prompt as engines receive it: a JSON string, built once for all attempts.
     pub prompt: Box<RawValue>,
-    /// Hash and estimated tokens of the system text: a prefix that sessions may share.
+    /// Hash and estimated tokens of the system text, a prefix that sessions may share.
     pub prefix: Option<(String, u64)>,
     /// Estimated tokens of the complete prompt.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum tokens of the answer.
     pub max_tokens: u64,
-    /// The answer is wanted as a stream of events.
+    /// Whether the answer is streamed as server-sent events.
     pub stream: bool,
-    /// Name of the class; none stands for the default class.
+    /// Name of the class; `None` for the default class.
     pub class: Option<String>,
     /// Name of the session.
     pub session: Option<String>,
-    /// How long the client waits for this attempt, in ms.
+    /// Time for which the client waits for this attempt, in ms.
     pub deadline_ms: Option<u64>,
-    /// The client retries an earlier request.
+    /// Whether the client retries an earlier request.
     pub retry: bool,
-    /// The client returns after a stream that broke off.
+    /// Whether the client resumes after a stream that was cut off.
     pub resumed: bool,
     /// Sampling parameters.
     pub sampling: Sampling,
@@ -152,7 +152,7 @@
     }
 }
 
-/// The idempotency key in the value of an `Idempotency-Key` header: a quoted string (IETF draft) or a bare one.
+/// Parses the value of an `Idempotency-Key` header: a quoted string, as in the IETF draft, or an unquoted one.
 ///
 /// # Errors
 /// The key is not a valid name.
@@ -164,22 +164,22 @@
 }
 
 impl MessagesRequest {
-    /// Parses and checks a request body.
+    /// Parses and validates a request body.
     ///
     /// # Errors
-    /// The first field that is wrong, and why.
-    pub fn parse(body: &[u8], bounds: &RequestLimits) -> Result<Self, RequestError> {
+    /// The first invalid field, with the cause.
+    pub fn parse(body: &[u8], limits: &RequestLimits) -> Result<Self, RequestError> {
         let raw = RawRequest::parse(body)?;
-        raw.check(bounds)?;
+        raw.check(limits)?;
         let (prompt, prompt_tokens) = prompt::build(raw.system.as_deref(), &raw.messages)
             .map_err(|e| RequestError::new("messages", e.to_string()))?;
-        if prompt_tokens > bounds.prompt_tokens {
-            let reason = format!("about {prompt_tokens} prompt tokens, over {}", bounds.prompt_tokens);
+        if prompt_tokens > limits.prompt_tokens {
+            let reason = format!("about {prompt_tokens} prompt tokens, over {}", limits.prompt_tokens);
             return Err(RequestError { status: 413, field: "messages".into(), reason });
         }
         Ok(Self {
             prefix: raw.prefix(),
-            max_tokens: raw.max_tokens(bounds),
+            max_tokens: raw.max_tokens(limits),
             model: raw.model,
             prompt,
             prompt_tokens,
@@ -199,7 +199,7 @@
         let mut json = serde_json::Deserializer::from_slice(body);
         let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
             let path = e.path().to_string();
-            // The body itself is wrong, not one of its fields.
+            // The body as a whole is malformed, not one of its fields.
             let field = if path == "." || path == "?" { "body".into() } else { path };
             RequestError::new(field, e.into_inner().to_string())
         })?;
@@ -207,14 +207,14 @@
         Ok(raw)
     }
 
-    /// Checks what the JSON types alone do not.
-    fn check(&self, bounds: &RequestLimits) -> Result<(), RequestError> {
+    /// Checks the constraints that the JSON types do not express.
+    fn check(&self, limits: &RequestLimits) -> Result<(), RequestError> {
         check_name("model", Some(&self.model))?;
         check_name("metadata.class", self.metadata.class.as_deref())?;
         check_name("metadata.session", self.metadata.session.as_deref())?;
-        self.check_messages(bounds)?;
-        if !(1..=bounds.max_tokens).contains(&self.max_tokens(bounds)) {
-            return Err(RequestError::new("max_tokens", format!("must be 1 to {}", bounds.max_tokens)));
+        self.check_messages(limits)?;
+        if !(1..=limits.max_tokens).contains(&self.max_tokens(limits)) {
+            return Err(RequestError::new("max_tokens", format!("must be 1 to {}", limits.max_tokens)));
         }
         if self.metadata.deadline_ms == Some(0) {
             return Err(RequestError::new("metadata.deadline_ms", "must be at least 1"));
@@ -222,9 +222,9 @@
         self.check_sampling()
     }
 
-    fn check_messages(&self, bounds: &RequestLimits) -> Result<(), RequestError> {
-        if !(1..=bounds.messages).contains(&self.messages.len()) {
-            return Err(RequestError::new("messages", format!("must be 1 to {} messages", bounds.messages)));
+    fn check_messages(&self, limits: &RequestLimits) -> Result<(), RequestError> {
+        if !(1..=limits.messages).contains(&self.messages.len()) {
+            return Err(RequestError::new("messages", format!("must be 1 to {} messages", limits.messages)));
         }
         if self.messages.last().is_some_and(|message| message.role != MessageRole::User) {
             let last = self.messages.len() - 1;
@@ -244,17 +244,18 @@
             return Err(RequestError::new("top_p", "must be 0 to 1"));
         }
         let is_stop_valid = |stop: &String| (1..=MAX_NAME_BYTES).contains(&stop.len());
-        if self.stop_sequences.len() > STOP_SEQUENCES || !self.stop_sequences.iter().all(is_stop_valid) {
+        if self.stop_sequences.len() > MAX_STOP_SEQUENCES || !self.stop_sequences.iter().all(is_stop_valid) {
             return Err(RequestError::new("stop_sequences", "must be at most 4 texts of 1 to 128 bytes"));
         }
         Ok(())
     }
 
-    fn max_tokens(&self, bounds: &RequestLimits) -> u64 {
-        self.max_tokens.unwrap_or(bounds.max_tokens)
+    fn max_tokens(&self, limits: &RequestLimits) -> u64 {
+        self.max_tokens.unwrap_or(limits.max_tokens)
     }
 
-    /// Hash and estimated tokens of the system text. The hash covers the model: engines of another model can't share it.
+    /// Returns hash and estimated tokens of the system text. The hash includes the model, since engines of different
+    /// models can't share a prefix.
     fn prefix(&self) -> Option<(String, u64)> {
         let system = self.system.as_ref().filter(|system| !system.is_empty())?;
         let mut hash = blake3::Hasher::new();
--- a/crates/api/src/engine.rs
+++ b/crates/api/src/engine.rs
@@ -1,36 +1,37 @@
-//! Messages between router and engines: the OpenAI-compatible completion call with `kv_transfer_params` as vLLM publishes
-//! it, and load reports in ORCA's `endpoint-load-metrics` header.
+//! Messages between router and engines: the OpenAI-compatible completion call with vLLM's `kv_transfer_params`, and load
+//! reports in ORCA's `endpoint-load-metrics` header.
 //!
-//! Engines offer one more call, defined here: `POST /v1/kv/release` releases the KV state of a request. Status 429 proves
-//! that nothing has run; 409 with the error type `no_state` proves that too, and says that there is no state to pull.
+//! This project adds one call that engines have to serve: `POST /v1/kv/release` releases the KV state of a request. Status
+//! 429 proves that nothing has run. Status 409 with the error type `no_state` proves the same, and that there is no KV
+//! state to pull.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
 use crate::client::{MessagesRequest, Usage};
 
-/// Target of the completion call.
+/// Path of the completion call.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Target of the release call.
+/// Path of the release call.
 pub const RELEASE_PATH: &str = "/v1/kv/release";
-/// Header with the request's id, the same in all calls for it.
+/// Header with the request's id; all calls for a request have the same.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header with the number of the attempt within its request, by which an engine's token records are joined with a bill.
+/// Header with the number of the attempt within its request. Bills are joined with the engines' token records by it.
 pub const ATTEMPT_HEADER: &str = "x-attempt";
 /// Header with the load report.
 pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// Parameters by which an engine keeps its KV state for another one.
-const REMOTE_DECODE: &str = r#"{"do_remote_decode":true,"do_remote_prefill":false}"#;
+/// Value of `kv_transfer_params` that asks a prefill engine to keep the KV state for a decode engine.
+const REMOTE_DECODE_PARAMS: &str = r#"{"do_remote_decode":true,"do_remote_prefill":false}"#;
 
-/// What a completion call asks of an engine.
+/// The work that a completion call requests from an engine.
 #[derive(Debug, Clone, Copy)]
 pub enum Stage<'a> {
-    /// Prefill, and keep the KV state.
+    /// Prefills the prompt and keeps the KV state.
     Prefill,
-    /// Pull the KV state that these parameters name, and decode.
+    /// Pulls the KV state identified by these transfer parameters, and decodes.
     Decode(&'a RawValue),
-    /// Prefill and decode.
+    /// Prefills and decodes in one engine.
     Combined,
 }
 
@@ -53,9 +54,9 @@
     sampling: &'a crate::client::Sampling,
 }
 
-/// The body of the completion call.
+/// Encodes the body of the completion call.
 pub fn completion_body(request: &MessagesRequest, stage: Stage<'_>) -> Vec<u8> {
-    let remote_decode = RawValue::from_string(REMOTE_DECODE.into()).ok();
+    let remote_decode = RawValue::from_string(REMOTE_DECODE_PARAMS.into()).ok();
     let is_prefill = matches!(stage, Stage::Prefill);
     let call = Completion {
         model: &request.model,
@@ -73,7 +74,7 @@
     serde_json::to_vec(&call).unwrap_or_default()
 }
 
-/// The body of the release call.
+/// Encodes the body of the release call.
 pub fn release_body(request_id: &str) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({ "request_id": request_id })).unwrap_or_default()
 }
@@ -107,38 +108,39 @@
 
 /// The answer to a prefill call.
 #[derive(Debug, Deserialize)]
-struct RawRead {
+struct RawPrefillAnswer {
     #[serde(default)]
     usage: Option<RawUsage>,
     kv_transfer_params: Option<Box<RawValue>>,
 }
 
-/// Longest transfer parameters of a prefill answer; they are kept until the KV state is pulled.
+/// Maximum length of the transfer parameters in a prefill answer, since the router stores them until the KV state is
+/// pulled.
 pub const MAX_PARAMS_BYTES: usize = 16 * 1024;
 
-/// An answer of an engine that can't be used.
+/// An unusable answer of an engine.
 #[derive(Debug, thiserror::Error)]
 pub enum EngineAnswerError {
-    /// It is not the JSON that the call defines.
+    /// The answer is not the JSON that the call defines.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A prefill answer without the parameters by which its KV state is pulled.
+    /// A prefill answer has no transfer parameters, without which its KV state can't be pulled.
     #[error("no kv_transfer_params")]
     NoTransferParameters,
-    /// Its transfer parameters are longer than [`MAX_PARAMS_BYTES`].
+    /// The transfer parameters are longer than [`MAX_PARAMS_BYTES`].
     #[error("kv_transfer_params too long")]
     TransferParametersTooLong,
-    /// The engine reports an error of its own.
+    /// The engine has reported an error.
     #[error("engine error: {0}")]
     Engine(String),
 }
 
-/// Reads the answer to a prefill call: the tokens used, and the transfer parameters for the decode worker.
+/// Parses the answer to a prefill call: the tokens used, and the transfer parameters for the decode worker.
 ///
 /// # Errors
 /// The answer is malformed, or its transfer parameters are missing or too long.
 pub fn parse_prefill_answer(body: &[u8]) -> Result<(Usage, Box<RawValue>), EngineAnswerError> {
-    let raw: RawRead = serde_json::from_slice(body)?;
+    let raw: RawPrefillAnswer = serde_json::from_slice(body)?;
     let params = raw.kv_transfer_params.ok_or(EngineAnswerError::NoTransferParameters)?;
     if params.get().len() > MAX_PARAMS_BYTES {
         return Err(EngineAnswerError::TransferParametersTooLong);
@@ -172,30 +174,30 @@
     error: Option<RawError>,
 }
 
-/// Data of the last event of a stream.
+/// Data of the event that ends a stream.
 const END_MARKER: &str = "[DONE]";
 
 /// One chunk of a streamed answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Chunk {
-    /// Text that it adds.
+    /// Text appended by this chunk.
     pub text: String,
-    /// Why the engine stopped, in the last chunk with text.
+    /// Reason for which the engine stopped; present in the last chunk with text.
     pub stop_reason: Option<String>,
-    /// Tokens used, in one of the last chunks.
+    /// Tokens used; present in one of the last chunks.
     pub usage: Option<Usage>,
 }
 
 /// An event of an engine's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamItem {
-    /// A chunk.
+    /// Part of the answer.
     Chunk(Chunk),
-    /// The end marker.
+    /// The end marker: the stream is complete.
     Done,
 }
 
-/// Reads the data of one event.
+/// Parses the data of one server-sent event.
 ///
 /// # Errors
 /// The data is malformed, or the engine reports an error.
@@ -212,13 +214,13 @@
     Ok(StreamItem::Chunk(Chunk { text, stop_reason, usage: raw.usage.map(Into::into) }))
 }
 
-/// Whether the body of a 409 says that there is no KV state to pull.
+/// Whether the body of a response with status 409 says that there is no KV state to pull.
 pub fn is_no_state_error(body: &[u8]) -> bool {
     let raw: Option<RawChunk> = serde_json::from_slice(body).ok();
     raw.and_then(|r| r.error).and_then(|e| e.kind).is_some_and(|k| k == "no_state")
 }
 
-/// A load report, with ORCA's names.
+/// A load report, with the field names of ORCA.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
@@ -226,57 +228,57 @@
     pub cpu_utilization: Option<f64>,
     /// Share of KV memory in use, 0 to 1.
     pub mem_utilization: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rps_fractional: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub eps: Option<f64>,
-    /// Metrics without a standard name.
+    /// Metrics without a standard field.
     pub named_metrics: NamedMetrics,
 }
 
-/// The named metrics that are used; others are ignored.
+/// The named metrics that the router uses; others are ignored.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct NamedMetrics {
     /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Requests that wait in the queue.
     pub queue_depth: Option<f64>,
-    /// Recent time to the end of a prefill or to the first token, ms.
+    /// Recent time to the end of a prefill or to the first token, in ms.
     pub latency_ms: Option<f64>,
-    /// Prompt tokens that wait for prefill or for their KV state.
+    /// Prompt tokens of requests that wait for their prefill or for the transfer of their KV state.
     pub waiting_tokens: Option<f64>,
 }
 
-/// Parses the header in its JSON or TEXT form. None where it is malformed: reports are optional.
+/// Parses the header in its JSON or TEXT form. `None` if it is malformed: load reports are optional.
 pub fn parse_load_report(header: &str) -> Option<LoadReport> {
-    let mut load = match header.trim().split_once(' ')? {
+    let mut report = match header.trim().split_once(' ')? {
         ("JSON", json) => serde_json::from_str(json).ok()?,
-        ("TEXT", pairs) => text_load(pairs),
+        ("TEXT", pairs) => parse_text_report(pairs),
         _ => return None,
     };
-    load.drop_invalid();
-    Some(load)
+    report.drop_invalid();
+    Some(report)
 }
 
-/// Parses `name=value` pairs with commas between them; unknown names are ignored.
-fn text_load(pairs: &str) -> LoadReport {
-    let mut load = LoadReport::default();
+/// Parses comma-separated `name=value` pairs; unknown names are ignored.
+fn parse_text_report(pairs: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in pairs.split(',').filter_map(|pair| pair.split_once('=')) {
         let value = value.trim().parse::<f64>().ok();
         match name.trim() {
-            "cpu_utilization" => load.cpu_utilization = value,
-            "mem_utilization" => load.mem_utilization = value,
-            "rps_fractional" => load.rps_fractional = value,
-            "eps" => load.eps = value,
-            "named_metrics.in_flight" => load.named_metrics.in_flight = value,
-            "named_metrics.queue_depth" => load.named_metrics.queue_depth = value,
-            "named_metrics.latency_ms" => load.named_metrics.latency_ms = value,
-            "named_metrics.waiting_tokens" => load.named_metrics.waiting_tokens = value,
+            "cpu_utilization" => report.cpu_utilization = value,
+            "mem_utilization" => report.mem_utilization = value,
+            "rps_fractional" => report.rps_fractional = value,
+            "eps" => report.eps = value,
+            "named_metrics.in_flight" => report.named_metrics.in_flight = value,
+            "named_metrics.queue_depth" => report.named_metrics.queue_depth = value,
+            "named_metrics.latency_ms" => report.named_metrics.latency_ms = value,
+            "named_metrics.waiting_tokens" => report.named_metrics.waiting_tokens = value,
             _ => {}
         }
     }
-    load
+    report
 }
 
 impl LoadReport {
--- a/crates/api/src/keys.rs
+++ b/crates/api/src/keys.rs
@@ -3,25 +3,25 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The tenant that a key belongs to, by its position in the settings.
+/// The tenant that a key belongs to, as its index in the settings.
 pub type Owner = usize;
 
-/// A key hash that can't be added.
+/// An error on adding the hash of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum KeyHashError {
-    /// It is no hash.
+    /// The text is not a hash.
     #[error("not 64 hexadecimal digits")]
     Malformed,
-    /// Another key has the same hash.
+    /// The ring already has this hash.
     #[error("the same key twice")]
     Duplicate,
 }
 
-/// The API keys of all tenants. Holds BLAKE3 hashes under the ring's secret salt, never a key.
+/// The API keys of all tenants. Only their BLAKE3 hashes, keyed with the ring's secret salt, are stored, never the keys.
 #[derive(Clone)]
 pub struct KeyRing {
     salt: [u8; 32],
-    /// By the first bytes of the hash, which reveal nothing without the salt.
+    /// Hashes grouped by their first bytes, which reveal nothing about a key without the salt.
     keys: BTreeMap<[u8; 4], Vec<(blake3::Hash, Owner)>>,
 }
 
@@ -37,20 +37,20 @@
 }
 
 impl KeyRing {
-    /// A ring without keys.
+    /// Creates a ring without keys.
     pub fn new(salt: [u8; 32]) -> Self {
         Self { salt, keys: BTreeMap::new() }
     }
 
-    /// The hash of a key as it is stored, in hexadecimal.
+    /// Computes the hash of a key as it is stored, in hexadecimal.
     pub fn hash(&self, key: &str) -> String {
         blake3::keyed_hash(&self.salt, key.as_bytes()).to_hex().to_string()
     }
 
-    /// Adds a key by its hash.
+    /// Adds a key by its hash in hexadecimal.
     ///
     /// # Errors
-    /// The hash is malformed, or the ring has it already.
+    /// The hash is malformed, or the ring already has it.
     pub fn add(&mut self, hex: &str, owner: Owner) -> Result<(), KeyHashError> {
         let hash = blake3::Hash::from_hex(hex).map_err(|_| KeyHashError::Malformed)?;
         let keys = self.keys.entry(bucket(&hash)).or_default();
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// The same keys under other owners. Keys for which `owner` gives none are dropped.
+    /// Returns a ring with the same keys and new owners. Keys for which `owner` returns `None` are dropped.
     #[must_use]
     pub fn remap_owners(&self, owner: impl Fn(Owner) -> Option<Owner>) -> Self {
         let mut keys: BTreeMap<[u8; 4], Vec<(blake3::Hash, Owner)>> = BTreeMap::new();
@@ -73,7 +73,7 @@
         Self { salt: self.salt, keys }
     }
 
-    /// The owner of a key. BLAKE3 compares hashes in constant time.
+    /// Looks up the owner of a key. The comparison of BLAKE3 hashes takes constant time.
     pub fn owner(&self, key: &str) -> Option<Owner> {
         let hash = blake3::keyed_hash(&self.salt, key.as_bytes());
         let keys = self.keys.get(&bucket(&hash))?;
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,12 +1,12 @@
-//! Messages of clients and engines as checked types. No sockets, no routing.
+//! Validated types for the messages of clients and engines, without sockets or routing.
 //!
-//! - [`client`]: the messages call, its checks, its events and errors.
+//! - [`client`]: the messages call with its validation, events and errors.
 //! - [`engine`]: the completion call of engines, their answers and load reports.
 //! - [`keys`]: API keys, stored only as keyed hashes.
-//! - [`tokens`]: estimates of a prompt's tokens.
+//! - [`tokens`]: estimates of the number of tokens of a prompt.
 
 #![warn(clippy::type_complexity, rustdoc::broken_intra_doc_links)]
-// A test that plays a long sequence stays one function.
+// Tests with a long sequence of steps may stay one function.
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
 pub mod client;
