--- a/crates/proto/src/decode.rs
+++ b/crates/proto/src/decode.rs
@@ -1,12 +1,12 @@
-//! The incremental decoder of one direction of a connection.
+//! Incremental decoder for one direction of a connection.
 
 use crate::body::Body;
 use crate::{head, Error, Head, Limits, Reason, StartLine};
 
-/// Capacity of the buffer that an idle connection keeps.
+/// Capacity of an idle connection's buffer.
 const IDLE_BUFFER_BYTES: usize = 1_024;
 
-/// Which messages are decoded.
+/// Kind of the messages that are decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
     /// Requests, as a server receives them.
@@ -15,27 +15,27 @@
     Response,
 }
 
-/// A part of a message, in order: one head, data, one end.
+/// A part of a message. Each message is one `Head`, any number of `Data` and one `End`, in this order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Part {
-    /// A message begins.
+    /// Start line and headers.
     Head(Box<Head>),
-    /// Bytes of its body, at least one.
+    /// Bytes of the body, at least one.
     Data(Vec<u8>),
-    /// The message is complete.
+    /// End of the message.
     End,
 }
 
-/// Decodes the messages of one direction, however their bytes are split.
+/// Decodes the messages of one direction, independent of how their bytes are split.
 ///
-/// Buffers at most one head, or what was pushed and not yet consumed: beyond [`Limits::pipelined_bytes`] the caller should
-/// stop reading ([`Decoder::is_over_pipeline_limit`]).
+/// The decoder buffers an incomplete head and pushed bytes that are not decoded yet. The caller should stop reading from
+/// the connection while the buffer is above [`Limits::pipelined_bytes`] ([`Decoder::is_over_pipeline_limit`]).
 #[derive(Debug)]
 pub struct Decoder {
     side: Side,
     limits: Limits,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that were searched for the end of the head without finding it.
+    /// Number of buffered bytes that are known not to contain the end of the head.
     scanned: usize,
     body: Option<Body>,
     closed: bool,
@@ -43,42 +43,42 @@
 }
 
 impl Decoder {
-    /// A decoder at the start of a connection.
+    /// Creates a decoder for a new connection.
     pub fn new(side: Side, limits: Limits) -> Self {
         Self { side, limits, buffer: Vec::new(), scanned: 0, body: None, closed: false, failed: None }
     }
 
-    /// Takes bytes from the peer.
+    /// Appends bytes received from the peer.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.failed.is_none() {
             self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// The peer has closed its side.
+    /// Notes that the peer has closed its side of the connection.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Whether no byte of a further message has arrived since the last [`Part::End`].
+    /// Whether no byte of another message has arrived since the last [`Part::End`].
     pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.body.is_none()
     }
 
-    /// Bytes that were pushed and not yet decoded.
+    /// Number of bytes that were pushed and not yet decoded.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether so many bytes wait after the current message that no more should be read until they are decoded.
+    /// Whether the buffer exceeds [`Limits::pipelined_bytes`], so that no more should be read until it is decoded.
     pub fn is_over_pipeline_limit(&self) -> bool {
         self.buffer.len() > self.limits.pipelined_bytes
     }
 
-    /// The next part; none when more bytes are needed.
+    /// Decodes the next part; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// The bytes are no message within the limits. From then on every call gives the same error.
+    /// The bytes are malformed or exceed the limits. Every later call returns the same error.
     pub fn next_part(&mut self) -> Result<Option<Part>, Error> {
         if let Some(error) = self.failed {
             return Err(error);
@@ -132,7 +132,7 @@
             let (head, framing) = head::parse(bytes, self.side, &self.limits)?;
             self.consume(end);
             self.scanned = 0;
-            // Interim responses are skipped, but switching protocols was never requested.
+            // Interim responses are skipped. 101 (Switching Protocols) is an error, since no upgrade was requested.
             match head.start {
                 StartLine::Response { status: 101 } => return Err(Reason::Malformed.into()),
                 StartLine::Response { status: 100..=199 } => continue,
@@ -145,7 +145,7 @@
 
     fn consume(&mut self, length: usize) {
         if length >= self.buffer.len() {
-            // An idle connection keeps a small buffer only.
+            // Shrinks the buffer, to bound the memory of idle connections.
             self.buffer.clear();
             self.buffer.shrink_to(IDLE_BUFFER_BYTES);
         } else {
--- a/crates/proto/src/encode.rs
+++ b/crates/proto/src/encode.rs
@@ -1,11 +1,12 @@
-//! Writes messages as bytes.
+//! Encodes messages as bytes.
 
 use std::io::Write;
 
-/// Capacity for the head of a message; most are shorter.
+/// Initial capacity for the head of a message; most heads are shorter.
 const HEAD_CAPACITY: usize = 256;
 
-/// Writes a value with its control characters replaced, so that an echoed name can't end its line and inject a header.
+/// Appends a value with its control characters replaced. Otherwise a name that the peer chose, echoed in a header, could
+/// end its line and inject another header.
 fn push_text(out: &mut Vec<u8>, value: &str) {
     if !value.bytes().any(|b| b < b' ' || b == 0x7f) {
         return out.extend_from_slice(value.as_bytes());
@@ -22,7 +23,7 @@
     }
 }
 
-/// A request with its body, if any.
+/// Encodes a request with its body, which may be empty.
 pub fn request(method: &str, target: &str, host: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEAD_CAPACITY + body.len());
     push_text(&mut out, method);
@@ -36,7 +37,7 @@
     out
 }
 
-/// A complete response.
+/// Encodes a complete response.
 pub fn response(status: u16, fields: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEAD_CAPACITY + body.len());
     push_status_line(&mut out, status, keep_alive);
@@ -46,7 +47,7 @@
     out
 }
 
-/// The head of a chunked response.
+/// Encodes the head of a chunked response.
 pub fn chunked_head(status: u16, fields: &[(&str, &str)], keep_alive: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEAD_CAPACITY);
     push_status_line(&mut out, status, keep_alive);
@@ -55,7 +56,7 @@
     out
 }
 
-/// Appends one chunk; nothing for empty data, since an empty chunk would be the last one.
+/// Appends one chunk. Empty data appends nothing, since an empty chunk would end the body.
 pub fn chunk(out: &mut Vec<u8>, data: &[u8]) {
     if !data.is_empty() {
         let _ = write!(out, "{:x}\r\n", data.len());
@@ -64,10 +65,10 @@
     }
 }
 
-/// The end of a chunked body.
+/// Last chunk of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// The interim response to `Expect: 100-continue`.
+/// Interim response to `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 fn push_status_line(out: &mut Vec<u8>, status: u16, keep_alive: bool) {
--- a/crates/proto/src/head.rs
+++ b/crates/proto/src/head.rs
@@ -1,4 +1,4 @@
-//! Start line and headers, parsed strictly.
+//! Strict parser of start line and headers.
 
 use crate::body::Framing;
 use crate::{Error, Limits, Reason, Side, MAX_HEADERS};
@@ -6,14 +6,14 @@
 /// The start line of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartLine {
-    /// Of a request.
+    /// The start line of a request.
     Request {
         /// Method, as sent.
         method: String,
         /// Target, as sent.
         target: String,
     },
-    /// Of a response.
+    /// The start line of a response.
     Response {
         /// Status code.
         status: u16,
@@ -23,35 +23,36 @@
 /// A message's start line and headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
-    /// Its start line.
+    /// The start line.
     pub start: StartLine,
-    /// HTTP/1.1, not 1.0.
+    /// Whether the version is HTTP/1.1, not 1.0.
     pub http11: bool,
-    /// Names in lower case, with values as sent.
+    /// Names in lower case and values without surrounding whitespace, in the order sent.
     pub headers: Vec<(String, String)>,
     /// Whether the connection stays open after this message.
     pub keep_alive: bool,
-    /// The sender waits for `100 Continue` before the body.
+    /// Whether the sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// A body of at least one byte, or of unknown length, follows.
+    /// Whether a body follows that has at least one byte or an unknown length.
     pub has_body: bool,
 }
 
 impl Head {
-    /// The first header of this name (lower case).
+    /// Returns the value of the first header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// How many headers have this name (lower case).
+    /// Counts the headers with this lower-case name.
     pub fn count(&self, name: &str) -> usize {
         self.headers.iter().filter(|(n, _)| n == name).count()
     }
 }
 
-/// The length of a head within `bytes`, its empty line included, scanning from `from` on.
+/// Returns the length of the head at the start of `bytes`, including its empty line; `None` if the head is incomplete. The
+/// scan starts at `from`.
 ///
-/// Checks limits and line ends on the way, so that a bad head is refused before it is complete.
+/// Limits and line ends are checked during the scan, so that an invalid head is rejected before it is complete.
 pub(crate) fn find_end(bytes: &[u8], from: usize, limits: &Limits) -> Result<Option<usize>, Error> {
     let mut previous = from.checked_sub(1).and_then(|i| bytes.get(i)).copied();
     for (i, byte) in bytes.iter().copied().enumerate().skip(from) {
@@ -59,14 +60,14 @@
             return Err(Reason::HeadTooLong.into());
         }
         match byte {
-            0 => return Err(Reason::Nul.into()),
+            0 => return Err(Reason::NulByte.into()),
             b'\n' if previous != Some(b'\r') => return Err(Reason::BareLineEnd.into()),
             b'\n' if bytes.get(..=i).is_some_and(|head| head.ends_with(b"\r\n\r\n")) => {
                 return Ok(Some(i + 1))
             }
             b'\n' => {}
             _ if previous == Some(b'\r') => return Err(Reason::BareLineEnd.into()),
-            b' ' | b'\t' if previous == Some(b'\n') => return Err(Reason::Folding.into()),
+            b' ' | b'\t' if previous == Some(b'\n') => return Err(Reason::FoldedHeader.into()),
             _ => {}
         }
         previous = Some(byte);
@@ -78,13 +79,13 @@
     Ok(None)
 }
 
-/// Parses a complete head, and tells how the body after it is framed.
+/// Parses a complete head, and returns it with the framing of its body.
 pub(crate) fn parse(bytes: &[u8], side: Side, limits: &Limits) -> Result<(Head, Framing), Error> {
     let start_line_end = bytes.iter().position(|b| *b == b'\n').unwrap_or(bytes.len());
     if start_line_end > limits.start_line_bytes {
         return Err(Reason::StartLineTooLong.into());
     }
-    // Some parsers skip an empty line in front of a message, others don't.
+    // Some parsers skip an empty line in front of a message and others do not: it is rejected as ambiguous.
     if bytes.starts_with(b"\r") {
         return Err(Reason::Malformed.into());
     }
@@ -98,20 +99,20 @@
     Ok((head, framing))
 }
 
-/// Start line and headers; what follows from them is not filled in yet.
+/// Parses start line and headers. `keep_alive`, `expects_continue` and `has_body` are set by the caller.
 fn parse_fields(bytes: &[u8], side: Side) -> Result<Head, Error> {
     let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let (start, version, parsed): (StartLine, Option<u8>, &[httparse::Header<'_>]) = match side {
         Side::Request => {
             let mut request = httparse::Request::new(&mut table);
-            request.parse(bytes).map_err(parse_failure)?;
+            request.parse(bytes).map_err(parse_error)?;
             let (method, target) = request.method.zip(request.path).ok_or(Reason::Malformed)?;
             let start = StartLine::Request { method: method.into(), target: target.into() };
             (start, request.version, request.headers)
         }
         Side::Response => {
             let mut response = httparse::Response::new(&mut table);
-            response.parse(bytes).map_err(parse_failure)?;
+            response.parse(bytes).map_err(parse_error)?;
             let status = response.code.ok_or(Reason::Malformed)?;
             (StartLine::Response { status }, response.version, response.headers)
         }
@@ -125,55 +126,55 @@
     Ok(Head { start, http11, headers, keep_alive: http11, expects_continue: false, has_body: false })
 }
 
-fn parse_failure(error: httparse::Error) -> Reason {
+fn parse_error(error: httparse::Error) -> Reason {
     match error {
         httparse::Error::TooManyHeaders => Reason::TooManyHeaders,
         _ => Reason::Malformed,
     }
 }
 
-/// Whether version and `Connection` leave the connection open (RFC 9112, section 9.3).
+/// Whether the version and the `Connection` header keep the connection open (RFC 9112, section 9.3).
 fn is_persistent(head: &Head) -> bool {
     let options = head.header("connection").unwrap_or_default();
     let has_option = |option: &str| options.split(',').any(|o| o.trim().eq_ignore_ascii_case(option));
     (head.http11 || has_option("keep-alive")) && !has_option("close")
 }
 
-/// Checks what requests alone must or may have: `Host` and `Expect`.
+/// Checks the headers that are specific to requests: `Host` and `Expect`.
 fn check_request(head: &mut Head) -> Result<(), Error> {
     let hosts = head.count("host");
     if (head.http11 && hosts != 1) || hosts > 1 {
-        return Err(Reason::Host.into());
+        return Err(Reason::InvalidHost.into());
     }
     match head.header("expect") {
         Some(value) if value.eq_ignore_ascii_case("100-continue") && head.http11 => {
             head.expects_continue = head.has_body;
         }
-        Some(_) => return Err(Reason::Expectation.into()),
+        Some(_) => return Err(Reason::UnsupportedExpectation.into()),
         None => {}
     }
     Ok(())
 }
 
-/// How the body ends (RFC 9112, section 6.3). Stricter than the standard: whatever two parsers could read differently is
-/// refused.
+/// Determines how the end of the body is found (RFC 9112, section 6.3). Stricter than the RFC: any message that two parsers
+/// could interpret differently is rejected.
 fn framing(head: &Head, limits: &Limits) -> Result<Framing, Error> {
     let (lengths, encodings) = (head.count("content-length"), head.count("transfer-encoding"));
     if lengths > 0 && encodings > 0 {
-        return Err(Reason::BothLengths.into());
+        return Err(Reason::ConflictingLengths.into());
     }
     if lengths > 1 {
-        return Err(Reason::TwoLengths.into());
+        return Err(Reason::DuplicateLength.into());
     }
     let chunked = head.header("transfer-encoding").is_some_and(|e| e.eq_ignore_ascii_case("chunked"));
     if encodings > 0 && !(encodings == 1 && chunked && head.http11) {
-        return Err(Reason::Encoding.into());
+        return Err(Reason::UnsupportedEncoding.into());
     }
     let length = match head.header("content-length") {
         Some(v) if !v.is_empty() && v.bytes().all(|b| b.is_ascii_digit()) => {
-            Some(v.parse::<u64>().map_err(|_| Reason::BadLength)?)
+            Some(v.parse::<u64>().map_err(|_| Reason::InvalidLength)?)
         }
-        Some(_) => return Err(Reason::BadLength.into()),
+        Some(_) => return Err(Reason::InvalidLength.into()),
         None => None,
     };
     if length.is_some_and(|l| l > limits.body_bytes) {
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,11 +1,12 @@
-//! HTTP/1.1 for clients and servers, and server-sent events: bytes in, messages out, without I/O. Every length is bounded.
+//! Sans-IO codec for HTTP/1.1 messages, on the client and the server side, and for server-sent events. Every length is
+//! bounded.
 //!
-//! [`Decoder`] gives the same [`Part`]s however the bytes are split. A message that two parsers could read differently
-//! (request smuggling) is refused with a status and a [`Reason`]. Sources: RFC 9112; for event streams the HTML standard,
-//! section "Server-sent events".
+//! [`Decoder`] returns the same [`Part`]s however the bytes are split. A message that two parsers could interpret
+//! differently (request smuggling) is rejected with a status and a [`Reason`]. The specifications are RFC 9112 and, for
+//! event streams, the section "Server-sent events" of the HTML standard.
 
 #![warn(clippy::type_complexity, rustdoc::broken_intra_doc_links)]
-// A test that plays a long sequence stays one function.
+// Tests with a long sequence of steps may stay one function.
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
 mod body;
@@ -22,22 +23,22 @@
 /// Limits of one connection's decoder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of the start line.
+    /// Maximum bytes of the start line.
     pub start_line_bytes: usize,
-    /// Bytes of start line and headers together.
+    /// Maximum bytes of start line and headers together.
     pub head_bytes: usize,
-    /// Bytes of one message's body.
+    /// Maximum bytes of one message's body.
     pub body_bytes: u64,
-    /// Bytes of one chunk.
+    /// Maximum bytes of one chunk.
     pub chunk_bytes: u64,
-    /// Bytes after the current message (pipelined requests) beyond which no more should be read.
+    /// Buffered bytes, such as pipelined requests, above which no more should be read from the connection.
     pub pipelined_bytes: usize,
-    /// Well-formed chunk extensions and trailers are skipped instead of refused. For responses only: the end of a request
-    /// must be unambiguous.
+    /// Whether well-formed chunk extensions and trailers are skipped instead of rejected. For responses only, since the end
+    /// of a request must be unambiguous.
     pub allow_chunk_extensions: bool,
 }
 
-/// Most headers of one message; a constant, since they are parsed into a table of this size.
+/// Maximum number of headers of one message. It is a constant, since headers are parsed into a table of this size.
 pub const MAX_HEADERS: usize = 64;
 
 impl Default for Limits {
--- a/crates/proto/src/sse.rs
+++ b/crates/proto/src/sse.rs
@@ -1,35 +1,36 @@
-//! Server-sent events: an incremental parser, and a writer.
+//! Incremental parser and encoder for server-sent events.
 
 use crate::{Error, Reason};
 
 /// One event of a stream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its name; empty where none was given.
+    /// Name from the `event` field; empty if there is none.
     pub name: String,
-    /// Its data, lines joined by LF.
+    /// Lines from the `data` fields, joined by LF.
     pub data: String,
-    /// Its id; empty where none was given.
+    /// Id from the `id` field; empty if there is none.
     pub id: String,
 }
 
-/// Parses a stream of events, however its bytes are split.
+/// Parses a stream of events, independent of how its bytes are split.
 #[derive(Debug)]
 pub struct Parser {
     max_event_bytes: usize,
-    /// The line that is not complete yet.
+    /// Buffer of the incomplete line.
     line: Vec<u8>,
-    /// The last byte was a CR, and an LF of the same line end may follow.
+    /// Whether the last byte was a CR, so that an LF of the same line end may follow.
     after_cr: bool,
-    /// No line was complete yet: a byte order mark may stand in front.
+    /// Whether no line is complete yet; only the first line may begin with a byte order mark.
     is_first_line: bool,
-    /// The event that is not complete yet.
+    /// The incomplete event.
     event: Event,
+    /// Whether the incomplete event has a data line; an event without data is dropped.
     has_data: bool,
 }
 
 impl Parser {
-    /// A parser at the start of a stream; neither an event nor a line may be longer than `max_event_bytes`.
+    /// Creates a parser for a new stream. Neither an event nor a line may be longer than `max_event_bytes`.
     pub fn new(max_event_bytes: usize) -> Self {
         Self {
             max_event_bytes,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Takes bytes and appends the events that they complete.
+    /// Parses the next bytes of the stream, and appends the completed events to `out`.
     ///
     /// # Errors
     /// An event or a line is too long, or a line is not UTF-8.
@@ -50,7 +51,7 @@
         loop {
             if std::mem::take(&mut self.after_cr) {
                 rest = rest.strip_prefix(b"\n").unwrap_or(rest);
-                // The LF may arrive with the next bytes.
+                // The LF may be the first of the next bytes.
                 self.after_cr = rest.is_empty() && !bytes.ends_with(b"\n");
             }
             let end = rest.iter().position(|b| matches!(b, b'\n' | b'\r'));
@@ -107,7 +108,7 @@
     }
 }
 
-/// Appends one event; each line of `data` becomes a data line.
+/// Encodes one event and appends it to `out`. Each line of `data` becomes a `data` field.
 pub fn write(out: &mut Vec<u8>, name: &str, id: Option<u64>, data: &str) {
     let mut field = |name: &[u8], value: &[u8]| {
         out.extend_from_slice(name);
--- a/crates/proto/tests/messages.rs
+++ b/crates/proto/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages split anywhere, limits, and what is refused.
+//! Tests of the codec: messages split at any byte, limits, and rejected messages.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use chalkyard_proto::*;
@@ -30,34 +30,41 @@
 fn rejection(text: &str) -> Reason {
     match decode_all(Side::Request, &[text.as_bytes()], true) {
         Err(r) => r,
-        Ok(parts) => panic!("taken: {parts:?}"),
+        Ok(parts) => panic!("accepted: {parts:?}"),
     }
 }
 
 #[test]
-fn ambiguous_or_malformed_messages_are_refused_with_their_reason() {
-    let with = |headers: &str| rejection(&format!("POST /x HTTP/1.1\r\nHost: a\r\n{headers}\r\n\r\n"));
-    assert_eq!(with("Content-Length: 3\r\nTransfer-Encoding: chunked"), Reason::BothLengths);
-    assert_eq!(with("Content-Length: 3\r\nContent-Length: 4"), Reason::TwoLengths);
-    assert_eq!(with("Content-Length: 3\r\nContent-Length: 3"), Reason::TwoLengths);
-    assert_eq!(with("Content-Length: +3"), Reason::BadLength);
-    assert_eq!(with("Content-Length: 3, 3"), Reason::BadLength);
-    assert_eq!(with("Content-Length:"), Reason::BadLength);
-    assert_eq!(with("Content-Length: 99999999999999999999"), Reason::BadLength);
-    assert_eq!(with("Content-Length: 1048577"), Reason::BodyTooLong);
-    assert_eq!(with("Transfer-Encoding: gzip, chunked"), Reason::Encoding);
-    assert_eq!(with("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"), Reason::Encoding);
-    assert_eq!(with("A: b\r\n c"), Reason::Folding);
-    assert_eq!(with("A: b\nC: d"), Reason::BareLineEnd);
-    assert_eq!(with("A: b\rC: d"), Reason::BareLineEnd);
-    assert_eq!(with("A\0: b"), Reason::Nul);
-    assert_eq!(with("A : b"), Reason::Malformed);
-    assert_eq!(with("Host: b"), Reason::Host);
-    assert_eq!(with("Expect: bread"), Reason::Expectation);
-    assert_eq!(with("Content-Length: 3"), Reason::Truncated);
-    assert_eq!(rejection("GET / HTTP/1.1\r\n\r\n"), Reason::Host);
+fn ambiguous_or_malformed_messages_are_rejected_with_their_reason() {
+    let rejection_with =
+        |headers: &str| rejection(&format!("POST /x HTTP/1.1\r\nHost: a\r\n{headers}\r\n\r\n"));
+    assert_eq!(rejection_with("Content-Length: 3\r\nTransfer-Encoding: chunked"), Reason::ConflictingLengths);
+    assert_eq!(rejection_with("Content-Length: 3\r\nContent-Length: 4"), Reason::DuplicateLength);
+    assert_eq!(rejection_with("Content-Length: 3\r\nContent-Length: 3"), Reason::DuplicateLength);
+    assert_eq!(rejection_with("Content-Length: +3"), Reason::InvalidLength);
+    assert_eq!(rejection_with("Content-Length: 3, 3"), Reason::InvalidLength);
+    assert_eq!(rejection_with("Content-Length:"), Reason::InvalidLength);
+    assert_eq!(rejection_with("Content-Length: 99999999999999999999"), Reason::InvalidLength);
+    assert_eq!(rejection_with("Content-Length: 1048577"), Reason::BodyTooLong);
+    assert_eq!(rejection_with("Transfer-Encoding: gzip, chunked"), Reason::UnsupportedEncoding);
+    assert_eq!(
+        rejection_with("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"),
+        Reason::UnsupportedEncoding
+    );
+    assert_eq!(rejection_with("A: b\r\n c"), Reason::FoldedHeader);
+    assert_eq!(rejection_with("A: b\nC: d"), Reason::BareLineEnd);
+    assert_eq!(rejection_with("A: b\rC: d"), Reason::BareLineEnd);
+    assert_eq!(rejection_with("A\0: b"), Reason::NulByte);
+    assert_eq!(rejection_with("A : b"), Reason::Malformed);
+    assert_eq!(rejection_with("Host: b"), Reason::InvalidHost);
+    assert_eq!(rejection_with("Expect: bread"), Reason::UnsupportedExpectation);
+    assert_eq!(rejection_with("Content-Length: 3"), Reason::Truncated);
+    assert_eq!(rejection("GET / HTTP/1.1\r\n\r\n"), Reason::InvalidHost);
     assert_eq!(rejection("\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n"), Reason::Malformed);
-    assert_eq!(rejection("GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Reason::Encoding);
+    assert_eq!(
+        rejection("GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        Reason::UnsupportedEncoding
+    );
     let chunked = |body: &str| {
         rejection(&format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{body}"))
     };
@@ -71,9 +78,9 @@
         "1\r\nab\r\n",
         "11111111111111111\r\n",
     ] {
-        assert_eq!(chunked(body), Reason::BadChunk, "{body:?}");
+        assert_eq!(chunked(body), Reason::InvalidChunk, "{body:?}");
     }
-    assert_eq!(chunked("0\r\nA: b\r\n\r\n"), Reason::Trailers);
+    assert_eq!(chunked("0\r\nA: b\r\n\r\n"), Reason::InvalidTrailers);
     assert_eq!(chunked("fffffff\r\n"), Reason::ChunkTooLong);
 }
 
@@ -89,10 +96,10 @@
     assert!(!d.is_over_pipeline_limit());
     d.push(b"a");
     assert!(d.is_over_pipeline_limit(), "no more should be read");
-    assert_eq!(d.buffered(), 64 * 1024 + 1, "what was read is kept for its turn");
+    assert_eq!(d.buffered(), 64 * 1024 + 1, "bytes above the limit are buffered");
     assert!(d.next_part().is_err());
     d.push(&vec![b'a'; 70_000]);
-    assert_eq!(d.buffered(), 0, "a refused connection keeps nothing");
+    assert_eq!(d.buffered(), 0, "the buffer is empty after an error");
 }
 
 #[test]
@@ -207,7 +214,7 @@
         for piece in &pieces {
             d.push(piece);
             while let Ok(Some(_)) = d.next_part() {}
-            // All that can be decoded was: at most an incomplete head is left.
+            // After decoding, the buffer has at most an incomplete head.
             prop_assert!(d.buffered() <= limits.head_bytes);
         }
     }
