--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A core on the platform, driven by bytes and connections' fates alone.
+//! Test support: a router core with the platform's dialect, driven through its inputs and outputs without sockets.
 #![allow(
     dead_code,
     clippy::unwrap_used,
@@ -18,7 +18,7 @@
 
 pub use self::harness::*;
 
-/// Where the list comes from, and where it comes from later.
+/// Port of the discovery agent, and of the agent that a later configuration names.
 pub const AGENT: u16 = 9;
 pub const OTHER_AGENT: u16 = 10;
 
@@ -31,11 +31,11 @@
     json!({"revision": revision, "complete": complete, "members": members}).to_string()
 }
 
-pub fn usual_members() -> Vec<serde_json::Value> {
+pub fn default_members() -> Vec<serde_json::Value> {
     vec![member("r", "reads", 1, "up"), member("w1", "writes", 2, "up"), member("w2", "writes", 3, "up")]
 }
 
-pub fn file(resume: bool, known: &str) -> String {
+pub fn config_text(resume: bool, known: &str) -> String {
     let class = |name: &str, repeat: &str| json!({"name": name, "goal_time_s": 1.0, "deadline_s": 5.0, "repeat": repeat, "group": "all", "stream": true});
     json!({
         "name": "n3", "listen": "127.0.0.1:5000", "discovery": format!("127.0.0.1:{AGENT}"), "seed": "8c1f30d27a5be964",
@@ -57,21 +57,24 @@
 }
 
 pub fn harness_with(resume: bool) -> Harness {
-    let started = StartupConfig::parse(&file(resume, &members(4, true, &usual_members()))).unwrap();
+    let started = StartupConfig::parse(&config_text(resume, &members(4, true, &default_members()))).unwrap();
     Harness::started(started.config, started.last_endpoint_list.as_deref())
 }
 
-/// With another release time and another wait for connections, ms, and a third writer in another zone.
-pub fn yard_told(release: u64, connect: u64) -> Harness {
-    let mut all = usual_members();
-    all.push(member("w3", "writes", 4, "up"));
-    all[3]["locality"] = json!("yard");
-    let told = file(false, &members(4, true, &all))
-        .replace(r#""release_s":1.0"#, &format!(r#""release_s":{}"#, release as f64 / 1e3))
-        .replace(r#""connect_timeout_s":0.25"#, &format!(r#""connect_timeout_s":{}"#, connect as f64 / 1e3))
+/// Builds a harness with other timeouts for reservations and connects, in ms, and a third decode worker in another zone.
+pub fn harness_with_timeouts(reservation_ms: u64, connect_ms: u64) -> Harness {
+    let mut workers = default_members();
+    workers.push(member("w3", "writes", 4, "up"));
+    workers[3]["locality"] = json!("yard");
+    let config = config_text(false, &members(4, true, &workers))
+        .replace(r#""release_s":1.0"#, &format!(r#""release_s":{}"#, reservation_ms as f64 / 1e3))
+        .replace(
+            r#""connect_timeout_s":0.25"#,
+            &format!(r#""connect_timeout_s":{}"#, connect_ms as f64 / 1e3),
+        )
         .replace(r#""dcs":["hall"]"#, r#""dcs":["hall","harness"]"#);
-    let started = StartupConfig::parse(&told).unwrap();
-    assert_eq!(started.config.policy.reservation_timeout, ms(release));
+    let started = StartupConfig::parse(&config).unwrap();
+    assert_eq!(started.config.policy.reservation_timeout, ms(reservation_ms));
     Harness::started(started.config, started.last_endpoint_list.as_deref())
 }
 
@@ -81,7 +84,7 @@
 
 pub const BODY: &str = r#"{"model":"chat", "stream":true,"max_tokens":800,"messages":[ ]}"#;
 
-pub fn fields<'a>(id: &'a str, class: &'a str) -> Vec<(&'a str, &'a str)> {
+pub fn default_headers<'a>(id: &'a str, class: &'a str) -> Vec<(&'a str, &'a str)> {
     vec![
         ("X-Request-ID", id),
         ("X-Priority-Class", class),
@@ -96,52 +99,53 @@
     encode::request("POST", "/v1/chat/completions?a=b", "api.internal", fields, BODY.as_bytes())
 }
 
-pub fn ask(y: &mut Harness, id: &str, class: &str) -> ConnId {
-    let client = y.client();
-    y.bytes(client, &request(&fields(id, class)));
+pub fn send_request(h: &mut Harness, id: &str, class: &str) -> ConnId {
+    let client = h.client();
+    h.bytes(client, &request(&default_headers(id, class)));
     client
 }
 
-/// The next call to a worker; there must be one.
-pub fn call(y: &mut Harness) -> Call {
-    let at = y.calls.iter().position(|c| c.target.starts_with("/v1/"));
-    y.calls.remove(at.expect("a call to a worker"))
+/// Takes the oldest call to a worker, and panics if there is none.
+pub fn next_call(h: &mut Harness) -> Call {
+    let at = h.calls.iter().position(|c| c.target.starts_with("/v1/"));
+    h.calls.remove(at.expect("a call to a worker"))
 }
 
-pub fn has_call(y: &Harness) -> bool {
-    y.calls.iter().any(|c| c.target.starts_with("/v1/"))
+pub fn has_call(h: &Harness) -> bool {
+    h.calls.iter().any(|c| c.target.starts_with("/v1/"))
 }
 
-pub fn reply(y: &mut Harness, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &str) {
-    y.bytes(conn, &encode::response(status, fields, body.as_bytes(), true));
+pub fn reply(h: &mut Harness, conn: ConnId, status: u16, fields: &[(&str, &str)], body: &str) {
+    h.bytes(conn, &encode::response(status, fields, body.as_bytes(), true));
 }
 
-pub const NOT_RUN: (&str, &str) = ("X-Not-Processed", "1");
+pub const NOT_PROCESSED: (&str, &str) = ("X-Not-Processed", "1");
 
-/// A request that was read, and the writer's call.
-pub fn written(y: &mut Harness, id: &str, class: &str) -> (ConnId, Call) {
-    let client = ask(y, id, class);
-    let read = call(y);
-    assert_eq!(read.port, 1);
-    reply(y, read.conn, 202, &[], r#"{"cached_tokens":4096}"#);
-    let write = call(y);
-    assert_ne!(write.port, 1);
-    (client, write)
+/// Sends a request and answers its prefill call. Returns the client's connection and the decode call.
+pub fn start_decode(h: &mut Harness, id: &str, class: &str) -> (ConnId, Call) {
+    let client = send_request(h, id, class);
+    let prefill = next_call(h);
+    assert_eq!(prefill.port, 1);
+    reply(h, prefill.conn, 202, &[], r#"{"cached_tokens":4096}"#);
+    let decode = next_call(h);
+    assert_ne!(decode.port, 1);
+    (client, decode)
 }
 
-pub const FIRST: &str =
+pub const FIRST_EVENT: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"},\"finish_reason\":null}]}\n\n";
-pub const LAST: &str = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":5120,\"completion_tokens\":200,\
+pub const LAST_EVENTS: &str =
+    "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":5120,\"completion_tokens\":200,\
                     \"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\ndata: [DONE]\n\n";
 
-pub fn chunk(y: &mut Harness, conn: ConnId, text: &str) {
+pub fn send_chunk(h: &mut Harness, conn: ConnId, text: &str) {
     let mut bytes = Vec::new();
     encode::chunk(&mut bytes, text.as_bytes());
-    y.bytes(conn, &bytes);
+    h.bytes(conn, &bytes);
 }
 
-/// The status of a client's first answer; none if it got no byte.
-pub fn first_status(y: &Harness, client: ConnId) -> Option<u16> {
-    let text = std::str::from_utf8(y.raw(client)).unwrap();
+/// Returns the status of a client's first answer; `None` if the client has received nothing.
+pub fn first_status(h: &Harness, client: ConnId) -> Option<u16> {
+    let text = std::str::from_utf8(h.raw(client)).unwrap();
     text.split(' ').nth(1).map(|s| s.parse().unwrap())
 }
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -1,4 +1,4 @@
-//! The configuration and its bounds, and readers that take any bytes.
+//! Tests of the configuration and its bounds, and property tests that parsers accept any bytes.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_adapter::translate::Names;
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-fn config() -> Value {
+fn base_config() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:9", "seed": "1f",
         "limits": {"cores": 0.5, "memory_mb": 32, "sockets": 256},
@@ -21,14 +21,14 @@
     })
 }
 
-fn with(change: impl Fn(&mut Value)) -> Result<StartupConfig, ConfigError> {
-    let mut value = config();
+fn parse_with(change: impl Fn(&mut Value)) -> Result<StartupConfig, ConfigError> {
+    let mut value = base_config();
     change(&mut value);
     StartupConfig::parse(&value.to_string())
 }
 
 #[test]
-fn a_configuration_that_is_wrong_is_told_by_its_field() {
+fn invalid_configuration_is_reported_with_its_field() {
     type Change = fn(&mut Value);
     let cases: [(&str, Change); 6] = [
         ("listen", |v| v["listen"] = json!("here")),
@@ -39,29 +39,30 @@
         ("name", |v| drop(v.as_object_mut().unwrap().remove("name"))),
     ];
     for (field, change) in cases {
-        let why = with(change).unwrap_err().to_string();
-        assert!(why.contains(field), "{field}: {why}");
+        let error = parse_with(change).unwrap_err().to_string();
+        assert!(error.contains(field), "{field}: {error}");
     }
     assert!(StartupConfig::parse("{").is_err());
 }
 
 #[test]
-fn bounds_follow_from_the_limits_and_fit_in_them() {
+fn bounds_fit_in_the_resource_limits() {
     for (sockets, memory_mb) in [(128, 16), (256, 32), (512, 64), (1_024, 192)] {
-        let started = with(|v| v["limits"] = json!({"sockets": sockets, "memory_mb": memory_mb})).unwrap();
-        let b = started.config.bounds;
-        // Standard streams, the loop's own, listening and discovery besides.
-        assert!(b.clients + started.max_lingering + b.links + 12 <= sockets, "{sockets}");
-        assert!(b.clients * 3 >= sockets, "a third is for requests: {sockets}");
-        let buffers = b.bodies + (b.clients * b.client_buffer) as u64;
+        let started =
+            parse_with(|v| v["limits"] = json!({"sockets": sockets, "memory_mb": memory_mb})).unwrap();
+        let bounds = started.config.bounds;
+        // At least 12 descriptors remain for standard streams, the event loop, the listening socket and service discovery.
+        assert!(bounds.clients + started.max_lingering + bounds.links + 12 <= sockets, "{sockets}");
+        assert!(bounds.clients * 3 >= sockets, "at least a third is for client connections: {sockets}");
+        let buffers = bounds.bodies + (bounds.clients * bounds.client_buffer) as u64;
         assert!(buffers * 2 <= (memory_mb as u64) << 20, "{memory_mb} MB");
     }
-    let started = with(|_| {}).unwrap();
-    assert_eq!(started.config.timeouts.engine_idle, Micros(2_000_000), "well under the told time");
+    let started = parse_with(|_| {}).unwrap();
+    assert_eq!(started.config.timeouts.engine_idle, Micros(2_000_000), "half of the configured idle timeout");
     assert_eq!((started.config.timeouts.connect, started.seed), (Micros(300_000), Some(0x1f)));
 }
 
-/// Streams: events with all line ends that the format allows, reports, usage.
+/// Generates streams of events with LF and CR LF line ends, load reports, usage, long lines and arbitrary bytes.
 fn stream() -> impl Strategy<Value = Vec<u8>> {
     let piece = prop_oneof![
         Just(b"data: {\"choices\":[]}\n\n".to_vec()),
@@ -76,7 +77,7 @@
 
 proptest! {
     #[test]
-    fn a_stream_is_read_alike_in_any_splitting(bytes in stream(), at in prop::collection::vec(any::<prop::sample::Index>(), 0..6)) {
+    fn stream_split_anywhere_gives_the_same_progress(bytes in stream(), at in prop::collection::vec(any::<prop::sample::Index>(), 0..6)) {
         let platform = Platform::new(Names::default());
         let mut whole = platform.response_observer();
         whole.push(&bytes);
@@ -91,7 +92,7 @@
     }
 
     #[test]
-    fn no_head_panics_and_only_whole_ones_are_calls(
+    fn arbitrary_heads_are_rejected_without_panic(
         names in prop::collection::vec(prop::sample::select(vec![
             "X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "X-Attrs", "X-Retried"]), 0..9),
         values in prop::collection::vec("[ -~]{0,20}", 9),
@@ -102,14 +103,14 @@
         d.push(&bytes);
         if let Ok(Some(Part::Head(head))) = d.next_part() {
             let parsed = Platform::new(Names::default()).parse_request(Micros(0), &head, b"{}".to_vec());
-            // No class is known here: nothing can be taken.
+            // `Names::default()` has no class, so every request is invalid.
             let rejected = matches!(parsed, ParsedRequest::Invalid { status: 400, .. });
             prop_assert!(rejected);
         }
     }
 
     #[test]
-    fn no_list_panics(bytes in prop::collection::vec(any::<u8>(), 0..200), phase in "[a-z]{0,9}", address in "[0-9.:a-z]{0,12}") {
+    fn arbitrary_endpoint_lists_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), phase in "[a-z]{0,9}", address in "[0-9.:a-z]{0,12}") {
         let platform = Platform::new(Names::default());
         let _ = platform.parse_list(&bytes);
         let entry = json!({"id": "a", "host_port": address, "phase": phase, "up_since_ms": -1.5, "size": -1});
@@ -118,26 +119,27 @@
     }
 }
 
-/// What the decisions don't use is not judged, so that newer fields, absent or absurd, keep no router from starting.
+/// Fields that the policy does not use are not validated, so that a newer field with any value, or none, does not keep a
+/// router from starting.
 #[test]
-fn newer_fields_of_the_settings_that_are_absent_or_absurd_change_nothing() {
-    let usual = with(|_| {}).unwrap();
-    for absurd in [json!(0), json!(-1), json!(1e300), json!("many"), json!(null), json!([1, 2])] {
-        let started = with(|v| {
-            let info = json!({"block": absurd, "chunk": absurd, "max_context": absurd});
+fn unused_settings_fields_are_not_validated() {
+    let default = parse_with(|_| {}).unwrap();
+    for value in [json!(0), json!(-1), json!(1e300), json!("many"), json!(null), json!([1, 2])] {
+        let started = parse_with(|v| {
+            let info = json!({"block": value, "chunk": value, "max_context": value});
             v["settings"]["family_info"] = info;
-            v["settings"]["max_context"] = absurd.clone();
+            v["settings"]["max_context"] = value.clone();
         });
-        let started = started.unwrap_or_else(|why| panic!("{absurd}: {why}"));
-        assert_eq!(started.config.policy, usual.config.policy, "{absurd}");
+        let started = started.unwrap_or_else(|error| panic!("{value}: {error}"));
+        assert_eq!(started.config.policy, default.config.policy, "{value}");
     }
 }
 
-/// A shared beginning that is said to be longer than its prompt, and a prompt longer than any memory.
+/// A prefix that is declared longer than its prompt is accepted. A prompt longer than `MAX_TOKENS` is rejected.
 #[test]
-fn lengths_that_contradict_each_other_are_taken_and_lengths_beyond_bounds_are_refused() {
+fn inconsistent_lengths_are_accepted_and_excessive_ones_rejected() {
     let class = json!({"name": "chat", "goal_time_s": 1.0, "deadline_s": 5.0, "repeat": "free", "group": "all", "stream": true});
-    let started = with(|v| v["settings"]["categories"] = json!([class])).unwrap();
+    let started = parse_with(|v| v["settings"]["categories"] = json!([class])).unwrap();
     let dialect = started.config.dialect.unwrap();
     let parse = |attrs: &str| {
         let fields =
@@ -150,11 +152,11 @@
     };
     let ParsedRequest::Inference(request, _) = parse("prefix=5c0f,prompt_len=10,prefix_len=9000,max_out=8")
     else {
-        panic!("not taken")
+        panic!("the request was rejected")
     };
     assert_eq!(request.prompt_tokens, 10);
     let ParsedRequest::Inference(request, _) = parse("prompt_len=4294967296,max_out=8") else {
-        panic!("not taken")
+        panic!("the request was rejected")
     };
     assert_eq!(request.prompt_tokens, 1 << 32);
     assert!(matches!(parse("prompt_len=4294967297,max_out=8"), ParsedRequest::Invalid { status: 400, .. }));
--- a/crates/platform/tests/refused_heads.rs
+++ b/crates/platform/tests/refused_heads.rs
@@ -1,34 +1,34 @@
-//! Heads that are refused, and the text with which each is: clients of the platform know these.
+//! Tests of rejected request heads and their error texts, which are part of the platform's protocol.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
 
 use common::*;
 
-/// Status and body of the answer to a request with these headers.
+/// Returns status and body of the answer to a request with these headers.
 fn answer(fields: &[(&str, &str)]) -> (u16, String) {
-    let mut y = harness();
-    let client = y.client();
-    y.bytes(client, &request(fields));
-    let status = first_status(&y, client).expect("an answer");
-    let raw = String::from_utf8(y.raw(client).to_vec()).unwrap();
+    let mut h = harness();
+    let client = h.client();
+    h.bytes(client, &request(fields));
+    let status = first_status(&h, client).expect("an answer");
+    let raw = String::from_utf8(h.raw(client).to_vec()).unwrap();
     (status, raw.split_once("\r\n\r\n").unwrap().1.to_owned())
 }
 
-/// The usual headers with one of them changed; an empty value leaves it out.
-fn with<'a>(name: &'a str, value: &'a str) -> Vec<(&'a str, &'a str)> {
-    let mut all = fields("a", "chat");
-    let place = all.iter().position(|(n, _)| *n == name).unwrap();
+/// Returns the default headers with the value of one changed; an empty value removes the header.
+fn headers_with<'a>(name: &'a str, value: &'a str) -> Vec<(&'a str, &'a str)> {
+    let mut headers = default_headers("a", "chat");
+    let position = headers.iter().position(|(n, _)| *n == name).unwrap();
     if value.is_empty() {
-        all.remove(place);
+        headers.remove(position);
     } else {
-        all[place].1 = value;
+        headers[position].1 = value;
     }
-    all
+    headers
 }
 
 #[test]
-fn a_head_that_is_wrong_is_refused_with_its_header_and_text() {
+fn invalid_head_is_rejected_with_header_and_text() {
     let long = "x".repeat(129);
     let cases: [(&str, &str, &str); 16] = [
         ("X-Request-ID", "", "X-Request-ID: missing"),
@@ -48,30 +48,30 @@
         ("X-Attrs", "max_out=4294967297", "X-Attrs: `max_out` is no number of tokens"),
         ("X-Attrs", "prefix=a b", "X-Attrs: prefix: not one word of at most 128 characters"),
     ];
-    for (name, value, told) in cases {
-        let (status, body) = answer(&with(name, value));
-        assert_eq!((status, body.contains(told)), (400, true), "{name}: {value}: {body}");
+    for (name, value, text) in cases {
+        let (status, body) = answer(&headers_with(name, value));
+        assert_eq!((status, body.contains(text)), (400, true), "{name}: {value}: {body}");
     }
 }
 
 #[test]
-fn a_header_that_comes_twice_is_refused() {
+fn repeated_header_is_rejected() {
     for name in ["X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "X-Attrs"] {
-        let mut all = fields("a", "chat");
-        let first = *all.iter().find(|(n, _)| *n == name).unwrap();
-        all.push(first);
-        let (status, body) = answer(&all);
+        let mut headers = default_headers("a", "chat");
+        let first = *headers.iter().find(|(n, _)| *n == name).unwrap();
+        headers.push(first);
+        let (status, body) = answer(&headers);
         assert_eq!((status, body.contains(&format!("{name}: more than one"))), (400, true), "{body}");
     }
     for name in ["X-Retried", "Idempotency-Key"] {
-        let mut all = fields("a", "chat");
-        all.extend([(name, "again"), (name, "again")]);
-        let (status, body) = answer(&all);
+        let mut headers = default_headers("a", "chat");
+        headers.extend([(name, "again"), (name, "again")]);
+        let (status, body) = answer(&headers);
         assert_eq!((status, body.contains(&format!("{name}: more than one"))), (400, true), "{body}");
     }
-    let mut all = fields("a", "chat");
-    all.push(("Idempotency-Key", "a b"));
-    let (status, body) = answer(&all);
-    let told = "Idempotency-Key: not one word of at most 128 characters";
-    assert_eq!((status, body.contains(told)), (400, true), "{body}");
+    let mut headers = default_headers("a", "chat");
+    headers.push(("Idempotency-Key", "a b"));
+    let (status, body) = answer(&headers);
+    let text = "Idempotency-Key: not one word of at most 128 characters";
+    assert_eq!((status, body.contains(text)), (400, true), "{body}");
 }
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn settings_of_the_platform_are_read_for_the_decision_module() {
-    let class = |aim, per_1000, deadline, effect, window| Class {
-        latency_objective: ms(aim),
+fn settings_are_translated_for_the_policy() {
+    let class = |objective, per_1000, deadline, safety, window| Class {
+        latency_objective: ms(objective),
         latency_objective_per_1000_tokens: ms(per_1000),
         deadline: ms(deadline),
-        retry_safety: effect,
+        retry_safety: safety,
         dedup_window: ms(window),
     };
     assert_eq!(
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn name_addresses_seed_and_limits_are_read() {
+fn name_addresses_seed_and_limits_are_parsed() {
     let started = started();
     assert_eq!(started.listen, "127.0.0.1:5000".parse().unwrap());
     assert_eq!((started.seed, started.max_lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
@@ -75,13 +75,19 @@
     assert_eq!(classes, ["chat", "tool", "mail", "sum", "once"]);
     let tenants: Vec<&str> = config.tenants.iter().map(|t| t.name.as_str()).collect();
     assert_eq!(tenants, ["acme", "free"]);
-    let b = config.bounds;
-    assert_eq!((b.open, b.clients, b.links, b.engine_connections, b.engine_idle), (500, 106, 119, 119, 119));
-    assert_eq!((b.bodies, b.client_buffer, b.workers, b.identities), (8 << 20, 65_536, 2_000, 0));
-    let w = config.timeouts;
-    assert_eq!((w.connect, w.engine_idle, w.release), (ms(250), ms(10_000), ms(150)));
-    assert_eq!((w.discovery, w.discovery_probe), (ms(3_000), ms(250)));
-    assert_eq!(w.migration, Some(MigrationWindow { from: ms(1_800), until: ms(3_300) }));
+    let bounds = config.bounds;
+    assert_eq!(
+        (bounds.open, bounds.clients, bounds.links, bounds.engine_connections, bounds.engine_idle),
+        (500, 106, 119, 119, 119)
+    );
+    assert_eq!(
+        (bounds.bodies, bounds.client_buffer, bounds.workers, bounds.identities),
+        (8 << 20, 65_536, 2_000, 0)
+    );
+    let timeouts = config.timeouts;
+    assert_eq!((timeouts.connect, timeouts.engine_idle, timeouts.release), (ms(250), ms(10_000), ms(150)));
+    assert_eq!((timeouts.discovery, timeouts.discovery_probe), (ms(3_000), ms(250)));
+    assert_eq!(timeouts.migration, Some(MigrationWindow { from: ms(1_800), until: ms(3_300) }));
 }
 
 fn worker(id: &str, zone: Option<usize>, cell: u64, role: Role, kv_tokens: Option<u64>) -> Worker {
@@ -102,7 +108,7 @@
 }
 
 #[test]
-fn the_kept_endpoint_list_is_read_with_every_field() {
+fn stored_endpoint_list_is_parsed_with_every_field() {
     let started = started();
     let known = started.last_endpoint_list.unwrap();
     assert_eq!(
@@ -141,7 +147,7 @@
 }
 
 #[test]
-fn changes_of_the_list_that_cannot_be_read_are_told_by_their_entry() {
+fn invalid_entries_of_the_list_are_reported() {
     let dialect = started().config.dialect.unwrap();
     let members = [
         json!({"id": "a", "host_port": "127.0.0.1:4", "flavor": "mixes", "phase": "up"}),
@@ -173,26 +179,26 @@
 }
 
 #[test]
-fn a_configuration_that_is_wrong_is_told_by_field_and_cause() {
-    let told = |path: &str, value: Value| {
+fn invalid_configuration_is_reported_with_field_and_cause() {
+    let error_of = |path: &str, value: Value| {
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         *config.pointer_mut(path).unwrap() = value;
         StartupConfig::parse(&config.to_string()).map(drop).unwrap_err().to_string()
     };
-    assert_eq!(told("/listen", json!("here")), "field `listen`: `here` is not an IP address with a port");
-    assert_eq!(told("/discovery", json!("x")), "field `discovery`: `x` is not an IP address with a port");
-    assert_eq!(told("/limits/sockets", json!(127)), "field `limits.sockets`: must be at least 128");
-    assert_eq!(told("/limits/memory_mb", json!(15.9)), "field `limits.memory_mb`: must be at least 16");
+    assert_eq!(error_of("/listen", json!("here")), "field `listen`: `here` is not an IP address with a port");
+    assert_eq!(error_of("/discovery", json!("x")), "field `discovery`: `x` is not an IP address with a port");
+    assert_eq!(error_of("/limits/sockets", json!(127)), "field `limits.sockets`: must be at least 128");
+    assert_eq!(error_of("/limits/memory_mb", json!(15.9)), "field `limits.memory_mb`: must be at least 16");
     assert_eq!(
-        told("/settings/categories/0/repeat", json!("twice")),
+        error_of("/settings/categories/0/repeat", json!("twice")),
         "field `settings`: field `repeat`: unknown value `twice`"
     );
     assert_eq!(
-        told("/settings/family_info/role_by_kind/0", json!("reads")),
+        error_of("/settings/family_info/role_by_kind/0", json!("reads")),
         "field `settings`: field `role_by_kind`: unknown role `reads`"
     );
     assert_eq!(
-        told("/settings", json!({})),
+        error_of("/settings", json!({})),
         "field `settings`: missing field `balancers` at line 1 column 2"
     );
     assert_eq!(
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -1,5 +1,5 @@
-//! The users' stricter terms through the core on the platform, on bytes and connections' fates alone: what a socket would
-//! do only now and then is done here each time.
+//! Tests of rare timings in the core with the platform's dialect, which sockets would produce only now and then:
+//! partial writes, slow connects, pipelined requests and draining.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -9,193 +9,212 @@
 use chalkyard_router::*;
 use common::*;
 
-/// What a worker may be told beyond what its client has left.
-const SLACK: Micros = Micros(150_000);
+/// Tolerance by which the timeout sent to a worker may exceed the time that its client has left.
+const TIMEOUT_TOLERANCE: Micros = Micros(150_000);
 
-fn told(call: &Call) -> Micros {
+fn sent_timeout(call: &Call) -> Micros {
     Micros(call.header("x-timeout").strip_suffix('u').unwrap().parse().unwrap())
 }
 
-/// The first connection to a worker of a core; the one before it is discovery's.
-const FIRST_LINK: ConnId = ConnId(3);
+/// Id of a core's first connection to a worker; the connection to service discovery comes before it.
+const FIRST_WORKER_CONN: ConnId = ConnId(3);
 
-/// What is left of a request that was asked then, with 4.8 s.
-fn left(y: &Harness, asked: Micros) -> Micros {
-    asked + ms(4_800) - y.now
+/// Returns the time left of a request with a timeout of 4.8 s that was sent at the given time.
+fn time_left(h: &Harness, sent_at: Micros) -> Micros {
+    sent_at + ms(4_800) - h.now
 }
 
-// ---- The time told to a worker.
+// ---- The timeout sent to a worker.
 
 #[test]
-fn the_time_is_told_as_it_stands_once_the_connection_does() {
-    let mut y = yard_told(1_000, 1_000);
-    let asked = y.now;
-    let client = y.client();
-    let late = FIRST_LINK;
-    y.stuck.insert(late);
-    y.bytes(client, &request(&fields("id-1", "chat")));
-    y.advance(ms(700));
-    y.stuck.remove(&late);
-    y.input(Input::Connected(late));
-    let read = call(&mut y);
-    assert!(told(&read) <= left(&y, asked) + SLACK, "{:?}, left {:?}", told(&read), left(&y, asked));
+fn timeout_is_computed_when_the_connection_is_established() {
+    let mut h = harness_with_timeouts(1_000, 1_000);
+    let sent_at = h.now;
+    let client = h.client();
+    let slow = FIRST_WORKER_CONN;
+    h.stuck.insert(slow);
+    h.bytes(client, &request(&default_headers("id-1", "chat")));
+    h.advance(ms(700));
+    h.stuck.remove(&slow);
+    h.input(Input::Connected(slow));
+    let prefill = next_call(&mut h);
+    assert!(
+        sent_timeout(&prefill) <= time_left(&h, sent_at) + TIMEOUT_TOLERANCE,
+        "{:?}, left {:?}",
+        sent_timeout(&prefill),
+        time_left(&h, sent_at)
+    );
 }
 
 #[test]
-fn a_call_that_the_system_does_not_take_in_time_never_ran_and_is_placed_anew() {
-    let mut y = harness();
-    let asked = y.now;
-    let client = y.client();
-    let slow = FIRST_LINK;
-    y.stuck.insert(slow);
-    y.bytes(client, &request(&fields("id-1", "once")));
-    y.input(Input::Connected(slow));
-    // All but its last bytes.
-    y.input(Input::Wrote(slow, 100));
-    y.advance(ms(99));
-    assert!(!y.closed.contains(&slow));
-    y.advance(ms(1));
-    assert!(y.closed.contains(&slow), "what it told is not true any more");
-    assert_eq!(y.outcomes(), [Outcome::NoConnection]);
-    y.advance(ms(100));
-    let again = call(&mut y);
-    assert!(told(&again) <= left(&y, asked) + SLACK);
+fn call_that_is_not_written_in_time_has_not_run_and_is_retried() {
+    let mut h = harness();
+    let sent_at = h.now;
+    let client = h.client();
+    let slow = FIRST_WORKER_CONN;
+    h.stuck.insert(slow);
+    h.bytes(client, &request(&default_headers("id-1", "once")));
+    h.input(Input::Connected(slow));
+    // The system has taken all but the last bytes of the call.
+    h.input(Input::Wrote(slow, 100));
+    h.advance(ms(99));
+    assert!(!h.closed.contains(&slow));
+    h.advance(ms(1));
+    assert!(h.closed.contains(&slow), "the timeout in the partly sent call has become too long");
+    assert_eq!(h.outcomes(), [Outcome::NoConnection]);
+    h.advance(ms(100));
+    let retry = next_call(&mut h);
+    assert!(sent_timeout(&retry) <= time_left(&h, sent_at) + TIMEOUT_TOLERANCE);
 }
 
 #[test]
-fn a_call_that_was_taken_waits_for_its_answer_as_long_as_it_may() {
-    let mut y = harness();
-    ask(&mut y, "id-1", "chat");
-    let read = call(&mut y);
-    y.advance(ms(900));
-    assert!(!y.closed.contains(&read.conn));
-    reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
-    assert_eq!(y.outcomes(), [Outcome::Prefilled]);
+fn written_call_waits_for_its_answer() {
+    let mut h = harness();
+    send_request(&mut h, "id-1", "chat");
+    let prefill = next_call(&mut h);
+    h.advance(ms(900));
+    assert!(!h.closed.contains(&prefill.conn));
+    reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
+    assert_eq!(h.outcomes(), [Outcome::Prefilled]);
 }
 
-/// An answer that has begun before its call was taken whole is not cut off for that: the call has run.
+/// An answer that begins before the call was written completely proves that the call has run, so it is not cut off.
 #[test]
-fn a_stream_that_begins_ahead_of_the_calls_last_byte_goes_on() {
-    let mut y = harness();
-    let client = y.client();
-    let read = ask_and_read(&mut y, client);
-    let early = ConnId(read.conn.0 + 2);
-    y.stuck.insert(early);
-    reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
-    y.input(Input::Connected(early));
-    y.input(Input::Wrote(early, 100));
-    y.begin_stream(early);
-    chunk(&mut y, early, FIRST);
-    y.advance(ms(300));
-    assert!(!y.closed.contains(&early) && !y.closed.contains(&client));
-    assert_eq!(y.outcomes(), [Outcome::Prefilled]);
+fn stream_that_begins_before_its_call_is_written_continues() {
+    let mut h = harness();
+    let client = h.client();
+    let prefill = send_single_shot(&mut h, client);
+    let conn = ConnId(prefill.conn.0 + 2);
+    h.stuck.insert(conn);
+    reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
+    h.input(Input::Connected(conn));
+    h.input(Input::Wrote(conn, 100));
+    h.begin_stream(conn);
+    send_chunk(&mut h, conn, FIRST_EVENT);
+    h.advance(ms(300));
+    assert!(!h.closed.contains(&conn) && !h.closed.contains(&client));
+    assert_eq!(h.outcomes(), [Outcome::Prefilled]);
 }
 
-fn ask_and_read(y: &mut Harness, client: ConnId) -> Call {
-    y.bytes(client, &request(&fields("id-1", "once")));
-    call(y)
+fn send_single_shot(h: &mut Harness, client: ConnId) -> Call {
+    h.bytes(client, &request(&default_headers("id-1", "once")));
+    next_call(h)
 }
 
-/// An answer that comes before its call was taken whole is good; its connection is not used again.
+/// An answer that arrives before the call was written completely is valid, but its connection is not reused.
 #[test]
-fn a_connection_whose_call_was_not_taken_whole_is_not_used_again() {
-    let mut y = harness();
-    let client = y.client();
-    let early = FIRST_LINK;
-    y.stuck.insert(early);
-    y.bytes(client, &request(&fields("id-1", "chat")));
-    y.input(Input::Connected(early));
-    y.input(Input::Wrote(early, 100));
-    reply(&mut y, early, 503, &[NOT_RUN], "");
-    assert_eq!(y.outcomes()[0], Outcome::Rejected { no_state: false });
-    assert!(y.closed.contains(&early));
+fn connection_with_a_partly_written_call_is_not_reused() {
+    let mut h = harness();
+    let client = h.client();
+    let conn = FIRST_WORKER_CONN;
+    h.stuck.insert(conn);
+    h.bytes(client, &request(&default_headers("id-1", "chat")));
+    h.input(Input::Connected(conn));
+    h.input(Input::Wrote(conn, 100));
+    reply(&mut h, conn, 503, &[NOT_PROCESSED], "");
+    assert_eq!(h.outcomes()[0], Outcome::Rejected { no_state: false });
+    assert!(h.closed.contains(&conn));
 }
 
 #[test]
-fn a_request_that_waited_unread_has_no_more_time_than_since_its_client_was_paused() {
-    let mut y = harness();
-    let client = ask(&mut y, "id-1", "chat");
-    let asked = y.now;
-    // One that is longer than what may wait: no more is read.
+fn timeout_of_an_unread_request_counts_from_the_pause_of_its_client() {
+    let mut h = harness();
+    let client = send_request(&mut h, "id-1", "chat");
+    let sent_at = h.now;
+    // The second request exceeds the limit of pipelined bytes, so reading pauses.
     let body = " ".repeat(17 * 1024);
-    let long = encode::request("POST", "/v1/chat/completions", "a", &fields("id-2", "chat"), body.as_bytes());
-    y.bytes(client, &long);
-    assert!(y.paused.contains(&client));
-    // A third one may have come as early, and lies unread until the first is answered.
-    y.advance(ms(500));
-    let serve = |y: &mut Harness| {
-        let read = call(y);
-        reply(y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
-        let write = call(y);
-        y.begin_stream(write.conn);
-        chunk(y, write.conn, &format!("{FIRST}{LAST}"));
-        y.bytes(write.conn, encode::LAST_CHUNK);
+    let long_request = encode::request(
+        "POST",
+        "/v1/chat/completions",
+        "a",
+        &default_headers("id-2", "chat"),
+        body.as_bytes(),
+    );
+    h.bytes(client, &long_request);
+    assert!(h.paused.contains(&client));
+    // A third request may have been sent just as early; it stays unread until the first one is answered.
+    h.advance(ms(500));
+    let serve = |h: &mut Harness| {
+        let prefill = next_call(h);
+        reply(h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
+        let decode = next_call(h);
+        h.begin_stream(decode.conn);
+        send_chunk(h, decode.conn, &format!("{FIRST_EVENT}{LAST_EVENTS}"));
+        h.bytes(decode.conn, encode::LAST_CHUNK);
     };
-    serve(&mut y);
-    assert!(!y.paused.contains(&client));
-    y.bytes(client, &request(&fields("id-3", "chat")));
-    serve(&mut y);
-    let next = call(&mut y);
+    serve(&mut h);
+    assert!(!h.paused.contains(&client));
+    h.bytes(client, &request(&default_headers("id-3", "chat")));
+    serve(&mut h);
+    let next = next_call(&mut h);
     assert_eq!(next.header("x-request-id"), "id-3");
-    assert!(told(&next) <= left(&y, asked) + SLACK, "{:?}, left {:?}", told(&next), left(&y, asked));
+    assert!(
+        sent_timeout(&next) <= time_left(&h, sent_at) + TIMEOUT_TOLERANCE,
+        "{:?}, left {:?}",
+        sent_timeout(&next),
+        time_left(&h, sent_at)
+    );
 }
 
-// ---- Requests that were read.
+// ---- Pipelined requests and idle clients.
 
-/// A draining router answers what it has read, and says with the last answer that it closes.
+/// A draining router answers the requests that it has read, and announces the close in the last answer.
 #[test]
-fn a_request_that_waits_behind_another_is_answered_while_draining() {
-    let mut y = harness();
-    let client = y.client();
-    let both = [request(&fields("id-1", "chat")), request(&fields("id-2", "chat"))].concat();
-    y.bytes(client, &both);
+fn pipelined_request_is_answered_while_draining() {
+    let mut h = harness();
+    let client = h.client();
+    let both =
+        [request(&default_headers("id-1", "chat")), request(&default_headers("id-2", "chat"))].concat();
+    h.bytes(client, &both);
     let mut out = Vec::new();
-    y.core.drain(y.now, &mut out);
+    h.core.drain(h.now, &mut out);
     assert!(out.is_empty(), "{out:?}");
     for _ in 0..2 {
-        let read = call(&mut y);
-        reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
-        let write = call(&mut y);
-        y.begin_stream(write.conn);
-        chunk(&mut y, write.conn, &format!("{FIRST}{LAST}"));
-        y.bytes(write.conn, encode::LAST_CHUNK);
+        let prefill = next_call(&mut h);
+        reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
+        let decode = next_call(&mut h);
+        h.begin_stream(decode.conn);
+        send_chunk(&mut h, decode.conn, &format!("{FIRST_EVENT}{LAST_EVENTS}"));
+        h.bytes(decode.conn, encode::LAST_CHUNK);
     }
-    let text = String::from_utf8(y.raw(client).to_vec()).unwrap();
+    let text = String::from_utf8(h.raw(client).to_vec()).unwrap();
     let heads: Vec<&str> = text.match_indices("HTTP/1.1 200").map(|(at, _)| &text[at..]).collect();
     assert_eq!(heads.len(), 2, "{text}");
-    let says_close = |head: &str| head.split("\r\n\r\n").next().unwrap().contains("connection: close");
-    assert_eq!((says_close(heads[0]), says_close(heads[1])), (false, true));
-    assert!(y.closed.contains(&client));
+    let announces_close = |head: &str| head.split("\r\n\r\n").next().unwrap().contains("connection: close");
+    assert_eq!((announces_close(heads[0]), announces_close(heads[1])), (false, true));
+    assert!(h.closed.contains(&client));
 }
 
-/// Told that the connection ends with its answer, a client is not read any more: what it sends is not lost, it is unread.
+/// Once an answer announces the close of its connection, no further request is read from it, so that none is read and then
+/// dropped.
 #[test]
-fn a_client_that_was_told_of_the_end_is_not_read_any_more() {
-    let mut y = harness();
-    let (client, write) = written(&mut y, "id-1", "chat");
+fn client_is_not_read_after_its_close_was_announced() {
+    let mut h = harness();
+    let (client, decode) = start_decode(&mut h, "id-1", "chat");
     let mut out = Vec::new();
-    y.core.drain(y.now, &mut out);
-    y.begin_stream(write.conn);
-    chunk(&mut y, write.conn, FIRST);
-    assert!(y.paused.contains(&client));
-    chunk(&mut y, write.conn, LAST);
-    y.bytes(write.conn, encode::LAST_CHUNK);
-    assert!(y.closed.contains(&client));
+    h.core.drain(h.now, &mut out);
+    h.begin_stream(decode.conn);
+    send_chunk(&mut h, decode.conn, FIRST_EVENT);
+    assert!(h.paused.contains(&client));
+    send_chunk(&mut h, decode.conn, LAST_EVENTS);
+    h.bytes(decode.conn, encode::LAST_CHUNK);
+    assert!(h.closed.contains(&client));
 }
 
-/// Bytes are found on clients that were to make room: each time another goes, until there is none.
+/// A client chosen for eviction stays if it has sent bytes that the router has not read yet. Another one is then chosen,
+/// until there is none left.
 #[test]
-fn of_silent_clients_those_that_have_spoken_unread_stay() {
-    let mut y = harness();
-    let crowd: Vec<ConnId> = (0..(256 - 20) * 9 / 20).map(|_| y.client()).collect();
-    y.unread.extend(&crowd[..5]);
-    let usual = ask(&mut y, "id-1", "chat");
-    assert_eq!(y.closed.len(), 0, "it was to be the first, which has spoken");
-    for spoken in &crowd[..5] {
-        y.unread.remove(spoken);
-        y.bytes(*spoken, b"GET /up HTTP/1.1\r\n");
+fn clients_with_unread_bytes_are_not_evicted() {
+    let mut h = harness();
+    let clients: Vec<ConnId> = (0..(256 - 20) * 9 / 20).map(|_| h.client()).collect();
+    h.unread.extend(&clients[..5]);
+    let active = send_request(&mut h, "id-1", "chat");
+    assert_eq!(h.closed.len(), 0, "the first client chosen for eviction has sent bytes");
+    for sender in &clients[..5] {
+        h.unread.remove(sender);
+        h.bytes(*sender, b"GET /up HTTP/1.1\r\n");
     }
-    assert!(crowd[..5].iter().all(|c| !y.closed.contains(c)), "who has spoken stays");
-    assert!(!y.closed.contains(&usual));
-    assert_eq!(y.core.open_clients(), crowd.len());
+    assert!(clients[..5].iter().all(|c| !h.closed.contains(c)), "clients that have sent bytes stay");
+    assert!(!h.closed.contains(&active));
+    assert_eq!(h.core.open_clients(), clients.len());
 }
