--- a/crates/api/src/client_test.rs
+++ b/crates/api/src/client_test.rs
@@ -3,13 +3,13 @@
 use super::*;
 use crate::tokens;
 
-fn refused(body: &str) -> (String, String) {
+fn rejection(body: &str) -> (String, String) {
     let r = MessagesRequest::parse(body.as_bytes(), &RequestLimits::default()).unwrap_err();
     (r.field, r.reason)
 }
 
 #[test]
-fn a_valid_call_is_parsed_and_its_prompt_begins_with_the_system_text() {
+fn valid_request_is_parsed_and_its_prompt_begins_with_the_system_text() {
     let body = r#"{"model":"m","system":"You help.","max_tokens":9,"stream":true,
         "messages":[{"role":"user","content":[{"type":"text","text":"Hello"}]}],
         "metadata":{"class":"help","session":"s1","deadline_ms":900,"retry":true}}"#;
@@ -22,18 +22,22 @@
 
 #[test]
 fn text_with_special_characters_reaches_the_prompt_unchanged() {
-    let said = "\"quoted\" \\ back\nline\u{1}\u{7f} Grüezi \u{2028}";
-    let body = serde_json::json!({"model": "m", "system": said, "messages": [
-        {"role": "user", "content": [{"type": "text", "text": said}, {"type": "text", "text": "b"}]},
-        {"role": "assistant", "content": said}, {"role": "user", "content": "plain"}]});
+    let text = "\"quoted\" \\ back\nline\u{1}\u{7f} Grüezi \u{2028}";
+    let body = serde_json::json!({"model": "m", "system": text, "messages": [
+        {"role": "user", "content": [{"type": "text", "text": text}, {"type": "text", "text": "b"}]},
+        {"role": "assistant", "content": text}, {"role": "user", "content": "plain"}]});
     let r = MessagesRequest::parse(body.to_string().as_bytes(), &RequestLimits::default()).unwrap();
     let prompt: String = serde_json::from_str(r.prompt.get()).unwrap();
-    assert_eq!(prompt, format!("{said}\n\nuser: {said}b\nassistant: {said}\nuser: plain\nassistant: "));
-    assert_eq!(r.prompt_tokens, tokens::estimate(&prompt), "piece by piece as at once");
+    assert_eq!(prompt, format!("{text}\n\nuser: {text}b\nassistant: {text}\nuser: plain\nassistant: "));
+    assert_eq!(
+        r.prompt_tokens,
+        tokens::estimate(&prompt),
+        "the sum over the pieces equals the estimate of the complete prompt"
+    );
 }
 
 #[test]
-fn an_invalid_call_is_refused_with_field_and_reason() {
+fn invalid_request_is_rejected_with_field_and_reason() {
     let user = r#"[{"role":"user","content":"x"}]"#;
     let cases = [
         ("{", "body", "EOF"),
@@ -44,7 +48,7 @@
         (r#"{"model":"m","messages":[{"role":"assistant","content":"x"}]}"#, "messages[0].role", "last"),
     ];
     for (body, field, reason) in cases {
-        let (f, r) = refused(body);
+        let (f, r) = rejection(body);
         assert!(f == field && r.contains(reason), "{body}: {f}: {r}");
     }
     let extra = [
@@ -59,7 +63,7 @@
         (r#""model":"m","tempreature":1"#, "tempreature"),
     ];
     for (fields, field) in extra {
-        let (f, r) = refused(&format!("{{{fields},\"messages\":{user}}}"));
+        let (f, r) = rejection(&format!("{{{fields},\"messages\":{user}}}"));
         assert!(f == field || r.contains(field), "{fields}: {f}: {r}");
     }
 }
--- a/crates/api/src/engine_test.rs
+++ b/crates/api/src/engine_test.rs
@@ -9,17 +9,17 @@
     let request = MessagesRequest::parse(body, &RequestLimits::default()).unwrap();
     let json =
         |stage| serde_json::from_slice::<serde_json::Value>(&completion_body(&request, stage)).unwrap();
-    let read = json(Stage::Prefill);
-    assert_eq!((&read["max_tokens"], &read["stream"]), (&1.into(), &false.into()));
-    assert_eq!(read["kv_transfer_params"]["do_remote_decode"], true);
+    let prefill = json(Stage::Prefill);
+    assert_eq!((&prefill["max_tokens"], &prefill["stream"]), (&1.into(), &false.into()));
+    assert_eq!(prefill["kv_transfer_params"]["do_remote_decode"], true);
     let (usage, params) = parse_prefill_answer(
         br#"{"usage":{"prompt_tokens":7,"prompt_tokens_details":{"cached_tokens":3}},"kv_transfer_params":{"a":[1]}}"#,
     )
     .unwrap();
     assert_eq!((usage.prompt_tokens, usage.cached_tokens), (7, 3));
-    let pull = json(Stage::Decode(&params));
-    assert_eq!((&pull["kv_transfer_params"]["a"][0], &pull["max_tokens"]), (&1.into(), &5.into()));
-    assert_eq!(pull["top_p"], 0.5);
+    let decode = json(Stage::Decode(&params));
+    assert_eq!((&decode["kv_transfer_params"]["a"][0], &decode["max_tokens"]), (&1.into(), &5.into()));
+    assert_eq!(decode["top_p"], 0.5);
     assert!(json(Stage::Combined).get("kv_transfer_params").is_none());
     assert!(parse_prefill_answer(b"{}").is_err());
 }
--- a/crates/api/tests/wire_forms.rs
+++ b/crates/api/tests/wire_forms.rs
@@ -1,4 +1,4 @@
-//! The calls of clients and to engines as they go over the wire: every field by its name and form.
+//! Tests of the wire format of messages to and from clients and engines: each field with its name and form.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_api::client::{CompleteAnswer, ErrorBody, ErrorKind, Event, RequestLimits, Usage};
@@ -10,7 +10,7 @@
     MessagesRequest::parse(body.to_string().as_bytes(), &RequestLimits::default())
 }
 
-fn full() -> Value {
+fn full_request() -> Value {
     json!({
         "model": "m", "system": "You help.", "max_tokens": 9, "stream": true, "temperature": 0.5, "top_p": 0.25,
         "stop_sequences": ["a", "b"],
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn a_call_with_every_field_is_read() {
-    let r = parse(&full()).unwrap();
+fn request_with_every_field_is_parsed() {
+    let r = parse(&full_request()).unwrap();
     assert_eq!(r.prompt.get(), r#""You help.\n\nuser: one\nassistant: two\nuser: threefour\nassistant: ""#);
     assert_eq!(r.prefix, Some(("6052de764c9b4ccc7a1b29a9743ea2ae".into(), 3)));
     assert_eq!((r.prompt_tokens, r.max_tokens, r.stream), (20, 9, true));
@@ -35,62 +35,74 @@
 }
 
 #[test]
-fn a_call_with_the_least_fields_has_defaults() {
+fn request_with_only_required_fields_has_defaults() {
     let r = parse(&json!({"model": "m", "messages": [{"role": "user", "content": "one"}]})).unwrap();
     assert_eq!((r.prefix, r.max_tokens, r.stream), (None, 4_096, false));
     assert_eq!((r.class, r.session, r.deadline_ms, r.retry, r.resumed), (None, None, None, false, false));
 }
 
 #[test]
-fn a_call_that_is_wrong_is_refused_with_its_field_and_text() {
-    let told = |path: &str, value: Value| {
-        let mut body = full();
+fn invalid_request_is_rejected_with_field_and_text() {
+    let rejection_of = |path: &str, value: Value| {
+        let mut body = full_request();
         *body.pointer_mut(path).unwrap() = value;
         let refusal = parse(&body).unwrap_err();
         (refusal.status, refusal.field, refusal.reason)
     };
-    let is = |field: &str, reason: &str| (400, field.to_owned(), reason.to_owned());
+    let rejected = |field: &str, reason: &str| (400, field.to_owned(), reason.to_owned());
     let name = "must be 1 to 128 visible ASCII characters without quotes";
-    assert_eq!(told("/model", json!("m m")), is("model", name));
-    assert_eq!(told("/metadata/class", json!("")), is("metadata.class", name));
-    assert_eq!(told("/metadata/session", json!("\"")), is("metadata.session", name));
-    assert_eq!(told("/messages", json!([])), is("messages", "must be 1 to 1000 messages"));
+    assert_eq!(rejection_of("/model", json!("m m")), rejected("model", name));
+    assert_eq!(rejection_of("/metadata/class", json!("")), rejected("metadata.class", name));
+    assert_eq!(rejection_of("/metadata/session", json!("\"")), rejected("metadata.session", name));
+    assert_eq!(rejection_of("/messages", json!([])), rejected("messages", "must be 1 to 1000 messages"));
     let last = json!([{"role": "assistant", "content": "x"}]);
-    assert_eq!(told("/messages", last), is("messages[0].role", "the last message must be the user's"));
-    assert_eq!(told("/max_tokens", json!(0)), is("max_tokens", "must be 1 to 4096"));
-    assert_eq!(told("/metadata/deadline_ms", json!(0)), is("metadata.deadline_ms", "must be at least 1"));
-    assert_eq!(told("/temperature", json!(2.5)), is("temperature", "must be 0 to 2"));
-    assert_eq!(told("/top_p", json!(-1)), is("top_p", "must be 0 to 1"));
+    assert_eq!(
+        rejection_of("/messages", last),
+        rejected("messages[0].role", "the last message must be the user's")
+    );
+    assert_eq!(rejection_of("/max_tokens", json!(0)), rejected("max_tokens", "must be 1 to 4096"));
+    assert_eq!(
+        rejection_of("/metadata/deadline_ms", json!(0)),
+        rejected("metadata.deadline_ms", "must be at least 1")
+    );
+    assert_eq!(rejection_of("/temperature", json!(2.5)), rejected("temperature", "must be 0 to 2"));
+    assert_eq!(rejection_of("/top_p", json!(-1)), rejected("top_p", "must be 0 to 1"));
     let stop = "must be at most 4 texts of 1 to 128 bytes";
-    assert_eq!(told("/stop_sequences", json!(["a", "a", "a", "a", "a"])), is("stop_sequences", stop));
-    assert_eq!(told("/stop_sequences", json!([""])), is("stop_sequences", stop));
     assert_eq!(
-        told("/messages/0/content", json!(7)),
-        is(
+        rejection_of("/stop_sequences", json!(["a", "a", "a", "a", "a"])),
+        rejected("stop_sequences", stop)
+    );
+    assert_eq!(rejection_of("/stop_sequences", json!([""])), rejected("stop_sequences", stop));
+    assert_eq!(
+        rejection_of("/messages/0/content", json!(7)),
+        rejected(
             "messages[0].content",
             "data did not match any variant of untagged enum Content at line 1 column 40"
         )
     );
     assert_eq!(
-        told("/messages/0/role", json!("king")),
-        is("messages[0].role", "unknown variant `king`, expected `user` or `assistant` at line 1 column 58")
+        rejection_of("/messages/0/role", json!("king")),
+        rejected(
+            "messages[0].role",
+            "unknown variant `king`, expected `user` or `assistant` at line 1 column 58"
+        )
     );
     assert_eq!(
-        told("/messages/0", json!(7)),
-        is("messages[0]", "invalid type: integer `7`, expected struct RawMessage at line 1 column 29")
+        rejection_of("/messages/0", json!(7)),
+        rejected("messages[0]", "invalid type: integer `7`, expected struct RawMessage at line 1 column 29")
     );
     assert_eq!(
-        told("/metadata", json!(7)),
-        is("metadata", "invalid type: integer `7`, expected struct RawMetadata at line 1 column 199")
+        rejection_of("/metadata", json!(7)),
+        rejected("metadata", "invalid type: integer `7`, expected struct RawMetadata at line 1 column 199")
     );
     let long = json!("word ".repeat(200_000));
-    let (status, field, reason) = told("/system", long);
+    let (status, field, reason) = rejection_of("/system", long);
     assert_eq!((status, field.as_str()), (413, "messages"));
     assert_eq!(reason, "about 200017 prompt tokens, over 128000");
 }
 
 #[test]
-fn names_of_events_and_their_data_are_as_clients_know_them() {
+fn events_and_errors_have_their_published_form() {
     let usage = Usage { prompt_tokens: 1, cached_tokens: 2, output_tokens: 3 };
     let error = ErrorBody {
         kind: ErrorKind::Refused,
@@ -99,24 +111,24 @@
         may_have_run: false,
         retry_after: Some(0.5),
     };
-    let told = |event: Event<'_>| (event.name(), event.json());
+    let encoded = |event: Event<'_>| (event.name(), event.json());
     assert_eq!(
-        told(Event::Opened { id: "q", model: "m" }),
+        encoded(Event::Opened { id: "q", model: "m" }),
         ("message.opened", r#"{"id":"q","model":"m"}"#.into())
     );
-    assert_eq!(told(Event::Delta { text: "t" }), ("message.delta", r#"{"text":"t"}"#.into()));
+    assert_eq!(encoded(Event::Delta { text: "t" }), ("message.delta", r#"{"text":"t"}"#.into()));
     let usage_json = r#""usage":{"prompt_tokens":1,"kept_tokens":2,"output_tokens":3}"#;
     assert_eq!(
-        told(Event::Closed { stop_reason: "stop", usage }),
+        encoded(Event::Closed { stop_reason: "stop", usage }),
         ("message.closed", format!(r#"{{"stop_reason":"stop",{usage_json}}}"#))
     );
     let error_json =
         r#"{"type":"refused","reason":"busy","field":"model","may_have_run":false,"retry_after":0.5}"#;
     assert_eq!(
-        told(Event::Broken { error: error.clone() }),
+        encoded(Event::Broken { error: error.clone() }),
         ("message.broken", format!(r#"{{"error":{error_json}}}"#))
     );
-    // The body of an error answer is sorted by name.
+    // The fields of an error response's body are sorted by name.
     assert_eq!(
         String::from_utf8(error.json()).unwrap(),
         r#"{"error":{"field":"model","may_have_run":false,"reason":"busy","retry_after":0.5,"type":"refused"}}"#
@@ -134,7 +146,7 @@
 }
 
 #[test]
-fn each_kind_of_error_has_its_name() {
+fn error_kinds_have_their_published_names() {
     let kinds = [
         ErrorKind::Invalid,
         ErrorKind::Unauthorized,
@@ -151,15 +163,15 @@
 
 #[test]
 fn completion_calls_have_the_published_fields() {
-    let request = parse(&full()).unwrap();
+    let request = parse(&full_request()).unwrap();
     let body = |stage| String::from_utf8(engine::completion_body(&request, stage)).unwrap();
     let prompt =
         r#""model":"m","prompt":"You help.\n\nuser: one\nassistant: two\nuser: threefour\nassistant: ""#;
     let sampling = r#""temperature":0.5,"top_p":0.25,"stop":["a","b"]"#;
-    let handed = r#""kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}"#;
+    let remote_decode = r#""kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}"#;
     assert_eq!(
         body(Stage::Prefill),
-        format!("{{{prompt},\"max_tokens\":1,\"stream\":false,{handed},{sampling}}}")
+        format!("{{{prompt},\"max_tokens\":1,\"stream\":false,{remote_decode},{sampling}}}")
     );
     let streamed = r#""max_tokens":9,"stream":true,"stream_options":{"include_usage":true}"#;
     assert_eq!(body(Stage::Combined), format!("{{{prompt},{streamed},{sampling}}}"));
@@ -185,7 +197,7 @@
 }
 
 #[test]
-fn answers_of_engines_that_cannot_be_used_are_told_with_their_cause() {
+fn unusable_answers_of_engines_are_reported_with_their_cause() {
     let read = |body: &str| engine::parse_prefill_answer(body.as_bytes()).unwrap_err().to_string();
     assert_eq!(read("{}"), "no kv_transfer_params");
     assert_eq!(read("{"), "EOF while parsing an object at line 1 column 1");
@@ -201,7 +213,7 @@
 }
 
 #[test]
-fn each_figure_of_a_load_report_is_read_in_both_forms() {
+fn load_report_metrics_are_parsed_in_both_forms() {
     let full = LoadReport {
         cpu_utilization: Some(0.1),
         mem_utilization: Some(0.2),
@@ -218,6 +230,6 @@
     assert_eq!(engine::parse_load_report(json), Some(full));
     let text = "TEXT cpu_utilization=0.1,mem_utilization=0.2, rps_fractional = 0.3 ,eps=0.4,named_metrics.in_flight=5,named_metrics.queue_depth=6,named_metrics.latency_ms=7,named_metrics.waiting_tokens=8";
     assert_eq!(engine::parse_load_report(text), Some(full));
-    let wrong = "TEXT cpu_utilization=-1,mem_utilization=inf,rps_fractional=x,named_metrics.in_flight=nan";
-    assert_eq!(engine::parse_load_report(wrong), Some(LoadReport::default()));
+    let invalid = "TEXT cpu_utilization=-1,mem_utilization=inf,rps_fractional=x,named_metrics.in_flight=nan";
+    assert_eq!(engine::parse_load_report(invalid), Some(LoadReport::default()));
 }
