--- a/crates/platform/tests/flow.rs
+++ b/crates/platform/tests/flow.rs
@@ -105,10 +105,10 @@
         let mut h = harness();
         send_request(&mut h, "id-1", "once");
         let prefill = next_call(&mut h);
-        let stuck = ConnId(prefill.conn.0 + 2);
-        h.stuck.insert(stuck);
+        let decode_conn = ConnId(prefill.conn.0 + 2);
+        h.stuck.insert(decode_conn);
         reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
-        h.input(Input::Connected(stuck));
+        h.input(Input::Connected(decode_conn));
         let size = encode::request(
             "POST",
             "/v1/chat/completions?a=b",
@@ -117,8 +117,8 @@
             BODY.as_bytes(),
         )
         .len();
-        h.input(Input::Wrote(stuck, size - missing_bytes));
-        h.input(Input::Lost(stuck));
+        h.input(Input::Wrote(decode_conn, size - missing_bytes));
+        h.input(Input::Lost(decode_conn));
         assert_eq!(h.outcomes()[1], outcome);
         assert_eq!(
             has_call(&h),
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -84,9 +84,9 @@
 /// A release call frees all state that is reserved for a request, so none is sent once a later prefill has succeeded.
 #[test]
 fn state_of_a_later_prefill_is_not_released_by_calls_for_an_earlier_one() {
-    let mut all = default_members();
-    all.push(member("r2", "reads", 4, "up"));
-    let started = StartupConfig::parse(&config_text(false, &members(4, true, &all))).unwrap();
+    let mut workers = default_members();
+    workers.push(member("r2", "reads", 4, "up"));
+    let started = StartupConfig::parse(&config_text(false, &members(4, true, &workers))).unwrap();
     let mut h = Harness::started(started.config, started.last_endpoint_list.as_deref());
     send_request(&mut h, "id-1", "chat");
     let prefill = next_call(&mut h);
@@ -134,8 +134,8 @@
     let mut h = harness();
     send_request(&mut h, "id-1", "once");
     let prefill = next_call(&mut h);
-    // The reservation timeout is 1 s and the connect timeout 250 ms. Decode attempts share four fifths of the reservation
-    // timeout, and each may take half of what is left to connect.
+    // The reservation timeout is 1 s and the connect timeout 250 ms. The state is released after four fifths of the
+    // reservation timeout, and each connect may take half of the time left until then.
     for n in 1..=8 {
         h.stuck.insert(ConnId(prefill.conn.0 + 2 * n));
     }
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -79,16 +79,16 @@
     #[test]
     fn stream_split_anywhere_gives_the_same_progress(bytes in stream(), at in prop::collection::vec(any::<prop::sample::Index>(), 0..6)) {
         let platform = Platform::new(Names::default());
-        let mut whole = platform.response_observer();
-        whole.push(&bytes);
+        let mut unsplit = platform.response_observer();
+        unsplit.push(&bytes);
         let mut cuts: Vec<usize> = at.iter().map(|i| i.index(bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
-        let mut pieces = platform.response_observer();
+        let mut split = platform.response_observer();
         for pair in cuts.windows(2) {
-            pieces.push(&bytes[pair[0]..pair[1]]);
+            split.push(&bytes[pair[0]..pair[1]]);
         }
-        prop_assert_eq!(whole.progress(), pieces.progress());
+        prop_assert_eq!(unsplit.progress(), split.progress());
     }
 
     #[test]
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -31,12 +31,12 @@
     let mut h = harness_with_timeouts(1_000, 1_000);
     let sent_at = h.now;
     let client = h.client();
-    let slow = FIRST_WORKER_CONN;
-    h.stuck.insert(slow);
+    let conn = FIRST_WORKER_CONN;
+    h.stuck.insert(conn);
     h.bytes(client, &request(&default_headers("id-1", "chat")));
     h.advance(ms(700));
-    h.stuck.remove(&slow);
-    h.input(Input::Connected(slow));
+    h.stuck.remove(&conn);
+    h.input(Input::Connected(conn));
     let prefill = next_call(&mut h);
     assert!(
         sent_timeout(&prefill) <= time_left(&h, sent_at) + TIMEOUT_TOLERANCE,
@@ -51,16 +51,16 @@
     let mut h = harness();
     let sent_at = h.now;
     let client = h.client();
-    let slow = FIRST_WORKER_CONN;
-    h.stuck.insert(slow);
+    let conn = FIRST_WORKER_CONN;
+    h.stuck.insert(conn);
     h.bytes(client, &request(&default_headers("id-1", "once")));
-    h.input(Input::Connected(slow));
+    h.input(Input::Connected(conn));
     // The system has taken all but the last bytes of the call.
-    h.input(Input::Wrote(slow, 100));
+    h.input(Input::Wrote(conn, 100));
     h.advance(ms(99));
-    assert!(!h.closed.contains(&slow));
+    assert!(!h.closed.contains(&conn));
     h.advance(ms(1));
-    assert!(h.closed.contains(&slow), "the timeout in the partly sent call has become too long");
+    assert!(h.closed.contains(&conn), "the timeout in the partly sent call has become too long");
     assert_eq!(h.outcomes(), [Outcome::NoConnection]);
     h.advance(ms(100));
     let retry = next_call(&mut h);
--- a/crates/proto/tests/messages.rs
+++ b/crates/proto/tests/messages.rs
@@ -154,12 +154,12 @@
                 bytes.extend(encode::request("POST", "/v", "h", &[("a", "b")], body));
             }
         }
-        let whole = decode_all(Side::Request, &[&bytes], true).unwrap();
+        let unsplit = decode_all(Side::Request, &[&bytes], true).unwrap();
         let pieces = cut(&bytes, &at);
         let split: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
-        prop_assert_eq!(&whole, &decode_all(Side::Request, &split, true).unwrap());
+        prop_assert_eq!(&unsplit, &decode_all(Side::Request, &split, true).unwrap());
         let sent: Vec<u8> = bodies.iter().flat_map(|(b, _)| b.clone()).collect();
-        let got: Vec<u8> = whole.iter().flat_map(|p| match p { Part::Data(d) => d.clone(), _ => vec![] }).collect();
+        let got: Vec<u8> = unsplit.iter().flat_map(|p| match p { Part::Data(d) => d.clone(), _ => vec![] }).collect();
         prop_assert_eq!(sent, got);
     }
 
