--- a/crates/adapter/src/session.rs
+++ b/crates/adapter/src/session.rs
@@ -10,7 +10,7 @@
 
 struct Instance {
     router: Router,
-    names: translate::Names,
+    names: translate::NameIndex,
 }
 
 /// The living instances, and the kinds already complained about.
@@ -83,7 +83,7 @@
         let kind = head.kind.as_str();
         let known = self.instances.get(&head.who);
         // Events for an instance that is not held are read all the same: a malformed one is said.
-        let none = translate::Names::default();
+        let none = translate::NameIndex::default();
         let names = known.as_ref().map_or(&none, |i| &i.names);
         let living = known.is_some();
         let event = match kind {
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -8,14 +8,14 @@
 
 /// The names that the settings give to positions, needed to read later messages.
 #[derive(Debug, Default, Clone)]
-pub struct Names {
+pub struct NameIndex {
     classes: BTreeMap<String, p::ClassId>,
     tenants: BTreeMap<String, p::TenantId>,
     zones: BTreeMap<String, p::ZoneId>,
     kinds: BTreeMap<String, (p::Role, Option<u64>)>,
 }
 
-impl Names {
+impl NameIndex {
     /// The class of this name.
     pub fn class(&self, name: &str) -> Option<p::ClassId> {
         self.classes.get(name).copied()
@@ -37,7 +37,7 @@
     }
 
     /// What a machine of this kind does, and its memory; one of an unknown kind does both.
-    pub fn kind(&self, name: Option<&str>) -> (p::Role, Option<u64>) {
+    pub fn worker_kind(&self, name: Option<&str>) -> (p::Role, Option<u64>) {
         name.and_then(|n| self.kinds.get(n)).copied().unwrap_or((p::Role::Combined, None))
     }
 }
@@ -51,8 +51,8 @@
 }
 
 /// Reads the settings. A word that the wire page does not know is an error naming its field.
-pub fn settings(w: &wire::Params) -> Result<(p::Settings, Names), String> {
-    let names = Names {
+pub fn settings(w: &wire::Params) -> Result<(p::Settings, NameIndex), String> {
+    let names = NameIndex {
         classes: positions(w.categories.iter().map(|c| c.name.as_str()), p::ClassId),
         tenants: positions(w.tenants.iter().map(|t| t.name.as_str()), p::TenantId),
         zones: positions(w.dcs.iter().map(String::as_str), p::ZoneId),
@@ -132,7 +132,7 @@
 }
 
 /// Reads a list of workers.
-pub fn registry(names: &Names, w: &wire::Registry) -> Result<p::Event, String> {
+pub fn registry(names: &NameIndex, w: &wire::Registry) -> Result<p::Event, String> {
     let update = match w.mode.as_str() {
         "snapshot" => p::EndpointUpdate::Snapshot,
         "disk" => p::EndpointUpdate::LastKnown,
@@ -142,7 +142,7 @@
     };
     let mut workers = Vec::with_capacity(w.nodes_list.len());
     for n in &w.nodes_list {
-        let (role, kv_tokens) = names.kind(n.model.as_deref());
+        let (role, kv_tokens) = names.worker_kind(n.model.as_deref());
         workers.push(p::Worker {
             id: n.worker.as_str().into(),
             zone: n.az.as_ref().and_then(|z| names.zones.get(z)).copied(),
@@ -163,7 +163,7 @@
 }
 
 /// Reads a request.
-pub fn request(names: &Names, w: &wire::JobIn) -> Result<p::Event, String> {
+pub fn request(names: &NameIndex, w: &wire::JobIn) -> Result<p::Event, String> {
     let class = names.classes.get(&w.qos).copied();
     let tenant = w.realm.as_ref().and_then(wire::Key::text);
     Ok(p::Event::Request(p::Request {
@@ -180,12 +180,12 @@
 }
 
 /// Reads a load report.
-pub fn report(s: &wire::Stats) -> p::LoadReport {
+pub fn load_report(s: &wire::LoadStats) -> p::LoadReport {
     p::LoadReport {
-        queued: s.depth,
-        slots_used: s.load_share,
-        kv_used: s.x0,
-        waiting_tokens: s.x1.map(|k| k * 1e3),
+        queued: s.queued,
+        slots_used: s.slots_used,
+        kv_used: s.kv_used,
+        waiting_tokens: s.waiting_kilotokens.map(|k| k * 1e3),
     }
 }
 
@@ -223,7 +223,7 @@
         } else {
             0
         },
-        report: w.stats.as_ref().map(report),
+        report: w.stats.as_ref().map(load_report),
     })
 }
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -108,19 +108,23 @@
     #[serde(default)]
     pub detail: u64,
     #[serde(default)]
-    pub stats: Option<Stats>,
+    pub stats: Option<LoadStats>,
 }
 
 #[derive(Debug, Default, Deserialize)]
-pub struct Stats {
+pub struct LoadStats {
     #[serde(default)]
-    pub depth: Option<f64>,
+    #[serde(rename = "depth")]
+    pub queued: Option<f64>,
     #[serde(default)]
-    pub load_share: Option<f64>,
+    #[serde(rename = "load_share")]
+    pub slots_used: Option<f64>,
     #[serde(default)]
-    pub x0: Option<f64>,
+    #[serde(rename = "x0")]
+    pub kv_used: Option<f64>,
     #[serde(default)]
-    pub x1: Option<f64>,
+    #[serde(rename = "x1")]
+    pub waiting_kilotokens: Option<f64>,
 }
 
 #[derive(Debug, Deserialize)]
--- a/crates/platform/src/dialect.rs
+++ b/crates/platform/src/dialect.rs
@@ -1,6 +1,6 @@
 //! The dialect: requests and streams pass through, engines' answers are read by what they prove.
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_policy as p;
 use chalkyard_policy::{Micros, Outcome};
 use chalkyard_proto::{encode, Head, Start};
@@ -19,12 +19,12 @@
 /// How a router speaks on the platform.
 #[derive(Debug)]
 pub struct Platform {
-    names: Names,
+    names: NameIndex,
 }
 
 impl Platform {
     /// By the names in the settings.
-    pub fn new(names: Names) -> Self {
+    pub fn new(names: NameIndex) -> Self {
         Self { names }
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_policy as p;
 use chalkyard_router::dialect::{Endpoint, EndpointList, EndpointListError};
 use serde::Deserialize;
@@ -40,7 +40,7 @@
 /// An address that nothing listens at: a worker that is gone needs none.
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-fn member(names: &Names, text: &str) -> Result<Endpoint, String> {
+fn member(names: &NameIndex, text: &str) -> Result<Endpoint, String> {
     let m: Member = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let lifecycle = match m.phase.as_str() {
         "up" => p::Lifecycle::Active,
@@ -53,7 +53,7 @@
         _ if lifecycle == p::Lifecycle::Removed => NOWHERE,
         _ => return Err(format!("`{}`: host_port is no address", m.id)),
     };
-    let (role, kv_tokens) = names.kind(m.flavor.as_deref());
+    let (role, kv_tokens) = names.worker_kind(m.flavor.as_deref());
     let worker = p::Worker {
         id: m.id.as_str().into(),
         zone: m.locality.as_deref().and_then(|z| names.zone(z)),
@@ -68,7 +68,7 @@
 }
 
 /// Reads a list. One entry that can't be read does not lose the others.
-pub(crate) fn list(names: &Names, text: &[u8]) -> Result<EndpointList, EndpointListError> {
+pub(crate) fn list(names: &NameIndex, text: &[u8]) -> Result<EndpointList, EndpointListError> {
     let told: Told<'_> = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let mut list =
         EndpointList { version: told.revision, complete: told.complete, ..EndpointList::default() };
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -1,6 +1,6 @@
 //! Reads a request from the `X-*` headers of a client's head.
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
 use chalkyard_proto::Head;
@@ -128,7 +128,7 @@
 }
 
 /// The tenant; none only where the settings have no tenants.
-fn tenant(names: &Names, head: &Head) -> Result<Option<p::TenantId>, HeadError> {
+fn tenant(names: &NameIndex, head: &Head) -> Result<Option<p::TenantId>, HeadError> {
     const NAME: &str = "X-Tenant-Id";
     match one(head, NAME)? {
         Some(name) if names.has_tenants() => names.tenant(name).map(Some).ok_or(HeadError::UnknownTenant),
@@ -139,7 +139,7 @@
 
 /// Reads a request whose first byte came at `arrived`. `body_bytes` stand for the length of a prompt that names none.
 pub(crate) fn request(
-    names: &Names,
+    names: &NameIndex,
     arrived: Micros,
     head: &Head,
     body_bytes: u64,
--- a/crates/platform/src/response_observer.rs
+++ b/crates/platform/src/response_observer.rs
@@ -42,22 +42,22 @@
     cached_tokens: u64,
 }
 
-/// Reads `inflight=7,queue=2,util=0.61`, by the simulator's or the sockets' names of the fields. One that can't be read is
-/// as good as none.
+/// Reads `inflight=7,queue=2,util=0.61`, by the simulator's or the sockets' names of the fields. One that can't be
+/// read is as good as none.
 pub(crate) fn report(text: &str) -> Option<p::LoadReport> {
-    let mut stats = wire::Stats::default();
+    let mut stats = wire::LoadStats::default();
     for pair in text.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)?;
         match name.trim() {
-            "queue" | "depth" => stats.depth = Some(value),
-            "util" | "load_share" => stats.load_share = Some(value),
-            "x0" => stats.x0 = Some(value),
-            "x1" => stats.x1 = Some(value),
+            "queue" | "depth" => stats.queued = Some(value),
+            "util" | "load_share" => stats.slots_used = Some(value),
+            "x0" => stats.kv_used = Some(value),
+            "x1" => stats.waiting_kilotokens = Some(value),
             _ => {}
         }
     }
-    Some(translate::report(&stats))
+    Some(translate::load_report(&stats))
 }
 
 impl Lines {
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -1,7 +1,7 @@
 //! The configuration and its bounds, and readers that take any bytes.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_platform::{ConfigError, Platform, Started};
 use chalkyard_policy::Micros;
 use chalkyard_proto::{Decoder, Part, Side};
@@ -77,7 +77,7 @@
 proptest! {
     #[test]
     fn a_stream_is_read_alike_in_any_splitting(bytes in stream(), at in prop::collection::vec(any::<prop::sample::Index>(), 0..6)) {
-        let platform = Platform::new(Names::default());
+        let platform = Platform::new(NameIndex::default());
         let mut whole = platform.response_observer();
         whole.push(&bytes);
         let mut cuts: Vec<usize> = at.iter().map(|i| i.index(bytes.len() + 1)).collect();
@@ -101,7 +101,7 @@
         let mut d = Decoder::new(Side::Request, Default::default());
         d.push(&bytes);
         if let Ok(Some(Part::Head(head))) = d.next_part() {
-            let parsed = Platform::new(Names::default()).parse_request(Micros(0), &head, b"{}".to_vec());
+            let parsed = Platform::new(NameIndex::default()).parse_request(Micros(0), &head, b"{}".to_vec());
             // No class is known here: nothing can be taken.
             let rejected = matches!(parsed, ParsedRequest::Invalid { status: 400, .. });
             prop_assert!(rejected);
@@ -110,7 +110,7 @@
 
     #[test]
     fn no_list_panics(bytes in prop::collection::vec(any::<u8>(), 0..200), phase in "[a-z]{0,9}", address in "[0-9.:a-z]{0,12}") {
-        let platform = Platform::new(Names::default());
+        let platform = Platform::new(NameIndex::default());
         let _ = platform.parse_list(&bytes);
         let entry = json!({"id": "a", "host_port": address, "phase": phase, "up_since_ms": -1.5, "size": -1});
         let list = platform.parse_list(json!({"revision": 1, "members": [entry]}).to_string().as_bytes()).unwrap();
