--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -173,7 +173,7 @@
         session: w.session_id.as_ref().and_then(wire::Key::text).map(Into::into),
         prefix: w.system_prompt.as_ref().and_then(wire::Key::text).map(Into::into),
         prompt_tokens: tokens(w.prompt_tokens),
-        max_output: tokens(w.output_cap),
+        max_output_tokens: tokens(w.output_cap),
         deadline: secs(w.client_deadline_s),
         resumed: w.came_back,
     }))
@@ -182,9 +182,9 @@
 /// Reads a load report.
 pub fn load_report(s: &wire::LoadStats) -> p::LoadReport {
     p::LoadReport {
-        queued: s.queued,
-        slots_used: s.slots_used,
-        kv_used: s.kv_used,
+        queued_requests: s.queued,
+        slot_utilization: s.slots_used,
+        kv_utilization: s.kv_used,
         waiting_tokens: s.waiting_kilotokens.map(|k| k * 1e3),
     }
 }
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 
 use super::attempt::{outcome_name, Attempt, AttemptStage};
-use super::record::{since, AttemptRecord, Ended};
+use super::record::{since, AttemptRecord, RequestOutcome};
 use super::tally::CallKind;
 use super::ConnId;
 use crate::dialect::ForwardedRequest;
@@ -49,7 +49,7 @@
     /// The stream to the client has begun.
     Streaming,
     /// It was given, or the client has left.
-    Given { ended: Ended, phase: &'static str, reason: String, at: Micros },
+    Given { ended: RequestOutcome, phase: &'static str, reason: String, at: Micros },
 }
 
 /// KV state that a prefill worker holds for the request; see [`super::reservations`] for who writes it.
@@ -192,7 +192,7 @@
         };
         Obligations {
             retry_safety,
-            deduplication_window: window,
+            dedup_window: window,
             deadline: self.spec.deadline,
             max_attempts: settings.max_attempts,
             attempts: self.attempts.iter().map(|a| a.facts).collect(),
@@ -211,7 +211,7 @@
         if let ClientCall::Messages(call) = &mut self.call {
             call.max_tokens = call.max_tokens.min(tokens);
         }
-        self.spec.max_output = self.spec.max_output.min(tokens);
+        self.spec.max_output_tokens = self.spec.max_output_tokens.min(tokens);
     }
 
     /// Bytes of its body that are kept for further attempts.
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -9,7 +9,7 @@
 use chalkyard_policy as p;
 
 use super::active_request::ActiveRequest;
-use super::record::Ended;
+use super::record::RequestOutcome;
 use super::request_intake::Rejection;
 use super::{Core, Output};
 use crate::identity::RequestIdentity;
@@ -17,7 +17,7 @@
 impl Core {
     /// Enforces budgets from now on; to be called before the start. Requests that may have run in an earlier process and
     /// must not run twice are known from its ledger.
-    pub fn keep_budgets(&mut self, budgets: BudgetEnforcer) {
+    pub fn enforce_budgets(&mut self, budgets: BudgetEnforcer) {
         let (now, wait) = (self.now, self.config.timeouts.identity);
         for ran in &budgets.state().executed {
             let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
@@ -63,7 +63,7 @@
             class,
             identity: request.idempotency_key(),
             prompt: request.spec.prompt_tokens,
-            output: request.spec.max_output,
+            output: request.spec.max_output_tokens,
         };
         let admission = budgets.admit(now, reservation).map_err(|denial| {
             let status = if denial.reason == DenialReason::LedgerUnavailable { 503 } else { 429 };
@@ -90,19 +90,23 @@
     }
 
     /// The final answer is given: what the request has cost is known.
-    pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: Ended) {
+    pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: RequestOutcome) {
         let now = self.time();
         let Some((budgets, request)) = self.budgets.as_mut().zip(self.requests.get(id)) else { return };
         let begun = request.is_streaming();
         let ending = match ended {
-            Ended::Served => Ending::Served,
-            Ended::Rejected | Ended::RejectedAtIntake => Ending::Refused,
-            Ended::Failed | Ended::Overdue | Ended::Stopped if !begun => Ending::Failed,
-            Ended::Failed | Ended::Overdue | Ended::Stopped | Ended::Broken | Ended::Migrated => {
-                Ending::Broken
+            RequestOutcome::Served => Ending::Served,
+            RequestOutcome::Rejected | RequestOutcome::RejectedAtIntake => Ending::Refused,
+            RequestOutcome::Failed | RequestOutcome::Overdue | RequestOutcome::Stopped if !begun => {
+                Ending::Failed
             }
-            Ended::ClientGone | Ended::ClientSlow if begun => Ending::Left,
-            Ended::ClientGone | Ended::ClientSlow => Ending::LeftEarly,
+            RequestOutcome::Failed
+            | RequestOutcome::Overdue
+            | RequestOutcome::Stopped
+            | RequestOutcome::Broken
+            | RequestOutcome::Migrated => Ending::Broken,
+            RequestOutcome::ClientGone | RequestOutcome::ClientSlow if begun => Ending::Left,
+            RequestOutcome::ClientGone | RequestOutcome::ClientSlow => Ending::LeftEarly,
         };
         let usage: Usage = request.billed_tokens(ending == Ending::Left);
         budgets.settle(now, &id.0, ending, usage, request.billed_attempts(), request.may_have_run());
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -9,8 +9,8 @@
 use super::active_request::{ActiveRequest, ClientCall};
 use super::client_answers::error;
 use super::client_connection::ClientPhase;
-use super::record::Finished;
-use super::{ConnId, Core, FinishedLine, Output, TimerEvent};
+use super::record::RequestRecord;
+use super::{ConnId, Core, FinishedOutput, Output, TimerEvent};
 use crate::dialect::ParsedRequest;
 use crate::identity::{IdentityError, RequestIdentity};
 
@@ -106,8 +106,8 @@
             }
             Err(Rejection { status, body }) => {
                 let id = head.header(engine::REQUEST_ID).unwrap_or_default().to_owned();
-                let record = Finished::rejected_at_intake(id, self.now, body.reason.clone());
-                self.outputs.push(Output::Finished(Box::new(FinishedLine(record))));
+                let record = RequestRecord::rejected_at_intake(id, self.now, body.reason.clone());
+                self.outputs.push(Output::Finished(Box::new(FinishedOutput(record))));
                 self.answer_error(conn, status, &body);
             }
         }
@@ -259,7 +259,7 @@
             }),
             prefix: call.prefix.as_ref().map(|(hash, _)| hash.as_str().into()),
             prompt_tokens: call.prompt_tokens,
-            max_output: call.max_tokens,
+            max_output_tokens: call.max_tokens,
             deadline: self.now + (timeout - margin),
             resumed: call.came_back,
         };
--- a/crates/router/tests/outputs.rs
+++ b/crates/router/tests/outputs.rs
@@ -25,7 +25,7 @@
 impl Recorder {
     fn new(title: &str, config: Config) -> Self {
         let mut y = Harness::new(config, &usual());
-        y.core.count_seconds();
+        y.core.enable_tally();
         let text = format!("# {title}\n");
         Self { y, text, finished: 0, transitions: 0, tallies: 0, notes: 0, clients: Vec::new() }
     }
@@ -36,7 +36,7 @@
 
     fn views(&mut self) {
         let (counts, open, engines) =
-            (self.y.core.counts(), self.y.core.open_view(), self.y.core.worker_view());
+            (self.y.core.status(), self.y.core.request_view(), self.y.core.worker_view());
         self.line("counts", &counts);
         self.line("open", &open);
         self.line("engines", &engines);
@@ -279,16 +279,16 @@
 #[test]
 fn labels_of_outputs_match_the_recorded_names() {
     let ended = [
-        Ended::Served,
-        Ended::Rejected,
-        Ended::Failed,
-        Ended::Broken,
-        Ended::ClientGone,
-        Ended::ClientSlow,
-        Ended::Stopped,
-        Ended::Migrated,
-        Ended::RejectedAtIntake,
-        Ended::Overdue,
+        RequestOutcome::Served,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::Broken,
+        RequestOutcome::ClientGone,
+        RequestOutcome::ClientSlow,
+        RequestOutcome::Stopped,
+        RequestOutcome::Migrated,
+        RequestOutcome::RejectedAtIntake,
+        RequestOutcome::Overdue,
     ];
     let names = [
         "served",
@@ -307,13 +307,13 @@
         assert_eq!(serde_json::to_string(ended).unwrap(), format!("\"{name}\""));
     }
     let changes = [
-        (Change::AttemptEnded, "attempt_ended"),
-        (Change::ReleasedDuringAttempt, "released_beside_attempt"),
-        (Change::ReleaseRepeated, "release_repeated"),
-        (Change::ReleaseProven, "release_proven"),
-        (Change::ReleaseUnproven, "release_unproven"),
-        (Change::Denied, "denied"),
-        (Change::Violation, "violation"),
+        (TransitionKind::AttemptEnded, "attempt_ended"),
+        (TransitionKind::ReleasedDuringAttempt, "released_beside_attempt"),
+        (TransitionKind::ReleaseRepeated, "release_repeated"),
+        (TransitionKind::ReleaseProven, "release_proven"),
+        (TransitionKind::ReleaseUnproven, "release_unproven"),
+        (TransitionKind::Denied, "denied"),
+        (TransitionKind::Violation, "violation"),
     ];
     for (change, name) in changes {
         assert_eq!(serde_json::to_string(&change).unwrap(), format!("\"{name}\""));
