--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -182,9 +182,9 @@
 /// Reads a load report.
 pub fn load_report(s: &wire::LoadStats) -> p::LoadReport {
     p::LoadReport {
-        queued_requests: s.queued,
-        slot_utilization: s.slots_used,
-        kv_utilization: s.kv_used,
+        queued_requests: s.queued_requests,
+        slot_utilization: s.slot_utilization,
+        kv_utilization: s.kv_utilization,
         waiting_tokens: s.waiting_kilotokens.map(|k| k * 1e3),
     }
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -115,13 +115,13 @@
 pub struct LoadStats {
     #[serde(default)]
     #[serde(rename = "depth")]
-    pub queued: Option<f64>,
+    pub queued_requests: Option<f64>,
     #[serde(default)]
     #[serde(rename = "load_share")]
-    pub slots_used: Option<f64>,
+    pub slot_utilization: Option<f64>,
     #[serde(default)]
     #[serde(rename = "x0")]
-    pub kv_used: Option<f64>,
+    pub kv_utilization: Option<f64>,
     #[serde(default)]
     #[serde(rename = "x1")]
     pub waiting_kilotokens: Option<f64>,
--- a/crates/platform/src/response_observer.rs
+++ b/crates/platform/src/response_observer.rs
@@ -42,17 +42,17 @@
     cached_tokens: u64,
 }
 
-/// Reads `inflight=7,queue=2,util=0.61`, by the simulator's or the sockets' names of the fields. One that can't be
-/// read is as good as none.
+/// Reads `inflight=7,queue=2,util=0.61`, by the simulator's or the sockets' names of the fields. One that can't be read is
+/// as good as none.
 pub(crate) fn report(text: &str) -> Option<p::LoadReport> {
     let mut stats = wire::LoadStats::default();
     for pair in text.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)?;
         match name.trim() {
-            "queue" | "depth" => stats.queued = Some(value),
-            "util" | "load_share" => stats.slots_used = Some(value),
-            "x0" => stats.kv_used = Some(value),
+            "queue" | "depth" => stats.queued_requests = Some(value),
+            "util" | "load_share" => stats.slot_utilization = Some(value),
+            "x0" => stats.kv_utilization = Some(value),
             "x1" => stats.waiting_kilotokens = Some(value),
             _ => {}
         }
