--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -267,7 +267,7 @@
     };
     match call {
         Call::Status {} => ask(AdminQuery::Status),
-        Call::Engines {} => ask(AdminQuery::Engines),
+        Call::Engines {} => ask(AdminQuery::Workers),
         Call::Requests {} => ask(AdminQuery::Requests),
         Call::Trace { id } => ask(AdminQuery::Trace(id)),
         Call::Drain {} => tell(LifecycleEvent::Drain, "drain"),
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -9,7 +9,7 @@
 
 use chalkyard_platform::StartupConfig;
 use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
-use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell, Sink, SinkEvent};
+use chalkyard_router::shell::{timer_granularity, Clock, ListenAddress, Shell, Sink, SinkEvent};
 use chalkyard_router::{
     Core, Counters, Input, RequestOutcome, RequestRecord, Tally, Transition, TransitionKind,
 };
@@ -105,7 +105,7 @@
         self.rereads = Some(READ_AGAIN);
     }
 
-    fn period(&self) -> Option<std::time::Duration> {
+    fn housekeeping_interval(&self) -> Option<std::time::Duration> {
         Some(std::time::Duration::from_millis(100))
     }
 
@@ -149,7 +149,7 @@
     let started = read(&file).map_err(CommandError::BadInput)?;
     let clock = Clock::new();
     let mut config = started.config;
-    config.policy.tick = config.policy.tick.max(granularity());
+    config.policy.tick = config.policy.tick.max(timer_granularity());
     let leave = if config.timeouts.migration.is_some() { LEAVE_MOVING } else { LEAVE };
     let address = with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(started.listen, false));
     let address = address.map_err(|e| could_not(&format!("listening at {}", started.listen), e))?;
@@ -163,7 +163,7 @@
     let timeouts =
         LifecycleTimeouts { endpoint_wait: START, lame_duck: leave, drain: DRAIN, flush: FAREWELL };
     let mut shell = Shell::new(core, told, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
-    shell.bound_lingering(started.max_lingering);
+    shell.set_max_lingering(started.max_lingering);
     let handle = shell.handle();
     let wait_for_signals = move || {
         for signal in signals.forever() {
--- a/crates/daemon/src/router_sink.rs
+++ b/crates/daemon/src/router_sink.rs
@@ -143,7 +143,7 @@
         self.ledger.as_mut().is_none_or(Ledger::flush)
     }
 
-    fn period(&self) -> Option<Duration> {
+    fn housekeeping_interval(&self) -> Option<Duration> {
         Some(self.ledger.as_ref().map_or(HOUSEKEEPING_INTERVAL, |ledger| ledger.sync_interval))
     }
 
@@ -153,7 +153,7 @@
         out
     }
 
-    fn figures(&mut self, figures: &BTreeMap<Box<str>, Figures>) {
+    fn budget_figures(&mut self, figures: &BTreeMap<Box<str>, Figures>) {
         for (tenant, f) in figures {
             info!(
                 target: "budget",
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -11,7 +11,7 @@
 
 use chalkyard_budget::Time;
 use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
-use chalkyard_router::shell::{granularity, Clock, Handle, ListenAddress, Shell};
+use chalkyard_router::shell::{timer_granularity, Clock, Handle, ListenAddress, Shell};
 use chalkyard_router::Core;
 use chalkyard_state::{LifecycleEvent, LifecycleTimeouts};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -68,7 +68,7 @@
     let clock = Clock::new();
     let seed = seed.unwrap_or(clock.now().0);
     let mut config = settings.config;
-    config.policy.tick = granularity();
+    config.policy.tick = timer_granularity();
     let place = Place { listen: settings.listen, shared_port: settings.shared_port };
     let (address, predecessor) = if take_over {
         let none = || CommandError::BadInput(format!("{}: <router> names no `control`", file.display()));
--- a/crates/daemon/tests/common/shell_router.rs
+++ b/crates/daemon/tests/common/shell_router.rs
@@ -55,7 +55,7 @@
             LifecycleTimeouts { endpoint_wait: 3_000_000, lame_duck: 0, drain: 5_000_000, flush: 200_000 };
         let address = ListenAddress::bind(at, false).unwrap();
         let mut shell = Shell::new(core, StallingSink, clock, address, timeouts).unwrap();
-        shell.bound_lingering(started.max_lingering);
+        shell.set_max_lingering(started.max_lingering);
         let (handle, known) = (shell.handle(), started.last_endpoint_list);
         let thread = std::thread::spawn(move || {
             shell.run(known.as_deref()).unwrap();
--- a/crates/router/src/shell/clock.rs
+++ b/crates/router/src/shell/clock.rs
@@ -32,7 +32,7 @@
 }
 
 /// The loop's granularity: the longest of a few waits of 1 ms, between 1 and 10 ms.
-pub fn granularity() -> Micros {
+pub fn timer_granularity() -> Micros {
     let Ok(mut poll) = Poll::new() else { return Micros(2_000) };
     let mut events = Events::with_capacity(1);
     let longest = (0..5).map(|_| {
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -17,7 +17,7 @@
     /// Its counts and its phase.
     Status,
     /// Its workers.
-    Engines,
+    Workers,
     /// Its open requests.
     Requests,
     /// One request, open or ended lately.
--- a/crates/router/src/shell/lifecycle.rs
+++ b/crates/router/src/shell/lifecycle.rs
@@ -123,7 +123,7 @@
                 }
                 counts
             }),
-            AdminQuery::Engines => serde_json::to_value(self.core.worker_view()),
+            AdminQuery::Workers => serde_json::to_value(self.core.worker_view()),
             AdminQuery::Requests => serde_json::to_value(self.core.request_view()),
             AdminQuery::Trace(id) => match self.core.find_request(id) {
                 Some(open) => serde_json::to_value(open),
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -25,7 +25,7 @@
 use mio::{Events, Poll, Token, Waker};
 use slab::Slab;
 
-pub use self::clock::{granularity, Clock};
+pub use self::clock::{timer_granularity, Clock};
 use self::connect::ConnectRetries;
 use self::connection::{AfterClose, Connection, ConnectionState, LingerDeadline};
 use self::connections::READ_BYTES;
@@ -146,7 +146,7 @@
     }
 
     /// Bounds the connections that linger.
-    pub fn bound_lingering(&mut self, most: usize) {
+    pub fn set_max_lingering(&mut self, most: usize) {
         self.max_lingering = most;
     }
 
@@ -218,7 +218,8 @@
         let accept = self.accept_at.map(|at| at.saturating_duration_since(from));
         let linger = (self.lingering > 0).then_some(Duration::from_millis(100));
         let life = self.lifecycle.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
-        let house = self.sink.period().map(|_| self.housekeep_at.saturating_duration_since(from));
+        let house =
+            self.sink.housekeeping_interval().map(|_| self.housekeep_at.saturating_duration_since(from));
         let retry = self.connect_retries.next_due().map(|at| at.saturating_duration_since(from));
         [core, accept, linger, life, house, retry].into_iter().flatten().min()
     }
@@ -238,7 +239,10 @@
     }
 
     fn housekeep(&mut self) {
-        let Some(period) = self.sink.period().filter(|_| self.housekeep_at <= Instant::now()) else { return };
+        let Some(period) = self.sink.housekeeping_interval().filter(|_| self.housekeep_at <= Instant::now())
+        else {
+            return;
+        };
         self.housekeep_at = Instant::now() + period;
         for event in self.sink.housekeep() {
             match event {
@@ -248,7 +252,7 @@
         }
         if self.figures_at <= Instant::now() {
             self.figures_at = Instant::now() + FIGURES;
-            self.sink.figures(&self.core.budget_figures());
+            self.sink.budget_figures(&self.core.budget_figures());
             self.sink.counters(self.core.counters());
         }
         self.carry_out_all();
--- a/crates/router/src/shell/sink.rs
+++ b/crates/router/src/shell/sink.rs
@@ -32,7 +32,7 @@
         true
     }
     /// How often [`Sink::housekeep`] wants to be called; none: never.
-    fn period(&self) -> Option<Duration> {
+    fn housekeeping_interval(&self) -> Option<Duration> {
         None
     }
     /// What other threads have for the core.
@@ -52,7 +52,7 @@
         None
     }
     /// Budget figures, once a minute.
-    fn figures(&mut self, _figures: &BTreeMap<Box<str>, Figures>) {}
+    fn budget_figures(&mut self, _figures: &BTreeMap<Box<str>, Figures>) {}
 }
 
 /// What a [`Sink`] has for the core.
