--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -123,7 +123,7 @@
         };
         Bounds {
             client: side,
-            engine: chalkyard_proto::Limits {
+            worker: chalkyard_proto::Limits {
                 body_bytes: 16 * 1024 * 1024,
                 pipelined_bytes: 16 * 1024,
                 allow_chunk_extensions: true,
@@ -131,12 +131,12 @@
             },
             event_bytes: 64 * 1024,
             clients,
-            evict: true,
-            bodies: eighth as u64,
-            open,
-            engine_connections: links,
-            links,
-            engine_idle: links,
+            evict_clients: true,
+            pending_body_bytes: eighth as u64,
+            open_requests: open,
+            connections_per_worker: links,
+            worker_connections: links,
+            idle_per_worker: links,
             client_buffer: ((eighth / clients as f64) as usize).clamp(4 * 1024, 64 * 1024),
             workers: 2_000,
             identities: 0,
@@ -160,15 +160,15 @@
         let told = |s: Option<f64>, default: Micros| s.map_or(default, Micros::from_secs_f64);
         let idle = told(params.limits.conn_idle_s, ms(20_000));
         let timeouts = Timeouts {
-            head: ms(2_500),
+            request: ms(2_500),
             idle: ms(15_000),
-            first: ms(2_500),
+            first_request: ms(2_500),
             release: ms(150),
             // The process is killed 3.7 s after it is told to end, at the soonest.
             migration: policy.resume.then_some(MigrationWindow { from: ms(1_800), until: ms(3_300) }),
             drain_grace: ms(100),
             // Well under the told time: a call that crosses the engine's close is lost.
-            engine_idle: idle.mul_f64(0.5).min(ms(10_000)),
+            worker_idle: idle.mul_f64(0.5).min(ms(10_000)),
             connect: told(params.limits.connect_timeout_s, ms(250)),
             // Under the 5 s after which a client counts as left waiting.
             stream: ms(4_000),
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -58,7 +58,7 @@
 
 pub fn harness_with(resume: bool) -> Harness {
     let started = StartupConfig::parse(&file(resume, &members(4, true, &usual_members()))).unwrap();
-    Harness::started(started.config, started.last_endpoint_list.as_deref())
+    Harness::with_stored_list(started.config, started.last_endpoint_list.as_deref())
 }
 
 /// With another release time and another wait for connections, ms, and a third writer in another zone.
@@ -72,7 +72,7 @@
         .replace(r#""dcs":["hall"]"#, r#""dcs":["hall","harness"]"#);
     let started = StartupConfig::parse(&told).unwrap();
     assert_eq!(started.config.policy.reservation_timeout, ms(release));
-    Harness::started(started.config, started.last_endpoint_list.as_deref())
+    Harness::with_stored_list(started.config, started.last_endpoint_list.as_deref())
 }
 
 pub fn harness() -> Harness {
--- a/crates/platform/tests/flow.rs
+++ b/crates/platform/tests/flow.rs
@@ -102,7 +102,7 @@
         ask(&mut y, "id-1", "once");
         let read = call(&mut y);
         let stuck = ConnId(read.conn.0 + 2);
-        y.stuck.insert(stuck);
+        y.stalled.insert(stuck);
         reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
         y.input(Input::Connected(stuck));
         let size = encode::request(
@@ -246,7 +246,7 @@
         let mut y = harness();
         // The first is discovery's, the next the read's.
         let late = ConnId(3);
-        y.stuck.insert(late);
+        y.stalled.insert(late);
         let client = ask(&mut y, "id-1", "once");
         assert!(y.ports.contains_key(&late) && !has_call(&y));
         if client_goes {
@@ -255,7 +255,7 @@
             y.advance(ms(260));
         }
         assert!(y.closed.contains(&late), "client_goes: {client_goes}");
-        y.stuck.remove(&late);
+        y.stalled.remove(&late);
         y.input(Input::Connected(late));
         assert!(y.calls.iter().all(|c| c.conn != late));
         assert!(!client_goes || !has_call(&y), "sent on for nobody");
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -85,7 +85,7 @@
     let mut all = usual_members();
     all.push(member("r2", "reads", 4, "up"));
     let started = StartupConfig::parse(&file(false, &members(4, true, &all))).unwrap();
-    let mut y = Harness::started(started.config, started.last_endpoint_list.as_deref());
+    let mut y = Harness::with_stored_list(started.config, started.last_endpoint_list.as_deref());
     ask(&mut y, "id-1", "chat");
     let read = call(&mut y);
     while !y.closed.contains(&read.conn) {
@@ -134,7 +134,7 @@
     let read = call(&mut y);
     // The told release time is 1 s and a connection may take 250 ms: four fifths of the first, halved again and again.
     for n in 1..=8 {
-        y.stuck.insert(ConnId(read.conn.0 + 2 * n));
+        y.stalled.insert(ConnId(read.conn.0 + 2 * n));
     }
     reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
     let parsed = y.now;
@@ -154,7 +154,7 @@
             let mut y = yard_told(release, connect);
             ask(&mut y, "id-1", "once");
             let read = call(&mut y);
-            y.stuck.insert(ConnId(read.conn.0 + 2));
+            y.stalled.insert(ConnId(read.conn.0 + 2));
             reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
             let parsed = y.now;
             let first = y.ports[&ConnId(read.conn.0 + 2)];
@@ -170,7 +170,7 @@
             ask(&mut y, "id-1", "once");
             let read = call(&mut y);
             for n in 1..=4 {
-                y.stuck.insert(ConnId(read.conn.0 + 2 * n));
+                y.stalled.insert(ConnId(read.conn.0 + 2 * n));
             }
             reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
             let parsed = y.now;
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -51,13 +51,13 @@
         let started = with(|v| v["limits"] = json!({"sockets": sockets, "memory_mb": memory_mb})).unwrap();
         let b = started.config.bounds;
         // Standard streams, the loop's own, listening and discovery besides.
-        assert!(b.clients + started.max_lingering + b.links + 12 <= sockets, "{sockets}");
+        assert!(b.clients + started.max_lingering + b.worker_connections + 12 <= sockets, "{sockets}");
         assert!(b.clients * 3 >= sockets, "a third is for requests: {sockets}");
-        let buffers = b.bodies + (b.clients * b.client_buffer) as u64;
+        let buffers = b.pending_body_bytes + (b.clients * b.client_buffer) as u64;
         assert!(buffers * 2 <= (memory_mb as u64) << 20, "{memory_mb} MB");
     }
     let started = with(|_| {}).unwrap();
-    assert_eq!(started.config.timeouts.engine_idle, Micros(2_000_000), "well under the told time");
+    assert_eq!(started.config.timeouts.worker_idle, Micros(2_000_000), "well under the told time");
     assert_eq!((started.config.timeouts.connect, started.seed), (Micros(300_000), Some(0x1f)));
 }
 
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -76,10 +76,13 @@
     let tenants: Vec<&str> = config.tenants.iter().map(|t| t.name.as_str()).collect();
     assert_eq!(tenants, ["acme", "free"]);
     let b = config.bounds;
-    assert_eq!((b.open, b.clients, b.links, b.engine_connections, b.engine_idle), (500, 106, 119, 119, 119));
-    assert_eq!((b.bodies, b.client_buffer, b.workers, b.identities), (8 << 20, 65_536, 2_000, 0));
+    assert_eq!(
+        (b.open_requests, b.clients, b.worker_connections, b.connections_per_worker, b.idle_per_worker),
+        (500, 106, 119, 119, 119)
+    );
+    assert_eq!((b.pending_body_bytes, b.client_buffer, b.workers, b.identities), (8 << 20, 65_536, 2_000, 0));
     let w = config.timeouts;
-    assert_eq!((w.connect, w.engine_idle, w.release), (ms(250), ms(10_000), ms(150)));
+    assert_eq!((w.connect, w.worker_idle, w.release), (ms(250), ms(10_000), ms(150)));
     assert_eq!((w.discovery, w.discovery_probe), (ms(3_000), ms(250)));
     assert_eq!(w.migration, Some(MigrationWindow { from: ms(1_800), until: ms(3_300) }));
 }
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -32,10 +32,10 @@
     let asked = y.now;
     let client = y.client();
     let late = FIRST_LINK;
-    y.stuck.insert(late);
+    y.stalled.insert(late);
     y.bytes(client, &request(&fields("id-1", "chat")));
     y.advance(ms(700));
-    y.stuck.remove(&late);
+    y.stalled.remove(&late);
     y.input(Input::Connected(late));
     let read = call(&mut y);
     assert!(told(&read) <= left(&y, asked) + SLACK, "{:?}, left {:?}", told(&read), left(&y, asked));
@@ -47,7 +47,7 @@
     let asked = y.now;
     let client = y.client();
     let slow = FIRST_LINK;
-    y.stuck.insert(slow);
+    y.stalled.insert(slow);
     y.bytes(client, &request(&fields("id-1", "once")));
     y.input(Input::Connected(slow));
     // All but its last bytes.
@@ -80,7 +80,7 @@
     let client = y.client();
     let read = ask_and_read(&mut y, client);
     let early = ConnId(read.conn.0 + 2);
-    y.stuck.insert(early);
+    y.stalled.insert(early);
     reply(&mut y, read.conn, 202, &[], r#"{"cached_tokens":0}"#);
     y.input(Input::Connected(early));
     y.input(Input::Wrote(early, 100));
@@ -102,7 +102,7 @@
     let mut y = harness();
     let client = y.client();
     let early = FIRST_LINK;
-    y.stuck.insert(early);
+    y.stalled.insert(early);
     y.bytes(client, &request(&fields("id-1", "chat")));
     y.input(Input::Connected(early));
     y.input(Input::Wrote(early, 100));
@@ -188,11 +188,11 @@
 fn of_silent_clients_those_that_have_spoken_unread_stay() {
     let mut y = harness();
     let crowd: Vec<ConnId> = (0..(256 - 20) * 9 / 20).map(|_| y.client()).collect();
-    y.unread.extend(&crowd[..5]);
+    y.with_unread_bytes.extend(&crowd[..5]);
     let usual = ask(&mut y, "id-1", "chat");
     assert_eq!(y.closed.len(), 0, "it was to be the first, which has spoken");
     for spoken in &crowd[..5] {
-        y.unread.remove(spoken);
+        y.with_unread_bytes.remove(spoken);
         y.bytes(*spoken, b"GET /up HTTP/1.1\r\n");
     }
     assert!(crowd[..5].iter().all(|c| !y.closed.contains(c)), "who has spoken stays");
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -41,7 +41,7 @@
     /// Of client connections' decoders.
     pub client: chalkyard_proto::Limits,
     /// Of worker connections' decoders; the body's length is that of one complete stream.
-    pub engine: chalkyard_proto::Limits,
+    pub worker: chalkyard_proto::Limits,
     /// Of one call.
     pub call: client::RequestLimits,
     /// Bytes of one event of a worker's stream.
@@ -51,17 +51,17 @@
     /// Client connections; one more is answered 503 and closed.
     pub clients: usize,
     /// At that bound, the client that has been silent for longest makes room.
-    pub evict: bool,
+    pub evict_clients: bool,
     /// Bytes of request bodies, together, that came and may still have to be sent.
-    pub bodies: u64,
+    pub pending_body_bytes: u64,
     /// Open requests; one more is rejected before the policy sees it.
-    pub open: usize,
+    pub open_requests: usize,
     /// Connections to one worker; at the bound an attempt ends as `NotSent`.
-    pub engine_connections: usize,
+    pub connections_per_worker: usize,
     /// Connections to all workers; at the bound the oldest idle one makes room.
-    pub links: usize,
+    pub worker_connections: usize,
     /// Idle connections to one worker.
-    pub engine_idle: usize,
+    pub idle_per_worker: usize,
     /// Bytes waiting for a slow client at which its worker is no longer read; at half of that it is read again.
     pub client_buffer: usize,
     /// Entries of the endpoint list.
@@ -75,17 +75,17 @@
         let client = chalkyard_proto::Limits::default();
         Self {
             client,
-            engine: chalkyard_proto::Limits { body_bytes: 256 * 1024 * 1024, ..client },
+            worker: chalkyard_proto::Limits { body_bytes: 256 * 1024 * 1024, ..client },
             call: client::RequestLimits::default(),
             event_bytes: 1024 * 1024,
             answer_bytes: 4 * 1024 * 1024,
             clients: 20_000,
-            evict: false,
-            bodies: u64::MAX,
-            open: 20_000,
-            engine_connections: 1_024,
-            links: usize::MAX,
-            engine_idle: 64,
+            evict_clients: false,
+            pending_body_bytes: u64::MAX,
+            open_requests: 20_000,
+            connections_per_worker: 1_024,
+            worker_connections: usize::MAX,
+            idle_per_worker: 64,
             client_buffer: 64 * 1024,
             workers: 10_000,
             identities: 100_000,
@@ -97,11 +97,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
     /// From a request's first byte to the end of its body.
-    pub head: p::Micros,
+    pub request: p::Micros,
     /// A client connection between two requests.
     pub idle: p::Micros,
     /// A new client connection, to the end of its first request.
-    pub first: p::Micros,
+    pub first_request: p::Micros,
     /// The answer to a call that releases a reservation.
     pub release: p::Micros,
     /// When streams are migrated during the graceful shutdown; none: never. What is accepted meanwhile is answered by its
@@ -110,7 +110,7 @@
     /// When no new requests are accepted any more, a client that has connected just now has this long to begin its first.
     pub drain_grace: p::Micros,
     /// An idle connection to a worker; under the workers' own.
-    pub engine_idle: p::Micros,
+    pub worker_idle: p::Micros,
     /// Until a connection to a worker or to service discovery stands.
     pub connect: p::Micros,
     /// Between two events of an answer that has begun.
@@ -141,13 +141,13 @@
     fn default() -> Self {
         let ms = |n: u64| p::Micros(n * 1_000);
         Self {
-            head: ms(10_000),
+            request: ms(10_000),
             idle: ms(60_000),
-            first: ms(60_000),
+            first_request: ms(60_000),
             release: ms(250),
             migration: None,
             drain_grace: ms(500),
-            engine_idle: ms(10_000),
+            worker_idle: ms(10_000),
             connect: ms(250),
             stream: ms(20_000),
             slow_client: ms(10_000),
--- a/crates/router/src/core/client_answers.rs
+++ b/crates/router/src/core/client_answers.rs
@@ -52,7 +52,7 @@
             return self.close_if_quiet(conn);
         }
         let timeouts = &self.config.timeouts;
-        let timeout = if client.decoder.is_idle() { timeouts.idle } else { timeouts.head };
+        let timeout = if client.decoder.is_idle() { timeouts.idle } else { timeouts.request };
         self.arm_client(conn, timeout);
         self.pending_clients.push_back(conn);
     }
--- a/crates/router/src/core/client_reading.rs
+++ b/crates/router/src/core/client_reading.rs
@@ -25,7 +25,7 @@
             client.phase_since = came_at;
             // A client's first request has no longer than is left of its connection's time.
             let left = client.timer.filter(|_| !client.has_been_answered).map(|key| key.due - self.now);
-            let timeout = self.config.timeouts.head;
+            let timeout = self.config.timeouts.request;
             self.arm_client(conn, left.map_or(timeout, |left| left.min(timeout)));
         }
         self.read_requests(conn);
@@ -59,7 +59,7 @@
                         self.body_bytes += data.len() as u64;
                         body.extend(data);
                     }
-                    if self.body_bytes > self.config.bounds.bodies {
+                    if self.body_bytes > self.config.bounds.pending_body_bytes {
                         return self.reject_body(conn);
                     }
                 }
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -25,14 +25,14 @@
         }
         let decoder = Decoder::new(Side::Request, self.config.bounds.client);
         self.clients.insert(conn, ClientConnection::new(decoder, self.now));
-        self.arm_client(conn, self.config.timeouts.first);
+        self.arm_client(conn, self.config.timeouts.first_request);
     }
 
     /// Makes room for a client: of those without an open request the one that has been silent for longest is closed, first
     /// of those that never asked, since a usual client asks soon after it has connected. If a request of it has come that
     /// was not read yet, it stays, and another is closed.
     fn evict_client(&mut self) -> bool {
-        if !self.config.bounds.evict {
+        if !self.config.bounds.evict_clients {
             return false;
         }
         let dispensable = self.clients.iter().filter(|(_, c)| c.is_dispensable());
@@ -166,7 +166,7 @@
         }
         if std::mem::take(&mut client.output_full) {
             self.update_reading(conn);
-            self.arm_client(conn, self.config.timeouts.head);
+            self.arm_client(conn, self.config.timeouts.request);
             return self.pending_clients.push_back(conn);
         }
         if let ClientPhase::Serving(id) = &client.phase {
--- a/crates/router/src/core/connection_pool.rs
+++ b/crates/router/src/core/connection_pool.rs
@@ -1,7 +1,7 @@
 //! The pool of connections to workers: opened, kept alive, reused, bounded and closed.
 //!
 //! `Core::connections` and `Core::workers` are written here; the endpoint list adds and removes workers. Connections are
-//! bounded by [`crate::Bounds::links`] and [`crate::Bounds::engine_connections`]. None outlives the process.
+//! bounded by [`crate::Bounds::worker_connections`] and [`crate::Bounds::connections_per_worker`]. None outlives the process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
         call: Payload,
         spare: usize,
     ) -> Option<ConnId> {
-        let idle_timeout = self.idle_timeout.current(self.now, self.config.timeouts.engine_idle);
+        let idle_timeout = self.idle_timeout.current(self.now, self.config.timeouts.worker_idle);
         let endpoint = self.workers.get_mut(worker)?;
         while let Some(conn) = endpoint.idle.pop() {
             let Some(connection) = self.connections.get_mut(&conn) else { continue };
@@ -48,11 +48,11 @@
             return Some(conn);
         }
         let endpoint = self.workers.get(worker)?;
-        if endpoint.open >= self.config.bounds.engine_connections + spare {
+        if endpoint.open >= self.config.bounds.connections_per_worker + spare {
             return None;
         }
         let address = endpoint.address;
-        let is_full = self.connections.len() >= self.config.bounds.links.saturating_add(spare);
+        let is_full = self.connections.len() >= self.config.bounds.worker_connections.saturating_add(spare);
         if is_full && !self.close_oldest_idle() {
             return None;
         }
@@ -66,7 +66,7 @@
             matches!(connection.task, Task::Attempt(_, _, ReplyState::AwaitingHead) | Task::Release(..));
         let unanswered = awaits_reply && connection.decoder.is_idle();
         if let Some(reuse) = connection.reused.filter(|_| unanswered) {
-            let configured = self.config.timeouts.engine_idle;
+            let configured = self.config.timeouts.worker_idle;
             self.idle_timeout.learn(self.now, configured, reuse.idle, self.now - reuse.at);
         }
     }
@@ -91,7 +91,7 @@
         self.count(|t| t.connects += u64::from(worker.is_some()));
         let timeout = self.now + self.config.timeouts.connect;
         let timer = self.timers.set(timeout, TimerEvent::Connection(conn));
-        let decoder = Decoder::new(Side::Response, self.config.bounds.engine);
+        let decoder = Decoder::new(Side::Response, self.config.bounds.worker);
         self.connections.insert(conn, WorkerConnection::new(worker, decoder, task, call, timer));
         self.outputs.push(Output::Connect(conn, address));
         conn
@@ -205,7 +205,7 @@
 
     /// A reply has ended well: the connection waits for the next call, if it may.
     pub(super) fn return_to_pool(&mut self, conn: ConnId) {
-        let max_idle = self.config.bounds.engine_idle;
+        let max_idle = self.config.bounds.idle_per_worker;
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if let Some(key) = connection.timer.take() {
             self.timers.cancel(key);
@@ -216,7 +216,7 @@
         endpoint.idle.push(conn);
         connection.task = Task::Idle;
         connection.idle_since = self.now;
-        let timeout = self.now + self.config.timeouts.engine_idle;
+        let timeout = self.now + self.config.timeouts.worker_idle;
         connection.timer = Some(self.timers.set(timeout, TimerEvent::IdleConnection(conn)));
     }
 
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -158,7 +158,7 @@
             let reason = "a request under this id is open here";
             return Err(Rejection::new(409, ErrorKind::Duplicate, reason));
         }
-        if self.requests.len() >= self.config.bounds.open {
+        if self.requests.len() >= self.config.bounds.open_requests {
             return Err(Rejection::too_many_open());
         }
         Ok(Some(ActiveRequest::new(conn, spec, ClientCall::Forwarded(forwarded), None, self.now)))
@@ -182,7 +182,7 @@
         if self.draining || self.stopping {
             return Err(Rejection::new(503, ErrorKind::Refused, "this router is draining"));
         }
-        if self.requests.len() >= self.config.bounds.open {
+        if self.requests.len() >= self.config.bounds.open_requests {
             return Err(Rejection::too_many_open());
         }
         let identity = key.map(|key| RequestIdentity { tenant, key });
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -13,7 +13,7 @@
     let (client, pull) = y.pulling("help");
     y.begin_stream(pull.conn);
     y.token(pull.conn, "a");
-    y.stuck.insert(client);
+    y.stalled.insert(client);
     let text = "x".repeat(1_000);
     for _ in 0..70 {
         y.token(pull.conn, &text);
@@ -44,7 +44,7 @@
 #[test]
 fn bounds_refuse_what_is_past_them_and_say_so() {
     let mut c = config();
-    c.bounds.open = 1;
+    c.bounds.open_requests = 1;
     c.bounds.clients = 3;
     c.bounds.client.pipelined_bytes = 1_024;
     let mut y = Harness::new(c, &usual());
@@ -155,7 +155,7 @@
 fn a_client_that_is_held_up_and_goes_has_nothing_more_begun_for_it() {
     let mut y = harness();
     let client = y.client();
-    y.stuck.insert(client);
+    y.stalled.insert(client);
     let body = r#"{"model":"m","max_tokens":5,"messages":[{"role":"user","content":"hello"}]}"#;
     let good =
         format!("POST /v1/messages HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -176,7 +176,7 @@
 fn a_client_that_asks_on_and_takes_no_answer_is_held_up_and_then_cut() {
     let mut y = harness();
     let client = y.client();
-    y.stuck.insert(client);
+    y.stalled.insert(client);
     let bad = b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n".repeat(100);
     let mut sent = 0;
     while !y.paused.contains(&client) {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -129,9 +129,9 @@
     /// No connection can be begun for want of descriptors.
     pub unconnected: bool,
     /// Connections on which bytes have come that were not read yet.
-    pub unread: BTreeSet<ConnId>,
+    pub with_unread_bytes: BTreeSet<ConnId>,
     /// Connections whose bytes the system does not take.
-    pub stuck: BTreeSet<ConnId>,
+    pub stalled: BTreeSet<ConnId>,
     decoders: BTreeMap<ConnId, Decoder>,
     heads: BTreeMap<ConnId, Box<chalkyard_proto::Head>>,
     answers: BTreeMap<ConnId, Vec<u8>>,
@@ -141,11 +141,11 @@
 impl Harness {
     pub fn new(config: Config, workers: &[serde_json::Value]) -> Self {
         let text = (!workers.is_empty()).then(|| list(0, workers));
-        Self::started(config, text.as_deref())
+        Self::with_stored_list(config, text.as_deref())
     }
 
     /// One that starts with this text as the list of its last life.
-    pub fn started(config: Config, text: Option<&str>) -> Self {
+    pub fn with_stored_list(config: Config, text: Option<&str>) -> Self {
         let mut core = Core::new(config, 7, START);
         let policy_events: PolicyEvents = Arc::default();
         let log = policy_events.clone();
@@ -168,8 +168,8 @@
             policy_events,
             calls: Vec::new(),
             unconnected: false,
-            unread: BTreeSet::new(),
-            stuck: BTreeSet::new(),
+            with_unread_bytes: BTreeSet::new(),
+            stalled: BTreeSet::new(),
             decoders: BTreeMap::new(),
             heads: BTreeMap::new(),
             answers: BTreeMap::new(),
@@ -196,13 +196,13 @@
                         self.input(Input::NotStarted(conn));
                     } else if self.refused_ports.contains(&address.port()) {
                         self.input(Input::Lost(conn));
-                    } else if !self.stuck.contains(&conn) {
+                    } else if !self.stalled.contains(&conn) {
                         self.input(Input::Connected(conn));
                     }
                 }
                 Output::Write(conn, bytes) => {
                     assert!(!self.closed.contains(&conn), "write on a closed connection");
-                    if self.stuck.contains(&conn) {
+                    if self.stalled.contains(&conn) {
                         continue;
                     }
                     if self.ports.contains_key(&conn) {
@@ -216,7 +216,7 @@
                     assert!(self.closed.insert(conn), "closed twice");
                 }
                 // Bytes that have come are found unread where a test says so; it feeds them then.
-                Output::CloseIfQuiet(conn) if self.unread.contains(&conn) => {}
+                Output::CloseIfQuiet(conn) if self.with_unread_bytes.contains(&conn) => {}
                 Output::CloseIfQuiet(conn) => {
                     assert!(self.closed.insert(conn), "closed twice");
                     self.input(Input::Lost(conn));
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -278,7 +278,7 @@
 #[test]
 fn past_the_bound_of_connections_an_attempt_is_not_sent_and_the_engine_not_blamed() {
     let mut config = config();
-    config.bounds.engine_connections = 2;
+    config.bounds.connections_per_worker = 2;
     let mut y = Harness::new(config, &two());
     for _ in 0..2 {
         y.ask("report");
@@ -299,7 +299,7 @@
 #[test]
 fn no_more_idle_connections_are_kept_than_may_be() {
     let mut config = config();
-    config.bounds.engine_idle = 1;
+    config.bounds.idle_per_worker = 1;
     let mut y = Harness::new(config, &two());
     for _ in 0..5 {
         y.ask("help");
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -69,7 +69,7 @@
         let client = y.ask("report");
         let read = y.call();
         // From now on the system takes nothing on that connection but what is said below.
-        y.stuck.insert(pull.conn);
+        y.stalled.insert(pull.conn);
         y.parsed(&read);
         assert!(!y.has_call());
         if taken > 0 {
--- a/crates/router/tests/outputs.rs
+++ b/crates/router/tests/outputs.rs
@@ -258,10 +258,10 @@
 
 /// A stored list that can't be read at the start.
 fn unreadable_list() -> String {
-    let mut y = Harness::started(config(), Some("{"));
+    let mut y = Harness::with_stored_list(config(), Some("{"));
     y.advance(ms(10));
     let unknown = list(3, &[entry("w", "none", 9, "in")]);
-    let unknown = Harness::started(config(), Some(&unknown));
+    let unknown = Harness::with_stored_list(config(), Some(&unknown));
     format!("# unreadable list\nnotes {:?} {:?}\n", y.notes, unknown.notes)
 }
 
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -21,13 +21,13 @@
     bounds.client.body_bytes = size("body-bytes", bounds.client.body_bytes as usize, 1_024) as u64;
     bounds.client.chunk_bytes = size("chunk-bytes", bounds.client.chunk_bytes as usize, 1_024) as u64;
     bounds.client.pipelined_bytes = size("pipelined-bytes", bounds.client.pipelined_bytes, 1_024);
-    bounds.engine.head_bytes = bounds.client.head_bytes;
+    bounds.worker.head_bytes = bounds.client.head_bytes;
     bounds.event_bytes = size("event-bytes", bounds.event_bytes, 1_024);
     bounds.answer_bytes = size("answer-bytes", bounds.answer_bytes, 1_024);
     bounds.clients = size("clients", bounds.clients, 1);
-    bounds.open = size("open", bounds.open, 1);
-    bounds.engine_connections = size("engine-connections", bounds.engine_connections, 1);
-    bounds.engine_idle = size("engine-idle", bounds.engine_idle, 0);
+    bounds.open_requests = size("open", bounds.open_requests, 1);
+    bounds.connections_per_worker = size("engine-connections", bounds.connections_per_worker, 1);
+    bounds.idle_per_worker = size("engine-idle", bounds.idle_per_worker, 0);
     bounds.client_buffer = size("client-buffer", bounds.client_buffer, 4_096);
     bounds.workers = size("workers", bounds.workers, 1);
     bounds.identities = size("identities", bounds.identities, 1);
@@ -47,9 +47,9 @@
             element.report(Some(name), format!("{name} must be at least 1ms"), errors);
         }
     };
-    span("head", &mut waits.head);
+    span("head", &mut waits.request);
     span("idle", &mut waits.idle);
-    span("engine-idle", &mut waits.engine_idle);
+    span("engine-idle", &mut waits.worker_idle);
     span("connect", &mut waits.connect);
     span("stream", &mut waits.stream);
     span("slow-client", &mut waits.slow_client);
@@ -57,7 +57,7 @@
     span("reply-margin", &mut waits.reply_margin);
     span("identity", &mut waits.identity);
     // The same limit before a client's first request as between its requests.
-    waits.first = waits.idle;
+    waits.first_request = waits.idle;
     // Release calls are small: engines answer them as fast as they accept a connection.
     waits.release = waits.connect;
     element.finish(errors);
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -107,21 +107,24 @@
     let c = b.client;
     assert_eq!((c.start_line_bytes, c.head_bytes, c.body_bytes), (1_001, 2_002, 3_003));
     assert_eq!((c.chunk_bytes, c.pipelined_bytes, c.allow_chunk_extensions), (4_004, 5_005, false));
-    assert_eq!((b.engine.head_bytes, b.engine.body_bytes), (2_002, 256 * 1024 * 1024));
-    assert_eq!((b.event_bytes, b.answer_bytes, b.clients, b.open), (6_006, 7_007, 8, 9));
-    assert_eq!((b.engine_connections, b.engine_idle, b.client_buffer), (10, 11, 12_012));
+    assert_eq!((b.worker.head_bytes, b.worker.body_bytes), (2_002, 256 * 1024 * 1024));
+    assert_eq!((b.event_bytes, b.answer_bytes, b.clients, b.open_requests), (6_006, 7_007, 8, 9));
+    assert_eq!((b.connections_per_worker, b.idle_per_worker, b.client_buffer), (10, 11, 12_012));
     assert_eq!((b.workers, b.identities), (13, 14));
     assert_eq!((b.call.messages, b.call.prompt_tokens, b.call.max_tokens), (15, 16, 17));
-    assert_eq!((b.evict, b.bodies, b.links), (false, u64::MAX, usize::MAX));
+    assert_eq!((b.evict_clients, b.pending_body_bytes, b.worker_connections), (false, u64::MAX, usize::MAX));
 }
 
 #[test]
 fn waits_are_read_and_those_without_an_attribute_follow() {
     let w = stored().config.timeouts;
-    assert_eq!([w.head, w.idle, w.engine_idle, w.connect], [1_000, 2_000, 3_000, 4_000].map(ms));
+    assert_eq!([w.request, w.idle, w.worker_idle, w.connect], [1_000, 2_000, 3_000, 4_000].map(ms));
     assert_eq!([w.stream, w.slow_client, w.discovery], [5_000, 6_000, 7_000].map(ms));
     assert_eq!([w.reply_margin, w.identity], [8_000, 9_000].map(ms));
-    assert_eq!([w.first, w.release, w.drain_grace, w.discovery_probe], [2_000, 4_000, 500, 250].map(ms));
+    assert_eq!(
+        [w.first_request, w.release, w.drain_grace, w.discovery_probe],
+        [2_000, 4_000, 500, 250].map(ms)
+    );
     assert_eq!(w.migration, None);
 }
 
