--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -113,8 +113,8 @@
 
     /// Derives the router's bounds. One eighth of the memory is for request bodies that wait, and one eighth for answers
     /// that clients have not read yet.
-    fn bounds(&self, open: usize) -> Bounds {
-        let (clients, _, links) = self.connection_shares();
+    fn bounds(&self, open_requests: usize) -> Bounds {
+        let (clients, _, worker_connections) = self.connection_shares();
         let eighth_bytes = self.memory_mb * 1024.0 * 1024.0 / 8.0;
         let client_limits = chalkyard_proto::Limits {
             start_line_bytes: 2_048,
@@ -126,7 +126,7 @@
         };
         Bounds {
             client: client_limits,
-            engine: chalkyard_proto::Limits {
+            worker: chalkyard_proto::Limits {
                 body_bytes: 16 * 1024 * 1024,
                 pipelined_bytes: 16 * 1024,
                 allow_chunk_extensions: true,
@@ -134,12 +134,12 @@
             },
             event_bytes: 64 * 1024,
             clients,
-            evict: true,
-            bodies: eighth_bytes as u64,
-            open,
-            engine_connections: links,
-            links,
-            engine_idle: links,
+            evict_clients: true,
+            pending_body_bytes: eighth_bytes as u64,
+            open_requests,
+            connections_per_worker: worker_connections,
+            worker_connections,
+            idle_per_worker: worker_connections,
             client_buffer: ((eighth_bytes / clients as f64) as usize).clamp(4 * 1024, 64 * 1024),
             workers: 2_000,
             identities: 0,
@@ -163,16 +163,16 @@
         let seconds_or = |s: Option<f64>, default: Micros| s.map_or(default, Micros::from_secs_f64);
         let worker_idle = seconds_or(params.limits.conn_idle_s, ms(20_000));
         let timeouts = Timeouts {
-            head: ms(2_500),
+            request: ms(2_500),
             idle: ms(15_000),
-            first: ms(2_500),
+            first_request: ms(2_500),
             release: ms(150),
             // The platform kills the process no sooner than 3.7 s after it has asked it to terminate.
             migration: policy.resume.then_some(MigrationWindow { from: ms(1_800), until: ms(3_300) }),
             drain_grace: ms(100),
             // At most half of the configured idle timeout of workers: a call that is sent while the worker closes the
             // connection is lost.
-            engine_idle: worker_idle.mul_f64(0.5).min(ms(10_000)),
+            worker_idle: worker_idle.mul_f64(0.5).min(ms(10_000)),
             connect: seconds_or(params.limits.connect_timeout_s, ms(250)),
             // Below the 5 s after which the platform counts a client as left without an answer.
             stream: ms(4_000),
@@ -186,7 +186,7 @@
             reply_margin: Micros(0),
             identity: Micros(0),
         };
-        let open = params.limits.max_open.filter(|n| *n >= 1.0).map_or(20_000, |n| n as usize);
+        let open_requests = params.limits.max_open.filter(|n| *n >= 1.0).map_or(20_000, |n| n as usize);
         let (_, max_lingering, _) = file.limits.connection_shares();
         let config = Config {
             name: file.name,
@@ -202,7 +202,7 @@
             zones: BTreeMap::new(),
             kinds: BTreeMap::new(),
             discovery: Some(parse_address("discovery", &file.discovery)?),
-            bounds: file.limits.bounds(open),
+            bounds: file.limits.bounds(open_requests),
             timeouts,
             dialect: Some(Arc::new(Platform::new(names))),
         };
--- a/crates/platform/src/dialect.rs
+++ b/crates/platform/src/dialect.rs
@@ -1,7 +1,7 @@
 //! The platform's dialect. Requests and streams are forwarded unchanged; the reply of a worker is classified by whether
 //! it proves that the request was not processed.
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_policy as p;
 use chalkyard_policy::{Micros, Outcome};
 use chalkyard_proto::{encode, Head, StartLine};
@@ -20,12 +20,12 @@
 /// The platform's protocol, for the core of a router.
 #[derive(Debug)]
 pub struct Platform {
-    names: Names,
+    names: NameIndex,
 }
 
 impl Platform {
     /// Creates the dialect from the names in the settings.
-    pub fn new(names: Names) -> Self {
+    pub fn new(names: NameIndex) -> Self {
         Self { names }
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_policy as p;
 use chalkyard_router::dialect::{Endpoint, EndpointList, EndpointListError};
 use serde::Deserialize;
@@ -41,7 +41,7 @@
 const UNSPECIFIED_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-fn parse_member(names: &Names, text: &str) -> Result<Endpoint, String> {
+fn parse_member(names: &NameIndex, text: &str) -> Result<Endpoint, String> {
     let member: Member = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let lifecycle = match member.phase.as_str() {
         "up" => p::Lifecycle::Active,
@@ -54,7 +54,7 @@
         _ if lifecycle == p::Lifecycle::Removed => UNSPECIFIED_ADDRESS,
         _ => return Err(format!("`{}`: host_port is not an IP address with a port", member.id)),
     };
-    let (role, kv_tokens) = names.kind(member.flavor.as_deref());
+    let (role, kv_tokens) = names.worker_kind(member.flavor.as_deref());
     let worker = p::Worker {
         id: member.id.as_str().into(),
         zone: member.locality.as_deref().and_then(|z| names.zone(z)),
@@ -69,7 +69,7 @@
 }
 
 /// Parses an endpoint list. An invalid entry is reported in the list and does not affect the others.
-pub(crate) fn parse_list(names: &Names, text: &[u8]) -> Result<EndpointList, EndpointListError> {
+pub(crate) fn parse_list(names: &NameIndex, text: &[u8]) -> Result<EndpointList, EndpointListError> {
     let raw_list: RawList<'_> = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let mut list =
         EndpointList { version: raw_list.revision, complete: raw_list.complete, ..EndpointList::default() };
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -1,6 +1,6 @@
 //! Parses a request from the `X-*` headers of its head.
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
 use chalkyard_proto::Head;
@@ -129,7 +129,7 @@
 }
 
 /// Parses the tenant. It is required if the settings have tenants, and ignored otherwise.
-fn parse_tenant(names: &Names, head: &Head) -> Result<Option<p::TenantId>, HeadError> {
+fn parse_tenant(names: &NameIndex, head: &Head) -> Result<Option<p::TenantId>, HeadError> {
     const HEADER: &str = "X-Tenant-Id";
     match optional(head, HEADER)? {
         Some(name) if names.has_tenants() => names.tenant(name).map(Some).ok_or(HeadError::UnknownTenant),
@@ -141,7 +141,7 @@
 /// Parses a request whose first byte arrived at `arrived_at`. The prompt's length is estimated from `body_bytes` if the
 /// head has no `prompt_len`.
 pub(crate) fn parse_request(
-    names: &Names,
+    names: &NameIndex,
     arrived_at: Micros,
     head: &Head,
     body_bytes: u64,
--- a/crates/platform/tests/flow.rs
+++ b/crates/platform/tests/flow.rs
@@ -106,7 +106,7 @@
         send_request(&mut h, "id-1", "once");
         let prefill = next_call(&mut h);
         let decode_conn = ConnId(prefill.conn.0 + 2);
-        h.stuck.insert(decode_conn);
+        h.stalled.insert(decode_conn);
         reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
         h.input(Input::Connected(decode_conn));
         let size = encode::request(
@@ -254,7 +254,7 @@
         let mut h = harness();
         // Connection 1 is that of service discovery, connection 3 that of the prefill.
         let late_conn = ConnId(3);
-        h.stuck.insert(late_conn);
+        h.stalled.insert(late_conn);
         let client = send_request(&mut h, "id-1", "once");
         assert!(h.ports.contains_key(&late_conn) && !has_call(&h));
         if client_goes {
@@ -263,7 +263,7 @@
             h.advance(ms(260));
         }
         assert!(h.closed.contains(&late_conn), "client_goes: {client_goes}");
-        h.stuck.remove(&late_conn);
+        h.stalled.remove(&late_conn);
         h.input(Input::Connected(late_conn));
         assert!(h.calls.iter().all(|c| c.conn != late_conn));
         assert!(!client_goes || !has_call(&h), "no attempt is made for a client that has gone");
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -87,7 +87,7 @@
     let mut workers = default_members();
     workers.push(member("r2", "reads", 4, "up"));
     let started = StartupConfig::parse(&config_text(false, &members(4, true, &workers))).unwrap();
-    let mut h = Harness::started(started.config, started.last_endpoint_list.as_deref());
+    let mut h = Harness::with_stored_list(started.config, started.last_endpoint_list.as_deref());
     send_request(&mut h, "id-1", "chat");
     let prefill = next_call(&mut h);
     while !h.closed.contains(&prefill.conn) {
@@ -137,7 +137,7 @@
     // The reservation timeout is 1 s and the connect timeout 250 ms. The state is released after four fifths of the
     // reservation timeout, and each connect may take half of the time left until then.
     for n in 1..=8 {
-        h.stuck.insert(ConnId(prefill.conn.0 + 2 * n));
+        h.stalled.insert(ConnId(prefill.conn.0 + 2 * n));
     }
     reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
     let prefilled_at = h.now;
@@ -157,7 +157,7 @@
             let mut h = harness_with_timeouts(reservation_ms, connect_ms);
             send_request(&mut h, "id-1", "once");
             let prefill = next_call(&mut h);
-            h.stuck.insert(ConnId(prefill.conn.0 + 2));
+            h.stalled.insert(ConnId(prefill.conn.0 + 2));
             reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
             let prefilled_at = h.now;
             let first = h.ports[&ConnId(prefill.conn.0 + 2)];
@@ -180,7 +180,7 @@
             send_request(&mut h, "id-1", "once");
             let prefill = next_call(&mut h);
             for n in 1..=4 {
-                h.stuck.insert(ConnId(prefill.conn.0 + 2 * n));
+                h.stalled.insert(ConnId(prefill.conn.0 + 2 * n));
             }
             reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
             let prefilled_at = h.now;
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -1,7 +1,7 @@
 //! Tests of the configuration and its bounds, and property tests that parsers accept any bytes.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
-use chalkyard_adapter::translate::Names;
+use chalkyard_adapter::translate::NameIndex;
 use chalkyard_platform::{ConfigError, Platform, StartupConfig};
 use chalkyard_policy::Micros;
 use chalkyard_proto::{Decoder, Part, Side};
@@ -52,13 +52,16 @@
             parse_with(|v| v["limits"] = json!({"sockets": sockets, "memory_mb": memory_mb})).unwrap();
         let bounds = started.config.bounds;
         // At least 12 descriptors remain for standard streams, the event loop, the listening socket and service discovery.
-        assert!(bounds.clients + started.max_lingering + bounds.links + 12 <= sockets, "{sockets}");
+        assert!(
+            bounds.clients + started.max_lingering + bounds.worker_connections + 12 <= sockets,
+            "{sockets}"
+        );
         assert!(bounds.clients * 3 >= sockets, "at least a third is for client connections: {sockets}");
-        let buffers = bounds.bodies + (bounds.clients * bounds.client_buffer) as u64;
+        let buffers = bounds.pending_body_bytes + (bounds.clients * bounds.client_buffer) as u64;
         assert!(buffers * 2 <= (memory_mb as u64) << 20, "{memory_mb} MB");
     }
     let started = parse_with(|_| {}).unwrap();
-    assert_eq!(started.config.timeouts.engine_idle, Micros(2_000_000), "half of the configured idle timeout");
+    assert_eq!(started.config.timeouts.worker_idle, Micros(2_000_000), "half of the configured idle timeout");
     assert_eq!((started.config.timeouts.connect, started.seed), (Micros(300_000), Some(0x1f)));
 }
 
@@ -78,7 +81,7 @@
 proptest! {
     #[test]
     fn stream_split_anywhere_gives_the_same_progress(bytes in stream(), at in prop::collection::vec(any::<prop::sample::Index>(), 0..6)) {
-        let platform = Platform::new(Names::default());
+        let platform = Platform::new(NameIndex::default());
         let mut unsplit = platform.response_observer();
         unsplit.push(&bytes);
         let mut cuts: Vec<usize> = at.iter().map(|i| i.index(bytes.len() + 1)).collect();
@@ -102,8 +105,8 @@
         let mut d = Decoder::new(Side::Request, Default::default());
         d.push(&bytes);
         if let Ok(Some(Part::Head(head))) = d.next_part() {
-            let parsed = Platform::new(Names::default()).parse_request(Micros(0), &head, b"{}".to_vec());
-            // `Names::default()` has no class, so every request is invalid.
+            let parsed = Platform::new(NameIndex::default()).parse_request(Micros(0), &head, b"{}".to_vec());
+            // `NameIndex::default()` has no class, so every request is invalid.
             let rejected = matches!(parsed, ParsedRequest::Invalid { status: 400, .. });
             prop_assert!(rejected);
         }
@@ -111,7 +114,7 @@
 
     #[test]
     fn arbitrary_endpoint_lists_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), phase in "[a-z]{0,9}", address in "[0-9.:a-z]{0,12}") {
-        let platform = Platform::new(Names::default());
+        let platform = Platform::new(NameIndex::default());
         let _ = platform.parse_list(&bytes);
         let entry = json!({"id": "a", "host_port": address, "phase": phase, "up_since_ms": -1.5, "size": -1});
         let list = platform.parse_list(json!({"revision": 1, "members": [entry]}).to_string().as_bytes()).unwrap();
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -77,15 +77,21 @@
     assert_eq!(tenants, ["acme", "free"]);
     let bounds = config.bounds;
     assert_eq!(
-        (bounds.open, bounds.clients, bounds.links, bounds.engine_connections, bounds.engine_idle),
+        (
+            bounds.open_requests,
+            bounds.clients,
+            bounds.worker_connections,
+            bounds.connections_per_worker,
+            bounds.idle_per_worker
+        ),
         (500, 106, 119, 119, 119)
     );
     assert_eq!(
-        (bounds.bodies, bounds.client_buffer, bounds.workers, bounds.identities),
+        (bounds.pending_body_bytes, bounds.client_buffer, bounds.workers, bounds.identities),
         (8 << 20, 65_536, 2_000, 0)
     );
     let timeouts = config.timeouts;
-    assert_eq!((timeouts.connect, timeouts.engine_idle, timeouts.release), (ms(250), ms(10_000), ms(150)));
+    assert_eq!((timeouts.connect, timeouts.worker_idle, timeouts.release), (ms(250), ms(10_000), ms(150)));
     assert_eq!((timeouts.discovery, timeouts.discovery_probe), (ms(3_000), ms(250)));
     assert_eq!(timeouts.migration, Some(MigrationWindow { from: ms(1_800), until: ms(3_300) }));
 }
--- a/crates/platform/tests/terms.rs
+++ b/crates/platform/tests/terms.rs
@@ -32,10 +32,10 @@
     let sent_at = h.now;
     let client = h.client();
     let conn = FIRST_WORKER_CONN;
-    h.stuck.insert(conn);
+    h.stalled.insert(conn);
     h.bytes(client, &request(&default_headers("id-1", "chat")));
     h.advance(ms(700));
-    h.stuck.remove(&conn);
+    h.stalled.remove(&conn);
     h.input(Input::Connected(conn));
     let prefill = next_call(&mut h);
     assert!(
@@ -52,7 +52,7 @@
     let sent_at = h.now;
     let client = h.client();
     let conn = FIRST_WORKER_CONN;
-    h.stuck.insert(conn);
+    h.stalled.insert(conn);
     h.bytes(client, &request(&default_headers("id-1", "once")));
     h.input(Input::Connected(conn));
     // The system has taken all but the last bytes of the call.
@@ -85,7 +85,7 @@
     let client = h.client();
     let prefill = send_single_shot(&mut h, client);
     let conn = ConnId(prefill.conn.0 + 2);
-    h.stuck.insert(conn);
+    h.stalled.insert(conn);
     reply(&mut h, prefill.conn, 202, &[], r#"{"cached_tokens":0}"#);
     h.input(Input::Connected(conn));
     h.input(Input::Wrote(conn, 100));
@@ -107,7 +107,7 @@
     let mut h = harness();
     let client = h.client();
     let conn = FIRST_WORKER_CONN;
-    h.stuck.insert(conn);
+    h.stalled.insert(conn);
     h.bytes(client, &request(&default_headers("id-1", "chat")));
     h.input(Input::Connected(conn));
     h.input(Input::Wrote(conn, 100));
@@ -207,11 +207,11 @@
 fn clients_with_unread_bytes_are_not_evicted() {
     let mut h = harness();
     let clients: Vec<ConnId> = (0..(256 - 20) * 9 / 20).map(|_| h.client()).collect();
-    h.unread.extend(&clients[..5]);
+    h.with_unread_bytes.extend(&clients[..5]);
     let active = send_request(&mut h, "id-1", "chat");
     assert_eq!(h.closed.len(), 0, "the first client chosen for eviction has sent bytes");
     for sender in &clients[..5] {
-        h.unread.remove(sender);
+        h.with_unread_bytes.remove(sender);
         h.bytes(*sender, b"GET /up HTTP/1.1\r\n");
     }
     assert!(clients[..5].iter().all(|c| !h.closed.contains(c)), "clients that have sent bytes stay");
