--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -8,8 +8,8 @@
 use serde_json::value::RawValue;
 
 use super::attempt::{outcome_name, Attempt, AttemptStage};
-use super::record::{since, AttemptRecord, RequestOutcome};
-use super::tally::CallKind;
+use super::record::{elapsed_us, AttemptRecord, RequestOutcome};
+use super::tally::AttemptReason;
 use super::ConnId;
 use crate::dialect::ForwardedRequest;
 use crate::identity::RequestIdentity;
@@ -146,13 +146,13 @@
     }
 
     /// As what an attempt counts that begins now.
-    pub(super) fn next_call(&self, stage: AttemptStage) -> CallKind {
+    pub(super) fn next_attempt_reason(&self, stage: AttemptStage) -> AttemptReason {
         match self.attempts.last() {
-            None => CallKind::First,
+            None => AttemptReason::First,
             Some(last) if stage == AttemptStage::Decode && last.stage == AttemptStage::Prefill => {
-                CallKind::Decode
+                AttemptReason::Decode
             }
-            Some(_) => CallKind::Retry { may_have_run: self.may_have_run() },
+            Some(_) => AttemptReason::Retry { may_have_run: self.may_have_run() },
         }
     }
 
@@ -249,8 +249,8 @@
             stage: a.stage.name(),
             outcome: a.ended.map_or("open", |end| outcome_name(end.outcome)),
             kind: a.kind,
-            sent_us: since(a.sent_at, self.arrived_at),
-            took_us: since(a.ended.map_or(now, |end| end.at), a.sent_at),
+            sent_us: elapsed_us(a.sent_at, self.arrived_at),
+            took_us: elapsed_us(a.ended.map_or(now, |end| end.at), a.sent_at),
             kept_tokens: a.cached_tokens,
             report: a.report,
         };
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -8,7 +8,7 @@
 use super::active_request::{ActiveRequest, ClientCall, FinalAnswer};
 use super::attempt::outcome_name;
 use super::counters::{increment, Violation};
-use super::record::{since, RequestOutcome, RequestRecord};
+use super::record::{elapsed_us, RequestOutcome, RequestRecord};
 use super::view::OpenRequest;
 use super::{Core, FinishedOutput, Output};
 
@@ -97,7 +97,7 @@
         } else {
             self.answer_error(client, status, &error);
         }
-        self.forget_completed(id);
+        self.remove_if_completed(id);
     }
 
     /// Records that the final answer is given; the only place that does.
@@ -128,7 +128,7 @@
         let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
         self.record_answer(permit, id, ended, String::new());
         self.abandon(id, Outcome::Cancelled);
-        self.forget_completed(id);
+        self.remove_if_completed(id);
     }
 
     /// Nobody waits for an answer any more: the policy is notified, and all attempts end.
@@ -159,8 +159,8 @@
     /// The core's own limit: the policy has not ended the request in its time.
     pub(super) fn answer_overdue(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let is_on_its_way = request.answering_attempt.is_some() && request.call.is_streamed();
-        if !matches!(request.answer, FinalAnswer::Pending) || is_on_its_way {
+        let is_streamed_answer = request.answering_attempt.is_some() && request.call.is_streamed();
+        if !matches!(request.answer, FinalAnswer::Pending) || is_streamed_answer {
             return;
         }
         self.record_violation(id, Violation::AnswerOverdue, None);
@@ -178,14 +178,14 @@
         for id in open {
             self.answer_failure(&id, RequestOutcome::Stopped, 503, "this router is stopping".into());
             self.abandon(&id, Outcome::Cancelled);
-            self.forget_completed(&id);
+            self.remove_if_completed(&id);
         }
-        self.pump();
+        self.process_events();
         out.append(&mut self.outputs);
     }
 
     /// Forgets a request of which nothing is left to be done, and gives its record out.
-    pub(super) fn forget_completed(&mut self, id: &RequestId) {
+    pub(super) fn remove_if_completed(&mut self, id: &RequestId) {
         if !self.requests.get(id).is_some_and(ActiveRequest::is_completed) {
             return;
         }
@@ -213,14 +213,14 @@
             prefix: request.spec.prefix.as_ref().map(|p| p.0.to_string()),
             ended,
             rejection_reason: request.rejection_reason,
-            list_age_us: self.discovery.changed_at.map(|changed_at| since(at, changed_at)),
+            list_age_us: self.discovery.changed_at.map(|changed_at| elapsed_us(at, changed_at)),
             open: self.requests.len() + 1,
             phase,
             reason,
             attempts,
             arrived_us: request.arrived_at.0,
-            first_token_us: request.first_token_at.map(|first| since(first, request.arrived_at)),
-            total_us: since(at, request.arrived_at),
+            first_token_us: request.first_token_at.map(|first| elapsed_us(first, request.arrived_at)),
+            total_us: elapsed_us(at, request.arrived_at),
             estimated_tokens: request.spec.prompt_tokens,
             prompt_tokens: request.usage.prompt_tokens,
             kept_tokens: request.usage.kept_tokens,
@@ -244,8 +244,8 @@
             class: self.class_name(request.spec.class),
             tenant: self.tenant_name(request.spec.tenant),
             phase: if request.is_answered() { "answered" } else { request.phase() },
-            age_us: since(self.now, request.arrived_at),
-            left_us: since(request.spec.deadline, self.now),
+            age_us: elapsed_us(self.now, request.arrived_at),
+            left_us: elapsed_us(request.spec.deadline, self.now),
             prompt_tokens: request.spec.prompt_tokens,
             pieces: request.pieces,
             may_have_run: request.may_have_run(),
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -53,7 +53,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let permit = request.obligations(&self.config.policy).may_send(self.now, &target);
         let stage = request.next_stage(&target);
-        let call = request.next_call(stage);
+        let call = request.next_attempt_reason(stage);
         let no = AttemptNo(request.attempts.len() as u32);
         let latest = request.spec.deadline;
         let deadline = limits.timeout.map_or(latest, |timeout| (self.now + timeout).min(latest));
@@ -82,11 +82,11 @@
                 return self.end_attempt(id, no, Outcome::NotSent, 0);
             }
         }
-        self.arm_attempt(id, no, deadline);
+        self.set_attempt_timer(id, no, deadline);
     }
 
     /// Ends the attempt at its time, unless it has ended already for want of a connection.
-    fn arm_attempt(&mut self, id: &RequestId, no: AttemptNo, deadline: Micros) {
+    fn set_attempt_timer(&mut self, id: &RequestId, no: AttemptNo, deadline: Micros) {
         if self.attempt_mut(id, no).is_none_or(|a| a.conn.is_none()) {
             return;
         }
@@ -175,7 +175,7 @@
     pub(super) fn cancel_attempt(&mut self, id: &RequestId, no: AttemptNo) {
         let is_answering = self.requests.get(id).is_some_and(|r| r.answering_attempt == Some(no.0 as usize));
         if !is_answering {
-            self.close_idle_beside(id, no);
+            self.close_idle_to_attempt_worker(id, no);
             self.end_attempt(id, no, Outcome::Cancelled, 0);
         }
     }
@@ -190,10 +190,10 @@
     }
 
     /// An attempt ends without any answer: whatever has lost its call would lose the next on an idle connection too.
-    fn close_idle_beside(&mut self, id: &RequestId, no: AttemptNo) {
+    fn close_idle_to_attempt_worker(&mut self, id: &RequestId, no: AttemptNo) {
         let attempt = self.attempt_mut(id, no).filter(|a| a.ended.is_none());
         if let Some(worker) = attempt.map(|a| a.worker.clone()) {
-            self.close_idle(&worker);
+            self.close_idle_connections(&worker);
         }
     }
 
@@ -223,7 +223,7 @@
         }
         self.answer_ended_attempt(id, outcome, ended.was_answering);
         self.notify_outcome(id, no, outcome, ended);
-        self.forget_completed(id);
+        self.remove_if_completed(id);
     }
 
     /// Marks an open attempt as ended and cancels its timers; none if it has ended before.
@@ -338,7 +338,7 @@
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.timer = None;
         }
-        self.close_idle_beside(id, no);
+        self.close_idle_to_attempt_worker(id, no);
         self.end_attempt(id, no, Outcome::TimedOut, 0);
     }
 
--- a/crates/router/src/core/client_answers.rs
+++ b/crates/router/src/core/client_answers.rs
@@ -36,14 +36,14 @@
             fields.push(("retry-after", after));
         }
         self.write_client(conn, encode::response(status, &fields, &body.json(), keep_alive));
-        self.answered(conn);
+        self.finish_answer(conn);
     }
 
     /// The present request has its answer: on to the next, or to the end.
-    pub(super) fn answered(&mut self, conn: ConnId) {
+    pub(super) fn finish_answer(&mut self, conn: ConnId) {
         let keep_alive = self.is_kept_alive(conn);
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.next_request(self.now);
+        client.start_next_request(self.now);
         if client.close_after_answer {
             return self.close_answered(conn);
         }
@@ -53,7 +53,7 @@
         }
         let timeouts = &self.config.timeouts;
         let timeout = if client.decoder.is_idle() { timeouts.idle } else { timeouts.head };
-        self.arm_client(conn, timeout);
+        self.set_client_timer(conn, timeout);
         self.pending_clients.push_back(conn);
     }
 
@@ -79,7 +79,7 @@
         push_event(&mut bytes, event);
         bytes.extend_from_slice(encode::LAST_CHUNK);
         self.write_client(conn, bytes);
-        self.answered(conn);
+        self.finish_answer(conn);
     }
 
     /// Bytes of a stream as they came, after a head if it begins.
@@ -96,7 +96,7 @@
     /// The stream that was passed on has ended well.
     pub(super) fn end_forwarded(&mut self, conn: ConnId) {
         self.write_client(conn, encode::LAST_CHUNK.to_vec());
-        self.answered(conn);
+        self.finish_answer(conn);
     }
 
     pub(super) fn write_body_answer(
@@ -108,7 +108,7 @@
         let body = serde_json::to_vec(answer).unwrap_or_default();
         let keep_alive = self.announce_keep_alive(conn);
         self.write_client(conn, encode::response(200, &[JSON, ("x-request-id", &*id.0)], &body, keep_alive));
-        self.answered(conn);
+        self.finish_answer(conn);
     }
 }
 
--- a/crates/router/src/core/client_connection.rs
+++ b/crates/router/src/core/client_connection.rs
@@ -76,19 +76,19 @@
     }
 
     /// Its request was answered: the time of the next one runs, if some of that has come.
-    pub(super) fn next_request(&mut self, now: Micros) {
+    pub(super) fn start_next_request(&mut self, now: Micros) {
         self.phase = ClientPhase::ReadingHead;
         self.has_been_answered = true;
         self.phase_since = if self.decoder.is_idle() { now } else { self.next_request_since };
     }
 
     /// Whether it may be closed to make room: none of its requests is complete.
-    pub(super) fn is_dispensable(&self) -> bool {
+    pub(super) fn is_evictable(&self) -> bool {
         !matches!(self.phase, ClientPhase::Serving(_)) && !self.output_full && !self.closing_if_quiet
     }
 
     /// The system has taken bytes to be sent.
-    pub(super) fn sent(&mut self, now: Micros, bytes: u64) {
+    pub(super) fn bytes_sent(&mut self, now: Micros, bytes: u64) {
         self.unsent_bytes = self.unsent_bytes.saturating_sub(bytes);
         self.blocked_since = now;
     }
--- a/crates/router/src/core/client_reading.rs
+++ b/crates/router/src/core/client_reading.rs
@@ -26,7 +26,7 @@
             // A client's first request has no longer than is left of its connection's time.
             let left = client.timer.filter(|_| !client.has_been_answered).map(|key| key.due - self.now);
             let timeout = self.config.timeouts.head;
-            self.arm_client(conn, left.map_or(timeout, |left| left.min(timeout)));
+            self.set_client_timer(conn, left.map_or(timeout, |left| left.min(timeout)));
         }
         self.read_requests(conn);
     }
@@ -34,7 +34,7 @@
     /// Reads on until a request is complete or more bytes are needed.
     pub(super) fn read_requests(&mut self, conn: ConnId) {
         loop {
-            let is_full = self.is_full(conn);
+            let is_full = self.is_send_buffer_full(conn);
             let Some(client) = self.clients.get_mut(&conn) else { return };
             if matches!(client.phase, ClientPhase::Serving(_)) {
                 client.pipeline_full = client.decoder.is_crowded();
@@ -44,7 +44,7 @@
             if is_full {
                 client.output_full = true;
                 self.update_reading(conn);
-                return self.arm_slow_client(conn);
+                return self.set_slow_client_timer(conn);
             }
             match client.decoder.next_part() {
                 Ok(Some(Part::Head(head))) => {
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -18,14 +18,14 @@
         if is_full || (self.draining && self.config.dialect.is_none()) {
             let reason = if self.draining { "draining" } else { "too many connections" };
             let body = error(ErrorKind::Refused, reason).json();
-            self.count(|t| t.dropped_clients += 1);
+            self.update_tally(|t| t.dropped_clients += 1);
             self.outputs.push(Output::Write(conn, encode::response(503, &[JSON], &body, false)));
             self.outputs.push(Output::Close(conn));
             return;
         }
         let decoder = Decoder::new(Side::Request, self.config.bounds.client);
         self.clients.insert(conn, ClientConnection::new(decoder, self.now));
-        self.arm_client(conn, self.config.timeouts.first);
+        self.set_client_timer(conn, self.config.timeouts.first);
     }
 
     /// Makes room for a client: of those without an open request the one that has been silent for longest is closed, first
@@ -35,10 +35,10 @@
         if !self.config.bounds.evict {
             return false;
         }
-        let dispensable = self.clients.iter().filter(|(_, c)| c.is_dispensable());
-        let first = dispensable.min_by_key(|(_, c)| (!c.is_idle(), c.has_been_answered, c.phase_since));
+        let evictable = self.clients.iter().filter(|(_, c)| c.is_evictable());
+        let first = evictable.min_by_key(|(_, c)| (!c.is_idle(), c.has_been_answered, c.phase_since));
         let Some(conn) = first.map(|(conn, _)| *conn) else { return false };
-        self.count(|t| t.dropped_clients += 1);
+        self.update_tally(|t| t.dropped_clients += 1);
         self.close_if_quiet(conn);
         true
     }
@@ -77,7 +77,7 @@
             if has_been_answered {
                 self.close_if_quiet(conn);
             } else {
-                self.arm_client(conn, self.config.timeouts.drain_grace);
+                self.set_client_timer(conn, self.config.timeouts.drain_grace);
             }
         }
     }
@@ -105,7 +105,7 @@
     }
 
     /// Sets the one timer of a client's connection.
-    pub(super) fn arm_client(&mut self, conn: ConnId, span: Micros) {
+    pub(super) fn set_client_timer(&mut self, conn: ConnId, span: Micros) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if let Some(key) = client.timer.take() {
             self.timers.cancel(key);
@@ -114,11 +114,11 @@
     }
 
     /// Watches the client of a paused stream.
-    pub(super) fn arm_slow_client(&mut self, conn: ConnId) {
-        self.arm_client(conn, self.config.timeouts.slow_client);
+    pub(super) fn set_slow_client_timer(&mut self, conn: ConnId) {
+        self.set_client_timer(conn, self.config.timeouts.slow_client);
     }
 
-    fn forget_client(&mut self, conn: ConnId) -> Option<ClientConnection> {
+    fn remove_client(&mut self, conn: ConnId) -> Option<ClientConnection> {
         let client = self.clients.remove(&conn)?;
         if let ClientPhase::ReadingBody(_, body) = &client.phase {
             self.body_bytes = self.body_bytes.saturating_sub(body.len() as u64);
@@ -141,20 +141,20 @@
 
     /// Closes a client that was answered though its request was not complete.
     pub(super) fn close_client(&mut self, conn: ConnId) {
-        if self.forget_client(conn).is_some() {
+        if self.remove_client(conn).is_some() {
             self.outputs.push(Output::Close(conn));
         }
     }
 
     /// Closes a client all of whose requests are answered.
     pub(super) fn close_answered(&mut self, conn: ConnId) {
-        if self.forget_client(conn).is_some() {
+        if self.remove_client(conn).is_some() {
             self.outputs.push(Output::CloseAnswered(conn));
         }
     }
 
     /// Whether so much waits for this client that its worker should not be read.
-    pub(super) fn is_full(&self, conn: ConnId) -> bool {
+    pub(super) fn is_send_buffer_full(&self, conn: ConnId) -> bool {
         self.clients.get(&conn).is_some_and(|c| c.unsent_bytes > self.config.bounds.client_buffer as u64)
     }
 
@@ -166,7 +166,7 @@
         }
         if std::mem::take(&mut client.output_full) {
             self.update_reading(conn);
-            self.arm_client(conn, self.config.timeouts.head);
+            self.set_client_timer(conn, self.config.timeouts.head);
             return self.pending_clients.push_back(conn);
         }
         if let ClientPhase::Serving(id) = &client.phase {
@@ -177,26 +177,26 @@
 
     /// The timer of a client's connection is due.
     pub(super) fn client_timed_out(&mut self, conn: ConnId) {
-        let (slow_client, is_full) = (self.config.timeouts.slow_client, self.is_full(conn));
+        let (slow_client, is_full) = (self.config.timeouts.slow_client, self.is_send_buffer_full(conn));
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.timer = None;
         let is_blocked = client.blocked_since + slow_client <= self.now;
         if client.output_full {
             if !is_blocked {
-                return self.arm_slow_client(conn);
+                return self.set_slow_client_timer(conn);
             }
-            self.forget_client(conn);
+            self.remove_client(conn);
             return self.outputs.push(Output::Abort(conn));
         }
         match &client.phase {
             ClientPhase::Serving(id) => {
                 let id = id.clone();
                 if is_full && is_blocked {
-                    self.forget_client(conn);
+                    self.remove_client(conn);
                     self.outputs.push(Output::Abort(conn));
                     self.client_left(&id, RequestOutcome::ClientSlow);
                 } else if is_full {
-                    self.arm_slow_client(conn);
+                    self.set_slow_client_timer(conn);
                 }
             }
             ClientPhase::ReadingHead if client.decoder.is_idle() => self.close_if_quiet(conn),
@@ -209,7 +209,7 @@
     }
 
     pub(super) fn client_lost(&mut self, conn: ConnId) {
-        let Some(client) = self.forget_client(conn) else { return };
+        let Some(client) = self.remove_client(conn) else { return };
         if let ClientPhase::Serving(id) = client.phase {
             self.client_left(&id, RequestOutcome::ClientGone);
         }
--- a/crates/router/src/core/connection_events.rs
+++ b/crates/router/src/core/connection_events.rs
@@ -48,7 +48,7 @@
             self.outputs.push(Output::Abort(conn));
             return self.connection_lost(conn);
         }
-        let Some(connection) = self.forget_connection(conn) else { return };
+        let Some(connection) = self.remove_connection(conn) else { return };
         self.outputs.push(Output::Abort(conn));
         match connection.task {
             Task::Attempt(id, no, _) => self.end_attempt(&id, no, Outcome::ServerError, 0),
@@ -60,10 +60,10 @@
     /// begin with the last byte, if it had taken that. Idle connections to the same worker are closed too: they are as old,
     /// and each could cost an attempt if the worker is gone.
     pub(super) fn connection_lost(&mut self, conn: ConnId) {
-        let Some(connection) = self.forget_connection(conn) else { return };
+        let Some(connection) = self.remove_connection(conn) else { return };
         self.learn_idle_timeout(&connection);
         if let Some(worker) = &connection.worker {
-            self.close_idle(worker);
+            self.close_idle_connections(worker);
         }
         let needed = if self.config.dialect.is_some() { connection.call_size } else { 1 };
         let may_have_arrived = connection.pending_call.is_none() && connection.written >= needed;
@@ -83,7 +83,7 @@
 
     /// A connection could not be begun for want of descriptors or ports of this process.
     pub(super) fn connection_not_started(&mut self, conn: ConnId) {
-        let Some(connection) = self.forget_connection(conn) else { return };
+        let Some(connection) = self.remove_connection(conn) else { return };
         match connection.task {
             Task::Attempt(id, no, _) => self.end_attempt(&id, no, Outcome::NotSent, 0),
             other => self.call_lost(other),
--- a/crates/router/src/core/connection_pool.rs
+++ b/crates/router/src/core/connection_pool.rs
@@ -36,7 +36,7 @@
             if idle > idle_timeout {
                 // Those below it have been idle for longer.
                 self.abort_connection(conn);
-                self.close_idle(worker);
+                self.close_idle_connections(worker);
                 break;
             }
             connection.reused = Some(Reuse { idle, at: self.now });
@@ -88,7 +88,7 @@
     ) -> ConnId {
         let conn = ConnId(self.next_connection);
         self.next_connection += 2;
-        self.count(|t| t.connects += u64::from(worker.is_some()));
+        self.update_tally(|t| t.connects += u64::from(worker.is_some()));
         let timeout = self.now + self.config.timeouts.connect;
         let timer = self.timers.set(timeout, TimerEvent::Connection(conn));
         let decoder = Decoder::new(Side::Response, self.config.bounds.engine);
@@ -106,7 +106,7 @@
         let call = connection.pending_call.take();
         match connection.task {
             Task::Idle => self.return_to_pool(conn),
-            Task::WatchEndpoints(_) | Task::PollEndpoints(_) => self.arm_discovery_timeout(conn),
+            Task::WatchEndpoints(_) | Task::PollEndpoints(_) => self.set_discovery_timer(conn),
             // The policy sets no timeout for calls that are no attempts.
             Task::Release(..) => self.limit_reply(conn),
             Task::Attempt(..) | Task::DrainReply => {}
@@ -197,7 +197,7 @@
     }
 
     /// Closes a connection that was idle for its time.
-    pub(super) fn close_idle_connection(&mut self, conn: ConnId) {
+    pub(super) fn idle_connection_timed_out(&mut self, conn: ConnId) {
         if self.connections.get(&conn).is_some_and(|c| matches!(c.task, Task::Idle)) {
             self.abort_connection(conn);
         }
@@ -222,13 +222,13 @@
 
     /// Closes a connection whose task is over or does not matter any more.
     pub(super) fn abort_connection(&mut self, conn: ConnId) {
-        if self.forget_connection(conn).is_some() {
+        if self.remove_connection(conn).is_some() {
             self.outputs.push(Output::Abort(conn));
         }
     }
 
     /// Removes a connection that is closed, or is about to be.
-    pub(super) fn forget_connection(&mut self, conn: ConnId) -> Option<WorkerConnection> {
+    pub(super) fn remove_connection(&mut self, conn: ConnId) -> Option<WorkerConnection> {
         let connection = self.connections.remove(&conn)?;
         if let Some(key) = connection.timer {
             self.timers.cancel(key);
@@ -238,14 +238,14 @@
                 endpoint.open = endpoint.open.saturating_sub(1);
                 endpoint.idle.retain(|c| *c != conn);
             }
-            self.forget_worker(worker);
+            self.remove_unused_worker(worker);
         }
         Some(connection)
     }
 
     /// Forgets a worker that was removed from the list once it has neither a connection nor a reservation, which may still
     /// have to be released.
-    pub(super) fn forget_worker(&mut self, worker: &p::WorkerId) {
+    pub(super) fn remove_unused_worker(&mut self, worker: &p::WorkerId) {
         let is_unused = self.workers.get(worker).is_some_and(|e| !e.listed && e.open == 0);
         if is_unused && !self.requests.values().any(|r| r.has_reservation_at(worker)) {
             self.workers.remove(worker);
@@ -253,7 +253,7 @@
     }
 
     /// Closes a worker's idle connections.
-    pub(super) fn close_idle(&mut self, worker: &p::WorkerId) {
+    pub(super) fn close_idle_connections(&mut self, worker: &p::WorkerId) {
         let idle = self.workers.get_mut(worker).map(|e| std::mem::take(&mut e.idle));
         for conn in idle.unwrap_or_default() {
             self.abort_connection(conn);
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -15,7 +15,7 @@
 use crate::discovery::{EndpointUpdateError, KnownEndpoints};
 
 /// Bytes of an endpoint list.
-const LIST_BYTES: usize = 16 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
 /// Service discovery is polled again so long after a call to it has failed.
 const POLL_PAUSE: Micros = Micros(100_000);
 
@@ -34,7 +34,7 @@
     /// Whether that poll may wait for a change.
     long_poll: bool,
     /// The last call has failed, or the address has changed since.
-    suspect: bool,
+    needs_probe: bool,
     /// When the list last changed.
     pub(super) changed_at: Option<Micros>,
     /// When an event was last found to be lost.
@@ -51,7 +51,7 @@
             version: None,
             polled_at: Micros(0),
             long_poll: true,
-            suspect: false,
+            needs_probe: false,
             changed_at: None,
             last_gap_at: None,
             has_list: false,
@@ -63,7 +63,7 @@
     /// Takes over where workers are; gives what the policy is notified of.
     pub(super) fn apply_endpoints(&mut self, endpoints: Vec<Endpoint>, is_complete: bool) -> Vec<p::Worker> {
         if !endpoints.is_empty() {
-            self.count(|t| t.list_changes += 1);
+            self.update_tally(|t| t.list_changes += 1);
             self.discovery.changed_at = Some(self.now);
         }
         if is_complete {
@@ -86,8 +86,8 @@
         }
         let unlisted = self.workers.iter().filter(|(_, e)| !e.listed).map(|(id, _)| id.clone());
         for id in unlisted.chain(moved).collect::<Vec<_>>() {
-            self.close_idle(&id);
-            self.forget_worker(&id);
+            self.close_idle_connections(&id);
+            self.remove_unused_worker(&id);
         }
         endpoints.into_iter().map(|endpoint| endpoint.worker).collect()
     }
@@ -118,10 +118,10 @@
             self.abort_connection(old);
         }
         let Some(address) = self.config.discovery else { return };
-        self.count(|t| t.list_calls += 1);
+        self.update_tally(|t| t.list_calls += 1);
         let host = address.to_string();
         let call = encode::request("GET", "/v1/workers?watch=1", &host, &[("via", &self.via)], &[]);
-        let task = Task::WatchEndpoints(Box::new(sse::Reader::new(LIST_BYTES)));
+        let task = Task::WatchEndpoints(Box::new(sse::Reader::new(MAX_LIST_BYTES)));
         self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
 
@@ -133,9 +133,9 @@
             return;
         }
         self.discovery.polled_at = self.now;
-        self.discovery.long_poll = !self.discovery.suspect;
+        self.discovery.long_poll = !self.discovery.needs_probe;
         let call = dialect.list_call(self.discovery.version, self.discovery.long_poll, &address.to_string());
-        self.count(|t| t.list_calls += 1);
+        self.update_tally(|t| t.list_calls += 1);
         let task = Task::PollEndpoints(Vec::new());
         self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
@@ -146,7 +146,7 @@
         if let Some(old) = self.discovery.connection.take() {
             self.abort_connection(old);
         }
-        self.discovery.suspect = true;
+        self.discovery.needs_probe = true;
         self.watch_discovery();
     }
 
@@ -157,17 +157,17 @@
         }
         self.discovery.has_list = true;
         // After an invalid entry the complete list is asked for, once; what is invalid again is left out.
-        let ask_again = !list.invalid.is_empty() && self.discovery.version.is_some();
-        self.discovery.version = (!ask_again).then_some(list.version);
+        let request_complete_list = !list.invalid.is_empty() && self.discovery.version.is_some();
+        self.discovery.version = (!request_complete_list).then_some(list.version);
         let update = if list.complete { p::EndpointUpdate::Snapshot } else { p::EndpointUpdate::Delta };
         let is_complete = list.complete;
-        let endpoints = self.within_bound(list);
+        let endpoints = self.limit_workers(list);
         (self.apply_endpoints(endpoints, is_complete), update)
     }
 
     /// The entries of a list that fit. New workers past the bound are left out; what is said of known ones, above all that
     /// they drain, is not.
-    fn within_bound(&mut self, list: EndpointList) -> Vec<Endpoint> {
+    fn limit_workers(&mut self, list: EndpointList) -> Vec<Endpoint> {
         let known = if list.complete { 0 } else { self.workers.len() };
         let mut capacity = self.config.bounds.workers.saturating_sub(known);
         let named = list.endpoints.len();
@@ -193,12 +193,12 @@
         match part {
             Part::Head(head) if head.start == (Start::Response { status: 200 }) => {
                 // It answers again; a long list may take longer than its first bytes.
-                if std::mem::take(&mut self.discovery.suspect) {
-                    self.arm_discovery_timeout(conn);
+                if std::mem::take(&mut self.discovery.needs_probe) {
+                    self.set_discovery_timer(conn);
                 }
                 true
             }
-            Part::Data(data) if body.len() + data.len() <= LIST_BYTES => {
+            Part::Data(data) if body.len() + data.len() <= MAX_LIST_BYTES => {
                 body.extend(data);
                 true
             }
@@ -227,8 +227,9 @@
             self.notify_policy(update, workers);
         }
         // An answer without a change that came at once, though it might have waited: polling on would be a busy loop.
-        let came_at_once = self.discovery.long_poll && self.now < self.discovery.polled_at + POLL_PAUSE;
-        if self.discovery.version == before && came_at_once {
+        let answered_immediately =
+            self.discovery.long_poll && self.now < self.discovery.polled_at + POLL_PAUSE;
+        if self.discovery.version == before && answered_immediately {
             self.abort_connection(conn);
             self.discovery.connection = None;
             self.timers.set(self.now + POLL_PAUSE, TimerEvent::DiscoveryRetry);
@@ -245,9 +246,9 @@
         let call = dialect.list_call(self.discovery.version, true, &host);
         self.discovery.polled_at = self.now;
         self.discovery.long_poll = true;
-        self.count(|t| t.list_calls += 1);
+        self.update_tally(|t| t.list_calls += 1);
         self.outputs.push(Output::Write(conn, call));
-        self.arm_discovery_timeout(conn);
+        self.set_discovery_timer(conn);
         true
     }
 
@@ -262,7 +263,7 @@
     pub(super) fn discovery_lost(&mut self) {
         self.discovery.connection = None;
         if self.config.dialect.is_some() {
-            self.discovery.suspect = true;
+            self.discovery.needs_probe = true;
             self.timers.set(self.now + POLL_PAUSE, TimerEvent::DiscoveryRetry);
             return;
         }
@@ -278,9 +279,9 @@
 
     /// Bounds the wait for the next bytes of service discovery. After a failure it is short: that poll does not wait for a
     /// change, and a source that comes back is to be found soon.
-    pub(super) fn arm_discovery_timeout(&mut self, conn: ConnId) {
+    pub(super) fn set_discovery_timer(&mut self, conn: ConnId) {
         let timeouts = &self.config.timeouts;
-        let timeout = if self.discovery.suspect { timeouts.discovery_probe } else { timeouts.discovery };
+        let timeout = if self.discovery.needs_probe { timeouts.discovery_probe } else { timeouts.discovery };
         let timer = self.timers.set(self.now + timeout, TimerEvent::DiscoveryReply(conn));
         if let Some(connection) = self.connections.get_mut(&conn) {
             if let Some(old) = connection.timer.replace(timer) {
@@ -296,7 +297,7 @@
             Part::Data(data) => data,
             Part::Head(_) | Part::End => return self.close_discovery(conn),
         };
-        self.arm_discovery_timeout(conn);
+        self.set_discovery_timer(conn);
         let mut events = Vec::new();
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         let Task::WatchEndpoints(reader) = &mut connection.task else { return false };
--- a/crates/router/src/core/migration.rs
+++ b/crates/router/src/core/migration.rs
@@ -6,7 +6,7 @@
 use super::{Core, TimerEvent};
 
 /// Streams are migrated in groups, one in each such span.
-const MIGRATION_STEP: Micros = Micros(50_000);
+const MIGRATION_INTERVAL: Micros = Micros(50_000);
 
 impl Core {
     /// Ends a stream in a way that has its client ask another router for the rest.
@@ -20,16 +20,18 @@
     /// Migrates the next group of streams, so that all are migrated evenly over the time for it. Those that arrived last
     /// come first: the others are more likely to end by themselves.
     pub(super) fn migrate_next_streams(&mut self) {
-        let Some((since, migration)) = self.leaving_since.zip(self.config.timeouts.migration) else { return };
+        let Some((since, migration)) = self.shutdown_since.zip(self.config.timeouts.migration) else {
+            return;
+        };
         let streaming = self.requests.iter().filter(|(_, r)| r.is_streaming());
         let mut streaming: Vec<(Micros, RequestId)> =
             streaming.map(|(id, r)| (r.arrived_at, id.clone())).collect();
         streaming.sort_unstable_by(|a, b| b.cmp(a));
-        let steps = ((since + migration.until - self.now).0 / MIGRATION_STEP.0).max(1) as usize;
+        let steps = ((since + migration.until - self.now).0 / MIGRATION_INTERVAL.0).max(1) as usize;
         for (_, id) in streaming.iter().take(streaming.len().div_ceil(steps)) {
-            self.count(|t| t.migrated += 1);
+            self.update_tally(|t| t.migrated += 1);
             self.migrate(id);
         }
-        self.timers.set(self.now + MIGRATION_STEP, TimerEvent::Migration);
+        self.timers.set(self.now + MIGRATION_INTERVAL, TimerEvent::Migration);
     }
 }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -120,7 +120,7 @@
     /// All open requests were answered since the process ends: nothing more is begun.
     stopping: bool,
     /// When the graceful shutdown began.
-    leaving_since: Option<Micros>,
+    shutdown_since: Option<Micros>,
     observer: Option<Observer>,
     /// What is done in the present second; none: nobody reads it.
     tally: Option<Tally>,
@@ -158,7 +158,7 @@
             next_release: ReleaseId::default(),
             draining: false,
             stopping: false,
-            leaving_since: None,
+            shutdown_since: None,
             observer: None,
             tally: None,
             counters: Counters::default(),
@@ -199,7 +199,7 @@
         if self.config.policy.discovery == p::Discovery::Push {
             self.watch_discovery();
         }
-        self.pump();
+        self.process_events();
         out.append(&mut self.outputs);
     }
 
@@ -241,9 +241,9 @@
         }
         while let Some(due) = self.timers.pop(self.now) {
             self.timer_due(due);
-            self.pump();
+            self.process_events();
         }
-        self.pump();
+        self.process_events();
         out.append(&mut self.outputs);
     }
 
@@ -255,7 +255,7 @@
     /// Begins the graceful shutdown: health checks fail, but requests are still accepted until clients have learned of it.
     pub fn begin_shutdown(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        self.leaving_since = Some(self.now);
+        self.shutdown_since = Some(self.now);
         if let Some(migration) = self.config.timeouts.migration {
             self.timers.set(self.now + migration.from, TimerEvent::Migration);
         }
@@ -267,7 +267,7 @@
         self.now = self.now.max(now);
         self.draining = true;
         self.close_idle_clients();
-        self.pump();
+        self.process_events();
         out.append(&mut self.outputs);
     }
 
@@ -306,7 +306,7 @@
     }
 
     /// Gives events to the policy and reads clients' next requests until nothing is left to do.
-    fn pump(&mut self) {
+    fn process_events(&mut self) {
         loop {
             while let Some(event) = self.events.pop_front() {
                 let mut actions = Vec::new();
@@ -316,7 +316,7 @@
                     observer(self.now, &event, &actions);
                 }
                 for action in actions {
-                    self.perform(action);
+                    self.perform_action(action);
                 }
             }
             let Some(conn) = self.pending_clients.pop_front() else { return };
@@ -324,7 +324,7 @@
         }
     }
 
-    fn perform(&mut self, action: Action) {
+    fn perform_action(&mut self, action: Action) {
         match action {
             Action::Send { id, worker, timeout, connect_timeout, kind } => {
                 let limits = AttemptLimits { timeout, connect_timeout };
@@ -347,7 +347,7 @@
             TimerEvent::Policy(timer) => self.events.push_back(Event::Timer(timer)),
             TimerEvent::Client(conn) => self.client_timed_out(conn),
             TimerEvent::Connection(conn) => self.connection_timed_out(conn),
-            TimerEvent::IdleConnection(conn) => self.close_idle_connection(conn),
+            TimerEvent::IdleConnection(conn) => self.idle_connection_timed_out(conn),
             TimerEvent::Attempt(id, no) => self.attempt_timed_out(&id, no),
             TimerEvent::Stream(id, no) => self.stream_timed_out(&id, no),
             TimerEvent::Answer(id) => self.answer_overdue(&id),
@@ -362,7 +362,7 @@
 
     fn bytes_written(&mut self, conn: ConnId, bytes: usize) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.sent(self.now, bytes as u64);
+            client.bytes_sent(self.now, bytes as u64);
             self.client_bytes_sent(conn);
         } else {
             self.call_bytes_written(conn, bytes as u64);
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -151,6 +151,6 @@
 }
 
 /// Microseconds from one time to a later one.
-pub(super) fn since(later: Micros, earlier: Micros) -> u64 {
+pub(super) fn elapsed_us(later: Micros, earlier: Micros) -> u64 {
     (later - earlier).0
 }
--- a/crates/router/src/core/relay.rs
+++ b/crates/router/src/core/relay.rs
@@ -150,14 +150,14 @@
 
     /// A client takes its answer more slowly than it comes: its worker is not read for a while.
     fn pause_if_full(&mut self, id: &RequestId, no: AttemptNo, client: ConnId) {
-        if !self.is_full(client) {
+        if !self.is_send_buffer_full(client) {
             return;
         }
         let Some(request) = self.requests.get_mut(id).filter(|r| !r.worker_paused) else { return };
         if let Some(conn) = request.attempts.get(no.0 as usize).and_then(|a| a.conn) {
             request.worker_paused = true;
             self.outputs.push(Output::Pause(conn));
-            self.arm_slow_client(client);
+            self.set_slow_client_timer(client);
         }
     }
 
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -11,7 +11,7 @@
 use crate::dialect::ReplyHead;
 
 /// Bytes of a worker's error answer that are read.
-const ERROR_BYTES: usize = 64 * 1024;
+const MAX_ERROR_BYTES: usize = 64 * 1024;
 
 impl Core {
     /// Reads on until the reply is complete or more bytes are needed.
@@ -66,7 +66,7 @@
                 self.relay_events(conn, &id, no, &events, is_well_formed)
             }
             (Part::Data(data), ReplyState::Body { body, .. }) => {
-                if body.len() + data.len() <= ERROR_BYTES + engine::PARAMS_BYTES {
+                if body.len() + data.len() <= MAX_ERROR_BYTES + engine::PARAMS_BYTES {
                     body.extend(data);
                     return true;
                 }
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -102,7 +102,7 @@
             Ok(None) => {
                 let keep_alive = self.announce_keep_alive(conn);
                 self.write_client(conn, encode::response(200, &[], b"ok\n", keep_alive));
-                self.answered(conn);
+                self.finish_answer(conn);
             }
             Err(Rejection { status, body }) => {
                 let id = head.header(engine::REQUEST_ID).unwrap_or_default().to_owned();
@@ -138,7 +138,7 @@
         parsed: ParsedRequest,
     ) -> Result<Option<ActiveRequest>, Rejection> {
         let (mut spec, forwarded) = match parsed {
-            ParsedRequest::HealthCheck if self.draining || self.leaving_since.is_some() => {
+            ParsedRequest::HealthCheck if self.draining || self.shutdown_since.is_some() => {
                 return Err(Rejection::stopping())
             }
             ParsedRequest::HealthCheck => return Ok(None),
@@ -151,7 +151,7 @@
             return Err(Rejection::stopping());
         }
         // What is accepted during the graceful shutdown is answered before the process ends.
-        if let Some((since, migration)) = self.leaving_since.zip(self.config.timeouts.migration) {
+        if let Some((since, migration)) = self.shutdown_since.zip(self.config.timeouts.migration) {
             spec.deadline = spec.deadline.min(since + migration.until);
         }
         if self.requests.contains_key(&spec.id) {
--- a/crates/router/src/core/reservations.rs
+++ b/crates/router/src/core/reservations.rs
@@ -21,10 +21,10 @@
 
 /// A release is called again after at least this pause, and half the time since its first call, while the reservation's
 /// time lasts; then the worker's own timeout ends it.
-const RETRY_PAUSE: Micros = Micros(30_000);
+const MIN_RETRY_PAUSE: Micros = Micros(30_000);
 /// In a dialect workers release nothing by themselves: calls go on for at least this long. A reservation that was not
 /// released in time stays all the longer, and during a network partition some calls reach nobody.
-const RETRY_LEAST: Micros = Micros(1_000_000);
+const MIN_RETRY_PERIOD: Micros = Micros(1_000_000);
 /// A worker's answer may come this long after the reservation's time; then it counts as missing.
 const PROOF_SLACK: Micros = Micros(300_000);
 /// Connections beyond the bounds for a release, so that it does not wait for what keeps the worker busy.
@@ -100,14 +100,14 @@
     pub(super) fn release_reservation(&mut self, id: &RequestId) {
         if let Some(reservation) = self.take_reservation(id) {
             if self.requests.get(id).is_some_and(ActiveRequest::has_open_attempt) {
-                self.released_during_attempt(id, &reservation.worker);
+                self.record_release_during_attempt(id, &reservation.worker);
             }
             self.start_release(id.clone(), reservation.worker, Some(reservation.reserved_at), None);
         }
-        self.forget_completed(id);
+        self.remove_if_completed(id);
     }
 
-    fn released_during_attempt(&mut self, id: &RequestId, worker: &WorkerId) {
+    fn record_release_during_attempt(&mut self, id: &RequestId, worker: &WorkerId) {
         increment(&mut self.counters.releases, "beside_attempt");
         let subject = Subject { worker: Some(worker), ..Subject::default() };
         self.record_transition(id, TransitionKind::ReleasedDuringAttempt, "held_time_up", subject);
@@ -152,7 +152,7 @@
         self.record_violation(&id, Violation::ReservationOverdue, Some(proof.reserved_at));
     }
 
-    fn forget_release(&mut self, release: ReleaseId) -> Option<Release> {
+    fn remove_release(&mut self, release: ReleaseId) -> Option<Release> {
         let release = self.releases.remove(&release)?;
         if let Some(proof) = &release.proof {
             self.timers.cancel(proof.timer);
@@ -169,7 +169,7 @@
         let earlier: Vec<ReleaseId> =
             self.releases.iter().filter(|(_, r)| r.request == *id).map(|(release, _)| *release).collect();
         for release in earlier {
-            let release = self.forget_release(release);
+            let release = self.remove_release(release);
             self.events.extend(release.and_then(|r| r.deferred).map(|deferred| deferred.event));
         }
     }
@@ -184,7 +184,7 @@
             let subject = Subject { worker: Some(&worker), since: Some(started_at), ..Subject::default() };
             self.record_transition(&id, TransitionKind::ReleaseRepeated, "unanswered", subject);
         }
-        self.count(|t| t.releases += 1);
+        self.update_tally(|t| t.releases += 1);
         let bytes = self.encode_release(&id, &worker);
         let task = Task::Release(release_id);
         let conn = self.start_call(&worker, task, Payload::Bytes(bytes), SPARE_CONNECTIONS);
@@ -212,7 +212,7 @@
 
     /// A worker has answered: the state is free.
     fn release_proven(&mut self, release: ReleaseId) {
-        let Some(release) = self.forget_release(release) else { return };
+        let Some(release) = self.remove_release(release) else { return };
         increment(&mut self.counters.releases, "proven");
         if release.called.len() > 1 {
             let subject = release.subject();
@@ -222,7 +222,7 @@
     }
 
     fn schedule_release_retry(&mut self, release: ReleaseId, started_at: Micros) {
-        let pause = (self.now - started_at).mul_f64(0.5).max(RETRY_PAUSE);
+        let pause = (self.now - started_at).mul_f64(0.5).max(MIN_RETRY_PAUSE);
         self.timers.set(self.now + pause, TimerEvent::ReleaseRetry(release));
     }
 
@@ -239,9 +239,10 @@
     /// Calls again, or gives up once the reservation's time is over.
     pub(super) fn retry_release(&mut self, release_id: ReleaseId) {
         let Some(release) = self.releases.get(&release_id) else { return };
-        let least = if self.config.dialect.is_some() { RETRY_LEAST } else { Micros(0) };
-        let is_late = self.now >= release.started_at + self.config.policy.reservation_timeout.max(least);
-        let worker = self.next_release_worker(release).filter(|w| !is_late && self.workers.contains_key(w));
+        let least = if self.config.dialect.is_some() { MIN_RETRY_PERIOD } else { Micros(0) };
+        let is_expired = self.now >= release.started_at + self.config.policy.reservation_timeout.max(least);
+        let worker =
+            self.next_release_worker(release).filter(|w| !is_expired && self.workers.contains_key(w));
         if let Some(release) = self.releases.get_mut(&release_id) {
             let deferred = release.deferred.take_if(|d| worker.is_none() || self.now >= d.until);
             self.events.extend(deferred.map(|deferred| deferred.event));
@@ -253,7 +254,7 @@
     }
 
     fn give_up_release(&mut self, release: ReleaseId) {
-        let Some(release) = self.forget_release(release) else { return };
+        let Some(release) = self.remove_release(release) else { return };
         increment(&mut self.counters.releases, "unproven");
         self.record_transition(
             &release.request,
--- a/crates/router/src/core/tally.rs
+++ b/crates/router/src/core/tally.rs
@@ -48,19 +48,19 @@
 
 /// What an attempt is to its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CallKind {
+pub(super) enum AttemptReason {
     First,
     Decode,
     Retry { may_have_run: bool },
 }
 
 impl Tally {
-    pub(super) fn count_attempt(&mut self, call: CallKind, kind: AttemptKind) {
+    pub(super) fn count_attempt(&mut self, call: AttemptReason, kind: AttemptKind) {
         match call {
-            CallKind::First => self.first += 1,
-            CallKind::Decode => self.decodes += 1,
-            CallKind::Retry { may_have_run: false } => self.retries_not_run += 1,
-            CallKind::Retry { may_have_run: true } => self.retries_maybe_run += 1,
+            AttemptReason::First => self.first += 1,
+            AttemptReason::Decode => self.decodes += 1,
+            AttemptReason::Retry { may_have_run: false } => self.retries_not_run += 1,
+            AttemptReason::Retry { may_have_run: true } => self.retries_maybe_run += 1,
         }
         self.probes += u64::from(kind == AttemptKind::Probe);
         self.slow_starts += u64::from(kind == AttemptKind::SlowStart);
@@ -91,9 +91,9 @@
 
 impl Core {
     /// Counts, if anybody reads the tally.
-    pub(super) fn count(&mut self, count: impl FnOnce(&mut Tally)) {
+    pub(super) fn update_tally(&mut self, update: impl FnOnce(&mut Tally)) {
         if let Some(tally) = &mut self.tally {
-            count(tally);
+            update(tally);
         }
     }
 
--- a/crates/router/src/core/transitions.rs
+++ b/crates/router/src/core/transitions.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use super::counters::{increment, Counters, Violation};
-use super::record::since;
+use super::record::elapsed_us;
 use super::{ConnId, Core, Output};
 
 /// What has happened.
@@ -84,8 +84,8 @@
             worker: subject.worker.map(|w| w.0.to_string()),
             connection: subject.connection.map(|c| c.0),
             rested_us: idle,
-            last_reply_us: last_reply_at.map(|at| since(self.now, at)),
-            age_us: since(self.now, began),
+            last_reply_us: last_reply_at.map(|at| elapsed_us(self.now, at)),
+            age_us: elapsed_us(self.now, began),
         };
         self.outputs.push(Output::Transition(Box::new(transition)));
     }
--- a/crates/router/src/core/worker_connection.rs
+++ b/crates/router/src/core/worker_connection.rs
@@ -14,11 +14,11 @@
 
 /// A call that is lost this soon on a reused connection, with nothing read of its reply, met a connection that the worker
 /// had given up without closing it.
-const STALE_WITHIN: Micros = Micros(20_000);
+const STALE_LOSS_WINDOW: Micros = Micros(20_000);
 /// A connection that was idle for less was lost for another reason.
-const STALE_LEAST: Micros = Micros(50_000);
+const STALE_MIN_IDLE: Micros = Micros(50_000);
 /// A learned idle timeout doubles after each such span, up to the configured one.
-const STALE_DOUBLES: Micros = Micros(3_000_000);
+const LEARNED_TIMEOUT_DOUBLING: Micros = Micros(3_000_000);
 
 /// How long a connection may be idle and still be reused: as configured, or less where lost calls have shown that workers
 /// close idle connections sooner. Each such loss may be a call that must not be repeated.
@@ -37,13 +37,13 @@
     /// The timeout as it stands.
     pub(super) fn current(&self, now: Micros, configured: Micros) -> Micros {
         let Some(learned) = self.learned else { return configured };
-        let doublings = ((now - learned.learned_at).0 / STALE_DOUBLES.0).min(30);
+        let doublings = ((now - learned.learned_at).0 / LEARNED_TIMEOUT_DOUBLING.0).min(30);
         Micros(learned.timeout.0.saturating_mul(1 << doublings)).min(configured)
     }
 
     /// A call was lost so soon, on a connection that had been idle for so long.
     pub(super) fn learn(&mut self, now: Micros, configured: Micros, idle: Micros, lost_after: Micros) {
-        if lost_after <= STALE_WITHIN && idle >= STALE_LEAST {
+        if lost_after <= STALE_LOSS_WINDOW && idle >= STALE_MIN_IDLE {
             let timeout = self.current(now, configured).min(idle.mul_f64(0.5));
             self.learned = Some(LearnedTimeout { timeout, learned_at: now });
         }
