--- a/crates/daemon/tests/control_answers.rs
+++ b/crates/daemon/tests/control_answers.rs
@@ -305,6 +305,6 @@
     assert_eq!((&note["level"], &note["target"]), (&json!("WARN"), &json!("router")));
     assert_eq!(
         note["message"],
-        "the kept list can't be read, starting without: Malformed(\"EOF while parsing an object at line 1 column 12\")"
+        "cannot read the stored endpoint list, starting without it: Malformed(\"EOF while parsing an object at line 1 column 12\")"
     );
 }
--- a/crates/router/src/core/attempt.rs
+++ b/crates/router/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a worker, and the reply to it.
+//! One attempt at a worker and the reply to it.
 
 use chalkyard_policy as p;
 use chalkyard_policy::obligations::{AttemptFacts, Stage};
@@ -9,10 +9,10 @@
 use crate::dialect::ResponseObserver;
 use crate::timers::TimerKey;
 
-/// What an attempt does at its worker.
+/// Work that an attempt requests from its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptStage {
-    /// Reads the prompt; the KV state waits there for a decode worker.
+    /// Reads the prompt; the KV state stays at the worker until a decode worker pulls it.
     Prefill,
     /// Pulls the KV state from a prefill worker and writes the answer.
     Decode,
@@ -21,7 +21,7 @@
 }
 
 impl AttemptStage {
-    /// As it is logged and counted.
+    /// Name in logs and counters.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Prefill => "read",
@@ -30,7 +30,7 @@
         }
     }
 
-    /// As the obligations see it.
+    /// Stage as the obligations define it.
     pub(super) fn obligation(self) -> Stage {
         match self {
             Self::Prefill => Stage::Prefill,
@@ -39,41 +39,41 @@
     }
 }
 
-/// A reply as far as it has come.
+/// State of a reply that is being received.
 #[derive(Debug)]
 pub(super) enum ReplyState {
-    /// Nothing yet.
+    /// The head has not arrived yet.
     AwaitingHead,
-    /// A body that is collected: the answer to a prefill, or an error.
+    /// A body is collected: the answer to a prefill, or an error.
     Body { status: u16, body: Vec<u8> },
-    /// A stream of events that is translated for the client.
+    /// A stream of events is translated for the client.
     Events(Box<sse::Reader>),
-    /// A stream that is forwarded unchanged.
+    /// A stream is forwarded unchanged.
     Forwarding {
         observer: Box<dyn ResponseObserver>,
-        /// What came ahead of the end of the first event.
+        /// Bytes received before the end of the first event.
         buffered: Vec<u8>,
     },
 }
 
-/// How an attempt ended.
+/// Outcome and time of an attempt's end.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptEnd {
     pub(super) outcome: Outcome,
     pub(super) at: Micros,
 }
 
-/// An attempt of a request.
+/// One attempt to serve a request at a worker.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) worker: WorkerId,
     pub(super) stage: AttemptStage,
     pub(super) sent_at: Micros,
-    /// What the obligations know of it.
+    /// Facts on which the request's obligations are based.
     pub(super) facts: AttemptFacts,
-    /// When it is given up.
+    /// Time at which the attempt is given up.
     pub(super) deadline: Micros,
-    /// How long its connection may take, if not as long as usual.
+    /// Time in which the connection must be established, if shorter than the usual connect timeout.
     pub(super) connect_timeout: Option<Micros>,
     pub(super) kind: p::AttemptKind,
     pub(super) conn: Option<ConnId>,
@@ -81,12 +81,12 @@
     pub(super) report: Option<p::LoadReport>,
     /// Prompt tokens that the worker found in its cache.
     pub(super) cached_tokens: u64,
-    /// Bounds the wait between two events of its stream.
+    /// Limits the wait between two events of the stream.
     pub(super) stream_timer: Option<TimerKey>,
     pub(super) ended: Option<AttemptEnd>,
 }
 
-/// An outcome as it is logged and counted.
+/// Name of an outcome in logs and counters.
 pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
--- a/crates/router/src/core/attempts.rs
+++ b/crates/router/src/core/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts at workers: begun as the policy says, ended once, with their outcome for the policy.
+//! Attempts at workers: started when the policy requests them, ended exactly once, and reported to the policy with
+//! their outcome.
 
 use chalkyard_api::engine;
 use chalkyard_policy as p;
@@ -15,20 +16,20 @@
 use super::worker_connection::{Payload, Task, WorkerEndpoint};
 use super::{ConnId, Core, TimerEvent};
 
-/// A worker that is not known any more.
+/// Target that represents a worker that is no longer known.
 const REMOVED: Target =
     Target { role: p::Role::Combined, zone: None, cell: p::CellId(0), lifecycle: p::Lifecycle::Removed };
 
-/// How long an attempt may take, as the policy says; none: as long as its request, or as connections usually may.
+/// Time limits that the policy sets for an attempt. `None` means the request's deadline or the usual connect timeout.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptLimits {
-    /// Until it is given up.
+    /// Time until the attempt is given up.
     pub(super) timeout: Option<Micros>,
-    /// Until its connection stands.
+    /// Time in which the connection must be established.
     pub(super) connect_timeout: Option<Micros>,
 }
 
-/// What is known of an attempt as it ends.
+/// Facts of an attempt at its end.
 struct EndedAttempt {
     worker: WorkerId,
     stage: AttemptStage,
@@ -36,12 +37,13 @@
     elapsed: Micros,
     report: Option<p::LoadReport>,
     cached_tokens: u64,
-    /// Its answer was the one that went to the client.
+    /// Whether the answer of this attempt went to the client.
     was_answering: bool,
 }
 
 impl Core {
-    /// Begins an attempt, if the request's obligations permit it; it is given up in any case at the request's deadline.
+    /// Starts an attempt if the request's obligations permit it. The attempt is given up at the request's deadline at
+    /// the latest.
     pub(super) fn start_attempt(
         &mut self,
         id: &RequestId,
@@ -53,7 +55,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let permit = request.obligations(&self.config.policy).may_send(self.now, &target);
         let stage = request.next_stage(&target);
-        let call = request.next_attempt_reason(stage);
+        let reason = request.next_attempt_reason(stage);
         let no = AttemptNo(request.attempts.len() as u32);
         let latest = request.spec.deadline;
         let deadline = limits.timeout.map_or(latest, |timeout| (self.now + timeout).min(latest));
@@ -73,7 +75,7 @@
             ended: None,
         });
         if let Some(tally) = &mut self.tally {
-            tally.count_attempt(call, kind);
+            tally.count_attempt(reason, kind);
         }
         match permit {
             Ok(permit) => self.place_first_call(permit, id, no),
@@ -85,7 +87,7 @@
         self.set_attempt_timer(id, no, deadline);
     }
 
-    /// Ends the attempt at its time, unless it has ended already for want of a connection.
+    /// Sets the deadline timer of an attempt, unless the attempt has already ended for lack of a connection.
     fn set_attempt_timer(&mut self, id: &RequestId, no: AttemptNo, deadline: Micros) {
         if self.attempt_mut(id, no).is_none_or(|a| a.conn.is_none()) {
             return;
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Something that the policy asked for is not done.
+    /// Counts and records that an action requested by the policy was denied.
     pub(super) fn record_denial(&mut self, id: &RequestId, denied: Denied) {
         increment(&mut self.counters.denied, denied.name());
         self.record_transition(id, TransitionKind::Denied, denied.name(), Subject::default());
@@ -105,19 +107,20 @@
         }
     }
 
-    /// Places the first call of an attempt, which needs a permit. A call that is placed again belongs to the same attempt.
+    /// Places the first call of an attempt, which requires a permit. A call that is placed again belongs to the same
+    /// attempt.
     fn place_first_call(&mut self, _permit: SendPermit, id: &RequestId, no: AttemptNo) {
         self.place_call(id, no);
     }
 
-    /// Has an attempt's call written on an idle connection, or on a new one.
+    /// Writes an attempt's call on an idle connection or on a new one.
     pub(super) fn place_call(&mut self, id: &RequestId, no: AttemptNo) {
         let Some(attempt) = self.attempt_mut(id, no).filter(|a| a.ended.is_none()) else { return };
         let (worker, connect_timeout) = (attempt.worker.clone(), attempt.connect_timeout);
         let is_listed = self.workers.get(&worker).is_some_and(|e| e.listed);
         let task = Task::Attempt(id.clone(), no, ReplyState::AwaitingHead);
         let conn = is_listed.then(|| self.start_call(&worker, task, Payload::AttemptCall, 0)).flatten();
-        // Our own bound: it says nothing of the worker.
+        // The connections are at their bound or the worker is no longer listed, which is no fault of the worker.
         let Some(conn) = conn else { return self.end_attempt(id, no, Outcome::NotSent, 0) };
         if let Some(timeout) = connect_timeout {
             self.limit_connect(conn, timeout);
@@ -127,7 +130,7 @@
         }
     }
 
-    /// An attempt's call as it is written now.
+    /// Encodes an attempt's call; the timeout in a dialect's call is the time left now.
     pub(super) fn encode_attempt(&self, id: &RequestId, no: AttemptNo) -> Option<Vec<u8>> {
         let request = self.requests.get(id)?;
         let attempt = request.attempts.get(no.0 as usize)?;
@@ -156,7 +159,7 @@
             ("x-class", class),
             (engine::ATTEMPT, &number),
         ];
-        // Workers know the keys of all tenants together, so the tenant is a part of the key.
+        // Workers keep the keys of all tenants in one namespace, so the key includes the tenant.
         let key = request.identity.as_ref().map(|identity| {
             let tenant = identity.tenant.map_or("-".into(), |t| t.to_string());
             format!("\"{tenant}/{}\"", identity.key)
@@ -171,7 +174,7 @@
         self.requests.get_mut(id)?.attempts.get_mut(no.0 as usize)
     }
 
-    /// Cancels an attempt, unless its answer goes to the client already.
+    /// Cancels an attempt, unless its answer already goes to the client.
     pub(super) fn cancel_attempt(&mut self, id: &RequestId, no: AttemptNo) {
         let is_answering = self.requests.get(id).is_some_and(|r| r.answering_attempt == Some(no.0 as usize));
         if !is_answering {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Cancels all attempts but one.
+    /// Cancels all attempts except one.
     pub(super) fn cancel_others(&mut self, id: &RequestId, no: AttemptNo) {
         let Some(request) = self.requests.get(id) else { return };
         let others: Vec<u32> = (0..request.attempts.len() as u32).filter(|n| *n != no.0).collect();
@@ -189,7 +192,8 @@
         }
     }
 
-    /// An attempt ends without any answer: whatever has lost its call would lose the next on an idle connection too.
+    /// Closes idle connections to the worker of an open attempt that ends without any answer: the cause that lost the
+    /// attempt's call would also lose the next call on an idle connection.
     fn close_idle_to_attempt_worker(&mut self, id: &RequestId, no: AttemptNo) {
         let attempt = self.attempt_mut(id, no).filter(|a| a.ended.is_none());
         if let Some(worker) = attempt.map(|a| a.worker.clone()) {
@@ -197,7 +201,8 @@
         }
     }
 
-    /// Ends an attempt, once: its connection, its timers, its reservation, and its outcome for client and policy.
+    /// Ends an attempt exactly once: closes its connection, cancels its timers, updates the reservation, and reports
+    /// the outcome to the client and the policy.
     pub(super) fn end_attempt(
         &mut self,
         id: &RequestId,
@@ -226,7 +231,7 @@
         self.remove_if_completed(id);
     }
 
-    /// Marks an open attempt as ended and cancels its timers; none if it has ended before.
+    /// Marks an open attempt as ended and cancels its timers. Returns `None` if the attempt has already ended.
     fn mark_ended(
         &mut self,
         id: &RequestId,
@@ -261,7 +266,7 @@
         })
     }
 
-    /// Counts an attempt's end, and records one that is out of the ordinary.
+    /// Counts an attempt's end, and records a transition for an unusual end.
     fn record_end(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: &EndedAttempt) {
         let name = outcome_name(outcome);
         increment(self.counters.attempts(ended.stage), name);
@@ -273,24 +278,24 @@
         self.record_transition(id, TransitionKind::AttemptEnded, name, subject);
     }
 
-    /// What the client is answered at an attempt's end, where that is for the core to say.
+    /// Answers the client at an attempt's end, if the core decides on that answer.
     fn answer_ended_attempt(&mut self, id: &RequestId, outcome: Outcome, was_answering: bool) {
         if outcome == Outcome::Served {
             return self.answer_served(id);
         }
         let Some(request) = self.requests.get_mut(id).filter(|_| was_answering) else { return };
         if request.call.is_streamed() {
-            // What was streamed can't be taken back.
+            // Streamed events cannot be retracted, so the policy cannot retry.
             let reason = format!("the answer broke off: {}", outcome_name(outcome));
             return self.answer_failure(id, RequestOutcome::Broken, 502, reason);
         }
-        // Nothing has reached the client: the policy may retry.
+        // Nothing has reached the client, so the policy may retry.
         request.answering_attempt = None;
         request.pieces = 0;
         request.text.clear();
     }
 
-    /// Notifies the policy of an attempt's end. State that a failed prefill may have left behind is released.
+    /// Notifies the policy of an attempt's end, and releases state that a failed prefill may have left behind.
     fn notify_outcome(&mut self, id: &RequestId, no: AttemptNo, outcome: Outcome, ended: EndedAttempt) {
         let EndedAttempt { worker, stage, elapsed, report, cached_tokens, .. } = ended;
         let request_ended = self.requests.get(id).is_none_or(ActiveRequest::is_answered);
@@ -322,8 +327,10 @@
         }
     }
 
-    /// A prefill can complete just as it is given up, and its state stays. Where a request must not run twice, its next attempt
-    /// comes after the release, or at this time, when a connection would have timed out. None: it does not wait.
+    /// Time until which the notification of the policy waits for a release after a failed prefill; `None` if it does
+    /// not wait. A prefill can complete just as it is given up, and then its state stays reserved. For a request that
+    /// must not run twice, the next attempt comes after the release, or at this time, when a connection would have
+    /// timed out.
     fn release_awaited_until(&self, id: &RequestId) -> Option<Micros> {
         let request = self.requests.get(id).filter(|r| !r.is_answered() && self.config.dialect.is_some())?;
         let class = self.config.policy.classes.get(request.spec.class.0);
@@ -343,7 +350,7 @@
     }
 
     pub(super) fn stream_timed_out(&mut self, id: &RequestId, no: AttemptNo) {
-        // While a slow client keeps its worker from being read, the client's own timeout counts.
+        // While a slow client keeps its worker from being read, the client's own timeout applies.
         if self.requests.get(id).is_some_and(|r| r.worker_paused) {
             let timeout = self.now + self.config.timeouts.stream;
             let timer = self.timers.set(timeout, TimerEvent::Stream(id.clone(), no));
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between a core and its shell, and the numbers of connections.
+//! Messages between a core and its shell, and connection ids.
 
 use std::net::SocketAddr;
 
@@ -9,91 +9,91 @@
 use super::transitions::Transition;
 use crate::config::RuntimeSettings;
 
-/// A connection. Never reused within a core's lifetime.
+/// Id of a connection, never reused within the lifetime of a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
 impl ConnId {
-    /// Whether the core chose it, for a connection to a worker or to service discovery.
+    /// Whether the core opened the connection, to a worker or to service discovery. Such connections have odd ids.
     pub(crate) fn is_outbound(self) -> bool {
         self.0 % 2 == 1
     }
 }
 
-/// What has happened.
+/// Event that the shell reports to the core.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A client has connected; the shell chooses an even number.
+    /// A client has connected. The shell chooses an even id.
     Accepted(ConnId),
-    /// A connection that the core asked for stands.
+    /// A connection requested with [`Output::Connect`] is established.
     Connected(ConnId),
-    /// A connection does not come up, or is lost: nothing can be read or written any more.
+    /// A connection could not be established, or was lost: nothing can be read or written any more.
     Lost(ConnId),
-    /// A connection could not even be begun for want of local resources: its peer is not at fault.
+    /// A connection could not be started because local resources ran out; the peer is not at fault.
     NotStarted(ConnId),
-    /// Bytes came.
+    /// Bytes were received.
     Bytes(ConnId, &'a [u8]),
-    /// The peer has closed its side.
+    /// The peer has closed its sending side.
     Eof(ConnId),
-    /// The system has taken so many bytes to be sent.
+    /// The operating system has accepted this number of bytes for sending.
     Wrote(ConnId, usize),
     /// Time has passed.
     Tick,
-    /// A lease of the budgets; its signature was checked.
+    /// Budget lease whose signature was verified.
     LeaseGranted(Box<Grant>),
-    /// The ledger can, or can't, be written from now on.
+    /// Whether the ledger can be written from now on.
     LedgerWritable(bool),
-    /// The ledger wants all state, for the head of a new segment.
+    /// The ledger requests the full state, for the head of a new segment.
     Checkpoint,
-    /// Other budgets, rates and prices.
+    /// New budgets, rates and prices.
     BudgetPlan(Box<Plan>),
-    /// Other keys, bounds and timeouts.
+    /// New keys, bounds and timeouts.
     Reconfigure(Box<RuntimeSettings>),
     /// The previous process has ended a request that it had accepted.
     PredecessorSettled(Box<Settled>),
-    /// Service discovery is at this address from now on.
+    /// Service discovery has this address from now on.
     DiscoveryAddressChanged(SocketAddr),
     /// The previous process has ended.
     PredecessorEnded,
 }
 
-/// What is to be done, in order.
+/// Action for the shell, which performs actions in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Connect to a worker or to service discovery.
+    /// Connects to a worker or to service discovery.
     Connect(ConnId, SocketAddr),
-    /// Write bytes.
+    /// Writes bytes.
     Write(ConnId, Vec<u8>),
-    /// Close once all is written. What still comes is read and dropped: the rest of a request that was answered by its head
-    /// could reset the connection, and the answer would be lost.
+    /// Closes the connection once all bytes are written. Bytes that still arrive are read and dropped: the unread
+    /// rest of a request that was answered by its head could reset the connection, and the answer would be lost.
     Close(ConnId),
-    /// Close once all is written, and read nothing more: all requests are answered. One that crosses the close stays unread,
-    /// so that its client knows that it may send it again.
+    /// Closes the connection once all bytes are written, and reads nothing more: all requests are answered. A request
+    /// that crosses the close stays unread, so that its client knows that it may send the request again.
     CloseAnswered(ConnId),
-    /// No request is open on it: close it unless bytes have come that were not read. Those are read instead, and it stays;
-    /// if it is closed, [`Input::Lost`] follows.
+    /// Closes a connection without an open request unless bytes have arrived that were not read. Such bytes are read
+    /// and the connection stays open. If the connection is closed, [`Input::Lost`] follows.
     CloseIfQuiet(ConnId),
-    /// Close now; what is not written is dropped.
+    /// Closes the connection immediately and drops unwritten bytes.
     Abort(ConnId),
-    /// Read no more from it for now.
+    /// Pauses reading from the connection.
     Pause(ConnId),
-    /// Read it again.
+    /// Resumes reading from the connection.
     Resume(ConnId),
-    /// Store the endpoint list for the next start.
+    /// Stores the endpoint list for the next start.
     StoreEndpointList(String),
-    /// Write this to the ledger, under this number: before anything that follows it leaves the router.
+    /// Writes a record to the ledger under this number, before any later output leaves the router.
     Record(u64, Box<Record>),
-    /// A request is over.
+    /// A request has finished.
     Finished(Box<FinishedOutput>),
-    /// What was done in one second.
+    /// Counts of one second.
     Tally(Box<Tally>),
-    /// A transition of a request's state that is out of the ordinary.
+    /// An unusual transition of a request's state.
     Transition(Box<Transition>),
-    /// Something to tell an operator.
+    /// Message for operators: its topic and its text.
     Note(&'static str, String),
 }
 
-/// A record with its own comparison, so that outputs can be compared in tests.
+/// Record of a finished request that compares by request id, so that tests can compare outputs.
 #[derive(Debug, Clone)]
 pub struct FinishedOutput(pub RequestRecord);
 
--- a/crates/router/src/core/migration.rs
+++ b/crates/router/src/core/migration.rs
@@ -20,14 +20,12 @@
     /// Migrates the next group of streams, so that all are migrated evenly over the time for it. Those that arrived last
     /// come first: the others are more likely to end by themselves.
     pub(super) fn migrate_next_streams(&mut self) {
-        let Some((since, migration)) = self.shutdown_since.zip(self.config.timeouts.migration) else {
-            return;
-        };
+        let Some((since, window)) = self.shutdown_since.zip(self.config.timeouts.migration) else { return };
         let streaming = self.requests.iter().filter(|(_, r)| r.is_streaming());
         let mut streaming: Vec<(Micros, RequestId)> =
             streaming.map(|(id, r)| (r.arrived_at, id.clone())).collect();
         streaming.sort_unstable_by(|a, b| b.cmp(a));
-        let steps = ((since + migration.until - self.now).0 / MIGRATION_INTERVAL.0).max(1) as usize;
+        let steps = ((since + window.until - self.now).0 / MIGRATION_INTERVAL.0).max(1) as usize;
         for (_, id) in streaming.iter().take(streaming.len().div_ceil(steps)) {
             self.update_tally(|t| t.migrated += 1);
             self.migrate(id);
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! The sans-IO core: inputs to outputs.
+//! Sans-IO core of the router: turns inputs into outputs.
 //!
-//! [`Core`] owns all state of one router except the policy's own. Each map has one module that says who writes it and what
-//! bounds it. A request's way: [`client_reading`], [`request_intake`], the policy, [`attempts`], [`connection_pool`],
-//! [`replies`], [`relay`], [`answers`].
+//! [`Core`] owns all state of one router except the policy's. Each map has one module that documents who writes the
+//! map and what bounds its size. A request passes through [`client_reading`], [`request_intake`], the policy,
+//! [`attempts`], [`connection_pool`], [`replies`], [`relay`] and [`answers`].
 
 mod active_request;
 mod answers;
@@ -52,55 +52,55 @@
 use tally::Tally;
 use worker_connection::{IdleTimeout, ReleaseId, WorkerConnection, WorkerEndpoint};
 
-/// What a timer of the core is for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum TimerEvent {
-    /// A timer of the policy.
+    /// Timer requested by the policy.
     Policy(p::TimerId),
-    /// A client's connection has been silent, or has taken nothing, for its time.
+    /// A client connection has sent nothing, or accepted no bytes, for the time allowed.
     Client(ConnId),
-    /// A connection to a worker does not stand, or its call was neither written nor answered, in time.
+    /// A connection to a worker was not established, or its call was neither written nor answered, in time.
     Connection(ConnId),
-    /// An idle connection to a worker is closed before the worker closes it.
+    /// Closes an idle connection to a worker before the worker closes it.
     IdleConnection(ConnId),
-    /// An attempt's time is up.
+    /// An attempt has reached its deadline.
     Attempt(p::RequestId, p::AttemptNo),
-    /// A stream has been silent for its time.
+    /// A stream has delivered no event within the stream timeout.
     Stream(p::RequestId, p::AttemptNo),
     /// The policy has not ended the request in time.
     Answer(p::RequestId),
-    /// A release is called again.
+    /// Repeats the call of a release.
     ReleaseRetry(ReleaseId),
-    /// A reservation's time is up.
+    /// A reservation has reached its maximum duration.
     Reservation(p::RequestId),
-    /// A worker's answer to a release is overdue.
+    /// No worker has answered a release by the time at which its state must be free.
     ReleaseProof(ReleaseId),
-    /// Service discovery is silent.
+    /// Service discovery has sent nothing within its timeout.
     DiscoveryReply(ConnId),
-    /// Service discovery is called again.
+    /// Calls service discovery again.
     DiscoveryRetry,
-    /// The next streams of a stopping router are migrated.
+    /// Migrates the next group of streams during a graceful shutdown.
     Migration,
 }
 
-/// Called with each event for the policy and the actions that came back.
+/// Callback that receives each event for the policy and the actions that the policy returned.
 pub type Observer = Box<dyn FnMut(Micros, &Event, &[Action]) + Send>;
 
-/// One router. All maps are ordered; the same inputs give the same outputs.
+/// State of one router. All maps are ordered, so that equal inputs produce equal outputs.
 pub struct Core {
     config: Config,
-    /// How this router names itself to workers and service discovery.
+    /// Value of the `via` header in calls to workers and service discovery.
     via: Arc<str>,
     policy: p::Router,
     now: Micros,
     outputs: Vec<Output>,
-    /// Events that wait for the policy: its actions can cause further ones.
+    /// Events queued for the policy; the policy's actions can queue further events.
     events: VecDeque<Event>,
     timers: Timers<TimerEvent>,
     clients: BTreeMap<ConnId, ClientConnection>,
-    /// Clients whose next request may have come already.
+    /// Clients whose next request may already have arrived.
     pending_clients: VecDeque<ConnId>,
-    /// Connections to workers and service discovery.
+    /// Connections to workers and to service discovery.
     connections: BTreeMap<ConnId, WorkerConnection>,
     idle_timeout: IdleTimeout,
     workers: BTreeMap<p::WorkerId, WorkerEndpoint>,
@@ -110,26 +110,26 @@
     identities: IdentityTable,
     budgets: Option<BudgetEnforcer>,
     discovery: DiscoveryState,
-    /// Bytes of request bodies that have come and may still have to be sent.
+    /// Total bytes of received request bodies that may still have to be sent.
     body_bytes: u64,
     next_connection: u64,
     next_request: u64,
     next_release: ReleaseId,
-    /// No new requests are accepted.
+    /// Whether new requests are rejected.
     draining: bool,
-    /// All open requests were answered since the process ends: nothing more is begun.
+    /// Whether all open requests were answered because the process is ending; no request is started after that.
     stopping: bool,
-    /// When the graceful shutdown began.
+    /// Start time of the graceful shutdown.
     shutdown_since: Option<Micros>,
     observer: Option<Observer>,
-    /// What is done in the present second; none: nobody reads it.
+    /// Counts of the current second; `None` if nobody reads them.
     tally: Option<Tally>,
     counters: Counters,
 }
 
 impl Core {
-    /// A core at its start. `now` is in µs since 1970, measured by a monotonic clock from then on: ids of
-    /// requests and the start times of workers depend on it.
+    /// Creates a core. `now` is in µs since 1970 and must follow a monotonic clock from then on, because request ids
+    /// and the start times of workers depend on it.
     pub fn new(config: Config, seed: u64, now: Micros) -> Self {
         let policy = p::Router::new(config.policy.clone(), seed);
         let identities = IdentityTable::new(config.bounds.identities);
@@ -165,12 +165,12 @@
         }
     }
 
-    /// Has an [`Output::Tally`] given out for each second in which anything was done.
+    /// Enables an [`Output::Tally`] for each second in which anything was counted.
     pub fn enable_tally(&mut self) {
         self.tally = Some(Tally::default());
     }
 
-    /// Has `observer` called with each event for the policy and its actions.
+    /// Calls `observer` with each event for the policy and the actions that the policy returned.
     pub fn observe(&mut self, observer: Observer) {
         self.observer = Some(observer);
     }
@@ -184,12 +184,15 @@
                 self.apply_endpoints(endpoints, true)
             }
             Some(Err(error)) => {
-                self.note("list", format!("the kept list can't be read, starting without: {error:?}"));
+                self.note(
+                    "list",
+                    format!("cannot read the stored endpoint list, starting without it: {error:?}"),
+                );
                 Vec::new()
             }
             None => Vec::new(),
         };
-        // Without service discovery the stored list names all there is, and is current.
+        // Without service discovery the stored list is complete and current.
         let update = if self.config.discovery.is_some() {
             p::EndpointUpdate::LastKnown
         } else {
@@ -209,12 +212,12 @@
         };
         let list = dialect.parse_list(text.as_bytes());
         let list = list.map_err(|error| EndpointUpdateError::Malformed(error.reason))?;
-        // If an entry is invalid the complete list is asked for.
+        // After an invalid entry the next call requests the complete list.
         self.discovery.version = list.invalid.is_empty().then_some(list.version);
         Ok(list.endpoints)
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Processes one input and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.report_tally();
@@ -247,12 +250,13 @@
         out.append(&mut self.outputs);
     }
 
-    /// When [`Input::Tick`] is next needed.
+    /// Time at which the next [`Input::Tick`] is needed.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next_due()
     }
 
-    /// Begins the graceful shutdown: health checks fail, but requests are still accepted until clients have learned of it.
+    /// Begins the graceful shutdown. Health checks fail from now on, but requests are still accepted until clients
+    /// have noticed.
     pub fn begin_shutdown(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.shutdown_since = Some(self.now);
@@ -261,8 +265,8 @@
         }
     }
 
-    /// Accepts no new requests; what is open goes on. Idle clients are closed, those that have connected just now after a
-    /// short time.
+    /// Rejects new requests; open requests continue. Closes idle clients, and gives clients that have just connected
+    /// a short time before they are closed.
     pub fn drain(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.draining = true;
@@ -281,31 +285,31 @@
         self.config.timeouts = timeouts;
     }
 
-    /// Accepts requests again.
+    /// Resumes accepting requests.
     pub fn undrain(&mut self) {
         self.draining = false;
     }
 
-    /// Requests without a final answer, or with an open attempt or a reservation.
+    /// Number of requests without a final answer, or with an open attempt or a reservation.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Releases that no worker has answered yet.
+    /// Number of releases that no worker has answered yet.
     pub fn open_releases(&self) -> usize {
         self.releases.len()
     }
 
-    /// Client connections.
+    /// Number of client connections.
     pub fn open_clients(&self) -> usize {
         self.clients.len()
     }
 
-    fn note(&mut self, what: &'static str, text: String) {
-        self.outputs.push(Output::Note(what, text));
+    fn note(&mut self, topic: &'static str, text: String) {
+        self.outputs.push(Output::Note(topic, text));
     }
 
-    /// Gives events to the policy and reads clients' next requests until nothing is left to do.
+    /// Passes events to the policy and reads clients' next requests until no work is left.
     fn process_events(&mut self) {
         loop {
             while let Some(event) = self.events.pop_front() {
--- a/crates/router/src/core/transitions.rs
+++ b/crates/router/src/core/transitions.rs
@@ -1,4 +1,4 @@
-//! Transitions of a request's state that are out of the ordinary, each with its cause, and violated obligations.
+//! Unusual transitions of a request's state with their causes, and violated obligations.
 
 use chalkyard_policy::{Micros, RequestId, WorkerId};
 use serde::Serialize;
@@ -7,63 +7,63 @@
 use super::record::elapsed_us;
 use super::{ConnId, Core, Output};
 
-/// What has happened.
+/// Kind of a transition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransitionKind {
     /// An attempt ended without an answer, or with an error.
     AttemptEnded,
-    /// A reservation is released while a decode attempt is open: nothing has proven that its call arrived.
+    /// A reservation is released while a decode attempt is open: nothing has proven that the attempt's call arrived.
     #[serde(rename = "released_beside_attempt")]
     ReleasedDuringAttempt,
-    /// A release is called once more.
+    /// The call of a release is repeated.
     ReleaseRepeated,
     /// A worker has answered a release that was called more than once.
     ReleaseProven,
-    /// No worker has answered a release in its time.
+    /// No worker has answered a release in time.
     ReleaseUnproven,
-    /// Something that the policy asked for is not done.
+    /// An action requested by the policy was denied.
     Denied,
     /// An obligation was violated.
     Violation,
 }
 
-/// One transition of one request, with what is known of the connection that it is about.
+/// One transition of one request, with what is known of the connection concerned.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Transition {
-    /// The request.
+    /// Request id.
     pub id: String,
-    /// What has happened.
+    /// Kind of the transition.
     pub change: TransitionKind,
-    /// Why.
+    /// Cause of the transition.
     pub cause: &'static str,
-    /// The attempt that it is about.
+    /// Number of the attempt concerned.
     pub attempt: Option<u32>,
-    /// Its worker, or the worker of a release.
+    /// Worker of the attempt or of the release.
     pub worker: Option<String>,
-    /// The connection.
+    /// Connection id.
     pub connection: Option<u64>,
-    /// How long the connection had been idle before this call; none: it was new.
+    /// Time that the connection had been idle before this call, µs; `None` for a new connection.
     pub rested_us: Option<u64>,
-    /// Since the head of the worker's last reply to this router; none: there was none.
+    /// Time since the head of the worker's last reply to this router, µs; `None` if there was no reply.
     #[serde(rename = "unheard_us")]
     pub last_reply_us: Option<u64>,
-    /// Since the request came; since the release began, where its request is over.
+    /// Time since the request arrived, µs; since the release began if the request is gone.
     pub age_us: u64,
 }
 
-/// What a transition is about.
+/// Attempt, worker and connection that a transition concerns.
 #[derive(Debug, Default)]
 pub(super) struct Subject<'a> {
     pub(super) attempt: Option<u32>,
     pub(super) worker: Option<&'a WorkerId>,
     pub(super) connection: Option<ConnId>,
-    /// From when its age counts, where the request is over.
+    /// Time from which the transition's age is counted if the request is gone.
     pub(super) since: Option<Micros>,
 }
 
 impl Core {
-    /// Gives a transition out.
+    /// Outputs a transition.
     pub(super) fn record_transition(
         &mut self,
         id: &RequestId,
@@ -90,14 +90,14 @@
         self.outputs.push(Output::Transition(Box::new(transition)));
     }
 
-    /// An obligation of a request was violated.
+    /// Counts and outputs the violation of a request's obligation.
     pub(super) fn record_violation(&mut self, id: &RequestId, violation: Violation, since: Option<Micros>) {
         increment(&mut self.counters.violations, violation.name());
         let subject = Subject { since, ..Subject::default() };
         self.record_transition(id, TransitionKind::Violation, violation.name(), subject);
     }
 
-    /// What has been done since the start.
+    /// Counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/crates/router/src/core/view.rs
+++ b/crates/router/src/core/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of a running core. Nothing is decided by it.
+//! Views of a running core for operators. No decision depends on them.
 
 use chalkyard_policy as p;
 use serde::Serialize;
@@ -7,29 +7,29 @@
 use super::worker_connection::WorkerEndpoint;
 use super::Core;
 
-/// The most requests or workers that one view holds; `more` says how many were left out.
+/// Maximum number of requests or workers in one view; `more` says how many were left out.
 const MAX_ITEMS: usize = 1_000;
 
-/// A request that is open, or whose attempts or state are.
+/// A request that is open, or that still has an open attempt or reserved state.
 #[derive(Debug, Clone, Serialize)]
 pub struct OpenRequest {
-    /// The router's id of it.
+    /// Id that the router gave the request.
     pub id: String,
-    /// Class.
+    /// Class name.
     pub class: String,
-    /// Tenant.
+    /// Tenant name.
     pub tenant: Option<String>,
-    /// `waiting`, `reading`, `held`, `pulling`, `writing`, `streaming`; `answered` if only clearing up is left.
+    /// `waiting`, `reading`, `held`, `pulling`, `writing` or `streaming`; `answered` if only cleanup is left.
     pub phase: &'static str,
-    /// Since it came, µs.
+    /// Time since the request arrived, µs.
     pub age_us: u64,
-    /// Until it is given up, µs.
+    /// Time until the request's deadline, µs.
     pub left_us: u64,
-    /// By the estimate.
+    /// Prompt tokens by the router's estimate.
     pub prompt_tokens: u64,
-    /// Pieces of its answer that came.
+    /// Number of answer pieces received.
     pub pieces: u64,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub may_have_run: bool,
     /// Attempts so far.
     pub attempts: Vec<AttemptRecord>,
@@ -38,58 +38,58 @@
 /// A worker as the router knows it.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerView {
-    /// Its id.
+    /// Worker id.
     pub id: String,
     /// Address.
     pub address: String,
     /// `reader`, `writer` or `mixed`.
     pub role: &'static str,
-    /// In the newest endpoint list.
+    /// Whether the newest endpoint list contains the worker.
     pub listed: bool,
-    /// Connections, idle ones included.
+    /// Number of connections, idle ones included.
     pub connections: usize,
-    /// Idle ones.
+    /// Number of idle connections.
     pub idle: usize,
-    /// Connections in use.
+    /// Number of connections in use.
     pub attempts: usize,
 }
 
-/// Counts of a running core.
+/// Status of a running core.
 #[derive(Debug, Clone, Serialize)]
 pub struct CoreStatus {
-    /// Requests without a final answer, or with an open attempt or a reservation.
+    /// Number of requests without a final answer, or with an open attempt or a reservation.
     pub open_requests: usize,
-    /// Client connections.
+    /// Number of client connections.
     pub clients: usize,
-    /// Workers in the newest endpoint list.
+    /// Number of workers in the newest endpoint list.
     pub engines: usize,
-    /// Connections to workers and service discovery.
+    /// Number of connections to workers and to service discovery.
     pub connections: usize,
-    /// Accepts no new requests.
+    /// Whether new requests are rejected.
     pub draining: bool,
-    /// An endpoint list is known.
+    /// Whether an endpoint list is known.
     pub has_list: bool,
-    /// The connection to service discovery stands.
+    /// Whether a connection to service discovery is established or being established.
     pub register: bool,
-    /// Idempotency keys that are remembered.
+    /// Number of remembered idempotency keys.
     pub identities: usize,
-    /// Newest lease of budgets, and µs until its end; none without budgets.
+    /// Number of the newest budget lease, and time until its end in µs; `None` without budgets.
     pub lease: Option<(u64, u64)>,
 }
 
-/// A bounded list.
+/// List with a bounded number of items.
 #[derive(Debug, Clone, Serialize)]
 pub struct BoundedList<T> {
-    /// The first of them, in order of their ids.
+    /// First items, in order of their ids.
     pub items: Vec<T>,
-    /// So many more there are.
+    /// Number of items left out.
     pub more: usize,
 }
 
 impl Core {
-    /// Counts.
+    /// Status of the core.
     pub fn status(&self) -> CoreStatus {
-        let lease = self.budgets.as_ref().map(|k| k.state().lease);
+        let lease = self.budgets.as_ref().map(|budgets| budgets.state().lease);
         CoreStatus {
             open_requests: self.requests.len(),
             clients: self.clients.len(),
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Whether any endpoint list is known, be it an old one.
+    /// Whether an endpoint list is known, even an old one.
     pub fn has_list(&self) -> bool {
         self.discovery.has_list
     }
 
-    /// Open requests, the first in order of their ids.
+    /// First open requests, in order of their ids.
     pub fn request_view(&self) -> BoundedList<OpenRequest> {
         let items: Vec<OpenRequest> = self
             .requests
@@ -119,13 +119,13 @@
         BoundedList { more: self.requests.len() - items.len(), items }
     }
 
-    /// One open request.
+    /// Open request with this id.
     pub fn find_request(&self, id: &str) -> Option<OpenRequest> {
         let id: p::RequestId = id.into();
         self.requests.get(&id).map(|request| self.describe_open(&id, request))
     }
 
-    /// Workers, the first in order of their ids.
+    /// First workers, in order of their ids.
     pub fn worker_view(&self) -> BoundedList<WorkerView> {
         let role = |role| match role {
             p::Role::Prefill => "reader",
