--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival until it is answered and nothing of it is left at a worker.
+//! A request from its arrival until it is answered and no worker holds anything of it.
 
 use chalkyard_api::client::{MessagesRequest, Usage};
 use chalkyard_budget::{BilledAttempts, Usage as BilledTokens};
@@ -15,17 +15,17 @@
 use crate::identity::RequestIdentity;
 use crate::timers::TimerKey;
 
-/// What a client asked.
+/// Call that a client made.
 #[derive(Debug)]
 pub(super) enum ClientCall {
-    /// Our own call, whose answer is translated.
+    /// Call in the router's own API, whose answer is translated.
     Messages(Box<MessagesRequest>),
-    /// A dialect's request, which is forwarded unchanged, as is its answer.
+    /// Request in a dialect, which is forwarded unchanged, as is its answer.
     Forwarded(ForwardedRequest),
 }
 
 impl ClientCall {
-    /// Whether its answer goes to the client as it comes.
+    /// Whether the answer is sent to the client as it arrives.
     pub(super) fn is_streamed(&self) -> bool {
         match self {
             Self::Messages(call) => call.stream,
@@ -41,61 +41,62 @@
     }
 }
 
-/// How far the final answer has come.
+/// State of a request's final answer.
 #[derive(Debug)]
 pub(super) enum FinalAnswer {
-    /// None was given yet.
+    /// No part of the answer was sent yet.
     Pending,
     /// The stream to the client has begun.
     Streaming,
-    /// It was given, or the client has left.
+    /// The answer was given, or the client has left.
     Given { ended: RequestOutcome, phase: &'static str, reason: String, at: Micros },
 }
 
-/// KV state that a prefill worker holds for the request; see [`super::reservations`] for who writes it.
+/// KV state that a prefill worker holds for the request; [`super::reservations`] documents who writes it.
 #[derive(Debug)]
 pub(super) struct Reservation {
     pub(super) worker: WorkerId,
-    /// What a decode worker needs to pull the state, where its call names it.
+    /// Parameters that a decode worker needs to pull the state, if its call carries them.
     pub(super) transfer_params: Option<Box<RawValue>>,
-    /// The prefill's end, or the last end of an attempt that a worker is proven to have got.
+    /// End of the prefill, or of the last attempt whose call is proven to have reached a worker.
     pub(super) reserved_at: Micros,
-    /// When it is released if the policy has not had it released.
+    /// Releases the state if the policy has not requested its release before.
     pub(super) timer: TimerKey,
 }
 
-/// A request that is open, or of which an attempt or a reservation is left. `Core::requests` owns it: the core alone writes
-/// it, views read it, [`crate::Bounds::open`] bounds how many there are. After a crash the ledger alone knows of them.
+/// A request that is open, or that still has an open attempt or a reservation. `Core::requests` owns it: only the
+/// core writes it, and views read it. [`crate::Bounds::open`] bounds the number of requests. After a crash only the
+/// ledger knows of them.
 #[derive(Debug)]
 pub(super) struct ActiveRequest {
     pub(super) client: ConnId,
-    /// What the policy decides by.
+    /// Properties of the request on which the policy bases its decisions.
     pub(super) spec: p::Request,
     pub(super) call: ClientCall,
     pub(super) identity: Option<RequestIdentity>,
     pub(super) arrived_at: Micros,
     pub(super) attempts: Vec<Attempt>,
     pub(super) reservation: Option<Reservation>,
-    /// The prefill worker whose state was released during an open decode attempt: what that attempt still waits for is
-    /// released once more when it ends.
+    /// Prefill worker whose state was released while a decode attempt was open. The release is repeated when that
+    /// attempt ends, for the state that the attempt still waits for.
     pub(super) released_during_decode: Option<WorkerId>,
-    /// When an answer is overdue.
+    /// Due when the final answer is overdue.
     pub(super) answer_timer: Option<TimerKey>,
     pub(super) answer: FinalAnswer,
-    /// Why the policy rejected it or gave it up.
+    /// Why the policy rejected the request or gave it up.
     pub(super) rejection_reason: Option<p::RejectionReason>,
     pub(super) first_token_at: Option<Micros>,
-    /// The attempt whose answer goes to the client.
+    /// Index of the attempt whose answer goes to the client.
     pub(super) answering_attempt: Option<usize>,
-    /// Its worker is not read for now, since the client is slower.
+    /// Whether reading from the worker is paused because the client is slower.
     pub(super) worker_paused: bool,
-    /// Pieces of the answer that came. A piece counts as a token where the worker names no number.
+    /// Number of answer pieces received. A piece counts as one token if the worker reports no number of tokens.
     pub(super) pieces: u64,
-    /// The answer so far, where it is not streamed.
+    /// Answer collected so far, if the answer is not streamed.
     pub(super) text: String,
     pub(super) stop_reason: Option<String>,
     pub(super) usage: Usage,
-    /// Prompt tokens that the prefill worker found in its cache; a decode worker counts the pulled prompt as cached.
+    /// Prompt tokens that the prefill worker found in its cache. A decode worker reports the pulled prompt as cached.
     pub(super) cached_at_prefill: Option<u64>,
 }
 
@@ -130,12 +131,12 @@
         }
     }
 
-    /// Whether its state is reserved at this worker.
+    /// Whether the request's state is reserved at this worker.
     pub(super) fn has_reservation_at(&self, worker: &WorkerId) -> bool {
         self.reservation.as_ref().is_some_and(|r| r.worker == *worker)
     }
 
-    /// What an attempt at this worker would do.
+    /// Stage that an attempt at this worker would have.
     pub(super) fn next_stage(&self, target: &Target) -> AttemptStage {
         let is_prefill = target.lifecycle != p::Lifecycle::Removed && target.role == p::Role::Prefill;
         match &self.reservation {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// As what an attempt counts that begins now.
+    /// Reason under which an attempt that starts now is counted.
     pub(super) fn next_attempt_reason(&self, stage: AttemptStage) -> AttemptReason {
         match self.attempts.last() {
             None => AttemptReason::First,
@@ -156,12 +157,12 @@
         }
     }
 
-    /// Whether its final answer is given.
+    /// Whether the final answer was given.
     pub(super) fn is_answered(&self) -> bool {
         matches!(self.answer, FinalAnswer::Given { .. })
     }
 
-    /// Whether the client has got some of its answer.
+    /// Whether the stream to the client has begun.
     pub(super) fn is_streaming(&self) -> bool {
         matches!(self.answer, FinalAnswer::Streaming)
     }
@@ -170,17 +171,17 @@
         self.attempts.iter().any(|a| a.ended.is_none())
     }
 
-    /// Whether nothing of it is left to be done.
+    /// Whether the request needs no further work.
     pub(super) fn is_completed(&self) -> bool {
         self.is_answered() && !self.has_open_attempt() && self.reservation.is_none()
     }
 
-    /// Whether any attempt may have had the request's retry_safety, by what its connections have proven.
+    /// Whether any attempt may have run the request, according to what the connections have proven.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|a| a.facts.may_have_run)
     }
 
-    /// What is owed for it, by what its connections have proven.
+    /// Obligations of the request, according to what its connections have proven.
     pub(super) fn obligations(&self, settings: &p::Settings) -> Obligations {
         let class = settings.classes.get(self.spec.class.0);
         let (retry_safety, window) =
@@ -201,12 +202,12 @@
         }
     }
 
-    /// The client's own part of its identity.
+    /// Idempotency key that the client sent.
     pub(super) fn idempotency_key(&self) -> Option<&str> {
         self.identity.as_ref().map(|identity| identity.key.as_str())
     }
 
-    /// Bounds the answer to so many tokens.
+    /// Limits the answer to this number of tokens.
     pub(super) fn limit_output(&mut self, tokens: u64) {
         if let ClientCall::Messages(call) = &mut self.call {
             call.max_tokens = call.max_tokens.min(tokens);
@@ -214,7 +215,7 @@
         self.spec.max_output_tokens = self.spec.max_output_tokens.min(tokens);
     }
 
-    /// Bytes of its body that are kept for further attempts.
+    /// Bytes of the request body that are kept for further attempts.
     pub(super) fn body_bytes(&self) -> u64 {
         match &self.call {
             ClientCall::Messages(_) => 0,
@@ -222,7 +223,8 @@
         }
     }
 
-    /// Tokens by the worker's count; by the pieces that came, where it named none or the answer was cut off.
+    /// Tokens to bill. Output is the worker's count, or the number of received pieces if the worker reported none or
+    /// the answer was cut off. Prompt is the worker's count, or the router's estimate if the worker reported none.
     pub(super) fn billed_tokens(&self, is_cut_off: bool) -> BilledTokens {
         let usage = self.usage;
         let prompt = if usage.prompt_tokens == 0 { self.spec.prompt_tokens } else { usage.prompt_tokens };
@@ -230,7 +232,7 @@
         BilledTokens { prompt, cached: usage.kept_tokens.min(prompt), output }
     }
 
-    /// The numbers of the prefill attempt for the answer that was given, and of the attempt that gave it.
+    /// Number of the attempt that gave the answer, and of the prefill attempt that it used.
     pub(super) fn billed_attempts(&self) -> BilledAttempts {
         let answering = self.answering_attempt.and_then(|index| u32::try_from(index).ok());
         let attempt = self.answering_attempt.and_then(|index| self.attempts.get(index));
@@ -242,7 +244,7 @@
         BilledAttempts { prefill: prefill.and_then(|index| u32::try_from(index).ok()), answering }
     }
 
-    /// Its attempts as operators see them.
+    /// Records of the attempts for operators.
     pub(super) fn attempt_records(&self, now: Micros) -> Vec<AttemptRecord> {
         let record = |a: &Attempt| AttemptRecord {
             worker: a.worker.0.to_string(),
@@ -257,7 +259,7 @@
         self.attempts.iter().map(record).collect()
     }
 
-    /// The phase as operators see it.
+    /// Phase of the request for operators.
     pub(super) fn phase(&self) -> &'static str {
         if self.is_streaming() || self.answering_attempt.is_some() {
             return "streaming";
--- a/crates/router/src/core/answers.rs
+++ b/crates/router/src/core/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers to clients, each given once, and the end of a request.
+//! Final answers to clients, each given exactly once, and the end of a request.
 
 use chalkyard_api::client::{ErrorBody, ErrorKind, Event as ClientEvent, WholeAnswer};
 use chalkyard_policy as p;
@@ -13,7 +13,8 @@
 use super::{Core, FinishedOutput, Output};
 
 impl Core {
-    /// The policy rejects the request. If an attempt may have run, the client is told of a failure instead.
+    /// Rejects the request, as the policy requests. If an attempt may have run, the client is told of a failure
+    /// instead.
     pub(super) fn reject(&mut self, id: &RequestId, retry_after: Option<Micros>, reason: p::RejectionReason) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.rejection_reason = Some(reason);
@@ -32,7 +33,7 @@
         self.answer_with_error(id, RequestOutcome::Rejected, 503, error);
     }
 
-    /// The policy gives the request up.
+    /// Answers that the request has failed, because the policy gives it up.
     pub(super) fn fail_request(&mut self, id: &RequestId, reason: p::RejectionReason) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.rejection_reason = Some(reason);
@@ -60,7 +61,7 @@
         self.answer_with_error(id, ended, status, error);
     }
 
-    /// The answer is complete.
+    /// Completes the answer of a request that a worker has served.
     pub(super) fn answer_served(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
@@ -90,7 +91,7 @@
         let (client, has_begun) = (request.client, request.is_streaming());
         self.record_answer(permit, id, ended, error.reason.clone());
         if has_begun && self.config.dialect.is_some() {
-            // A forwarded stream that can't end well ends without its last chunk.
+            // A forwarded stream that fails ends without its last chunk.
             self.close_answered(client);
         } else if has_begun {
             self.end_stream(client, &ClientEvent::Broken { error });
@@ -100,7 +101,7 @@
         self.remove_if_completed(id);
     }
 
-    /// Records that the final answer is given; the only place that does.
+    /// Records that the final answer is given. No other function does so.
     fn record_answer(
         &mut self,
         _permit: AnswerPermit,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The client is gone: nothing more is owed, and no work goes on for it.
+    /// Ends a request whose client is gone: no answer is owed any more, and all attempts are cancelled.
     pub(super) fn client_left(&mut self, id: &RequestId, ended: RequestOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         let Ok(permit) = request.obligations(&self.config.policy).may_answer() else { return };
@@ -131,7 +132,7 @@
         self.remove_if_completed(id);
     }
 
-    /// Nobody waits for an answer any more: the policy is notified, and all attempts end.
+    /// Notifies the policy that no client waits for the answer, and ends all attempts.
     fn abandon(&mut self, id: &RequestId, outcome: Outcome) {
         self.events.push_back(Event::ClientGone(id.clone()));
         let attempts = self.requests.get(id).map_or(0, |r| r.attempts.len() as u32);
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The client has closed its side, which is taken as leaving; it may still read why it gets no answer.
+    /// Handles a client that has closed its sending side, which is treated as leaving. The client may still read why
+    /// it gets no answer.
     pub(super) fn client_half_closed(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id).filter(|r| !r.is_answered()) else { return };
         let (client, has_begun) = (request.client, request.is_streaming());
@@ -156,7 +158,7 @@
         }
     }
 
-    /// The core's own limit: the policy has not ended the request in its time.
+    /// Fails a request that the policy has not ended in time. This limit is the core's own.
     pub(super) fn answer_overdue(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let is_streamed_answer = request.answering_attempt.is_some() && request.call.is_streamed();
@@ -164,12 +166,12 @@
             return;
         }
         self.record_violation(id, Violation::AnswerOverdue, None);
-        self.note("overdue", format!("{} had no final answer from the module in time", id.0));
+        self.note("overdue", format!("the policy did not end request {} in time", id.0));
         self.answer_failure(id, RequestOutcome::Overdue, 504, "no answer in time".into());
         self.abandon(id, Outcome::TimedOut);
     }
 
-    /// The process ends now: each open request is answered with a failure that says whether it may have run.
+    /// Answers each open request with a failure that says whether the request may have run, because the process ends.
     pub fn fail_open_requests(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.stopping = true;
@@ -184,7 +186,7 @@
         out.append(&mut self.outputs);
     }
 
-    /// Forgets a request of which nothing is left to be done, and gives its record out.
+    /// Removes a request that needs no further work, and outputs its record.
     pub(super) fn remove_if_completed(&mut self, id: &RequestId) {
         if !self.requests.get(id).is_some_and(ActiveRequest::is_completed) {
             return;
@@ -199,7 +201,7 @@
         }
     }
 
-    /// The record of a request that was removed just now.
+    /// Record of a request that was just removed.
     fn finished_record(&self, id: &RequestId, request: ActiveRequest) -> Option<RequestRecord> {
         let attempts = request.attempt_records(self.now);
         let FinalAnswer::Given { ended, phase, reason, at } = request.answer else { return None };
@@ -228,7 +230,7 @@
         })
     }
 
-    /// No further attempt can follow: the body is not needed any more.
+    /// Drops the body of a request for which no further attempt can follow.
     pub(super) fn drop_request_body(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         self.body_bytes = self.body_bytes.saturating_sub(request.body_bytes());
@@ -237,7 +239,7 @@
         }
     }
 
-    /// An open request as operators see it.
+    /// Description of an open request for operators.
     pub(super) fn describe_open(&self, id: &RequestId, request: &ActiveRequest) -> OpenRequest {
         OpenRequest {
             id: id.0.to_string(),
@@ -263,7 +265,7 @@
 }
 
 impl ActiveRequest {
-    /// The error that says that the request has failed, and whether it may have run.
+    /// Error that says that the request has failed, and whether it may have run.
     fn failure(&self, reason: String) -> ErrorBody {
         let may_have_run = self.may_have_run();
         ErrorBody { kind: ErrorKind::Failed, reason, field: None, may_have_run, retry_after: None }
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -1,4 +1,4 @@
-//! Tenants' budgets: reserved when a request is accepted, settled at its one final answer.
+//! Tenants' budgets: reserved when a request is accepted, settled when its one final answer is given.
 
 use std::collections::BTreeMap;
 
@@ -15,42 +15,43 @@
 use crate::identity::RequestIdentity;
 
 impl Core {
-    /// Enforces budgets from now on; to be called before the start. Requests that may have run in an earlier process and
-    /// must not run twice are known from its ledger.
+    /// Enforces budgets from now on; must be called before the start. Requests that may have run in an earlier
+    /// process and must not run twice are restored from its ledger.
     pub fn enforce_budgets(&mut self, budgets: BudgetEnforcer) {
-        let (now, wait) = (self.now, self.config.timeouts.identity);
-        for ran in &budgets.state().executed {
-            let tenant = self.config.tenants.iter().position(|t| *t.name == *ran.tenant);
-            let class = self.config.classes.iter().position(|c| *c.name == *ran.class);
+        let (now, retention) = (self.now, self.config.timeouts.identity);
+        for executed in &budgets.state().executed {
+            let tenant = self.config.tenants.iter().position(|t| *t.name == *executed.tenant);
+            let class = self.config.classes.iter().position(|c| *c.name == *executed.class);
             let class = class.and_then(|c| self.config.policy.classes.get(c));
-            let until = p::Micros(ran.at.0) + wait;
-            // A class that is gone may have been one that must not run twice.
+            let until = p::Micros(executed.at.0) + retention;
+            // A class that no longer exists may have been one whose requests must not run twice.
             let must_run_once = class.is_none_or(|c| c.retry_safety != p::RetrySafety::Idempotent);
-            if must_run_once && until > now && (tenant.is_some() || ran.tenant.is_empty()) {
-                let identity = RequestIdentity { tenant, key: ran.identity.to_string() };
+            if must_run_once && until > now && (tenant.is_some() || executed.tenant.is_empty()) {
+                let identity = RequestIdentity { tenant, key: executed.identity.to_string() };
                 self.identities.restore(&identity, until);
             }
         }
         self.budgets = Some(budgets);
     }
 
-    /// Tenants' budget figures, for metrics.
+    /// Budget figures of all tenants, for metrics.
     pub fn budget_figures(&self) -> BTreeMap<Box<str>, Figures> {
-        self.budgets.as_ref().map(|k| k.figures(self.time())).unwrap_or_default()
+        self.budgets.as_ref().map(|budgets| budgets.figures(self.time())).unwrap_or_default()
     }
 
     fn time(&self) -> Time {
         Time(self.now.0)
     }
 
-    /// Gives the ledger's records out. Outputs that follow must not overtake them.
+    /// Outputs the pending records for the ledger. Outputs that follow must not overtake them.
     pub(super) fn write_records(&mut self) {
         let Some(budgets) = &mut self.budgets else { return };
         let records = budgets.take_records();
         self.outputs.extend(records.map(|(number, record)| Output::Record(number, Box::new(record))));
     }
 
-    /// Reserves a request's budget, with a shorter answer or a lower class where that is agreed; or rejects it.
+    /// Reserves a request's budget, with a shorter answer or a lower class where the budget plan permits it, or
+    /// rejects the request.
     pub(super) fn reserve_budget(&mut self, request: &mut ActiveRequest) -> Result<(), Rejection> {
         let now = self.time();
         let Self { budgets: Some(budgets), config, .. } = self else { return Ok(()) };
@@ -75,21 +76,21 @@
         })?;
         request.limit_output(admission.output);
         if let Some(lower) = admission.lower_to {
-            let place = self.config.classes.iter().position(|c| *c.name == *lower);
-            request.spec.class = place.map_or(request.spec.class, p::ClassId);
+            let position = self.config.classes.iter().position(|c| *c.name == *lower);
+            request.spec.class = position.map_or(request.spec.class, p::ClassId);
         }
         for mark in admission.marks {
-            let part = f64::from(mark.thousandths) / 10.0;
+            let percent = f64::from(mark.thousandths) / 10.0;
             self.note(
                 "budget",
-                format!("{}: {part} % of the period's budget is reserved or spent", mark.account),
+                format!("{}: {percent} % of the period's budget is reserved or spent", mark.account),
             );
         }
         self.write_records();
         Ok(())
     }
 
-    /// The final answer is given: what the request has cost is known.
+    /// Settles a request's budget at its final answer, when its cost is known.
     pub(super) fn settle_budget(&mut self, id: &p::RequestId, ended: RequestOutcome) {
         let now = self.time();
         let Some((budgets, request)) = self.budgets.as_mut().zip(self.requests.get(id)) else { return };
@@ -118,18 +119,18 @@
         let Some(budgets) = &mut self.budgets else { return };
         match budgets.adopt(now, grant) {
             Ok(()) => self.write_records(),
-            // The lease is read again and again: an old one changes nothing.
+            // The same lease is read repeatedly, so an old one is no error.
             Err(chalkyard_budget::AdoptLeaseError::Old) => {}
-            Err(error) => self.note("budget", format!("lease {} is not taken: {error:?}", grant.number)),
+            Err(error) => self.note("budget", format!("lease {} was rejected: {error:?}", grant.number)),
         }
     }
 
     pub(super) fn ledger_writable(&mut self, writable: bool) {
         if let Some(budgets) = &mut self.budgets {
             budgets.set_writable(writable);
-            let what =
-                if writable { "can be written again" } else { "can't be written: nothing new is taken" };
-            self.note("ledger", format!("the ledger {what}"));
+            let state =
+                if writable { "is writable again" } else { "is not writable: new requests are rejected" };
+            self.note("ledger", format!("the ledger {state}"));
         }
     }
 
@@ -159,7 +160,7 @@
     pub(super) fn replace_budget_plan(&mut self, plan: Plan) {
         if let Some(budgets) = &mut self.budgets {
             budgets.replan(plan);
-            self.note("budget", "other budgets hold from now on; what is spent stays".into());
+            self.note("budget", "the budget plan was replaced; recorded spending is kept".into());
         }
     }
 }
--- a/crates/router/src/core/client_answers.rs
+++ b/crates/router/src/core/client_answers.rs
@@ -1,4 +1,4 @@
-//! What is written to a client: errors, answers in one body, streams of our own events and forwarded streams.
+//! Output to clients: errors, answers in one body, streams of the router's own events and forwarded streams.
 
 use chalkyard_api::client::{self, ErrorBody, ErrorKind};
 use chalkyard_policy as p;
@@ -6,17 +6,17 @@
 
 use super::{ConnId, Core};
 
-/// The content type of all answers that are not streams.
+/// Content type of all answers that are not streams.
 pub(super) const JSON: (&str, &str) = ("content-type", "application/json");
 
-/// An error of ours that says that nothing has run.
+/// Error of the router which says that nothing has run.
 pub(super) fn error(kind: ErrorKind, reason: impl Into<String>) -> ErrorBody {
     ErrorBody { kind, reason: reason.into(), field: None, may_have_run: false, retry_after: None }
 }
 
 impl Core {
-    /// Whether a connection goes on after the present answer. While draining it does if some of its next request was read
-    /// already: what was read is answered.
+    /// Whether a connection stays open after the current answer. While draining, it stays open if part of its next
+    /// request was already read, because a request that was read is answered.
     pub(super) fn is_kept_alive(&self, conn: ConnId) -> bool {
         let Some(client) = self.clients.get(&conn) else { return false };
         !client.close_after_answer && (!self.draining || !client.decoder.is_idle())
@@ -24,11 +24,11 @@
 
     pub(super) fn answer_error(&mut self, conn: ConnId, status: u16, body: &ErrorBody) {
         let keep_alive = self.announce_keep_alive(conn);
-        // Decimal seconds where a dialect knows them, else rounded up.
+        // Decimal seconds in a dialect, otherwise whole seconds, rounded up.
         let decimal = self.config.dialect.is_some();
         let after =
             body.retry_after.map(|s| if decimal { format!("{s:.3}") } else { format!("{}", s.ceil()) });
-        // Only a rejection says that a retry does no harm.
+        // In a dialect, 429 and 503 say that a retry is safe, which is certain only for a rejection.
         let refused = body.kind == ErrorKind::Refused || !decimal;
         let status = if refused || !matches!(status, 429 | 503) { status } else { 500 };
         let mut fields = vec![JSON];
@@ -39,7 +39,7 @@
         self.finish_answer(conn);
     }
 
-    /// The present request has its answer: on to the next, or to the end.
+    /// Ends the current answer: waits for the next request, or closes the connection.
     pub(super) fn finish_answer(&mut self, conn: ConnId) {
         let keep_alive = self.is_kept_alive(conn);
         let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -48,7 +48,7 @@
             return self.close_answered(conn);
         }
         if !keep_alive {
-            // It was told that it may go on.
+            // The client was told that the connection stays open.
             return self.close_if_quiet(conn);
         }
         let timeouts = &self.config.timeouts;
@@ -73,7 +73,7 @@
         self.write_client(conn, bytes);
     }
 
-    /// The last event and the end of the response.
+    /// Writes the last event and the end of the response.
     pub(super) fn end_stream(&mut self, conn: ConnId, event: &client::Event<'_>) {
         let mut bytes = Vec::with_capacity(256);
         push_event(&mut bytes, event);
@@ -82,7 +82,7 @@
         self.finish_answer(conn);
     }
 
-    /// Bytes of a stream as they came, after a head if it begins.
+    /// Writes bytes of a forwarded stream unchanged, after a response head if the stream begins.
     pub(super) fn write_forwarded(&mut self, conn: ConnId, first: bool, data: &[u8]) {
         let mut bytes = Vec::with_capacity(data.len() + 192);
         if first {
@@ -93,7 +93,7 @@
         self.write_client(conn, bytes);
     }
 
-    /// The stream that was passed on has ended well.
+    /// Ends a forwarded stream that is complete.
     pub(super) fn end_forwarded(&mut self, conn: ConnId) {
         self.write_client(conn, encode::LAST_CHUNK.to_vec());
         self.finish_answer(conn);
--- a/crates/router/src/core/client_connection.rs
+++ b/crates/router/src/core/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection with a client: how far its request and its answer have come.
+//! State of one client connection: the progress of its request and of its answer.
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
@@ -6,46 +6,47 @@
 
 use crate::timers::TimerKey;
 
-/// What a client's connection is doing.
+/// Phase of a client connection.
 #[derive(Debug)]
 pub(super) enum ClientPhase {
-    /// Nothing, or the head of a request is being read.
+    /// The connection is idle, or the head of a request is being read.
     ReadingHead,
     /// The body of a request is being read.
     ReadingBody(Box<Head>, Vec<u8>),
-    /// A request has been accepted and not been answered. What follows waits in the decoder.
+    /// An accepted request is being served. Bytes that follow it wait in the decoder.
     Serving(p::RequestId),
 }
 
-/// A connection with a client.
+/// A client connection.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
     pub(super) decoder: Decoder,
     pub(super) phase: ClientPhase,
     pub(super) timer: Option<TimerKey>,
-    /// Bytes given to the shell and not yet taken by the system.
+    /// Bytes passed to the shell and not yet accepted by the operating system.
     pub(super) unsent_bytes: u64,
-    /// Since when the system has taken none of them.
+    /// Time since which the operating system has accepted none of the unsent bytes.
     pub(super) blocked_since: Micros,
-    /// Closed after the present answer: by the client's wish, or as it was told.
+    /// Whether the connection closes after the current answer, as the client requested or was told.
     pub(super) close_after_answer: bool,
-    /// The client was told that the connection ends with the present answer.
+    /// Whether the client was told that the connection closes after the current answer.
     pub(super) close_announced: bool,
-    /// Too much waits to be sent: nothing more is read.
+    /// Whether reading is paused because too many bytes wait to be sent.
     pub(super) output_full: bool,
-    /// Too much waits behind the open request: nothing more is read.
+    /// Whether reading is paused because too many bytes wait behind the open request.
     pub(super) pipeline_full: bool,
-    /// Nothing is read, for one of these reasons.
+    /// Whether reading is paused, for one of these reasons.
     pub(super) paused: bool,
-    /// Closed, unless bytes have come that were not read yet.
+    /// Whether the connection is being closed unless unread bytes have arrived.
     pub(super) closing_if_quiet: bool,
-    /// It has had an answer: its client knows that it may be closed between two requests.
+    /// Whether the connection has carried an answer, so that its client knows that the connection may be closed
+    /// between two requests.
     pub(super) has_been_answered: bool,
-    /// When it was accepted, its last request ended, or its present one began.
+    /// Time at which the connection was accepted, its last request ended or its current request began.
     pub(super) phase_since: Micros,
-    /// When the first byte came of what waits behind its open request: the client's time runs from then.
+    /// Arrival of the first byte behind the open request. The client's time for the next request runs from then.
     pub(super) next_request_since: Micros,
-    /// Nothing was read from then on: what is read next may have come as early.
+    /// Time since which nothing was read. The bytes read next may have arrived as early.
     pub(super) unread_since: Option<Micros>,
 }
 
@@ -70,24 +71,25 @@
         }
     }
 
-    /// Whether no byte of a request has come.
+    /// Whether no byte of a request has arrived.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.phase, ClientPhase::ReadingHead) && self.decoder.is_idle()
     }
 
-    /// Its request was answered: the time of the next one runs, if some of that has come.
+    /// Prepares for the next request after an answer. If part of that request has arrived, its time runs from that
+    /// arrival.
     pub(super) fn start_next_request(&mut self, now: Micros) {
         self.phase = ClientPhase::ReadingHead;
         self.has_been_answered = true;
         self.phase_since = if self.decoder.is_idle() { now } else { self.next_request_since };
     }
 
-    /// Whether it may be closed to make room: none of its requests is complete.
+    /// Whether the connection may be closed to make room: none of its requests is complete.
     pub(super) fn is_evictable(&self) -> bool {
         !matches!(self.phase, ClientPhase::Serving(_)) && !self.output_full && !self.closing_if_quiet
     }
 
-    /// The system has taken bytes to be sent.
+    /// Records that the operating system has accepted bytes for sending.
     pub(super) fn bytes_sent(&mut self, now: Micros, bytes: u64) {
         self.unsent_bytes = self.unsent_bytes.saturating_sub(bytes);
         self.blocked_since = now;
--- a/crates/router/src/core/client_reading.rs
+++ b/crates/router/src/core/client_reading.rs
@@ -1,4 +1,4 @@
-//! Bytes of clients, read until their requests are complete.
+//! Bytes from clients, read until their requests are complete.
 
 use chalkyard_api::client::ErrorKind;
 use chalkyard_proto::{encode, Part, Reason};
@@ -23,7 +23,7 @@
         }
         if begins_request {
             client.phase_since = came_at;
-            // A client's first request has no longer than is left of its connection's time.
+            // A client's first request must arrive in the time left to its connection.
             let left = client.timer.filter(|_| !client.has_been_answered).map(|key| key.due - self.now);
             let timeout = self.config.timeouts.head;
             self.set_client_timer(conn, left.map_or(timeout, |left| left.min(timeout)));
@@ -31,7 +31,7 @@
         self.read_requests(conn);
     }
 
-    /// Reads on until a request is complete or more bytes are needed.
+    /// Reads until a request is complete or more bytes are needed.
     pub(super) fn read_requests(&mut self, conn: ConnId) {
         loop {
             let is_full = self.is_send_buffer_full(conn);
@@ -40,7 +40,7 @@
                 client.pipeline_full = client.decoder.is_crowded();
                 return self.update_reading(conn);
             }
-            // A client that goes on asking without taking its answers is not read until it does.
+            // A client that sends requests without reading its answers is not read until it has read them.
             if is_full {
                 client.output_full = true;
                 self.update_reading(conn);
@@ -74,7 +74,7 @@
                 Err(error) => return self.reject_malformed(conn, error.reason),
             }
         }
-        // All that had come was read: there is room for more.
+        // All received bytes were read, so there is room for more.
         if let Some(client) = self.clients.get_mut(&conn) {
             client.pipeline_full = false;
         }
@@ -87,19 +87,21 @@
         self.close_client(conn);
     }
 
-    /// All bodies together are longer than may wait: the one that is being read is dropped, and its client answered.
+    /// Rejects the request whose body is being read, because all request bodies together exceed their bound. The body
+    /// is dropped.
     fn reject_body(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         let phase = std::mem::replace(&mut client.phase, ClientPhase::ReadingHead);
         if let ClientPhase::ReadingBody(_, body) = phase {
             self.body_bytes = self.body_bytes.saturating_sub(body.len() as u64);
         }
-        self.note("bodies", "more bytes of requests than may wait; one is turned away".into());
+        self.note("bodies", "request bodies exceed their total bound; one request was rejected".into());
         self.answer_error(conn, 503, &error(ErrorKind::Refused, "too much to read at once"));
         self.close_client(conn);
     }
 
-    /// A client that closes its side is taken as leaving; should it still listen, it reads its one answer.
+    /// Handles a client that has closed its sending side, which is treated as leaving. A client that still reads gets
+    /// its one answer.
     pub(super) fn client_eof(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.close_after_answer = true;
@@ -109,11 +111,11 @@
             return self.close_answered(conn);
         }
         client.decoder.close();
-        // What a client asked that takes no answers, and is not read for it, is not begun any more.
+        // Requests of a client that is not read because it does not read its answers are no longer started.
         if !client.is_idle() && !client.output_full {
             self.read_requests(conn);
         }
-        // What was begun before the close was answered above or is being served.
+        // Requests received before the close were answered above or are being served.
         let is_serving = self.clients.get(&conn).is_some_and(|c| matches!(c.phase, ClientPhase::Serving(_)));
         if !is_serving {
             self.close_answered(conn);
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -1,7 +1,7 @@
-//! Connections with clients: accepted, bounded, timed, paused and closed.
+//! Client connections: accepted, bounded, timed, paused and closed.
 //!
-//! `Core::clients` is written here and where requests are read and answered. It is bounded by [`crate::Bounds::clients`];
-//! after a crash clients connect again.
+//! `Core::clients` is written here and where requests are read and answered. [`crate::Bounds::clients`] bounds its
+//! size. After a crash clients connect again.
 
 use chalkyard_api::client::ErrorKind;
 use chalkyard_policy::Micros;
@@ -28,9 +28,9 @@
         self.set_client_timer(conn, self.config.timeouts.first);
     }
 
-    /// Makes room for a client: of those without an open request the one that has been silent for longest is closed, first
-    /// of those that never asked, since a usual client asks soon after it has connected. If a request of it has come that
-    /// was not read yet, it stays, and another is closed.
+    /// Makes room for a client. Of the connections without an open request, the one that has been silent for longest
+    /// is closed, first of those that never sent a request, since a client usually sends one soon after it has
+    /// connected. If unread bytes of a request have arrived on that connection, it stays and another one is closed.
     fn evict_client(&mut self) -> bool {
         if !self.config.bounds.evict {
             return false;
@@ -43,7 +43,7 @@
         true
     }
 
-    /// Closes a client without an open request, unless bytes have come that were not read yet.
+    /// Closes a client without an open request, unless unread bytes have arrived.
     pub(super) fn close_if_quiet(&mut self, conn: ConnId) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.closing_if_quiet = true;
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Bytes have come from a client that was to be closed: it stays, and if it had to make room, another does.
+    /// Keeps a client that was to be closed, because bytes have arrived from it. If the client was to make room,
+    /// another one is closed instead.
     pub(super) fn cancel_close_if_quiet(&mut self, conn: ConnId) {
         if !self.clients.get(&conn).is_some_and(|c| c.closing_if_quiet) {
             return;
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Closes idle clients. One that has connected just now is about to ask, and gets a short time for it.
+    /// Closes idle clients. A client that has just connected is about to send a request and gets a short time to do
+    /// so.
     pub(super) fn close_idle_clients(&mut self) {
         let idle: Vec<(ConnId, bool)> = self
             .clients
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Whether the connection goes on after the answer that is about to begin. If not, that answer says so, and what the
-    /// client sends from now on is left unread.
+    /// Whether the connection stays open after the answer that is about to begin. If not, the answer says so, and
+    /// bytes that the client sends from now on stay unread.
     pub(super) fn announce_keep_alive(&mut self, conn: ConnId) -> bool {
         let is_kept_alive = self.is_kept_alive(conn);
         if let Some(client) = self.clients.get_mut(&conn).filter(|_| !is_kept_alive) {
@@ -94,7 +96,7 @@
         is_kept_alive
     }
 
-    /// Pauses or resumes reading of a client, as it stands now.
+    /// Pauses or resumes reading from a client according to its current state.
     pub(super) fn update_reading(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         let pause = client.output_full || client.pipeline_full || client.close_announced;
@@ -104,16 +106,16 @@
         }
     }
 
-    /// Sets the one timer of a client's connection.
-    pub(super) fn set_client_timer(&mut self, conn: ConnId, span: Micros) {
+    /// Sets the single timer of a client connection.
+    pub(super) fn set_client_timer(&mut self, conn: ConnId, timeout: Micros) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if let Some(key) = client.timer.take() {
             self.timers.cancel(key);
         }
-        client.timer = Some(self.timers.set(self.now + span, TimerEvent::Client(conn)));
+        client.timer = Some(self.timers.set(self.now + timeout, TimerEvent::Client(conn)));
     }
 
-    /// Watches the client of a paused stream.
+    /// Sets the timer of a client that does not read its answers.
     pub(super) fn set_slow_client_timer(&mut self, conn: ConnId) {
         self.set_client_timer(conn, self.config.timeouts.slow_client);
     }
@@ -139,26 +141,27 @@
         }
     }
 
-    /// Closes a client that was answered though its request was not complete.
+    /// Closes a client that was answered before its request was complete.
     pub(super) fn close_client(&mut self, conn: ConnId) {
         if self.remove_client(conn).is_some() {
             self.outputs.push(Output::Close(conn));
         }
     }
 
-    /// Closes a client all of whose requests are answered.
+    /// Closes a client whose requests are all answered.
     pub(super) fn close_answered(&mut self, conn: ConnId) {
         if self.remove_client(conn).is_some() {
             self.outputs.push(Output::CloseAnswered(conn));
         }
     }
 
-    /// Whether so much waits for this client that its worker should not be read.
+    /// Whether so many bytes wait for this client that its worker should not be read.
     pub(super) fn is_send_buffer_full(&self, conn: ConnId) -> bool {
         self.clients.get(&conn).is_some_and(|c| c.unsent_bytes > self.config.bounds.client_buffer as u64)
     }
 
-    /// The system has taken bytes for a client: a paused worker may be read again.
+    /// Resumes reading from a paused worker or client once the operating system has accepted enough bytes for the
+    /// client.
     pub(super) fn client_bytes_sent(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if client.unsent_bytes > self.config.bounds.client_buffer as u64 / 2 {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// The timer of a client's connection is due.
+    /// Handles the timer of a client connection.
     pub(super) fn client_timed_out(&mut self, conn: ConnId) {
         let (slow_client, is_full) = (self.config.timeouts.slow_client, self.is_send_buffer_full(conn));
         let Some(client) = self.clients.get_mut(&conn) else { return };
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -1,4 +1,4 @@
-//! A client's complete request: checked, and accepted or answered before anything has run.
+//! Intake of complete client requests, which are checked, and accepted or answered before anything has run.
 
 use chalkyard_api::client::{self, ErrorBody, ErrorKind, MessagesRequest, Refusal};
 use chalkyard_api::engine;
@@ -14,7 +14,7 @@
 use crate::dialect::ParsedRequest;
 use crate::identity::{IdentityError, RequestIdentity};
 
-/// The answer to a request that is not accepted: nothing of it has run.
+/// Answer to a request that is not accepted. Nothing of the request has run.
 #[derive(Debug)]
 pub(super) struct Rejection {
     pub(super) status: u16,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A field of the request is invalid.
+/// Rejects a request with an invalid field.
 impl From<Refusal> for Rejection {
     fn from(refusal: Refusal) -> Self {
         let body = ErrorBody { field: Some(refusal.field), ..error(ErrorKind::Invalid, refusal.reason) };
@@ -43,7 +43,7 @@
     }
 }
 
-/// The request's idempotency key is known already, or can't be remembered.
+/// Rejects a request whose idempotency key is known already or cannot be stored.
 impl From<IdentityError> for Rejection {
     fn from(cause: IdentityError) -> Self {
         match cause {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether a call asks for the router's health; an error if it is neither that nor a request to be served.
+/// Whether a call is a health check. Returns an error if it is neither a health check nor a request to be served.
 fn is_health_check(head: &Head) -> Result<bool, Rejection> {
     let Start::Request { method, target } = &head.start else {
         return Err(Rejection::new(400, ErrorKind::Invalid, "not a request"));
@@ -113,7 +113,7 @@
         }
     }
 
-    /// From here on the request is owed exactly one final answer.
+    /// Accepts a request. From now on it is owed exactly one final answer.
     fn accept_request(&mut self, conn: ConnId, mut request: ActiveRequest) {
         let spec = request.spec.clone();
         let id = spec.id.clone();
@@ -131,7 +131,8 @@
         self.events.push_back(Event::Request(spec));
     }
 
-    /// Checks what only the core knows of a dialect's request: ids that are open, and bounds. None: a health check.
+    /// Checks what only the core knows about a dialect's request: open request ids and bounds. Returns `None` for a
+    /// health check.
     fn check_parsed(
         &mut self,
         conn: ConnId,
@@ -150,7 +151,7 @@
         if self.stopping {
             return Err(Rejection::stopping());
         }
-        // What is accepted during the graceful shutdown is answered before the process ends.
+        // A request accepted during the graceful shutdown is answered before the process ends.
         if let Some((since, migration)) = self.shutdown_since.zip(self.config.timeouts.migration) {
             spec.deadline = spec.deadline.min(since + migration.until);
         }
@@ -164,7 +165,8 @@
         Ok(Some(ActiveRequest::new(conn, spec, ClientCall::Forwarded(forwarded), None, self.now)))
     }
 
-    /// Checks a request of our own call; an error names the field and the reason. None: a health check.
+    /// Checks a request in the router's own API. An error names the field and the reason. Returns `None` for a health
+    /// check.
     fn check_messages_call(
         &mut self,
         conn: ConnId,
@@ -191,7 +193,7 @@
         }
         let mut request = self.new_request(conn, call, class, tenant, identity.clone());
         if let Err(rejection) = self.reserve_budget(&mut request) {
-            // Nothing ran: the key may be used again.
+            // Nothing ran, so the key may be used again.
             if let Some(identity) = &identity {
                 self.identities.end(identity, None);
             }
@@ -200,7 +202,7 @@
         Ok(Some(request))
     }
 
-    /// The tenant whose API key the request carries; none where there are no tenants.
+    /// Tenant whose API key the request carries; `None` if no tenants are configured.
     fn tenant(&self, head: &Head) -> Result<Option<usize>, Rejection> {
         if self.config.tenants.is_empty() {
             return Ok(None);
@@ -218,7 +220,7 @@
         }
     }
 
-    /// The class that the request names, if the tenant's keys allow it.
+    /// Class that the request names, if the tenant's keys allow it.
     fn class(&self, call: &MessagesRequest, tenant: Option<usize>) -> Result<usize, Refusal> {
         let class = match &call.class {
             None => self.config.default_class,
@@ -243,7 +245,7 @@
         tenant: Option<usize>,
         identity: Option<RequestIdentity>,
     ) -> ActiveRequest {
-        // The start time keeps ids of successive processes apart, the name ids of different routers.
+        // The time distinguishes ids of successive processes, the name ids of different routers.
         let id = format!("{}-{:x}-{:x}", self.config.name, self.now.0, self.next_request);
         self.next_request += 1;
         let longest = self.config.policy.classes.get(class).map(|c| c.deadline).unwrap_or_default();
