--- a/crates/router/src/core/connection_events.rs
+++ b/crates/router/src/core/connection_events.rs
@@ -1,4 +1,4 @@
-//! What happens on connections to workers and to service discovery: bytes, their end, their loss.
+//! Events on connections to workers and to service discovery: bytes, end of stream and loss.
 
 use chalkyard_policy::Outcome;
 use chalkyard_proto::Reason;
@@ -10,14 +10,14 @@
     pub(super) fn worker_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         match &mut connection.task {
-            // A second reply to one call: the first may be trusted, the connection may not.
+            // The bytes are a second reply to one call: the first reply may be trusted, the connection may not.
             Task::Idle => {
-                self.note("engine", "bytes that nobody asked for; connection closed".into());
+                self.note("engine", "unexpected bytes on an idle connection; connection closed".into());
                 self.abort_connection(conn);
             }
-            // The same on a connection that is about to carry a call: what came before its first byte is no reply to it.
+            // No byte of the connection's call was written yet, so the bytes are no reply to it.
             _ if connection.written == 0 => {
-                self.note("engine", "bytes ahead of any call; connection closed".into());
+                self.note("engine", "bytes arrived before the call was sent; connection closed".into());
                 self.outputs.push(Output::Abort(conn));
                 self.connection_lost(conn);
             }
@@ -35,14 +35,14 @@
         }
         connection.decoder.close();
         self.read_replies(conn);
-        // If it still has a task, the rest of the reply will not come.
+        // If the connection still exists, the rest of its reply will not arrive.
         if self.connections.contains_key(&conn) {
             self.outputs.push(Output::Abort(conn));
             self.connection_lost(conn);
         }
     }
 
-    /// A reply that can't be read further: cut short, or malformed.
+    /// Handles a reply that cannot be read further because it is cut short or malformed.
     pub(super) fn reply_unreadable(&mut self, conn: ConnId, reason: Reason) {
         if reason == Reason::Truncated {
             self.outputs.push(Output::Abort(conn));
@@ -56,9 +56,10 @@
         }
     }
 
-    /// A connection is gone. What it carried may have run if the system had taken a byte of it; in a dialect, whose workers
-    /// begin with the last byte, if it had taken that. Idle connections to the same worker are closed too: they are as old,
-    /// and each could cost an attempt if the worker is gone.
+    /// Handles the loss of a connection. Its call may have run if the operating system had accepted any byte of it.
+    /// In a dialect, whose workers begin with the last byte, the call may have run if the operating system had
+    /// accepted all of it. Idle connections to the same worker are closed too: they are as old, and each could cost
+    /// an attempt if the worker is gone.
     pub(super) fn connection_lost(&mut self, conn: ConnId) {
         let Some(connection) = self.remove_connection(conn) else { return };
         self.learn_idle_timeout(&connection);
@@ -68,8 +69,9 @@
         let needed = if self.config.dialect.is_some() { connection.call_size } else { 1 };
         let may_have_arrived = connection.pending_call.is_none() && connection.written >= needed;
         match connection.task {
-            // A reused connection that ended before a byte of this call was written: workers may close idle connections,
-            // which says nothing about whether the worker runs. The call is placed again, as part of the same attempt.
+            // A reused connection was lost before a byte of this call was written. Workers may close idle
+            // connections, which says nothing about whether the worker runs. The call is placed again, as part of the
+            // same attempt.
             Task::Attempt(id, no, _) if connection.reused.is_some() && connection.written == 0 => {
                 self.place_call(&id, no);
             }
@@ -81,7 +83,7 @@
         }
     }
 
-    /// A connection could not be begun for want of descriptors or ports of this process.
+    /// Handles a connection that could not be started because this process has no descriptors or ports left.
     pub(super) fn connection_not_started(&mut self, conn: ConnId) {
         let Some(connection) = self.remove_connection(conn) else { return };
         match connection.task {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// A call that is no attempt has failed.
+    /// Handles the failure of a call that is not an attempt.
     fn call_lost(&mut self, task: Task) {
         match task {
             Task::Release(release) => self.release_failed(release),
--- a/crates/router/src/core/connection_pool.rs
+++ b/crates/router/src/core/connection_pool.rs
@@ -1,7 +1,8 @@
-//! The pool of connections to workers: opened, kept alive, reused, bounded and closed.
+//! Pool of connections to workers: opened, kept alive, reused, bounded and closed.
 //!
-//! `Core::connections` and `Core::workers` are written here; the endpoint list adds and removes workers. Connections are
-//! bounded by [`crate::Bounds::links`] and [`crate::Bounds::engine_connections`]. None outlives the process.
+//! `Core::connections` and `Core::workers` are written here; the endpoint list adds and removes workers.
+//! [`crate::Bounds::links`] and [`crate::Bounds::engine_connections`] bound the connections. No connection outlives
+//! the process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,13 +15,13 @@
 use super::worker_connection::{Payload, Reuse, Task, WorkerConnection};
 use super::{ConnId, Core, Output, TimerEvent};
 
-/// The last byte of an attempt's call has to be with the system this soon after the call was encoded. A worker may be told
-/// of 0.15 s more than what is left; the rest of that is for the network.
+/// Maximum time from encoding an attempt's call until the operating system has accepted its last byte. A worker may
+/// be told 0.15 s more than the time left; the rest of that margin is for the network.
 const CALL_WRITE_TIMEOUT: Micros = Micros(100_000);
 
 impl Core {
-    /// Writes a call on an idle connection, or on a new one, which carries `task` from now on. None: the connections are
-    /// at their bound, which `spare` raises.
+    /// Writes a call on an idle connection or on a new one, which carries `task` from then on. Returns `None` if the
+    /// connections are at their bound, which `spare` raises.
     pub(super) fn start_call(
         &mut self,
         worker: &p::WorkerId,
@@ -34,7 +35,7 @@
             let Some(connection) = self.connections.get_mut(&conn) else { continue };
             let idle = self.now - connection.idle_since;
             if idle > idle_timeout {
-                // Those below it have been idle for longer.
+                // The connections below it on the stack have been idle for longer.
                 self.abort_connection(conn);
                 self.close_idle_connections(worker);
                 break;
@@ -60,7 +61,7 @@
         Some(self.open_connection(Some(worker.clone()), address, task, call))
     }
 
-    /// Learns from a call that was lost with nothing read of its reply.
+    /// Learns the workers' idle timeout from a call that was lost before any byte of its reply was read.
     pub(super) fn learn_idle_timeout(&mut self, connection: &WorkerConnection) {
         let awaits_reply =
             matches!(connection.task, Task::Attempt(_, _, ReplyState::AwaitingHead) | Task::Release(..));
@@ -71,14 +72,15 @@
         }
     }
 
-    /// Makes room for a connection; false: all are in use.
+    /// Makes room for a connection by closing the one that has been idle for longest. Returns false if all are in
+    /// use.
     fn close_oldest_idle(&mut self) -> bool {
         let oldest = self.workers.values().filter_map(|e| e.idle.first());
         let oldest = oldest.min_by_key(|conn| self.connections.get(conn).and_then(|c| c.timer)).copied();
         oldest.map(|conn| self.abort_connection(conn)).is_some()
     }
 
-    /// Opens a connection, on which a call is written once it stands.
+    /// Opens a connection and writes a call on it once it is established.
     pub(super) fn open_connection(
         &mut self,
         worker: Option<p::WorkerId>,
@@ -97,7 +99,7 @@
         conn
     }
 
-    /// A connection stands: its call is written.
+    /// Writes the pending call of a connection that was just established.
     pub(super) fn connection_established(&mut self, conn: ConnId) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if let Some(key) = connection.timer.take() {
@@ -107,7 +109,7 @@
         match connection.task {
             Task::Idle => self.return_to_pool(conn),
             Task::WatchEndpoints(_) | Task::PollEndpoints(_) => self.set_discovery_timer(conn),
-            // The policy sets no timeout for calls that are no attempts.
+            // The policy sets no timeout for calls that are not attempts.
             Task::Release(..) => self.limit_reply(conn),
             Task::Attempt(..) | Task::DrainReply => {}
         }
@@ -116,14 +118,14 @@
         }
     }
 
-    /// Writes a call on a connection that stands.
+    /// Writes a call on an established connection.
     fn write_call(&mut self, conn: ConnId, call: Payload) {
         let task = self.connections.get(&conn).map(|c| &c.task);
         let (bytes, is_attempt) = match (call, task) {
             (Payload::Bytes(bytes), _) => (bytes, false),
             (Payload::AttemptCall, Some(Task::Attempt(id, no, _))) => {
                 let (id, no) = (id.clone(), *no);
-                // The attempt is open, or its connection would be gone.
+                // The attempt is open; the connection of an ended attempt would be closed.
                 (self.encode_attempt(&id, no).unwrap_or_default(), true)
             }
             (Payload::AttemptCall, _) => return,
@@ -138,17 +140,17 @@
         }
     }
 
-    /// An attempt's call is written within [`CALL_WRITE_TIMEOUT`], or given up: it names a timeout that the worker counts
-    /// from the last byte, and that would otherwise end past the deadline.
+    /// Gives up an attempt's call that is not written within [`CALL_WRITE_TIMEOUT`]. The call names a timeout that
+    /// the worker counts from the last byte and that would otherwise end past the deadline.
     fn limit_call_write(&mut self, conn: ConnId) {
         if self.config.dialect.is_none() {
-            // The call names no timeout.
+            // Without a dialect the call names no timeout.
             return;
         }
         self.set_connection_timer(conn, CALL_WRITE_TIMEOUT);
     }
 
-    /// The system has taken bytes of a call.
+    /// Records that the operating system has accepted bytes of a call.
     pub(super) fn call_bytes_written(&mut self, conn: ConnId, bytes: u64) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.written += bytes;
@@ -159,31 +161,32 @@
         }
     }
 
-    /// Gives up a connection that does not stand within the span; one that stands is left as it is.
-    pub(super) fn limit_connect(&mut self, conn: ConnId, span: Micros) {
-        let stands = self.connections.get(&conn).is_none_or(|c| c.pending_call.is_none());
-        if span >= self.config.timeouts.connect || stands {
+    /// Gives up a connection that is not established within `timeout`. An established connection is left unchanged.
+    pub(super) fn limit_connect(&mut self, conn: ConnId, timeout: Micros) {
+        let is_established = self.connections.get(&conn).is_none_or(|c| c.pending_call.is_none());
+        if timeout >= self.config.timeouts.connect || is_established {
             return;
         }
-        self.set_connection_timer(conn, span);
+        self.set_connection_timer(conn, timeout);
     }
 
-    /// Gives up a reply that is not complete within the time for small calls.
+    /// Gives up a reply that is not complete within the timeout for small calls.
     pub(super) fn limit_reply(&mut self, conn: ConnId) {
         self.set_connection_timer(conn, self.config.timeouts.release);
     }
 
-    fn set_connection_timer(&mut self, conn: ConnId, span: Micros) {
-        let timer = self.timers.set(self.now + span, TimerEvent::Connection(conn));
+    fn set_connection_timer(&mut self, conn: ConnId, timeout: Micros) {
+        let timer = self.timers.set(self.now + timeout, TimerEvent::Connection(conn));
         if let Some(old) = self.connections.get_mut(&conn).and_then(|c| c.timer.replace(timer)) {
             self.timers.cancel(old);
         }
     }
 
-    /// The timer of a connection that does not stand, of a call that is not written or of a small reply is due.
+    /// Handles the timer of a connection that is not established, of a call that is not written or of a small reply.
     pub(super) fn connection_timed_out(&mut self, conn: ConnId) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
-        // An attempt that is answered ahead of its last byte has run: the timeout in its call does not matter any more.
+        // An attempt whose reply began before the call's last byte was written has run, so the timeout in its call
+        // does not matter any more.
         let is_answered = matches!(
             &connection.task,
             Task::Attempt(_, _, reply) if !matches!(reply, ReplyState::AwaitingHead)
@@ -196,14 +199,14 @@
         self.connection_lost(conn);
     }
 
-    /// Closes a connection that was idle for its time.
+    /// Closes a connection that has reached its idle timeout.
     pub(super) fn idle_connection_timed_out(&mut self, conn: ConnId) {
         if self.connections.get(&conn).is_some_and(|c| matches!(c.task, Task::Idle)) {
             self.abort_connection(conn);
         }
     }
 
-    /// A reply has ended well: the connection waits for the next call, if it may.
+    /// Returns a connection to the pool after a complete reply, or closes it if it cannot be reused.
     pub(super) fn return_to_pool(&mut self, conn: ConnId) {
         let max_idle = self.config.bounds.engine_idle;
         let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -220,14 +223,14 @@
         connection.timer = Some(self.timers.set(timeout, TimerEvent::IdleConnection(conn)));
     }
 
-    /// Closes a connection whose task is over or does not matter any more.
+    /// Closes a connection whose task has ended or does not matter any more.
     pub(super) fn abort_connection(&mut self, conn: ConnId) {
         if self.remove_connection(conn).is_some() {
             self.outputs.push(Output::Abort(conn));
         }
     }
 
-    /// Removes a connection that is closed, or is about to be.
+    /// Removes a connection that is closed or about to be closed.
     pub(super) fn remove_connection(&mut self, conn: ConnId) -> Option<WorkerConnection> {
         let connection = self.connections.remove(&conn)?;
         if let Some(key) = connection.timer {
@@ -243,8 +246,8 @@
         Some(connection)
     }
 
-    /// Forgets a worker that was removed from the list once it has neither a connection nor a reservation, which may still
-    /// have to be released.
+    /// Removes a worker that the endpoint list no longer contains, once it has neither a connection nor a
+    /// reservation, which may still have to be released.
     pub(super) fn remove_unused_worker(&mut self, worker: &p::WorkerId) {
         let is_unused = self.workers.get(worker).is_some_and(|e| !e.listed && e.open == 0);
         if is_unused && !self.requests.values().any(|r| r.has_reservation_at(worker)) {
@@ -260,7 +263,7 @@
         }
     }
 
-    /// The Host of calls to a worker.
+    /// `Host` header of calls to a worker.
     pub(super) fn host_header(&self, worker: &p::WorkerId) -> Arc<str> {
         self.workers.get(worker).map(|e| e.host.clone()).unwrap_or_default()
     }
--- a/crates/router/src/core/load_report.rs
+++ b/crates/router/src/core/load_report.rs
@@ -3,7 +3,7 @@
 use chalkyard_api::engine;
 use chalkyard_policy as p;
 
-/// Reads a load report; none if there is none or it can't be read.
+/// Reads a load report. Returns `None` if the header is missing or malformed.
 pub(super) fn load_report(header: Option<&str>) -> Option<p::LoadReport> {
     let load = engine::load(header?)?;
     let named = load.named_metrics;
--- a/crates/router/src/core/relay.rs
+++ b/crates/router/src/core/relay.rs
@@ -1,4 +1,4 @@
-//! Answers on their way from a worker to the client: translated, collected or forwarded, at the client's pace.
+//! Relay of answers from a worker to the client: translated, collected or forwarded, no faster than the client reads.
 
 use chalkyard_api::client::{Event as ClientEvent, Usage};
 use chalkyard_api::engine::Chunk;
@@ -12,7 +12,7 @@
 use crate::dialect::StreamProgress;
 
 impl Core {
-    /// Forwards bytes of a stream unchanged, from the end of its first event on; true: go on reading.
+    /// Forwards bytes of a stream unchanged, once its first event is complete. Returns true to go on reading.
     pub(super) fn forward_bytes(
         &mut self,
         conn: ConnId,
@@ -55,7 +55,7 @@
         self.connections.contains_key(&conn)
     }
 
-    /// Records what a forwarded stream has said of itself; gives its client.
+    /// Records the progress that a forwarded stream has reported, and returns its client.
     fn record_progress(
         &mut self,
         id: &RequestId,
@@ -78,7 +78,8 @@
         Some(request.client)
     }
 
-    /// An answer goes on, or begins (true). None: another attempt answers, and this one was cancelled.
+    /// Advances an answer. Returns whether the answer has just begun, or `None` if it was already given or if another
+    /// attempt answers and this one was cancelled.
     fn advance_answer(&mut self, id: &RequestId, no: AttemptNo) -> Option<bool> {
         let (now, timeout) = (self.now, self.config.timeouts.stream);
         let request = self.requests.get_mut(id).filter(|r| !r.is_answered())?;
@@ -94,7 +95,8 @@
             if let Some(old) = attempt.stream_timer.replace(timer) {
                 self.timers.cancel(old);
             }
-            // From now on a stream goes on as long as its client wants it; an answer in one body still has its deadline.
+            // From now on a stream has no deadline and lasts as long as its client reads it; an answer in one body
+            // keeps its deadline.
             if let Some(key) = attempt.timer.take_if(|_| is_streamed) {
                 self.timers.cancel(key);
             }
@@ -106,14 +108,14 @@
         if is_first {
             request.first_token_at = Some(now);
             request.released_during_decode = None;
-            // With the first token the state has been pulled, and the workers release whatever else is reserved.
+            // The first token shows that the state was pulled, and the workers release whatever else is reserved.
             self.take_reservation(id);
             self.withdraw_releases(id);
         }
         Some(is_first)
     }
 
-    /// Relays a chunk of an answer as an event, or keeps it for an answer in one body.
+    /// Relays a chunk of an answer as an event, or collects it for an answer in one body.
     pub(super) fn relay_chunk(&mut self, id: &RequestId, no: AttemptNo, chunk: Chunk) {
         let max_text = self.config.bounds.answer_bytes;
         let Some(is_first) = self.advance_answer(id, no) else { return };
@@ -148,7 +150,7 @@
         self.pause_if_full(id, no, client);
     }
 
-    /// A client takes its answer more slowly than it comes: its worker is not read for a while.
+    /// Pauses reading from the worker if the client reads its answer more slowly than it arrives.
     fn pause_if_full(&mut self, id: &RequestId, no: AttemptNo, client: ConnId) {
         if !self.is_send_buffer_full(client) {
             return;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// A client has taken enough of its answer: its worker is read again.
+    /// Resumes reading from the worker after the client has read enough of its answer.
     pub(super) fn resume_worker(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id).filter(|r| r.worker_paused) else { return };
         request.worker_paused = false;
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of workers, read part by part.
+//! Replies of workers, processed part by part.
 
 use chalkyard_api::engine::{self, StreamItem};
 use chalkyard_policy::{AttemptNo, Outcome, RequestId};
@@ -10,11 +10,11 @@
 use super::{ConnId, Core};
 use crate::dialect::ReplyHead;
 
-/// Bytes of a worker's error answer that are read.
+/// Maximum size of a worker's error body, bytes.
 const MAX_ERROR_BYTES: usize = 64 * 1024;
 
 impl Core {
-    /// Reads on until the reply is complete or more bytes are needed.
+    /// Reads until the reply is complete or more bytes are needed.
     pub(super) fn read_replies(&mut self, conn: ConnId) {
         loop {
             let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A part of the reply to an attempt; true: go on reading.
+    /// Processes a part of the reply to an attempt. Returns true to go on reading.
     fn attempt_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         let Task::Attempt(id, no, reply) = &mut connection.task else { return false };
@@ -80,7 +80,7 @@
                 self.end_attempt(&id, no, outcome, 0);
                 false
             }
-            // The reply has ended without its end marker: what was written may not be all.
+            // The reply has ended without its end marker, so the answer may be incomplete.
             (Part::End, ReplyState::Events(_)) => {
                 self.fail_reply(conn, &id, no, Outcome::ConnectionLost);
                 false
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The head of a reply in a dialect; true: go on reading.
+    /// Processes the head of a reply in a dialect. Returns true to go on reading.
     fn dialect_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let Some(dialect) = self.config.dialect.clone() else { return false };
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
@@ -110,7 +110,7 @@
         true
     }
 
-    /// The head of an engine's reply; true: go on reading.
+    /// Processes the head of an engine's reply. Returns true to go on reading.
     fn engine_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let event_bytes = self.config.bounds.event_bytes;
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
@@ -130,7 +130,7 @@
         true
     }
 
-    /// What follows on a connection after the head of its reply.
+    /// Sets what is read from a connection after the head of its reply.
     fn expect_reply(&mut self, conn: ConnId, reply: ReplyState) {
         let task = self.connections.get_mut(&conn).map(|c| &mut c.task);
         if let Some(Task::Attempt(_, _, expected)) = task {
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Relays events of a stream. After them may come what is no event: then it is not well-formed. True: go on reading.
+    /// Relays events of a stream. If `is_well_formed` is false, bytes that are no event follow the events. Returns
+    /// true to go on reading.
     fn relay_events(
         &mut self,
         conn: ConnId,
@@ -156,7 +157,7 @@
                     return false;
                 }
             }
-            // The chunk can have ended the request, and with it this connection.
+            // The chunk may have ended the request, and with it this connection.
             if !self.connections.contains_key(&conn) {
                 return false;
             }
@@ -167,7 +168,7 @@
         is_well_formed
     }
 
-    /// A reply with a body that is collected has ended.
+    /// Processes the complete body of a reply.
     fn body_complete(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, status: u16, body: &[u8]) {
         let Some(stage) = self.attempt_mut(id, no).map(|a| a.stage) else { return };
         let (outcome, cached_tokens) = match (status, stage) {
@@ -188,7 +189,7 @@
         self.end_attempt(id, no, outcome, cached_tokens);
     }
 
-    /// A prefill is complete, as a dialect says: its outcome, and the number of cached tokens.
+    /// Records a completed prefill in a dialect. Returns its outcome and the number of cached tokens.
     fn dialect_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
         let cached_tokens = self.config.dialect.as_ref().map_or(0, |d| d.cached_tokens(body));
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
@@ -201,7 +202,7 @@
         (Outcome::Prefilled, cached_tokens)
     }
 
-    /// A prefill is complete, if its answer can be read: its outcome, and the number of cached tokens.
+    /// Records a completed prefill if its answer can be parsed. Returns its outcome and the number of cached tokens.
     fn engine_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
         let Ok((usage, transfer_params)) = engine::read_answer(body) else {
             return (Outcome::ServerError, 0);
@@ -217,7 +218,7 @@
         (Outcome::Prefilled, usage.kept_tokens)
     }
 
-    /// The reply to an attempt has ended well: its connection may be reused.
+    /// Returns the connection to the pool after the complete reply to an attempt.
     fn finish_connection(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo) {
         self.return_to_pool(conn);
         if let Some(attempt) = self.attempt_mut(id, no) {
@@ -225,8 +226,8 @@
         }
     }
 
-    /// The attempt's end is known before its reply's: the rest is read so that the connection can be reused. True: go on
-    /// reading.
+    /// Ends an attempt whose outcome is known before its reply is complete. The rest of the reply is read so that the
+    /// connection can be reused. Returns true to go on reading.
     fn end_before_reply(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, outcome: Outcome) -> bool {
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.conn = None;
@@ -239,7 +240,7 @@
         self.connections.contains_key(&conn)
     }
 
-    /// The reply to an attempt can't be used: its connection is closed.
+    /// Ends an attempt whose reply is unusable, and closes its connection.
     pub(super) fn fail_reply(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, outcome: Outcome) {
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.conn = None;
