--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -1,7 +1,7 @@
-//! Service discovery: calls for the endpoint list, and what is learned from their answers.
+//! Service discovery: calls for the endpoint list, and the changes that their answers report.
 //!
-//! Our own service discovery is watched: one call, whose answer is a stream of events. A dialect's is polled: one call after
-//! the other, each answered once there is a change.
+//! The router's own service discovery is watched: one call, whose answer is a stream of events. A dialect's is
+//! polled: successive calls, each answered once the list has changed.
 
 use std::net::SocketAddr;
 
@@ -14,32 +14,34 @@
 use crate::dialect::{Endpoint, EndpointList};
 use crate::discovery::{EndpointUpdateError, KnownEndpoints};
 
-/// Bytes of an endpoint list.
+/// Maximum size of an endpoint list, bytes.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
-/// Service discovery is polled again so long after a call to it has failed.
+/// Pause before service discovery is polled again after a failed call, or after an answer without a change that came
+/// within this time.
 const POLL_PAUSE: Micros = Micros(100_000);
 
-/// What is known of the endpoint list and of its source. Written by this module and at the start, read by views and records.
-/// The list is bounded by [`crate::Bounds::workers`]; after a crash the stored list is read again.
+/// State of the endpoint list and of its source. Written by this module and at the start, read by views and records.
+/// [`crate::Bounds::workers`] bounds the list. After a crash the stored list is read again.
 #[derive(Debug)]
 pub(super) struct DiscoveryState {
-    /// The list in the form in which it is stored; empty where a dialect reads it.
+    /// List in the form in which it is stored; empty if a dialect reads it.
     pub(super) endpoints: KnownEndpoints,
-    /// The connection to service discovery.
+    /// Connection to service discovery.
     pub(super) connection: Option<ConnId>,
-    /// The newest version of the list, where a dialect reads it. None: the complete list is asked for.
+    /// Newest version of the list that a dialect has read. `None` requests the complete list.
     pub(super) version: Option<u64>,
-    /// When the last poll was sent.
+    /// Time at which the last poll was sent.
     polled_at: Micros,
-    /// Whether that poll may wait for a change.
+    /// Whether the last poll may wait for a change.
     long_poll: bool,
-    /// The last call has failed, or the address has changed since.
+    /// Whether the last call has failed, or the address has changed since. The next poll then does not wait for a
+    /// change.
     needs_probe: bool,
-    /// When the list last changed.
+    /// Time of the last change of the list.
     pub(super) changed_at: Option<Micros>,
-    /// When an event was last found to be lost.
+    /// Time at which a lost event was last detected.
     last_gap_at: Option<Micros>,
-    /// A list is known, be it an old one.
+    /// Whether a list is known, even an old one.
     pub(super) has_list: bool,
 }
 
@@ -60,7 +62,7 @@
 }
 
 impl Core {
-    /// Takes over where workers are; gives what the policy is notified of.
+    /// Applies endpoints to the known workers, and returns the workers of which the policy is notified.
     pub(super) fn apply_endpoints(&mut self, endpoints: Vec<Endpoint>, is_complete: bool) -> Vec<p::Worker> {
         if !endpoints.is_empty() {
             self.update_tally(|t| t.list_changes += 1);
@@ -71,7 +73,7 @@
                 (known.listed, known.draining) = (false, true);
             }
         }
-        let mut moved = Vec::new();
+        let mut relocated = Vec::new();
         for Endpoint { worker, address } in &endpoints {
             let known =
                 self.workers.entry(worker.id.clone()).or_insert_with(|| new_endpoint(worker, *address));
@@ -81,19 +83,19 @@
             if known.address != *address {
                 known.address = *address;
                 known.host = address.to_string().into();
-                moved.push(worker.id.clone());
+                relocated.push(worker.id.clone());
             }
         }
         let unlisted = self.workers.iter().filter(|(_, e)| !e.listed).map(|(id, _)| id.clone());
-        for id in unlisted.chain(moved).collect::<Vec<_>>() {
+        for id in unlisted.chain(relocated).collect::<Vec<_>>() {
             self.close_idle_connections(&id);
             self.remove_unused_worker(&id);
         }
         endpoints.into_iter().map(|endpoint| endpoint.worker).collect()
     }
 
-    /// Notifies the policy, then ends attempts that still wait for a connection to a draining worker: nothing of them was
-    /// sent, and by the time that the connection stands it may be too late.
+    /// Notifies the policy, then ends attempts that still wait for a connection to a draining worker: none of their
+    /// calls was sent, and once the connection is established it may be too late.
     fn notify_policy(&mut self, update: p::EndpointUpdate, workers: Vec<p::Worker>) {
         self.events.push_back(Event::Endpoints { update, workers });
         let is_draining = |w: &p::WorkerId| self.workers.get(w).is_some_and(|e| e.draining);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Begins to watch, or to poll, service discovery.
+    /// Starts to watch, or to poll, service discovery.
     pub(super) fn watch_discovery(&mut self) {
         if self.config.dialect.is_some() {
             return self.poll_discovery();
@@ -125,7 +127,7 @@
         self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
 
-    /// Sends the first poll on a new connection, unless there is one already.
+    /// Sends the first poll on a new connection, unless a connection exists.
     fn poll_discovery(&mut self) {
         let Some(dialect) = self.config.dialect.clone() else { return };
         let Some(address) = self.config.discovery else { return };
@@ -140,7 +142,7 @@
         self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
 
-    /// Service discovery is at another address from now on.
+    /// Uses another address of service discovery from now on.
     pub(super) fn change_discovery_address(&mut self, address: SocketAddr) {
         self.config.discovery = Some(address);
         if let Some(old) = self.discovery.connection.take() {
@@ -150,13 +152,13 @@
         self.watch_discovery();
     }
 
-    /// Takes over a list that a dialect has read; gives what the policy is notified of.
+    /// Applies a list that a dialect has read, and returns the update for the policy.
     fn apply_list(&mut self, list: EndpointList) -> (Vec<p::Worker>, p::EndpointUpdate) {
         for error in &list.invalid {
-            self.note("list", format!("an entry is left out: {error}"));
+            self.note("list", format!("an invalid endpoint list entry is left out: {error}"));
         }
         self.discovery.has_list = true;
-        // After an invalid entry the complete list is asked for, once; what is invalid again is left out.
+        // After an invalid entry the complete list is requested, once. Entries that are invalid again are left out.
         let request_complete_list = !list.invalid.is_empty() && self.discovery.version.is_some();
         self.discovery.version = (!request_complete_list).then_some(list.version);
         let update = if list.complete { p::EndpointUpdate::Snapshot } else { p::EndpointUpdate::Delta };
@@ -165,8 +167,8 @@
         (self.apply_endpoints(endpoints, is_complete), update)
     }
 
-    /// The entries of a list that fit. New workers past the bound are left out; what is said of known ones, above all that
-    /// they drain, is not.
+    /// Entries of a list that are within its bound. New workers past the bound are left out; entries of known workers
+    /// are kept, above all those that say that a worker drains.
     fn limit_workers(&mut self, list: EndpointList) -> Vec<Endpoint> {
         let known = if list.complete { 0 } else { self.workers.len() };
         let mut capacity = self.config.bounds.workers.saturating_sub(known);
@@ -181,18 +183,25 @@
             }
         }
         if fitting.len() < named {
-            self.note("list", format!("{} workers past the bound are left out", named - fitting.len()));
+            self.note(
+                "list",
+                format!(
+                    "the endpoint list is longer than its bound: {} workers are left out",
+                    named - fitting.len()
+                ),
+            );
         }
         fitting
     }
 
-    /// A part of the answer to a poll; true: go on reading.
+    /// Processes a part of the answer to a poll. Returns true to go on reading.
     pub(super) fn poll_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         let Task::PollEndpoints(body) = &mut connection.task else { return false };
         match part {
             Part::Head(head) if head.start == (Start::Response { status: 200 }) => {
-                // It answers again; a long list may take longer than its first bytes.
+                // Service discovery answers again. The rest of a long list may take longer than its first bytes, so
+                // the usual timeout applies.
                 if std::mem::take(&mut self.discovery.needs_probe) {
                     self.set_discovery_timer(conn);
                 }
@@ -211,14 +220,14 @@
         }
     }
 
-    /// The answer to a poll is complete; true: the next poll was sent on the same connection.
+    /// Processes the complete answer to a poll. Returns true if the next poll was sent on the same connection.
     fn poll_complete(&mut self, conn: ConnId, body: &[u8], close_after_reply: bool) -> bool {
         let Some(dialect) = self.config.dialect.clone() else { return false };
         let before = self.discovery.version;
         let list = match dialect.parse_list(body) {
             Ok(list) => list,
             Err(error) => {
-                self.note("list", format!("not taken: {error}"));
+                self.note("list", format!("endpoint list rejected: {error}"));
                 return self.close_discovery(conn);
             }
         };
@@ -226,7 +235,8 @@
         if update == p::EndpointUpdate::Snapshot || !workers.is_empty() {
             self.notify_policy(update, workers);
         }
-        // An answer without a change that came at once, though it might have waited: polling on would be a busy loop.
+        // The answer has no change and came immediately, though it could have waited for one: polling on would be a
+        // busy loop.
         let answered_immediately =
             self.discovery.long_poll && self.now < self.discovery.polled_at + POLL_PAUSE;
         if self.discovery.version == before && answered_immediately {
@@ -241,7 +251,7 @@
             self.watch_discovery();
             return false;
         }
-        // The next poll follows at once: service discovery counts a pause as another watcher.
+        // The next poll is sent immediately, because service discovery counts a pause as another watcher.
         let host = self.config.discovery.map(|a| a.to_string()).unwrap_or_default();
         let call = dialect.list_call(self.discovery.version, true, &host);
         self.discovery.polled_at = self.now;
@@ -252,14 +262,14 @@
         true
     }
 
-    /// Closes a connection whose answer can't be used. Always false: nothing more is read from it.
+    /// Closes a connection whose answer is unusable. Always returns false, since nothing more is read from it.
     fn close_discovery(&mut self, conn: ConnId) -> bool {
         self.abort_connection(conn);
         self.discovery_lost();
         false
     }
 
-    /// Service discovery can't be reached. The policy says when it is called again or, of a dialect's, the core.
+    /// Handles the loss of service discovery. The policy decides when it is called again; in a dialect the core does.
     pub(super) fn discovery_lost(&mut self) {
         self.discovery.connection = None;
         if self.config.dialect.is_some() {
@@ -268,7 +278,7 @@
             return;
         }
         self.events.push_back(Event::Endpoints { update: p::EndpointUpdate::Failed, workers: Vec::new() });
-        self.note("register", "lost or not reached; the list held stays".into());
+        self.note("register", "service discovery is unreachable; the current endpoint list is kept".into());
     }
 
     pub(super) fn discovery_timed_out(&mut self, conn: ConnId) {
@@ -277,8 +287,8 @@
         }
     }
 
-    /// Bounds the wait for the next bytes of service discovery. After a failure it is short: that poll does not wait for a
-    /// change, and a source that comes back is to be found soon.
+    /// Limits the wait for the next bytes from service discovery. After a failure the limit is short: that poll does
+    /// not wait for a change, and a source that has recovered should be found soon.
     pub(super) fn set_discovery_timer(&mut self, conn: ConnId) {
         let timeouts = &self.config.timeouts;
         let timeout = if self.discovery.needs_probe { timeouts.discovery_probe } else { timeouts.discovery };
@@ -290,7 +300,7 @@
         }
     }
 
-    /// A part of the answer to a watch; true: go on reading.
+    /// Processes a part of the answer to a watch. Returns true to go on reading.
     pub(super) fn watch_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let data = match part {
             Part::Head(head) if head.start == (Start::Response { status: 200 }) => return true,
@@ -314,7 +324,7 @@
         true
     }
 
-    /// Applies an event of the watch; true: go on reading.
+    /// Applies an event of the watch. Returns true to go on reading.
     fn watch_event(&mut self, conn: ConnId, event: &sse::Event) -> bool {
         let applied = match event.name.as_str() {
             "snapshot" => self.apply_snapshot(&event.data),
@@ -328,7 +338,7 @@
                 false
             }
             Err(EndpointUpdateError::Malformed(reason)) => {
-                self.note("register", format!("list not taken: {reason}"));
+                self.note("register", format!("endpoint list rejected: {reason}"));
                 true
             }
         }
@@ -350,7 +360,7 @@
         Ok(())
     }
 
-    /// An event of the watch was applied: the list is stored, and the policy notified.
+    /// Stores the list after an event of the watch was applied, and notifies the policy.
     fn endpoints_changed(&mut self, endpoints: Vec<Endpoint>, update: p::EndpointUpdate) {
         self.discovery.has_list = true;
         let workers = self.apply_endpoints(endpoints, update == p::EndpointUpdate::Snapshot);
@@ -358,10 +368,10 @@
         self.notify_policy(update, workers);
     }
 
-    /// An event was lost. A new watch begins with a snapshot: it is begun at once or, where gaps come again and again, when
-    /// the policy says so.
+    /// Handles a lost event. A new watch begins with a snapshot. It is started immediately or, if gaps come
+    /// repeatedly, when the policy requests it.
     fn version_gap(&mut self, conn: ConnId) {
-        self.note("register", "a change was lost; asking for a snapshot".into());
+        self.note("register", "a change of the endpoint list was lost; requesting a snapshot".into());
         let last = self.discovery.last_gap_at.replace(self.now);
         if last.is_some_and(|at| self.now < at + self.config.timeouts.discovery) {
             self.close_discovery(conn);
@@ -371,7 +381,7 @@
     }
 }
 
-/// A worker that was not known before.
+/// Endpoint of a worker that was not known before.
 fn new_endpoint(worker: &p::Worker, address: SocketAddr) -> WorkerEndpoint {
     WorkerEndpoint {
         address,
--- a/crates/router/src/core/migration.rs
+++ b/crates/router/src/core/migration.rs
@@ -1,15 +1,15 @@
-//! Migration of streams during a graceful shutdown: their clients ask another router for the rest.
+//! Migration of streams during a graceful shutdown: clients request the rest of a stream from another router.
 
 use chalkyard_policy::{AttemptNo, Micros, Outcome, RequestId};
 
 use super::record::RequestOutcome;
 use super::{Core, TimerEvent};
 
-/// Streams are migrated in groups, one in each such span.
+/// Interval between two groups of streams that are migrated.
 const MIGRATION_INTERVAL: Micros = Micros(50_000);
 
 impl Core {
-    /// Ends a stream in a way that has its client ask another router for the rest.
+    /// Ends a stream in a way that makes its client request the rest from another router.
     pub(super) fn migrate(&mut self, id: &RequestId) {
         let request = self.requests.get(id).filter(|r| !r.is_answered());
         let Some(no) = request.and_then(|r| r.answering_attempt) else { return };
@@ -17,8 +17,8 @@
         self.end_attempt(id, AttemptNo(no as u32), Outcome::Cancelled, 0);
     }
 
-    /// Migrates the next group of streams, so that all are migrated evenly over the time for it. Those that arrived last
-    /// come first: the others are more likely to end by themselves.
+    /// Migrates the next group of streams, so that all are migrated evenly over the migration window. Streams that
+    /// arrived last are migrated first, because the others are more likely to end by themselves.
     pub(super) fn migrate_next_streams(&mut self) {
         let Some((since, window)) = self.shutdown_since.zip(self.config.timeouts.migration) else { return };
         let streaming = self.requests.iter().filter(|(_, r)| r.is_streaming());
--- a/crates/router/src/core/record.rs
+++ b/crates/router/src/core/record.rs
@@ -1,40 +1,40 @@
-//! The record of a finished request: enough to find a cause.
+//! Record of a finished request, with enough detail to find a cause.
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
 use serde::Serialize;
 
-/// Who ended a request.
+/// Outcome of a request: who ended it, and how.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// A worker answered to the end.
+    /// A worker answered completely.
     Served,
-    /// The policy rejected it.
+    /// The policy rejected the request.
     #[serde(rename = "refused")]
     Rejected,
-    /// The policy gave it up.
+    /// The policy gave the request up.
     Failed,
     /// The worker's stream broke off.
     Broken,
     /// The client left.
     ClientGone,
-    /// The client took nothing for too long.
+    /// The client read nothing for too long.
     ClientSlow,
-    /// The process had to end before it.
+    /// The process ended before the request.
     Stopped,
     /// The policy had the stream migrated.
     #[serde(rename = "moved")]
     Migrated,
-    /// Rejected by a bound or check of the router, before the policy was asked.
+    /// A bound or check of the router rejected the request before the policy was asked.
     #[serde(rename = "turned")]
     RejectedAtIntake,
-    /// The policy did not end it in time, so the router did: a fault of ours.
+    /// The policy did not end the request in time, so the router did, which indicates a defect of the router.
     Overdue,
 }
 
 impl RequestOutcome {
-    /// As it is counted.
+    /// Name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -51,78 +51,79 @@
     }
 }
 
-/// One attempt.
+/// Record of one attempt.
 #[derive(Debug, Clone, Serialize)]
 pub struct AttemptRecord {
-    /// The worker.
+    /// Worker id.
     pub worker: String,
     /// `read`, `pull` or `whole`.
     pub stage: &'static str,
-    /// How it ended.
+    /// Name of the outcome.
     pub outcome: &'static str,
-    /// What the policy knew of the worker.
+    /// Kind of the attempt: what the policy knew of the worker.
     #[serde(rename = "care")]
     pub kind: p::AttemptKind,
-    /// From the request's arrival to its sending, µs.
+    /// Time from the request's arrival to the attempt's start, µs.
     pub sent_us: u64,
-    /// From its sending to its end, µs.
+    /// Time from the attempt's start to its end, µs.
     pub took_us: u64,
-    /// Prompt tokens that the worker found in its cache; 0 where it named none.
+    /// Prompt tokens that the worker found in its cache; 0 if it reported none.
     pub kept_tokens: u64,
-    /// The load that the worker reported with its answer.
+    /// Load that the worker reported with its answer.
     pub report: Option<p::LoadReport>,
 }
 
-/// One finished request.
+/// Record of one finished request.
 #[derive(Debug, Clone, Serialize)]
 pub struct RequestRecord {
-    /// The router's id of it.
+    /// Id that the router gave the request.
     pub id: String,
-    /// Class.
+    /// Class name.
     pub class: String,
-    /// The client came back for the rest of a stream.
+    /// Whether the client returned for the rest of a stream.
     pub came_back: bool,
-    /// Tenant.
+    /// Tenant name.
     pub tenant: Option<String>,
-    /// The client's idempotency key.
+    /// Idempotency key that the client sent.
     pub identity: Option<String>,
-    /// The conversation that it belongs to.
+    /// Conversation that the request belongs to.
     pub session: Option<String>,
-    /// The shared prefix of its prompt.
+    /// Shared prefix of the prompt.
     pub prefix: Option<String>,
-    /// Who ended it.
+    /// Outcome of the request.
     pub ended: RequestOutcome,
-    /// The policy's reason, where it ended it.
+    /// Reason of the policy, if the policy ended the request.
     #[serde(rename = "why")]
     pub rejection_reason: Option<p::RejectionReason>,
-    /// In which phase: `waiting`, `reading`, `held`, `pulling`, `writing`, `streaming`.
+    /// Phase at the end: `waiting`, `reading`, `held`, `pulling`, `writing` or `streaming`; `unheard` if the policy
+    /// was never asked.
     pub phase: &'static str,
-    /// Since the endpoint list last changed, µs; none: it has not since the start.
+    /// Time since the endpoint list last changed, µs; `None` if it has not changed since the start.
     pub list_age_us: Option<u64>,
-    /// Requests that were open here when it was answered, this one included.
+    /// Number of requests that were open when this one was answered, this one included.
     pub open: usize,
-    /// In words, where there is more to say.
+    /// Further explanation, if there is any.
     pub reason: String,
-    /// Its attempts in order.
+    /// Attempts in order.
     pub attempts: Vec<AttemptRecord>,
-    /// When it came, µs since 1970.
+    /// Time of arrival, µs since 1970.
     pub arrived_us: u64,
-    /// To the first token, µs.
+    /// Time from arrival to the first token, µs.
     pub first_token_us: Option<u64>,
-    /// To the final answer, µs.
+    /// Time from arrival to the final answer, µs.
     pub total_us: u64,
-    /// Prompt tokens by our estimate.
+    /// Prompt tokens by the router's estimate.
     pub estimated_tokens: u64,
-    /// By the worker's count; 0 where it named none.
+    /// Prompt tokens by the worker's count; 0 if it reported none.
     pub prompt_tokens: u64,
-    /// Of these, cached.
+    /// Prompt tokens that were cached.
     pub kept_tokens: u64,
-    /// Tokens of the answer.
+    /// Output tokens.
     pub output_tokens: u64,
 }
 
 impl RequestRecord {
-    /// A request that the policy was never asked about.
+    /// Record of a request that was rejected before the policy was asked.
     pub(super) fn rejected_at_intake(id: String, now: Micros, reason: String) -> Self {
         Self {
             id,
@@ -150,7 +151,7 @@
     }
 }
 
-/// Microseconds from one time to a later one.
+/// Time from `earlier` to `later`, µs.
 pub(super) fn elapsed_us(later: Micros, earlier: Micros) -> u64 {
     (later - earlier).0
 }
--- a/crates/router/src/core/reservations.rs
+++ b/crates/router/src/core/reservations.rs
@@ -1,9 +1,11 @@
-//! Reservations: KV state that a prefill worker holds for a request until a decode worker has pulled it, or it is released.
+//! Reservations: KV state that a prefill worker holds for a request until a decode worker has pulled it or it is
+//! released.
 //!
-//! `ActiveRequest::reservation` is the source of truth for whether this router holds one, where, and since when. It is
-//! written here alone: [`Core::reserve`], [`Core::take_reservation`], [`Core::renew_reservation`]. The policy keeps its own
-//! estimate to decide when to release; `obligations` only judges what it is shown. There is at most one reservation per
-//! request. After a crash they are lost here, and the workers' own timeouts end them.
+//! `ActiveRequest::reservation` is the source of truth for whether this router holds a reservation, where, and since
+//! when. Only [`Core::reserve`], [`Core::take_reservation`] and [`Core::renew_reservation`] write it. The policy
+//! keeps its own estimate to decide when to release; `obligations` only checks the state that it is given. A request
+//! has at most one reservation. After a crash the router has lost its reservations, and the workers' own timeouts end
+//! them.
 //!
 //! A [`Release`] outlives its request: calls are repeated until a worker has answered one, or the time is up.
 
@@ -19,49 +21,51 @@
 use super::{ConnId, Core, TimerEvent};
 use crate::timers::TimerKey;
 
-/// A release is called again after at least this pause, and half the time since its first call, while the reservation's
-/// time lasts; then the worker's own timeout ends it.
+/// Minimum pause before a release is called again; the pause is half the time since the first call if that is longer.
+/// Calls are repeated while the reservation's time lasts; then the worker's own timeout ends it.
 const MIN_RETRY_PAUSE: Micros = Micros(30_000);
-/// In a dialect workers release nothing by themselves: calls go on for at least this long. A reservation that was not
-/// released in time stays all the longer, and during a network partition some calls reach nobody.
+/// Minimum time for which a release is called again in a dialect, whose workers release nothing by themselves. A
+/// reservation that was not released in time stays all the longer, and during a network partition some calls reach no
+/// worker.
 const MIN_RETRY_PERIOD: Micros = Micros(1_000_000);
-/// A worker's answer may come this long after the reservation's time; then it counts as missing.
+/// Time after the reservation's maximum duration at which a worker's missing answer becomes a violation.
 const PROOF_SLACK: Micros = Micros(300_000);
-/// Connections beyond the bounds for a release, so that it does not wait for what keeps the worker busy.
+/// Connections beyond the bounds that a release may use, so that it does not wait for the calls that keep the worker
+/// busy.
 const SPARE_CONNECTIONS: usize = 8;
 
-/// The release of a reservation. Each ends within the reservation's time after its first call, so that there are no more
-/// than requests end in that time.
+/// Release of a reservation. Each release ends within the reservation's maximum duration after its first call, so
+/// that there are no more releases than requests that end in that time.
 #[derive(Debug)]
 pub(super) struct Release {
     request: RequestId,
-    /// When the first call was made.
+    /// Time of the first call.
     started_at: Micros,
-    /// What a worker's answer has to prove, where it is known since when the state is reserved.
+    /// Deadline for a worker's answer, if the time is known since which the state is reserved.
     proof: Option<ReleaseProof>,
-    /// Where calls were made, the last one last.
+    /// Workers that were called, in order.
     called: Vec<WorkerId>,
-    /// What the policy is notified of once the release is answered, or by then.
+    /// Event that is sent to the policy once the release is answered, or at the event's own time limit.
     deferred: Option<DeferredEvent>,
 }
 
-/// A worker has to answer a release by a time.
+/// Deadline by which a worker has to answer a release.
 #[derive(Debug)]
 struct ReleaseProof {
     reserved_at: Micros,
     timer: TimerKey,
 }
 
-/// An event that waits for a release.
+/// Event that waits for the answer to a release.
 #[derive(Debug)]
 pub(super) struct DeferredEvent {
     pub(super) event: Event,
-    /// It waits no longer than until then.
+    /// Time limit of the wait.
     pub(super) until: Micros,
 }
 
 impl Core {
-    /// A prefill worker holds state for the request from now on.
+    /// Records that a prefill worker holds state for the request from now on.
     pub(super) fn reserve(
         &mut self,
         id: &RequestId,
@@ -76,27 +80,29 @@
         }
     }
 
-    /// When state that is reserved now is released if the policy has not had it released: just past its own time.
+    /// Time at which state that is reserved now is released if the policy has not requested it: shortly after the
+    /// reservation's maximum duration.
     fn release_deadline(&self) -> Micros {
         let tick = self.config.policy.tick;
         obligations::release_due(self.now, self.config.policy.reservation_timeout) + tick + tick
     }
 
-    /// Ends the reservation, as far as this router knows of it.
+    /// Removes the reservation from the router's records and returns it.
     pub(super) fn take_reservation(&mut self, id: &RequestId) -> Option<Reservation> {
         let reservation = self.requests.get_mut(id)?.reservation.take()?;
         self.timers.cancel(reservation.timer);
         Some(reservation)
     }
 
-    /// A decode worker has answered and has not pulled the state: the reservation's time starts again.
+    /// Restarts the reservation's time, because a decode worker has answered and has not pulled the state.
     pub(super) fn renew_reservation(&mut self, id: &RequestId) {
         if let Some(reservation) = self.take_reservation(id) {
             self.reserve(id, reservation.worker, reservation.transfer_params);
         }
     }
 
-    /// Releases the reservation, since the policy says so or its time is up. An open attempt may still pull the state.
+    /// Releases the reservation, because the policy requests it or its time is up. An open attempt may still pull the
+    /// state.
     pub(super) fn release_reservation(&mut self, id: &RequestId) {
         if let Some(reservation) = self.take_reservation(id) {
             if self.requests.get(id).is_some_and(ActiveRequest::has_open_attempt) {
@@ -116,7 +122,8 @@
         }
     }
 
-    /// Has state released that was reserved at the given time, where that is known. An event may wait for it.
+    /// Starts to release state that was reserved at `reserved_at`, if that time is known. A deferred event waits for
+    /// the release.
     pub(super) fn start_release(
         &mut self,
         request: RequestId,
@@ -136,15 +143,15 @@
         self.call_release(release, worker);
     }
 
-    /// A decode attempt during which the state was released has ended and has not pulled it. A release frees nothing that an
-    /// open attempt waits for, so there is another one.
+    /// Repeats the release after the end of a decode attempt that did not pull the state and during which the state
+    /// was released. A release frees nothing that an open attempt waits for.
     pub(super) fn repeat_release(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(worker) = request.released_during_decode.take() else { return };
         self.start_release(id.clone(), worker, Some(self.now), None);
     }
 
-    /// No worker has answered a release by the time at which its state has to be free.
+    /// Records a violation if no worker has answered a release by the time at which its state has to be free.
     pub(super) fn release_proof_due(&mut self, release: ReleaseId) {
         let Some(release) = self.releases.get_mut(&release) else { return };
         let Some(proof) = release.proof.take() else { return };
@@ -160,8 +167,9 @@
         Some(release)
     }
 
-    /// The request has a new reservation, or its answer has begun: in a dialect a call to release would end that too, so
-    /// earlier releases are given up. What an earlier prefill may have left is released at the request's end, or has timed out.
+    /// Gives up earlier releases of a request that has a new reservation or whose answer has begun: in a dialect a
+    /// release call would end those too. State that an earlier prefill may have left is released at the request's
+    /// end, or has timed out.
     pub(super) fn withdraw_releases(&mut self, id: &RequestId) {
         if self.config.dialect.is_none() {
             return;
@@ -174,7 +182,7 @@
         }
     }
 
-    /// Calls a worker to release.
+    /// Calls a worker to release the state.
     fn call_release(&mut self, release_id: ReleaseId, worker: WorkerId) {
         let Some(release) = self.releases.get_mut(&release_id) else { return };
         release.called.push(worker.clone());
@@ -193,8 +201,8 @@
         if let Some(conn) = conn.filter(is_written) {
             self.limit_reply(conn);
         }
-        // In a dialect any worker takes the call, so the next one does not wait for what becomes of this one: during a network
-        // partition there is no answer, and two timeouts are longer than the state may be reserved.
+        // In a dialect any worker accepts the call, so the next call does not wait for the result of this one: during
+        // a network partition there is no answer, and two timeouts are longer than the state may be reserved.
         if self.config.dialect.is_some() || conn.is_none() {
             self.schedule_release_retry(release_id, started_at);
         }
@@ -210,7 +218,7 @@
         encode::request("POST", engine::RELEASE, &host, &fields, &engine::naming(&id.0))
     }
 
-    /// A worker has answered: the state is free.
+    /// Completes a release that a worker has answered: the state is free.
     fn release_proven(&mut self, release: ReleaseId) {
         let Some(release) = self.remove_release(release) else { return };
         increment(&mut self.counters.releases, "proven");
@@ -226,7 +234,7 @@
         self.timers.set(self.now + pause, TimerEvent::ReleaseRetry(release));
     }
 
-    /// A call to release has failed. In a dialect the next one is scheduled already.
+    /// Handles the failure of a release call. In a dialect the next call is scheduled already.
     pub(super) fn release_failed(&mut self, release: ReleaseId) {
         if self.config.dialect.is_some() {
             return;
@@ -236,7 +244,7 @@
         }
     }
 
-    /// Calls again, or gives up once the reservation's time is over.
+    /// Repeats the call, or gives the release up once the reservation's time is over.
     pub(super) fn retry_release(&mut self, release_id: ReleaseId) {
         let Some(release) = self.releases.get(&release_id) else { return };
         let least = if self.config.dialect.is_some() { MIN_RETRY_PERIOD } else { Micros(0) };
@@ -263,11 +271,15 @@
             release.subject(),
         );
         let last = release.called.last().map_or("", |w| &*w.0);
-        self.note("release", format!("{last} could not be told to let go of {}", release.request.0));
+        self.note(
+            "release",
+            format!("release of request {} unconfirmed; last worker called: {last}", release.request.0),
+        );
     }
 
-    /// Where the next call is made: where the state is or, in a dialect, at the worker whose reply came last among those that
-    /// were not called, first in zones where none was called: a network partition separates whole zones.
+    /// Worker for the next call: the worker that holds the state or, in a dialect, the one that replied last among
+    /// the workers that were not called. Workers in zones where none was called come first, because a network
+    /// partition separates whole zones.
     fn next_release_worker(&self, release: &Release) -> Option<WorkerId> {
         let last = release.called.last();
         if self.config.dialect.is_none() {
@@ -281,7 +293,7 @@
         other.map(|(id, _)| id).or(last).cloned()
     }
 
-    /// A part of the answer to a release; true: go on reading.
+    /// Processes a part of the answer to a release. Returns true to go on reading.
     pub(super) fn release_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         let Part::Head(head) = part else {
@@ -300,7 +312,7 @@
 }
 
 impl Release {
-    /// What a transition of it is about.
+    /// Subject of the release's transitions.
     fn subject(&self) -> Subject<'_> {
         Subject { worker: self.called.last(), since: Some(self.started_at), ..Subject::default() }
     }
--- a/crates/router/src/core/tally.rs
+++ b/crates/router/src/core/tally.rs
@@ -1,4 +1,4 @@
-//! What a router does in each second, in numbers that add up over a fleet. Nothing is decided by them.
+//! Per-second counts of a router's activity, which add up over a fleet. No decision depends on them.
 
 use chalkyard_policy::{AttemptKind, Micros};
 use serde::{Deserialize, Serialize};
@@ -8,11 +8,11 @@
 /// Counts of one second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// The second, since 1970.
+    /// Number of the second since 1970.
     pub second: u64,
     /// First attempts of requests.
     pub first: u64,
-    /// Decode attempts right after a prefill.
+    /// Decode attempts that directly follow a prefill.
     #[serde(rename = "pulls")]
     pub decodes: u64,
     /// Retries after an attempt that is proven not to have run, prefills included.
@@ -21,13 +21,13 @@
     /// Retries after an attempt that may have run.
     #[serde(rename = "again_ran")]
     pub retries_maybe_run: u64,
-    /// Attempts at workers that have failed, or been silent, lately.
+    /// Attempts at workers that have recently failed or been silent.
     #[serde(rename = "trials")]
     pub probes: u64,
     /// Attempts at workers that may be warming up.
     #[serde(rename = "cold")]
     pub slow_starts: u64,
-    /// Connections to workers that were asked for, for calls of whatever kind.
+    /// Connections to workers that were requested, for calls of any kind.
     pub connects: u64,
     /// Calls for the endpoint list.
     pub list_calls: u64,
@@ -36,17 +36,17 @@
     pub list_changes: u64,
     /// Calls to release reservations.
     pub releases: u64,
-    /// Clients' connections that were closed, or rejected, unread for want of capacity.
+    /// Client connections that were closed or rejected unread, for lack of capacity.
     #[serde(rename = "unheard")]
     pub dropped_clients: u64,
-    /// Streams that were migrated, since this router stops.
+    /// Streams that were migrated because this router is stopping.
     #[serde(rename = "moved")]
     pub migrated: u64,
-    /// Requests that were open at its end, those that stream included.
+    /// Requests that were open at the end of the second, streaming ones included.
     pub open: u64,
 }
 
-/// What an attempt is to its request.
+/// Reason for an attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptReason {
     First,
@@ -55,8 +55,8 @@
 }
 
 impl Tally {
-    pub(super) fn count_attempt(&mut self, call: AttemptReason, kind: AttemptKind) {
-        match call {
+    pub(super) fn count_attempt(&mut self, reason: AttemptReason, kind: AttemptKind) {
+        match reason {
             AttemptReason::First => self.first += 1,
             AttemptReason::Decode => self.decodes += 1,
             AttemptReason::Retry { may_have_run: false } => self.retries_not_run += 1,
@@ -90,14 +90,14 @@
 }
 
 impl Core {
-    /// Counts, if anybody reads the tally.
+    /// Updates the tally, if it is enabled.
     pub(super) fn update_tally(&mut self, update: impl FnOnce(&mut Tally)) {
         if let Some(tally) = &mut self.tally {
             update(tally);
         }
     }
 
-    /// Gives the tally of a second out that is over.
+    /// Outputs the tally of a second that is over.
     pub(super) fn report_tally(&mut self) {
         let second = self.now.0 / Micros::from_secs_f64(1.0).0;
         let open = self.requests.len() as u64;
