--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -46,15 +46,15 @@
 
 /// A router's start.
 #[derive(Debug)]
-pub struct Started {
+pub struct StartupConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// For the module's random numbers; none was given where it is none.
     pub seed: Option<u64>,
     /// The list of workers as last had, as text.
-    pub known: Option<String>,
+    pub last_endpoint_list: Option<String>,
     /// Connections that may linger.
-    pub lingering: usize,
+    pub max_lingering: usize,
     /// All that the core is told.
     pub config: Config,
 }
@@ -119,24 +119,24 @@
             body_bytes: BODY_BYTES,
             chunk_bytes: BODY_BYTES,
             pipelined_bytes: 16 * 1024,
-            chunk_extras: false,
+            allow_chunk_extensions: false,
         };
         Bounds {
             client: side,
-            engine: chalkyard_proto::Limits {
+            worker: chalkyard_proto::Limits {
                 body_bytes: 16 * 1024 * 1024,
                 pipelined_bytes: 16 * 1024,
-                chunk_extras: true,
+                allow_chunk_extensions: true,
                 ..side
             },
             event_bytes: 64 * 1024,
             clients,
-            evict: true,
-            bodies: eighth as u64,
-            open,
-            engine_connections: links,
-            links,
-            engine_idle: links,
+            evict_clients: true,
+            pending_body_bytes: eighth as u64,
+            open_requests: open,
+            connections_per_worker: links,
+            worker_connections: links,
+            idle_per_worker: links,
             client_buffer: ((eighth / clients as f64) as usize).clamp(4 * 1024, 64 * 1024),
             workers: 2_000,
             identities: 0,
@@ -145,12 +145,12 @@
     }
 }
 
-impl Started {
+impl StartupConfig {
     /// Reads the configuration.
     ///
     /// # Errors
     /// The first field that is wrong, and why.
-    pub fn read(text: &str) -> Result<Self, ConfigError> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: File<'_> = serde_json::from_str(text)?;
         file.limits.check()?;
         let params: wire::Params =
@@ -160,15 +160,15 @@
         let told = |s: Option<f64>, default: Micros| s.map_or(default, Micros::from_secs_f64);
         let idle = told(params.limits.conn_idle_s, ms(20_000));
         let timeouts = Timeouts {
-            head: ms(2_500),
+            request: ms(2_500),
             idle: ms(15_000),
-            first: ms(2_500),
+            first_request: ms(2_500),
             release: ms(150),
             // The process is killed 3.7 s after it is told to end, at the soonest.
             migration: policy.resume.then_some(MigrationWindow { from: ms(1_800), until: ms(3_300) }),
             drain_grace: ms(100),
             // Well under the told time: a call that crosses the engine's close is lost.
-            engine_idle: idle.mul_f64(0.5).min(ms(10_000)),
+            worker_idle: idle.mul_f64(0.5).min(ms(10_000)),
             connect: told(params.limits.connect_timeout_s, ms(250)),
             // Under the 5 s after which a client counts as left waiting.
             stream: ms(4_000),
@@ -181,7 +181,7 @@
             identity: Micros(0),
         };
         let open = params.limits.max_open.filter(|n| *n >= 1.0).map_or(20_000, |n| n as usize);
-        let (_, lingering, _) = file.limits.shares();
+        let (_, max_lingering, _) = file.limits.shares();
         let config = Config {
             name: file.name,
             policy,
@@ -203,8 +203,8 @@
         Ok(Self {
             listen: address("listen", &file.listen)?,
             seed: u64::from_str_radix(&file.seed, 16).ok(),
-            known: file.known.map(|known| known.get().to_owned()),
-            lingering,
+            last_endpoint_list: file.known.map(|list| list.get().to_owned()),
+            max_lingering,
             config,
         })
     }
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -1,8 +1,8 @@
 //! The configuration and its bounds, and readers that take any bytes.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
-use chalkyard_adapter::translate::Names;
-use chalkyard_platform::{ConfigError, Platform, Started};
+use chalkyard_adapter::translate::NameIndex;
+use chalkyard_platform::{ConfigError, Platform, StartupConfig};
 use chalkyard_policy::Micros;
 use chalkyard_proto::{Decoder, Part, Side};
 use chalkyard_router::dialect::{Dialect, ParsedRequest};
@@ -21,10 +21,10 @@
     })
 }
 
-fn with(change: impl Fn(&mut Value)) -> Result<Started, ConfigError> {
+fn with(change: impl Fn(&mut Value)) -> Result<StartupConfig, ConfigError> {
     let mut value = config();
     change(&mut value);
-    Started::read(&value.to_string())
+    StartupConfig::parse(&value.to_string())
 }
 
 #[test]
@@ -42,7 +42,7 @@
         let why = with(change).unwrap_err().to_string();
         assert!(why.contains(field), "{field}: {why}");
     }
-    assert!(Started::read("{").is_err());
+    assert!(StartupConfig::parse("{").is_err());
 }
 
 #[test]
@@ -51,13 +51,13 @@
         let started = with(|v| v["limits"] = json!({"sockets": sockets, "memory_mb": memory_mb})).unwrap();
         let b = started.config.bounds;
         // Standard streams, the loop's own, listening and discovery besides.
-        assert!(b.clients + started.lingering + b.links + 12 <= sockets, "{sockets}");
+        assert!(b.clients + started.max_lingering + b.worker_connections + 12 <= sockets, "{sockets}");
         assert!(b.clients * 3 >= sockets, "a third is for requests: {sockets}");
-        let buffers = b.bodies + (b.clients * b.client_buffer) as u64;
+        let buffers = b.pending_body_bytes + (b.clients * b.client_buffer) as u64;
         assert!(buffers * 2 <= (memory_mb as u64) << 20, "{memory_mb} MB");
     }
     let started = with(|_| {}).unwrap();
-    assert_eq!(started.config.timeouts.engine_idle, Micros(2_000_000), "well under the told time");
+    assert_eq!(started.config.timeouts.worker_idle, Micros(2_000_000), "well under the told time");
     assert_eq!((started.config.timeouts.connect, started.seed), (Micros(300_000), Some(0x1f)));
 }
 
@@ -77,7 +77,7 @@
 proptest! {
     #[test]
     fn a_stream_is_read_alike_in_any_splitting(bytes in stream(), at in prop::collection::vec(any::<prop::sample::Index>(), 0..6)) {
-        let platform = Platform::new(Names::default());
+        let platform = Platform::new(NameIndex::default());
         let mut whole = platform.response_observer();
         whole.push(&bytes);
         let mut cuts: Vec<usize> = at.iter().map(|i| i.index(bytes.len() + 1)).collect();
@@ -101,7 +101,7 @@
         let mut d = Decoder::new(Side::Request, Default::default());
         d.push(&bytes);
         if let Ok(Some(Part::Head(head))) = d.next_part() {
-            let parsed = Platform::new(Names::default()).parse_request(Micros(0), &head, b"{}".to_vec());
+            let parsed = Platform::new(NameIndex::default()).parse_request(Micros(0), &head, b"{}".to_vec());
             // No class is known here: nothing can be taken.
             let rejected = matches!(parsed, ParsedRequest::Invalid { status: 400, .. });
             prop_assert!(rejected);
@@ -110,7 +110,7 @@
 
     #[test]
     fn no_list_panics(bytes in prop::collection::vec(any::<u8>(), 0..200), phase in "[a-z]{0,9}", address in "[0-9.:a-z]{0,12}") {
-        let platform = Platform::new(Names::default());
+        let platform = Platform::new(NameIndex::default());
         let _ = platform.parse_list(&bytes);
         let entry = json!({"id": "a", "host_port": address, "phase": phase, "up_since_ms": -1.5, "size": -1});
         let list = platform.parse_list(json!({"revision": 1, "members": [entry]}).to_string().as_bytes()).unwrap();
--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -229,7 +229,7 @@
         let usage = self.usage;
         let prompt = if usage.prompt_tokens == 0 { self.spec.prompt_tokens } else { usage.prompt_tokens };
         let output = if is_cut_off || usage.output_tokens == 0 { self.pieces } else { usage.output_tokens };
-        BilledTokens { prompt, cached: usage.kept_tokens.min(prompt), output }
+        BilledTokens { prompt, cached: usage.cached_tokens.min(prompt), output }
     }
 
     /// Number of the attempt that gave the answer, and of the prefill attempt that it used.
--- a/crates/router/src/core/client_answers.rs
+++ b/crates/router/src/core/client_answers.rs
@@ -52,7 +52,7 @@
             return self.close_if_quiet(conn);
         }
         let timeouts = &self.config.timeouts;
-        let timeout = if client.decoder.is_idle() { timeouts.idle } else { timeouts.head };
+        let timeout = if client.decoder.is_idle() { timeouts.idle } else { timeouts.request };
         self.set_client_timer(conn, timeout);
         self.pending_clients.push_back(conn);
     }
@@ -103,7 +103,7 @@
         &mut self,
         conn: ConnId,
         id: &p::RequestId,
-        answer: &client::WholeAnswer<'_>,
+        answer: &client::CompleteAnswer<'_>,
     ) {
         let body = serde_json::to_vec(answer).unwrap_or_default();
         let keep_alive = self.announce_keep_alive(conn);
--- a/crates/router/src/core/client_reading.rs
+++ b/crates/router/src/core/client_reading.rs
@@ -18,14 +18,14 @@
         let begins_request = client.is_idle();
         client.decoder.push(bytes);
         if let ClientPhase::Serving(_) = client.phase {
-            client.pipeline_full = client.decoder.is_crowded();
+            client.pipeline_full = client.decoder.is_over_pipeline_limit();
             return self.update_reading(conn);
         }
         if begins_request {
             client.phase_since = came_at;
             // A client's first request must arrive in the time left to its connection.
             let left = client.timer.filter(|_| !client.has_been_answered).map(|key| key.due - self.now);
-            let timeout = self.config.timeouts.head;
+            let timeout = self.config.timeouts.request;
             self.set_client_timer(conn, left.map_or(timeout, |left| left.min(timeout)));
         }
         self.read_requests(conn);
@@ -37,7 +37,7 @@
             let is_full = self.is_send_buffer_full(conn);
             let Some(client) = self.clients.get_mut(&conn) else { return };
             if matches!(client.phase, ClientPhase::Serving(_)) {
-                client.pipeline_full = client.decoder.is_crowded();
+                client.pipeline_full = client.decoder.is_over_pipeline_limit();
                 return self.update_reading(conn);
             }
             // A client that sends requests without reading its answers is not read until it has read them.
@@ -59,7 +59,7 @@
                         self.body_bytes += data.len() as u64;
                         body.extend(data);
                     }
-                    if self.body_bytes > self.config.bounds.bodies {
+                    if self.body_bytes > self.config.bounds.pending_body_bytes {
                         return self.reject_body(conn);
                     }
                 }
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -25,14 +25,14 @@
         }
         let decoder = Decoder::new(Side::Request, self.config.bounds.client);
         self.clients.insert(conn, ClientConnection::new(decoder, self.now));
-        self.set_client_timer(conn, self.config.timeouts.first);
+        self.set_client_timer(conn, self.config.timeouts.first_request);
     }
 
     /// Makes room for a client. Of the connections without an open request, the one that has been silent for longest
     /// is closed, first of those that never sent a request, since a client usually sends one soon after it has
     /// connected. If unread bytes of a request have arrived on that connection, it stays and another one is closed.
     fn evict_client(&mut self) -> bool {
-        if !self.config.bounds.evict {
+        if !self.config.bounds.evict_clients {
             return false;
         }
         let evictable = self.clients.iter().filter(|(_, c)| c.is_evictable());
@@ -169,7 +169,7 @@
         }
         if std::mem::take(&mut client.output_full) {
             self.update_reading(conn);
-            self.set_client_timer(conn, self.config.timeouts.head);
+            self.set_client_timer(conn, self.config.timeouts.request);
             return self.pending_clients.push_back(conn);
         }
         if let ClientPhase::Serving(id) = &client.phase {
--- a/crates/router/src/core/discovery.rs
+++ b/crates/router/src/core/discovery.rs
@@ -7,7 +7,7 @@
 
 use chalkyard_policy as p;
 use chalkyard_policy::{Event, Micros};
-use chalkyard_proto::{encode, sse, Part, Start};
+use chalkyard_proto::{encode, sse, Part, StartLine};
 
 use super::worker_connection::{Payload, Task, WorkerConnection, WorkerEndpoint};
 use super::{ConnId, Core, Output, TimerEvent};
@@ -123,7 +123,7 @@
         self.update_tally(|t| t.list_calls += 1);
         let host = address.to_string();
         let call = encode::request("GET", "/v1/workers?watch=1", &host, &[("via", &self.via)], &[]);
-        let task = Task::WatchEndpoints(Box::new(sse::Reader::new(MAX_LIST_BYTES)));
+        let task = Task::WatchEndpoints(Box::new(sse::Parser::new(MAX_LIST_BYTES)));
         self.discovery.connection = Some(self.open_connection(None, address, task, Payload::Bytes(call)));
     }
 
@@ -199,7 +199,7 @@
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         let Task::PollEndpoints(body) = &mut connection.task else { return false };
         match part {
-            Part::Head(head) if head.start == (Start::Response { status: 200 }) => {
+            Part::Head(head) if head.start == (StartLine::Response { status: 200 }) => {
                 // Service discovery answers again. The rest of a long list may take longer than its first bytes, so
                 // the usual timeout applies.
                 if std::mem::take(&mut self.discovery.needs_probe) {
@@ -303,7 +303,7 @@
     /// Processes a part of the answer to a watch. Returns true to go on reading.
     pub(super) fn watch_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let data = match part {
-            Part::Head(head) if head.start == (Start::Response { status: 200 }) => return true,
+            Part::Head(head) if head.start == (StartLine::Response { status: 200 }) => return true,
             Part::Data(data) => data,
             Part::Head(_) | Part::End => return self.close_discovery(conn),
         };
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -2,7 +2,7 @@
 
 use chalkyard_api::engine::{self, StreamItem};
 use chalkyard_policy::{AttemptNo, Outcome, RequestId};
-use chalkyard_proto::{sse, Head, Part, Start};
+use chalkyard_proto::{sse, Head, Part, StartLine};
 
 use super::attempt::{AttemptStage, ReplyState};
 use super::load_report::load_report;
@@ -66,7 +66,7 @@
                 self.relay_events(conn, &id, no, &events, is_well_formed)
             }
             (Part::Data(data), ReplyState::Body { body, .. }) => {
-                if body.len() + data.len() <= MAX_ERROR_BYTES + engine::PARAMS_BYTES {
+                if body.len() + data.len() <= MAX_ERROR_BYTES + engine::MAX_PARAMS_BYTES {
                     body.extend(data);
                     return true;
                 }
@@ -114,12 +114,12 @@
     fn engine_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let event_bytes = self.config.bounds.event_bytes;
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
-        attempt.report = load_report(head.header(engine::LOAD));
-        let Start::Response { status } = head.start else { return false };
+        attempt.report = load_report(head.header(engine::LOAD_HEADER));
+        let StartLine::Response { status } = head.start else { return false };
         let is_event_stream = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         let reply = match (status, attempt.stage) {
             (200, AttemptStage::Decode | AttemptStage::Combined) if is_event_stream => {
-                ReplyState::Events(Box::new(sse::Reader::new(event_bytes)))
+                ReplyState::Events(Box::new(sse::Parser::new(event_bytes)))
             }
             (200, AttemptStage::Decode | AttemptStage::Combined) => {
                 ReplyState::Body { status: 500, body: Vec::new() }
@@ -149,7 +149,7 @@
         is_well_formed: bool,
     ) -> bool {
         for event in events {
-            match engine::stream_item(&event.data) {
+            match engine::parse_stream_item(&event.data) {
                 Ok(StreamItem::Chunk(chunk)) => self.relay_chunk(id, no, chunk),
                 Ok(StreamItem::Done) => return self.end_before_reply(conn, id, no, Outcome::Served),
                 Err(_) => {
@@ -177,7 +177,7 @@
             }
             (200, AttemptStage::Prefill) => self.engine_prefilled(id, no, body),
             (429, _) => (Outcome::Rejected { no_state: false }, 0),
-            (409, AttemptStage::Decode) if engine::says_no_state(body) => {
+            (409, AttemptStage::Decode) if engine::is_no_state_error(body) => {
                 (Outcome::Rejected { no_state: true }, 0)
             }
             _ => (Outcome::ServerError, 0),
@@ -204,18 +204,18 @@
 
     /// Records a completed prefill if its answer can be parsed. Returns its outcome and the number of cached tokens.
     fn engine_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
-        let Ok((usage, transfer_params)) = engine::read_answer(body) else {
+        let Ok((usage, transfer_params)) = engine::parse_prefill_answer(body) else {
             return (Outcome::ServerError, 0);
         };
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
         if let Some(request) = self.requests.get_mut(id) {
             request.usage = usage;
-            request.cached_at_prefill = Some(usage.kept_tokens);
+            request.cached_at_prefill = Some(usage.cached_tokens);
         }
         if let Some(worker) = worker {
             self.reserve(id, worker, Some(transfer_params));
         }
-        (Outcome::Prefilled, usage.kept_tokens)
+        (Outcome::Prefilled, usage.cached_tokens)
     }
 
     /// Returns the connection to the pool after the complete reply to an attempt.
--- a/crates/router/src/core/worker_connection.rs
+++ b/crates/router/src/core/worker_connection.rs
@@ -99,7 +99,7 @@
     /// No task any more, but the rest of a reply has to be read before the connection can be reused.
     DrainReply,
     /// The watch of the endpoint list.
-    WatchEndpoints(Box<sse::Reader>),
+    WatchEndpoints(Box<sse::Parser>),
     /// Successive polls of the endpoint list, and the body of the current answer so far.
     PollEndpoints(Vec<u8>),
 }
