--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -57,8 +57,9 @@
 }
 
 pub fn harness_with(resume: bool) -> Harness {
-    let started = StartupConfig::parse(&config_text(resume, &members(4, true, &default_members()))).unwrap();
-    Harness::with_stored_list(started.config, started.last_endpoint_list.as_deref())
+    let startup_config =
+        StartupConfig::parse(&config_text(resume, &members(4, true, &default_members()))).unwrap();
+    Harness::with_stored_list(startup_config.config, startup_config.last_endpoint_list.as_deref())
 }
 
 /// Builds a harness with other timeouts for reservations and connects, in ms, and a third decode worker in another zone.
@@ -73,9 +74,9 @@
             &format!(r#""connect_timeout_s":{}"#, connect_ms as f64 / 1e3),
         )
         .replace(r#""dcs":["hall"]"#, r#""dcs":["hall","harness"]"#);
-    let started = StartupConfig::parse(&config).unwrap();
-    assert_eq!(started.config.policy.reservation_timeout, ms(reservation_ms));
-    Harness::with_stored_list(started.config, started.last_endpoint_list.as_deref())
+    let startup_config = StartupConfig::parse(&config).unwrap();
+    assert_eq!(startup_config.config.policy.reservation_timeout, ms(reservation_ms));
+    Harness::with_stored_list(startup_config.config, startup_config.last_endpoint_list.as_deref())
 }
 
 pub fn harness() -> Harness {
--- a/crates/platform/tests/held_state.rs
+++ b/crates/platform/tests/held_state.rs
@@ -86,8 +86,9 @@
 fn state_of_a_later_prefill_is_not_released_by_calls_for_an_earlier_one() {
     let mut workers = default_members();
     workers.push(member("r2", "reads", 4, "up"));
-    let started = StartupConfig::parse(&config_text(false, &members(4, true, &workers))).unwrap();
-    let mut h = Harness::with_stored_list(started.config, started.last_endpoint_list.as_deref());
+    let startup_config = StartupConfig::parse(&config_text(false, &members(4, true, &workers))).unwrap();
+    let mut h =
+        Harness::with_stored_list(startup_config.config, startup_config.last_endpoint_list.as_deref());
     send_request(&mut h, "id-1", "chat");
     let prefill = next_call(&mut h);
     while !h.closed.contains(&prefill.conn) {
--- a/crates/platform/tests/reading.rs
+++ b/crates/platform/tests/reading.rs
@@ -48,21 +48,25 @@
 #[test]
 fn bounds_fit_in_the_resource_limits() {
     for (sockets, memory_mb) in [(128, 16), (256, 32), (512, 64), (1_024, 192)] {
-        let started =
+        let startup_config =
             parse_with(|v| v["limits"] = json!({"sockets": sockets, "memory_mb": memory_mb})).unwrap();
-        let bounds = started.config.bounds;
+        let bounds = startup_config.config.bounds;
         // At least 12 descriptors remain for standard streams, the event loop, the listening socket and service discovery.
         assert!(
-            bounds.clients + started.max_lingering + bounds.worker_connections + 12 <= sockets,
+            bounds.clients + startup_config.max_lingering + bounds.worker_connections + 12 <= sockets,
             "{sockets}"
         );
         assert!(bounds.clients * 3 >= sockets, "at least a third is for client connections: {sockets}");
         let buffers = bounds.pending_body_bytes + (bounds.clients * bounds.client_buffer) as u64;
         assert!(buffers * 2 <= (memory_mb as u64) << 20, "{memory_mb} MB");
     }
-    let started = parse_with(|_| {}).unwrap();
-    assert_eq!(started.config.timeouts.worker_idle, Micros(2_000_000), "half of the configured idle timeout");
-    assert_eq!((started.config.timeouts.connect, started.seed), (Micros(300_000), Some(0x1f)));
+    let startup_config = parse_with(|_| {}).unwrap();
+    assert_eq!(
+        startup_config.config.timeouts.worker_idle,
+        Micros(2_000_000),
+        "half of the configured idle timeout"
+    );
+    assert_eq!((startup_config.config.timeouts.connect, startup_config.seed), (Micros(300_000), Some(0x1f)));
 }
 
 /// Generates streams of events with LF and CR LF line ends, load reports, usage, long lines and arbitrary bytes.
@@ -128,13 +132,13 @@
 fn unused_settings_fields_are_not_validated() {
     let default = parse_with(|_| {}).unwrap();
     for value in [json!(0), json!(-1), json!(1e300), json!("many"), json!(null), json!([1, 2])] {
-        let started = parse_with(|v| {
+        let startup_config = parse_with(|v| {
             let info = json!({"block": value, "chunk": value, "max_context": value});
             v["settings"]["family_info"] = info;
             v["settings"]["max_context"] = value.clone();
         });
-        let started = started.unwrap_or_else(|error| panic!("{value}: {error}"));
-        assert_eq!(started.config.policy, default.config.policy, "{value}");
+        let startup_config = startup_config.unwrap_or_else(|error| panic!("{value}: {error}"));
+        assert_eq!(startup_config.config.policy, default.config.policy, "{value}");
     }
 }
 
@@ -142,8 +146,8 @@
 #[test]
 fn inconsistent_lengths_are_accepted_and_excessive_ones_rejected() {
     let class = json!({"name": "chat", "goal_time_s": 1.0, "deadline_s": 5.0, "repeat": "free", "group": "all", "stream": true});
-    let started = parse_with(|v| v["settings"]["categories"] = json!([class])).unwrap();
-    let dialect = started.config.dialect.unwrap();
+    let startup_config = parse_with(|v| v["settings"]["categories"] = json!([class])).unwrap();
+    let dialect = startup_config.config.dialect.unwrap();
     let parse = |attrs: &str| {
         let fields =
             [("X-Request-ID", "a"), ("X-Priority-Class", "chat"), ("X-Timeout", "900m"), ("X-Attrs", attrs)];
--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -15,7 +15,7 @@
 
 const CONFIG: &str = include_str!("data/config.json");
 
-fn started() -> StartupConfig {
+fn startup_config() -> StartupConfig {
     StartupConfig::parse(CONFIG).unwrap()
 }
 
@@ -33,7 +33,7 @@
         dedup_window: ms(window),
     };
     assert_eq!(
-        started().config.policy,
+        startup_config().config.policy,
         Settings {
             routers: 3,
             classes: vec![
@@ -66,10 +66,10 @@
 
 #[test]
 fn name_addresses_seed_and_limits_are_parsed() {
-    let started = started();
-    assert_eq!(started.listen, "127.0.0.1:5000".parse().unwrap());
-    assert_eq!((started.seed, started.max_lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
-    let config = started.config;
+    let startup_config = startup_config();
+    assert_eq!(startup_config.listen, "127.0.0.1:5000".parse().unwrap());
+    assert_eq!((startup_config.seed, startup_config.max_lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
+    let config = startup_config.config;
     assert_eq!((config.name.as_str(), config.discovery), ("n3", Some("127.0.0.1:9".parse().unwrap())));
     let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(classes, ["chat", "tool", "mail", "sum", "once"]);
@@ -115,14 +115,14 @@
 
 #[test]
 fn stored_endpoint_list_is_parsed_with_every_field() {
-    let started = started();
-    let known = started.last_endpoint_list.unwrap();
+    let startup_config = startup_config();
+    let known = startup_config.last_endpoint_list.unwrap();
     assert_eq!(
         serde_json::from_str::<Value>(&known).unwrap(),
         serde_json::from_str::<Value>(CONFIG).unwrap()["known"],
         "the list stays JSON text, which the core parses at its start"
     );
-    let list = started.config.dialect.unwrap().parse_list(known.as_bytes()).unwrap();
+    let list = startup_config.config.dialect.unwrap().parse_list(known.as_bytes()).unwrap();
     assert_eq!((list.version, list.complete, list.invalid.len()), (41, true, 0));
     let at = |text: &str| text.parse().unwrap();
     assert_eq!(
@@ -154,7 +154,7 @@
 
 #[test]
 fn invalid_entries_of_the_list_are_reported() {
-    let dialect = started().config.dialect.unwrap();
+    let dialect = startup_config().config.dialect.unwrap();
     let members = [
         json!({"id": "a", "host_port": "127.0.0.1:4", "flavor": "mixes", "phase": "up"}),
         json!({"id": "b", "host_port": "127.0.0.1:5", "phase": "asleep"}),
