--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -217,7 +217,7 @@
         let from = Instant::now();
         let accept = self.accept_at.map(|at| at.saturating_duration_since(from));
         let linger = (self.lingering > 0).then_some(Duration::from_millis(100));
-        let life = self.lifecycle.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
+        let life = self.lifecycle.next_due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
         let house =
             self.sink.housekeeping_interval().map(|_| self.housekeep_at.saturating_duration_since(from));
         let retry = self.connect_retries.next_due().map(|at| at.saturating_duration_since(from));
--- a/crates/state/src/lifecycle.rs
+++ b/crates/state/src/lifecycle.rs
@@ -81,7 +81,7 @@
     }
 
     /// When [`LifecycleEvent::Tick`] has to be reported next.
-    pub fn due(&self) -> Option<u64> {
+    pub fn next_due(&self) -> Option<u64> {
         self.until
     }
 
--- a/crates/state/tests/lifecycle.rs
+++ b/crates/state/tests/lifecycle.rs
@@ -89,7 +89,7 @@
     }
     for (i, event) in EVENTS.into_iter().enumerate() {
         // One tick comes when it is due, the other at once.
-        let later = if i == 0 { life.due().unwrap_or(now).max(now) } else { now };
+        let later = if i == 0 { life.next_due().unwrap_or(now).max(now) } else { now };
         let (mut next, mut acts, mut seen) = (life.clone(), Vec::new(), seen.clone());
         next.handle(later, event, &mut acts);
         if next == *life && acts.is_empty() {
--- a/crates/state/tests/transitions.rs
+++ b/crates/state/tests/transitions.rs
@@ -40,7 +40,7 @@
 }
 
 fn phase(life: &Lifecycle) -> String {
-    let due = life.due().map_or("never".into(), |at| at.to_string());
+    let due = life.next_due().map_or("never".into(), |at| at.to_string());
     format!("{} until {due}", serde_json::to_value(life.phase()).unwrap())
 }
 
@@ -55,7 +55,7 @@
         let (life, now, way) = waiting.remove(0);
         lines.push(format!("leave {leave} at {now}, {way}: {}", phase(&life)));
         for (event, name) in EVENTS {
-            let times = [Some(now), life.due().filter(|due| *due > now)];
+            let times = [Some(now), life.next_due().filter(|due| *due > now)];
             for at in times.into_iter().flatten() {
                 let (mut next, mut acts) = (life.clone(), Vec::new());
                 next.handle(at, event, &mut acts);
