--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::actions::RejectionReason;
 use crate::endpoints::{Lifecycle, Role};
 use crate::ids::TenantId;
-use crate::observations::{FIRST_TOKEN_SPAN, LONGEST_WAIT, REQUEST_RATE_SPAN};
+use crate::observations::{FIRST_TOKEN_SPAN, MAX_RECORDED_WAIT, REQUEST_RATE_SPAN};
 use crate::placement;
 use crate::request_state::RequestState;
 use crate::settings::Settings;
@@ -14,17 +14,17 @@
 use crate::worker_state::WorkerState;
 
 /// A request is rejected when its forecast first token takes more than this multiple of the tightest objective.
-const ADMITTED_WAIT: f64 = 1.0;
+const WAIT_LIMIT: f64 = 1.0;
 /// ... of a tenant beyond its quota, more than this.
-const ADMITTED_WAIT_OVER_QUOTA: f64 = 0.4;
+const WAIT_LIMIT_OVER_QUOTA: f64 = 0.4;
 /// ... and only once more than so many wait, or more than one for each worker and router.
-const FEW_WAITING: usize = 4;
+const MAX_UNCONGESTED_WAITING: usize = 4;
 /// A rise alone is no congestion: first tokens have to be late by this part of the limit, and those that wait, too.
-const OBSERVED_SHARE: f64 = 0.5;
+const LATE_SHARE: f64 = 0.5;
 /// One of many routers goes by observed waits alone, and rejects the more, the further they exceed this multiple.
-const OBSERVED_LIMIT: f64 = 0.8;
+const SHEDDING_THRESHOLD: f64 = 0.8;
 /// The rate of first tokens is not taken to be lower than so many in its span.
-const LEAST_FIRST_TOKENS: f64 = 5.0;
+const MIN_FIRST_TOKENS: f64 = 5.0;
 /// Until the forecast has fallen to this part of what is admitted, rejected clients stay away.
 const DRAINED_SHARE: f64 = 0.5;
 /// A tenant may save up this many seconds of its quota.
@@ -58,11 +58,11 @@
         let refill = rate * (now - bucket.refilled).as_secs_f64();
         bucket.tokens = (bucket.tokens + refill).min(rate * QUOTA_BURST_S + 1.0);
         bucket.refilled = now;
-        let is_beyond = bucket.tokens < 1.0;
-        if !is_beyond {
+        let is_over_quota = bucket.tokens < 1.0;
+        if !is_over_quota {
             bucket.tokens -= 1.0;
         }
-        is_beyond
+        is_over_quota
     }
 }
 
@@ -77,8 +77,8 @@
     if request.request.resumed {
         return None;
     }
-    let admitted_wait = if over_quota { ADMITTED_WAIT_OVER_QUOTA } else { ADMITTED_WAIT };
-    if is_shed(view, request, admitted_wait) {
+    let wait_limit = if over_quota { WAIT_LIMIT_OVER_QUOTA } else { WAIT_LIMIT };
+    if is_shed(view, request, wait_limit) {
         let by_observation = view.has_sparse_samples();
         return Some(if by_observation {
             RejectionReason::ObservedLatency
@@ -86,17 +86,17 @@
             RejectionReason::ForecastLatency
         });
     }
-    let is_hopeless =
+    let misses_deadline =
         cannot_meet_deadline(view, request) && placement::local_prefill(view, request).is_none();
-    is_hopeless.then_some(RejectionReason::CannotMeetDeadline)
+    misses_deadline.then_some(RejectionReason::CannotMeetDeadline)
 }
 
 /// Whether a request is shed, by a draw. One of many routers counts no queue: all reject by how long first tokens take,
 /// and workers report their queues.
-fn is_shed(view: &View<'_>, request: &RequestState, admitted_wait: f64) -> bool {
+fn is_shed(view: &View<'_>, request: &RequestState, wait_limit: f64) -> bool {
     let chance = if view.has_sparse_samples() {
-        observed_wait(view) / admitted_wait - OBSERVED_LIMIT
-    } else if is_congested(view, admitted_wait) {
+        observed_wait(view) / wait_limit - SHEDDING_THRESHOLD
+    } else if is_congested(view, wait_limit) {
         1.0
     } else {
         return false;
@@ -105,45 +105,45 @@
 }
 
 /// Whether the next request's first token is forecast to come too late, and first tokens are late already.
-fn is_congested(view: &View<'_>, admitted_wait: f64) -> bool {
-    let limit = admitted_wait * OBSERVED_SHARE;
+fn is_congested(view: &View<'_>, wait_limit: f64) -> bool {
+    let limit = wait_limit * LATE_SHARE;
     let tightest = view.tightest_objective();
-    let those_waiting_are_late =
+    let waiting_requests_are_late =
         view.requests.waiting().mean_arrival_is_before(view.now - tightest.mul_f64(limit));
     let first_tokens_are_late = view.observed.first_token_wait.mean().is_some_and(|wait| wait > limit);
-    those_waiting_are_late && first_tokens_are_late && forecast(view) > tightest.mul_f64(admitted_wait)
+    waiting_requests_are_late && first_tokens_are_late && forecast_wait(view) > tightest.mul_f64(wait_limit)
 }
 
 /// Whether a request's client will not wait for as long as first tokens take. Asked only while they are slow.
 fn cannot_meet_deadline(view: &View<'_>, request: &RequestState) -> bool {
     let wait = view.observed.first_token_wait.mean();
-    let is_slow = wait.is_some_and(|wait| wait > ADMITTED_WAIT_OVER_QUOTA);
-    let usual = Micros::from_secs_f64(view.observed.disaggregated_seconds().unwrap_or(0.0));
-    is_slow && view.now + usual > request.request.deadline
+    let is_slow = wait.is_some_and(|wait| wait > WAIT_LIMIT_OVER_QUOTA);
+    let typical = Micros::from_secs_f64(view.observed.disaggregated_seconds().unwrap_or(0.0));
+    is_slow && view.now + typical > request.request.deadline
 }
 
 /// How long the next request is likely to wait for its first token, by Little's law, wherever the congestion is. A few that
 /// wait are never too many: a rate lags, and they would keep congestion that has passed in sight.
-fn forecast(view: &View<'_>) -> Micros {
+fn forecast_wait(view: &View<'_>) -> Micros {
     let waiting = view.requests.waiting().count;
     let per_worker_and_router = view.workers.len() / view.settings.routers.max(1) as usize;
-    if waiting <= per_worker_and_router.max(FEW_WAITING) {
+    if waiting <= per_worker_and_router.max(MAX_UNCONGESTED_WAITING) {
         return Micros(0);
     }
     let rate = view.observed.first_tokens.per_second(view.now, FIRST_TOKEN_SPAN);
-    let rate = rate.max(LEAST_FIRST_TOKENS / FIRST_TOKEN_SPAN.as_secs_f64());
+    let rate = rate.max(MIN_FIRST_TOKENS / FIRST_TOKEN_SPAN.as_secs_f64());
     Micros::from_secs_f64(waiting as f64 / rate)
 }
 
 /// How long first tokens take over the tightest objective, those included that are waited for; decaying while none comes.
 pub fn observed_wait(view: &View<'_>) -> f64 {
-    let seen = view.observed.decayed_first_token_wait(view.now);
-    let mut sum = seen;
+    let observed = view.observed.decayed_first_token_wait(view.now);
+    let mut sum = observed;
     let mut count = 1.0;
     for request in view.requests.iter().filter(|request| request.awaits_first_token()) {
         let wait = view.wait_ratio(request);
-        if wait > seen {
-            sum += wait.min(LONGEST_WAIT);
+        if wait > observed {
+            sum += wait.min(MAX_RECORDED_WAIT);
             count += 1.0;
         }
     }
@@ -159,10 +159,10 @@
         queueing: f64,
     }
     let mut by_role: BTreeMap<Role, Reports> = BTreeMap::new();
-    let responded_lately = |worker: &&WorkerState| {
+    let responded_recently = |worker: &&WorkerState| {
         worker.info.lifecycle == Lifecycle::Active && view.now - worker.last_response < REQUEST_RATE_SPAN
     };
-    for worker in view.workers.values().filter(responded_lately) {
+    for worker in view.workers.values().filter(responded_recently) {
         let Some(queued) = worker.load_report.and_then(|report| report.queued_requests) else { continue };
         let reports = by_role.entry(worker.info.role).or_default();
         reports.count += 1.0;
@@ -174,9 +174,9 @@
 /// When a rejected client may come again: once the queue that we see has fallen to what is admitted. One of many routers
 /// goes by first tokens.
 pub fn retry_after(view: &View<'_>) -> Option<Micros> {
-    let excess = if view.has_sparse_samples() { observed_wait(view) - OBSERVED_LIMIT } else { 0.0 };
+    let excess = if view.has_sparse_samples() { observed_wait(view) - SHEDDING_THRESHOLD } else { 0.0 };
     let tightest = view.tightest_objective();
-    let until_drained = forecast(view) - tightest.mul_f64(ADMITTED_WAIT * DRAINED_SHARE);
+    let until_drained = forecast_wait(view) - tightest.mul_f64(WAIT_LIMIT * DRAINED_SHARE);
     let wait = until_drained.max(tightest.mul_f64(excess)).min(view.settings.max_retry_after);
     Some(wait).filter(|wait| wait.0 > 0)
 }
--- a/crates/policy/src/affinity.rs
+++ b/crates/policy/src/affinity.rs
@@ -28,7 +28,7 @@
     fn is_likely_cached(&self, worker: &WorkerState, settings: &Settings) -> bool {
         let sent_since = worker.prompt_tokens_sent - self.prompt_tokens_sent.min(worker.prompt_tokens_sent);
         let sent_by_all = sent_since as f64 * f64::from(settings.routers);
-        self.recorded_at > worker.cache_lost_at && sent_by_all < worker.memory_tokens()
+        self.recorded_at > worker.cache_lost_at && sent_by_all < worker.kv_capacity_tokens()
     }
 }
 
--- a/crates/policy/src/candidates.rs
+++ b/crates/policy/src/candidates.rs
@@ -47,9 +47,9 @@
         .collect();
     let healthy: Vec<&WorkerState> =
         listed.iter().copied().filter(|worker| is_healthy(worker, view.now)).collect();
-    let judged = if healthy.len() * 2 >= listed.len() { healthy } else { listed };
+    let considered = if healthy.len() * 2 >= listed.len() { healthy } else { listed };
     let obligations = retry::obligations(view.settings, request);
-    let allowed: Vec<&WorkerState> = judged
+    let allowed: Vec<&WorkerState> = considered
         .into_iter()
         .filter(|worker| !worker.is_rejecting(request.request.class, view.now))
         .filter(|worker| obligations.may_send(view.now, &worker.target()).is_ok())
@@ -67,15 +67,15 @@
 ) -> Vec<&'a WorkerState> {
     let untried: Vec<&WorkerState> =
         allowed.iter().copied().filter(|worker| !request.has_attempted(&worker.info.id)).collect();
-    let cut_zones: Vec<Option<ZoneId>> =
+    let unreachable_zones: Vec<Option<ZoneId>> =
         request.attempts.iter().filter_map(|attempt| unreached_zone(view, attempt)).collect();
     let reachable: Vec<&WorkerState> =
-        untried.iter().copied().filter(|worker| !cut_zones.contains(&worker.info.zone)).collect();
+        untried.iter().copied().filter(|worker| !unreachable_zones.contains(&worker.info.zone)).collect();
     [reachable, untried].into_iter().find(|workers| !workers.is_empty()).unwrap_or(allowed)
 }
 
 /// The zone of a worker that an attempt could not reach.
 fn unreached_zone(view: &View<'_>, attempt: &Attempt) -> Option<Option<ZoneId>> {
-    let worker = view.workers.get(&attempt.worker).filter(|_| attempt.unreached)?;
+    let worker = view.workers.get(&attempt.worker).filter(|_| attempt.worker_unreached)?;
     Some(worker.info.zone)
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -11,13 +11,13 @@
 use crate::settings::RetrySafety;
 use crate::statistics::Ewma;
 use crate::time::Micros;
-use crate::view::{is_one_of_many, View};
+use crate::view::{has_many_routers, View};
 use crate::worker_state::WorkerState;
 
 /// A silent attempt is overdue after this multiple of what others take,
 const OVERDUE_MULTIPLE: f64 = 4.0;
 /// and after this share of its latency objective at the least.
-const LEAST_OVERDUE_SHARE: f64 = 0.4;
+const MIN_OVERDUE_SHARE: f64 = 0.4;
 
 impl Router {
     /// Sends the next attempt of a request.
@@ -27,7 +27,7 @@
         let kind = attempt_kind(&view, worker);
         let is_warming_up = view.is_warming_up(worker);
         let role = worker.info.role;
-        let must_end = must_end_within(&view, request, placement.stage);
+        let repeat_time_left = repeat_time_left(&view, request, placement.stage);
         let local_prefill_rate = view.observed.local_prefill_rate();
         self.count_sent(role, is_warming_up);
         let now = self.now;
@@ -46,17 +46,18 @@
         // What lies before it, and itself, has to be prefilled.
         let prefill_s = (worker.prefill_tokens_in_flight as f64 + prompt_tokens as f64) / local_prefill_rate;
         let unanswered_wait = worker.unanswered_wait;
-        let patience = self.patience(request, placement.stage, unanswered_wait, prefill_s);
-        let timeout = self.timeout(request, placement.stage, patience).into_iter().chain(must_end).min();
+        let silence_timeout = self.silence_timeout(request, placement.stage, unanswered_wait, prefill_s);
+        let timeout =
+            self.timeout(request, placement.stage, silence_timeout).into_iter().chain(repeat_time_left).min();
         let connect_timeout = reservations::connect_timeout(&self.settings, request, now);
         request.attempts.push(Attempt {
             worker: placement.worker.clone(),
             facts: AttemptFacts::new(placement.stage, now, target),
             pulls_state: request.reserved_on.is_some(),
-            overdue_at: Some(now + patience),
+            overdue_at: Some(now + silence_timeout),
             overtaken_check_at: self.overtaken_check_at(request, placement.stage),
             overdue: false,
-            unreached: false,
+            worker_unreached: false,
             predicted_cached_tokens: placement.predicted_cached_tokens,
         });
         let id = request.request.id.clone();
@@ -65,44 +66,44 @@
 
     /// Counts a request that a role's workers are sent, as [`crate::observations::Observations`] says.
     fn count_sent(&mut self, role: Role, is_warming_up: bool) {
-        let counts = !is_warming_up || is_one_of_many(&self.settings);
-        let part = if counts { 1.0 / self.view().peers(role) } else { 0.0 };
+        let counts = !is_warming_up || has_many_routers(&self.settings);
+        let per_worker = if counts { 1.0 / self.view().listed_worker_count(role) } else { 0.0 };
         let sent = self.observed.sent_by_role.entry(role).or_default();
-        sent.add(self.now, self.settings.slow_start_duration, part);
+        sent.add(self.now, self.settings.slow_start_duration, per_worker);
     }
 
     /// For how long an attempt may stay silent. What earlier attempts waited there in vain is part of the silence.
-    fn patience(
+    fn silence_timeout(
         &self,
         request: &RequestState,
         stage: Stage,
         unanswered_wait: Micros,
         prefill_s: f64,
     ) -> Micros {
-        let usual: &Ewma = match stage {
+        let typical: &Ewma = match stage {
             Stage::Prefill => &self.observed.prefill_seconds,
             Stage::Decode if request.reserved_on.is_some() => &self.observed.pull_seconds,
             Stage::Decode => &self.observed.combined_seconds,
         };
-        let usual = Micros::from_secs_f64(usual.mean().unwrap_or(0.0) * OVERDUE_MULTIPLE);
-        let least = request.latency_objective.mul_f64(LEAST_OVERDUE_SHARE);
-        least.max(usual - unanswered_wait) + Micros::from_secs_f64(prefill_s)
+        let typical = Micros::from_secs_f64(typical.mean().unwrap_or(0.0) * OVERDUE_MULTIPLE);
+        let minimum = request.latency_objective.mul_f64(MIN_OVERDUE_SHARE);
+        minimum.max(typical - unanswered_wait) + Micros::from_secs_f64(prefill_s)
     }
 
     /// Where nothing can be cancelled, a timeout has to be set beforehand; only what may be repeated gets one.
-    fn timeout(&self, request: &RequestState, stage: Stage, patience: Micros) -> Option<Micros> {
+    fn timeout(&self, request: &RequestState, stage: Stage, silence_timeout: Micros) -> Option<Micros> {
         let (retry_safety, _) = retry::retry_safety(&self.settings, request);
         let may_repeat = stage == Stage::Prefill || retry_safety == RetrySafety::Idempotent;
-        let timeout = patience + patience;
+        let timeout = silence_timeout + silence_timeout;
         (!self.settings.may_cancel && may_repeat && timeout.0 > 0).then_some(timeout)
     }
 
     /// When the state of a prefill would be due for release, had it taken as long as prefills do as a rule; their mean holds
     /// those that waited for a silent worker.
     fn overtaken_check_at(&self, request: &RequestState, stage: Stage) -> Option<Micros> {
-        let usual = Micros::from_secs_f64(self.observed.prefill_seconds.mean().unwrap_or(0.0));
-        let usual = usual.min(request.latency_objective.mul_f64(LEAST_OVERDUE_SHARE));
-        let due = release_due(self.now + usual, self.settings.reservation_timeout);
+        let typical = Micros::from_secs_f64(self.observed.prefill_seconds.mean().unwrap_or(0.0));
+        let typical = typical.min(request.latency_objective.mul_f64(MIN_OVERDUE_SHARE));
+        let due = release_due(self.now + typical, self.settings.reservation_timeout);
         (stage == Stage::Prefill).then_some(due)
     }
 }
@@ -119,8 +120,8 @@
 }
 
 /// Within which span a decode has to end, for the sake of an earlier attempt that may have run.
-fn must_end_within(view: &View<'_>, request: &RequestState, stage: Stage) -> Option<Micros> {
-    let must_end = retry::obligations(view.settings, request).must_end();
-    let at = must_end.filter(|_| stage == Stage::Decode)?;
+fn repeat_time_left(view: &View<'_>, request: &RequestState, stage: Stage) -> Option<Micros> {
+    let repeat_deadline = retry::obligations(view.settings, request).next_attempt_deadline();
+    let at = repeat_deadline.filter(|_| stage == Stage::Decode)?;
     Some((at - view.now).max(view.settings.tick))
 }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -12,7 +12,7 @@
 /// After a failed poll the list is polled again after about this share of the longest interval allowed,
 const POLL_RETRY_SHARE: f64 = 0.1;
 /// at a time of each router's own from this part of it on: all may have lost the list at one moment.
-const POLL_RETRY_LEAST: f64 = 0.5;
+const POLL_RETRY_MIN_FACTOR: f64 = 0.5;
 
 impl Router {
     /// Applies an update of the endpoint list.
@@ -29,7 +29,7 @@
             self.apply_endpoint(worker);
         }
         self.has_current_list |= matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Delta);
-        self.forget_removed();
+        self.purge_removed();
         self.poll_if_needed(update, out);
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// A removed worker is forgotten once it is warm: until then what it was sent still counts against its slow start.
-    fn forget_removed(&mut self) {
+    fn purge_removed(&mut self) {
         let now = self.now;
         let duration = self.settings.slow_start_duration;
         self.workers.retain(|_, worker| {
@@ -102,7 +102,7 @@
             }
             EndpointUpdate::Failed => {
                 let draw = self.view().draw(self.next_timer.to_le_bytes(), "list");
-                let share = POLL_RETRY_SHARE * (POLL_RETRY_LEAST + draw);
+                let share = POLL_RETRY_SHARE * (POLL_RETRY_MIN_FACTOR + draw);
                 let at = self.now + self.settings.max_poll_interval.mul_f64(share);
                 self.set_timer(at, TimerPurpose::PollEndpoints, out);
             }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-macro_rules! text_id {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -17,19 +17,19 @@
     };
 }
 
-text_id!(
+string_id!(
     /// A request as this router knows it. Never repeated: a client's retry has a new id.
     RequestId
 );
-text_id!(
+string_id!(
     /// A worker, under the one id by which every router knows it.
     WorkerId
 );
-text_id!(
+string_id!(
     /// A conversation: each of its prompts holds all that went before.
     SessionId
 );
-text_id!(
+string_id!(
     /// A prefix that prompts of several sessions share.
     PrefixId
 );
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -16,7 +16,7 @@
 
 /// A repeat is over so long before its window ends: as long as a router may stand still between reading its clock and
 /// writing, or closing.
-const WINDOW_MARGIN: Micros = Micros(150_000);
+const REPEAT_WINDOW_MARGIN: Micros = Micros(150_000);
 
 /// What an attempt does at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -180,37 +180,37 @@
         if self.attempts.iter().any(|a| a.open) {
             return Err(Denied::AttemptOpen);
         }
-        if !self.may_run_at(now, target) {
+        if !self.may_run_on(now, target) {
             return Err(Denied::MayHaveRun);
         }
         Ok(SendPermit(()))
     }
 
     /// No effect twice: whether every earlier attempt is proven not to have run, or a repeat there would be discarded.
-    fn may_run_at(&self, now: Micros, target: &Target) -> bool {
-        let mut ran = self.attempts.iter().filter(|a| a.may_have_run).peekable();
-        if ran.peek().is_none() {
+    fn may_run_on(&self, now: Micros, target: &Target) -> bool {
+        let mut earlier = self.attempts.iter().filter(|a| a.may_have_run).peekable();
+        if earlier.peek().is_none() {
             return true;
         }
         match self.retry_safety {
             RetrySafety::Idempotent => true,
             RetrySafety::NonIdempotent => false,
             RetrySafety::Deduplicated(scope) => {
-                ran.all(|a| now < self.repeat_end(a) && is_in_scope(scope, &a.target, target))
+                earlier.all(|a| now < self.repeat_window_end(a) && is_in_scope(scope, &a.target, target))
             }
         }
     }
 
     /// Until when a repeat of this attempt may be out.
-    fn repeat_end(&self, ran: &AttemptFacts) -> Micros {
-        ran.sent + (self.dedup_window - WINDOW_MARGIN)
+    fn repeat_window_end(&self, earlier: &AttemptFacts) -> Micros {
+        earlier.sent + (self.dedup_window - REPEAT_WINDOW_MARGIN)
     }
 
     /// When the next attempt has to be over, whatever has become of it: one that lies at a silent worker runs as that
     /// wakes. None where its class or its earlier attempts set no such time.
-    pub fn must_end(&self) -> Option<Micros> {
-        let ran = self.attempts.iter().filter(|a| a.may_have_run);
-        let ends = ran.map(|a| self.repeat_end(a)).min();
+    pub fn next_attempt_deadline(&self) -> Option<Micros> {
+        let earlier = self.attempts.iter().filter(|a| a.may_have_run);
+        let ends = earlier.map(|a| self.repeat_window_end(a)).min();
         ends.filter(|_| matches!(self.retry_safety, RetrySafety::Deduplicated(_)))
     }
 
@@ -238,12 +238,12 @@
 
     /// Why no worker can ever take it: its attempts are used up, or one that may have run bars more.
     pub fn permanent_denial(&self, now: Micros) -> Option<Denied> {
-        let bars = |a: &AttemptFacts| match self.retry_safety {
+        let forbids_retry = |a: &AttemptFacts| match self.retry_safety {
             RetrySafety::Idempotent => false,
             RetrySafety::NonIdempotent => true,
-            RetrySafety::Deduplicated(_) => now >= self.repeat_end(a),
+            RetrySafety::Deduplicated(_) => now >= self.repeat_window_end(a),
         };
-        if self.attempts.iter().any(|a| a.may_have_run && bars(a)) {
+        if self.attempts.iter().any(|a| a.may_have_run && forbids_retry(a)) {
             return Some(Denied::MayHaveRun);
         }
         (self.attempts.len() >= self.max_attempts as usize).then_some(Denied::AttemptsUsed)
--- a/crates/policy/src/observations.rs
+++ b/crates/policy/src/observations.rs
@@ -13,9 +13,9 @@
 /// The rate of first tokens, and the wait for them, is taken over about this span.
 pub const FIRST_TOKEN_SPAN: Micros = Micros(3_000_000);
 /// A wait for a first token counts up to this multiple of the tightest latency objective.
-pub const LONGEST_WAIT: f64 = 2.0;
+pub const MAX_RECORDED_WAIT: f64 = 2.0;
 /// A request that ended without a first token counts as a wait of this multiple at the least.
-pub const MISSED_WAIT: f64 = 1.5;
+pub const MIN_MISSED_WAIT: f64 = 1.5;
 /// Prefill pace of a decode worker before any was observed, in tokens a second.
 const INITIAL_LOCAL_PREFILL_RATE: f64 = 5_000.0;
 /// Prefixes with a rate of their own, at most.
@@ -65,13 +65,13 @@
     /// Counts a first token that came after this multiple of the tightest latency objective.
     pub fn record_first_token(&mut self, now: Micros, wait: f64) {
         self.first_tokens.add(now, FIRST_TOKEN_SPAN, 1.0);
-        self.first_token_wait.add_with_decay(now, FIRST_TOKEN_SPAN, wait.min(LONGEST_WAIT));
+        self.first_token_wait.add_with_decay(now, FIRST_TOKEN_SPAN, wait.min(MAX_RECORDED_WAIT));
     }
 
     /// Counts a request that ended after this wait without a first token as a long wait: congestion that clients leave
     /// would look short.
     pub fn record_missed_first_token(&mut self, now: Micros, wait: f64) {
-        let wait = wait.clamp(MISSED_WAIT, LONGEST_WAIT);
+        let wait = wait.clamp(MIN_MISSED_WAIT, MAX_RECORDED_WAIT);
         self.first_token_wait.add_with_decay(now, FIRST_TOKEN_SPAN, wait);
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Tokens of a usual prompt.
-    pub fn usual_prompt_tokens(&self) -> f64 {
+    pub fn mean_prompt_tokens(&self) -> f64 {
         self.prompt_tokens.mean().unwrap_or(1.0).max(1.0)
     }
 
--- a/crates/policy/src/outcomes.rs
+++ b/crates/policy/src/outcomes.rs
@@ -9,23 +9,23 @@
 use crate::request_state::{Attempt, AttemptEnd, RequestState};
 use crate::router::Router;
 use crate::time::Micros;
-use crate::view::is_one_of_many;
+use crate::view::has_many_routers;
 use crate::worker_state::{same_incarnation, LastPrefill, WorkerState};
 
 /// A worker that rejected a class is left alone for it for this span, doubled for each time in a row.
-const REJECTION_WAIT: Micros = Micros(50_000);
+const INITIAL_REJECTION_BACKOFF: Micros = Micros(50_000);
 /// It doubles so often at most;
-const REJECTION_DOUBLINGS: u32 = 6;
+const MAX_REJECTION_DOUBLINGS: u32 = 6;
 /// and by so many doublings at once if the worker reports capacity: its load is not why it rejects.
 const IDLE_REJECTION_DOUBLINGS: u32 = 3;
 /// Free capacity from which on a worker without a queue counts as idle.
 const IDLE_CAPACITY: f64 = 0.5;
 /// Less than this part of the predicted tokens in a worker's cache means that the cache was lost.
-const EXPECTED_CACHE_PART: u64 = 2;
+const CACHE_LOSS_DIVISOR: u64 = 2;
 
 impl Router {
     /// An answer has begun.
-    pub(crate) fn first_token(&mut self, id: &RequestId, number: AttemptNo, elapsed: Micros) {
+    pub(crate) fn handle_first_token(&mut self, id: &RequestId, number: AttemptNo, elapsed: Micros) {
         let Some(mut request) = self.requests.take(id) else { return };
         request.streaming = true;
         let wait = self.view().wait_ratio(&request);
@@ -72,14 +72,14 @@
         };
         attempt.facts.end(end.outcome);
         attempt.overdue_at = None;
-        attempt.unreached = matches!(end.outcome, Outcome::NoConnection | Outcome::NotSent);
+        attempt.worker_unreached = matches!(end.outcome, Outcome::NoConnection | Outcome::NotSent);
         let unresponsive = waited_on_unresponsive_worker(&self.workers, attempt);
         // What is not proven to have reached anybody was never out: the time for which the state is reserved runs on.
         if proves_arrival(end.outcome) || request.reserved_on.is_none() {
             request.reserved_at = self.now;
         }
-        let judgement = Judgement { now: self.now, first_ejection, has_sparse_samples };
-        self.judge_worker(request, number, end, &judgement);
+        let health_update = HealthUpdate { now: self.now, first_ejection, has_sparse_samples };
+        self.update_worker(request, number, end, &health_update);
         if let Some(attempt) = request.attempts.get_mut(number.0 as usize) {
             attempt.overdue = false;
         }
@@ -91,12 +91,12 @@
     }
 
     /// What the end of an attempt says of its worker, if that is the same incarnation.
-    fn judge_worker(
+    fn update_worker(
         &mut self,
         request: &RequestState,
         number: AttemptNo,
         end: &AttemptEnd,
-        judgement: &Judgement,
+        health_update: &HealthUpdate,
     ) {
         let Some(attempt) = request.attempt(number) else { return };
         let Some(worker) = same_incarnation(&mut self.workers, &attempt.worker, &attempt.facts) else {
@@ -109,23 +109,23 @@
         if attempt.facts.stage == Stage::Prefill {
             let objective_s = request.latency_objective.as_secs_f64().max(1e-6);
             let objective_ratio = end.elapsed.as_secs_f64() / objective_s;
-            worker.last_prefill = LastPrefill { objective_ratio, ended: judgement.now };
+            worker.last_prefill = LastPrefill { objective_ratio, ended: health_update.now };
         }
-        judgement.judge(worker, request, attempt, end);
-        void_cache_if_lost(worker, attempt, end);
+        health_update.apply(worker, request, attempt, end);
+        record_cache_loss(worker, attempt, end);
         let role = worker.info.role;
         let is_success = matches!(end.outcome, Outcome::Served | Outcome::Prefilled);
         let is_warm = worker.warming_age(self.now, self.settings.slow_start_duration).is_none();
-        if is_success && (is_one_of_many(&self.settings) || is_warm) {
+        if is_success && (has_many_routers(&self.settings) || is_warm) {
             self.count_finished(role);
         }
     }
 
     /// Counts a request that a role's workers finished, as [`crate::observations::Observations`] says.
     fn count_finished(&mut self, role: Role) {
-        let part = 1.0 / self.view().peers(role);
+        let per_worker = 1.0 / self.view().listed_worker_count(role);
         let finished = self.observed.finished_by_role.entry(role).or_default();
-        finished.add(self.now, self.settings.slow_start_duration, part);
+        finished.add(self.now, self.settings.slow_start_duration, per_worker);
     }
 
     /// Remembers where a session was answered.
@@ -170,15 +170,15 @@
 }
 
 /// What a judgement of a worker goes by, besides the attempt.
-struct Judgement {
+struct HealthUpdate {
     now: Micros,
     first_ejection: Micros,
     has_sparse_samples: bool,
 }
 
-impl Judgement {
+impl HealthUpdate {
     /// What an outcome says of the worker's health.
-    fn judge(&self, worker: &mut WorkerState, request: &RequestState, attempt: &Attempt, end: &AttemptEnd) {
+    fn apply(&self, worker: &mut WorkerState, request: &RequestState, attempt: &Attempt, end: &AttemptEnd) {
         let sent = attempt.facts.sent;
         let was_silent = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
         if was_silent && worker.last_response < sent && !self.has_sparse_samples {
@@ -222,14 +222,14 @@
     let is_idle = queued < 1.0 && capacity.is_some_and(|capacity| capacity > IDLE_CAPACITY);
     let doublings = if is_idle { IDLE_REJECTION_DOUBLINGS } else { 1 };
     let backoff = worker.rejections.entry(class).or_default();
-    backoff.until = now + Micros(REJECTION_WAIT.0 << backoff.doublings);
-    backoff.doublings = (backoff.doublings + doublings).min(REJECTION_DOUBLINGS);
+    backoff.until = now + Micros(INITIAL_REJECTION_BACKOFF.0 << backoff.doublings);
+    backoff.doublings = (backoff.doublings + doublings).min(MAX_REJECTION_DOUBLINGS);
 }
 
 /// The worker's count corrects the prediction: far less cached than predicted voids what is known of its cache.
-fn void_cache_if_lost(worker: &mut WorkerState, attempt: &Attempt, end: &AttemptEnd) {
+fn record_cache_loss(worker: &mut WorkerState, attempt: &Attempt, end: &AttemptEnd) {
     let predicted = attempt.predicted_cached_tokens.unwrap_or(0);
-    let is_lost = end.cached_tokens.saturating_mul(EXPECTED_CACHE_PART) < predicted;
+    let is_lost = end.cached_tokens.saturating_mul(CACHE_LOSS_DIVISOR) < predicted;
     if end.outcome == Outcome::Served && is_lost {
         worker.cache_lost_at = worker.cache_lost_at.max(attempt.facts.sent);
     }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -19,15 +19,15 @@
 /// From this failure rate on a worker is ejected: two failures in a row suffice.
 const EJECTION_THRESHOLD: f64 = 0.45;
 /// A single failure after which a worker is ejected.
-const EJECTING_FAILURE: f64 = EJECTION_THRESHOLD;
+const EJECTING_FAILURE_WEIGHT: f64 = EJECTION_THRESHOLD;
 /// Silence for so long that its worker is ejected at once.
-const LONG_SILENCE: f64 = 1.0;
+const LONG_SILENCE_WEIGHT: f64 = 1.0;
 /// The shortest ejection.
-const SHORTEST_EJECTION: Micros = Micros(1_000_000);
+const MIN_EJECTION: Micros = Micros(1_000_000);
 /// It doubles with each in a row, so often at most.
-const EJECTION_DOUBLINGS: u32 = 4;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 /// The longest ejection.
-const LONGEST_EJECTION: Micros = Micros(SHORTEST_EJECTION.0 << EJECTION_DOUBLINGS);
+const MAX_EJECTION: Micros = Micros(MIN_EJECTION.0 << MAX_EJECTION_DOUBLINGS);
 /// A first ejection lasts for about so many of our requests.
 const EJECTION_REQUESTS: f64 = 8.0;
 
@@ -46,7 +46,7 @@
 /// How long a first ejection lasts: by our request rate, since one that receives little would otherwise probe each time.
 pub fn first_ejection(view: &View<'_>) -> Micros {
     let rate = view.observed.requests.per_second(view.now, REQUEST_RATE_SPAN).max(1e-3);
-    Micros::from_secs_f64(EJECTION_REQUESTS / rate).clamp(SHORTEST_EJECTION, LONGEST_EJECTION)
+    Micros::from_secs_f64(EJECTION_REQUESTS / rate).clamp(MIN_EJECTION, MAX_EJECTION)
 }
 
 /// Records a success.
@@ -59,15 +59,15 @@
 
 /// Records an error or a broken connection. Where no response came lately one failure says enough: two may take minutes.
 pub fn record_error(worker: &mut WorkerState, now: Micros, first_ejection: Micros) {
-    let responded_lately = worker.last_response + SHORTEST_EJECTION > now && !worker.unreachable;
-    let weight = if responded_lately { FAILURE_GAIN } else { EJECTING_FAILURE };
+    let responded_recently = worker.last_response + MIN_EJECTION > now && !worker.unreachable;
+    let weight = if responded_recently { FAILURE_GAIN } else { EJECTING_FAILURE_WEIGHT };
     record_failure(worker, now, weight, first_ejection);
 }
 
 /// Records an attempt that ended after a long silence. A worker that has responded to later ones did not hang: the
 /// connection did.
 pub fn record_silence(worker: &mut WorkerState, now: Micros, sent: Micros, first_ejection: Micros) {
-    let weight = if worker.newest_answered > sent { FAILURE_GAIN } else { LONG_SILENCE };
+    let weight = if worker.newest_answered_sent_at > sent { FAILURE_GAIN } else { LONG_SILENCE_WEIGHT };
     record_failure(worker, now, weight, first_ejection);
 }
 
@@ -75,9 +75,9 @@
 fn record_failure(worker: &mut WorkerState, now: Micros, weight: f64, first_ejection: Micros) {
     worker.failure_rate += (1.0 - worker.failure_rate) * weight;
     if is_failing(worker) && now >= worker.ejected_until {
-        let ejection = Micros((first_ejection.0 << worker.consecutive_ejections).min(LONGEST_EJECTION.0));
+        let ejection = Micros((first_ejection.0 << worker.consecutive_ejections).min(MAX_EJECTION.0));
         worker.ejected_until = now + ejection;
-        worker.consecutive_ejections = (worker.consecutive_ejections + 1).min(EJECTION_DOUBLINGS);
+        worker.consecutive_ejections = (worker.consecutive_ejections + 1).min(MAX_EJECTION_DOUBLINGS);
     }
 }
 
@@ -139,6 +139,6 @@
     if !was_counted {
         worker.overdue_attempts += 1;
     }
-    let was_overtaken = was_counted && worker.newest_answered > attempt.facts.sent;
+    let was_overtaken = was_counted && worker.newest_answered_sent_at > attempt.facts.sent;
     worker.last_response > attempt.facts.sent && !was_overtaken
 }
--- a/crates/policy/src/placement/capacity.rs
+++ b/crates/policy/src/placement/capacity.rs
@@ -16,16 +16,16 @@
 /// Of the cells with decode workers to spare, one of another zone weighs so much.
 const OTHER_ZONE_WEIGHT: f64 = 0.25;
 /// A combined worker pulls state with so much more capacity than any decode worker: more than a near cell weighs.
-const COMBINED_HANDICAP: f64 = 2.0 * SAME_CELL_BONUS;
+const COMBINED_PENALTY: f64 = 2.0 * SAME_CELL_BONUS;
 /// Without load reports, a decode of ours that still waits for its first token counts as so many more.
 const PENDING_WEIGHT: f64 = 3.0;
 /// Weights of workers are at least this.
-const LEAST_WEIGHT: f64 = 0.01;
+const MIN_WEIGHT: f64 = 0.01;
 
 /// The worker with most free capacity.
 ///
 /// A combined worker pulls state where no decode worker may be used, or where it has more capacity than any of them by
-/// [`COMBINED_HANDICAP`]: the memory of decode workers can be full while their slots are not.
+/// [`COMBINED_PENALTY`]: the memory of decode workers can be full while their slots are not.
 pub fn most_available(
     view: &View<'_>,
     request: &RequestState,
@@ -35,7 +35,7 @@
     let combined = eligible(view, request, |role| role == Role::Combined);
     let (candidates, others) = if decode.is_empty() { (combined, decode) } else { (decode, combined) };
     let source = prefilled_on.and_then(|id| view.workers.get(id)).map(|worker| &worker.info);
-    let near = Nearness {
+    let locality = Locality {
         source,
         preferred_cell: source.and_then(|source| preferred_cell(view, request, source, &candidates)),
     };
@@ -45,11 +45,11 @@
     let comparable = capacities.mean.and(others_mean);
     let scored_others = others
         .iter()
-        .filter_map(|worker| Some((*worker, capacities.of(worker, Some(comparable?)), COMBINED_HANDICAP)));
+        .filter_map(|worker| Some((*worker, capacities.of(worker, Some(comparable?)), COMBINED_PENALTY)));
     scored
         .chain(scored_others)
-        .map(|(worker, capacity, handicap)| {
-            let score = capacity + near.bonus(worker) * capacities.unit - handicap;
+        .map(|(worker, capacity, penalty)| {
+            let score = capacity + locality.bonus(worker) * capacities.unit - penalty;
             let draw = view.draw(&*request.request.id.0, &worker.info.id.0);
             (score, draw, worker)
         })
@@ -71,9 +71,9 @@
     fn new(view: &'a View<'a>, candidates: &[&WorkerState]) -> Self {
         let mean = mean_reported_capacity(candidates);
         let decodes: f64 = candidates.iter().map(|worker| f64::from(worker.decodes_in_flight)).sum();
-        let ours = decodes / candidates.len().max(1) as f64;
-        let of_others = f64::from(view.settings.routers.saturating_sub(1)) * ours;
-        let unit = if mean.is_none() { 1.0 + SAME_CELL_BONUS * ours + of_others.sqrt() } else { 1.0 };
+        let own_mean = decodes / candidates.len().max(1) as f64;
+        let others_total = f64::from(view.settings.routers.saturating_sub(1)) * own_mean;
+        let unit = if mean.is_none() { 1.0 + SAME_CELL_BONUS * own_mean + others_total.sqrt() } else { 1.0 };
         Self { view, mean, unit }
     }
 
@@ -91,7 +91,7 @@
 
     fn weight(&self, worker: &WorkerState) -> f64 {
         if self.view.settings.weighted {
-            worker.info.weight.max(LEAST_WEIGHT)
+            worker.info.weight.max(MIN_WEIGHT)
         } else {
             1.0
         }
@@ -105,12 +105,12 @@
 }
 
 /// How near a worker is to the state that it pulls.
-struct Nearness<'a> {
+struct Locality<'a> {
     source: Option<&'a Worker>,
     preferred_cell: Option<CellId>,
 }
 
-impl Nearness<'_> {
+impl Locality<'_> {
     fn bonus(&self, worker: &WorkerState) -> f64 {
         match self.source {
             Some(_) if self.preferred_cell == Some(worker.info.cell) => SAME_CELL_BONUS,
@@ -129,28 +129,28 @@
     source: &Worker,
     candidates: &[&WorkerState],
 ) -> Option<CellId> {
-    let burdens = CellBurdens::new(view, candidates);
+    let ratios = CellPrefillRatios::new(view, candidates);
     let draw = |key: &str| view.draw(&*request.request.id.0, key);
-    if draw(&source.id.0) * burdens.of(source.cell) < 1.0 {
+    if draw(&source.id.0) * ratios.of(source.cell) < 1.0 {
         return Some(source.cell);
     }
-    let spare = |worker: &WorkerState| {
+    let spare_weight = |worker: &WorkerState| {
         let weight = if worker.info.zone == source.zone { 1.0 } else { OTHER_ZONE_WEIGHT };
-        (1.0 - burdens.of(worker.info.cell)).max(0.0) * weight
+        (1.0 - ratios.of(worker.info.cell)).max(0.0) * weight
     };
     // The largest of such powers of a draw falls to each as often as its exponent's inverse weighs.
     candidates
         .iter()
-        .filter(|worker| spare(worker) > 0.0)
-        .map(|worker| (draw(&worker.info.id.0).powf(1.0 / spare(worker)), worker.info.cell))
+        .filter(|worker| spare_weight(worker) > 0.0)
+        .map(|worker| (draw(&worker.info.id.0).powf(1.0 / spare_weight(worker)), worker.info.cell))
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, cell)| cell)
 }
 
 /// The prefill workers of each cell for each of its decode workers, over those of all cells.
-struct CellBurdens {
+struct CellPrefillRatios {
     cells: BTreeMap<CellId, CellWorkers>,
-    usual: f64,
+    mean_ratio: f64,
 }
 
 #[derive(Default)]
@@ -159,7 +159,7 @@
     decode: f64,
 }
 
-impl CellBurdens {
+impl CellPrefillRatios {
     fn new(view: &View<'_>, candidates: &[&WorkerState]) -> Self {
         let mut cells: BTreeMap<CellId, CellWorkers> = BTreeMap::new();
         for worker in view.workers.values() {
@@ -170,12 +170,12 @@
         for worker in candidates {
             cells.entry(worker.info.cell).or_default().decode += 1.0;
         }
-        let usual = view.peers(Role::Prefill) / candidates.len().max(1) as f64;
-        Self { cells, usual }
+        let mean_ratio = view.listed_worker_count(Role::Prefill) / candidates.len().max(1) as f64;
+        Self { cells, mean_ratio }
     }
 
     fn of(&self, cell: CellId) -> f64 {
         let workers = self.cells.get(&cell);
-        workers.map_or(0.0, |workers| workers.prefill / workers.decode.max(1e-9) / self.usual)
+        workers.map_or(0.0, |workers| workers.prefill / workers.decode.max(1e-9) / self.mean_ratio)
     }
 }
--- a/crates/policy/src/placement/hashed.rs
+++ b/crates/policy/src/placement/hashed.rs
@@ -12,13 +12,13 @@
 use crate::worker_state::WorkerState;
 
 /// A request has at least so many workers to choose from.
-const LEAST_WIDTH: usize = 2;
+const MIN_CHOICES: usize = 2;
 /// So many more of our requests at the chosen workers than at the least busy one widen the choice.
-const WIDENING_LOAD: u32 = 2;
+const EXCESS_LOAD_LIMIT: u32 = 2;
 /// A prefix may use this multiple of its part of our other requests, as a part of the workers.
-const PREFIX_WIDTH: f64 = 1.5;
+const PREFIX_CHOICE_FACTOR: f64 = 1.5;
 /// Its part is taken of so many imagined requests more.
-const IMAGINED_REQUESTS: f64 = 5.0;
+const PSEUDO_REQUESTS: f64 = 5.0;
 /// Each such share of its latency objective that our last prefill there took counts as one of our requests in flight.
 const SLOW_PREFILL_SHARE: f64 = 0.25;
 
@@ -32,23 +32,23 @@
     let mut ranked = candidates.to_vec();
     ranked.sort_by_cached_key(|worker| Reverse(by_key.rank(&worker.info.id.0)));
     let loads = Loads::new(view, candidates);
-    let least = candidates.iter().map(|worker| loads.of(worker)).min().unwrap_or(0);
-    let is_open = |worker: &&&WorkerState| loads.of(worker) < least + WIDENING_LOAD;
+    let least_load = candidates.iter().map(|worker| loads.of(worker)).min().unwrap_or(0);
+    let is_below_load_limit = |worker: &&&WorkerState| loads.of(worker) < least_load + EXCESS_LOAD_LIMIT;
     let chosen = ranked
         .iter()
-        .take(width(view, request, candidates.len()))
+        .take(choice_count(view, request, candidates.len()))
         .min_by_key(|worker| (loads.of(worker), by_session.rank(&worker.info.id.0)));
-    let worker = chosen.filter(is_open).or_else(|| ranked.iter().find(is_open))?;
+    let worker = chosen.filter(is_below_load_limit).or_else(|| ranked.iter().find(is_below_load_limit))?;
     Some(worker.info.id.clone())
 }
 
 /// How many workers a request may choose from. A prefix can be too hot for two: it gets its part of our other requests.
-fn width(view: &View<'_>, request: &RequestState, candidates: usize) -> usize {
+fn choice_count(view: &View<'_>, request: &RequestState, candidates: usize) -> usize {
     let observed = view.observed;
     let with_prefix = observed.other_requests_with_prefix(view.now, request.request.prefix.as_ref());
-    let all = observed.requests.decayed_count(view.now, REQUEST_RATE_SPAN) + IMAGINED_REQUESTS;
-    let part = with_prefix / all;
-    ((part * PREFIX_WIDTH * candidates as f64).ceil() as usize).max(LEAST_WIDTH)
+    let all = observed.requests.decayed_count(view.now, REQUEST_RATE_SPAN) + PSEUDO_REQUESTS;
+    let prefix_share = with_prefix / all;
+    ((prefix_share * PREFIX_CHOICE_FACTOR * candidates as f64).ceil() as usize).max(MIN_CHOICES)
 }
 
 /// How busy workers look to this router, counted in requests.
@@ -77,8 +77,8 @@
 
     /// The load of a worker.
     fn of(&self, worker: &WorkerState) -> u32 {
-        let least = if self.view.is_warming_up(worker) { self.mean_of_warm } else { 0 };
-        self.own(worker).max(least)
+        let floor = if self.view.is_warming_up(worker) { self.mean_of_warm } else { 0 };
+        self.own(worker).max(floor)
     }
 
     /// Our requests in flight there; a very long prompt counts as many as there are usual ones in it.
@@ -86,13 +86,13 @@
         if worker.info.role == Role::Combined {
             return worker.decodes_in_flight;
         }
-        let usual_prompt = self.view.observed.usual_prompt_tokens();
-        let by_tokens = (worker.prefill_tokens_in_flight as f64 / usual_prompt) as u32;
-        worker.prefills_in_flight.max(by_tokens) + self.slowness(worker)
+        let mean_prompt_tokens = self.view.observed.mean_prompt_tokens();
+        let by_tokens = (worker.prefill_tokens_in_flight as f64 / mean_prompt_tokens) as u32;
+        worker.prefills_in_flight.max(by_tokens) + self.slow_prefill_load(worker)
     }
 
     /// One of many routers has no prefills in flight to know a busy worker by, but knows how long its last one took.
-    fn slowness(&self, worker: &WorkerState) -> u32 {
+    fn slow_prefill_load(&self, worker: &WorkerState) -> u32 {
         if !self.has_sparse_samples {
             return 0;
         }
--- a/crates/policy/src/placement/local.rs
+++ b/crates/policy/src/placement/local.rs
@@ -10,16 +10,16 @@
 
 /// A remainder is short when the decode worker prefills it in no more time than prefills take now, within these shares of
 /// the tightest objective: every stream of that worker waits for as long.
-const LEAST_LOCAL_SHARE: f64 = 0.13;
-const MOST_LOCAL_SHARE: f64 = 0.2;
+const MIN_LOCAL_SHARE: f64 = 0.13;
+const MAX_LOCAL_SHARE: f64 = 0.2;
 /// ... up to this share while prefill workers are congested and decode workers are not.
-const MOST_LOCAL_SHARE_CONGESTED: f64 = 1.0;
+const MAX_LOCAL_SHARE_CONGESTED: f64 = 1.0;
 /// Prefill workers are congested while prefills take over this share of the tightest objective,
 const CONGESTED_PREFILL_SHARE: f64 = 0.5;
 /// and decode workers are idle while pulls take less than this part of prefills.
-const IDLE_PULL_PART: f64 = 0.2;
+const IDLE_PULL_SHARE: f64 = 0.2;
 /// The threshold is at least this, in tokens: the default of the design.
-const LEAST_THRESHOLD: u64 = 64;
+const MIN_THRESHOLD: u64 = 64;
 
 /// A local prefill, if the remainder is short: at the worker that keeps the session, or, for a short prompt of a session
 /// that no worker keeps, at the one with most capacity.
@@ -49,16 +49,16 @@
     let tightest = view.tightest_objective();
     let prefill_s = view.observed.prefill_seconds.mean().unwrap_or(0.0);
     let pull_s = view.observed.pull_seconds.mean().unwrap_or(0.0);
-    let most = if decode_workers_idle(view, prefill_s, pull_s) {
-        MOST_LOCAL_SHARE_CONGESTED
+    let max_share = if decode_workers_idle(view, prefill_s, pull_s) {
+        MAX_LOCAL_SHARE_CONGESTED
     } else {
-        MOST_LOCAL_SHARE
+        MAX_LOCAL_SHARE
     };
-    let least = tightest.mul_f64(LEAST_LOCAL_SHARE);
-    let most = tightest.mul_f64(most);
-    let break_even = Micros::from_secs_f64(prefill_s - 2.0 * pull_s).clamp(least, most);
+    let min_time = tightest.mul_f64(MIN_LOCAL_SHARE);
+    let max_time = tightest.mul_f64(max_share);
+    let break_even = Micros::from_secs_f64(prefill_s - 2.0 * pull_s).clamp(min_time, max_time);
     let tokens = break_even.as_secs_f64() * view.observed.local_prefill_rate();
-    (tokens as u64).max(LEAST_THRESHOLD)
+    (tokens as u64).max(MIN_THRESHOLD)
 }
 
 /// Whether prefill workers are congested and decode workers are not, as with half of the prefill workers gone: then decode
@@ -66,7 +66,7 @@
 fn decode_workers_idle(view: &View<'_>, prefill_s: f64, pull_s: f64) -> bool {
     let tightest_s = view.tightest_objective().as_secs_f64();
     let prefill_is_congested = prefill_s > tightest_s * CONGESTED_PREFILL_SHARE;
-    let pulls_are_quick = pull_s < prefill_s * IDLE_PULL_PART;
+    let pulls_are_quick = pull_s < prefill_s * IDLE_PULL_SHARE;
     let reports_load = view.settings.load_reporting != LoadReporting::Off;
     prefill_is_congested && pulls_are_quick && reports_load && view.has_sparse_samples()
 }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -19,7 +19,7 @@
 use crate::worker_state::WorkerState;
 
 /// The share of combined workers is raised, or by one of many routers lowered, by at most this factor.
-const COMBINED_FACTOR: f64 = 3.0;
+const MAX_COMBINED_FACTOR: f64 = 3.0;
 
 /// The next step of a request without an open attempt; none while no worker may take it.
 pub fn choose(view: &View<'_>, request: &RequestState) -> Option<Placement> {
@@ -35,7 +35,7 @@
     let decode = eligible(view, request, |role| role == Role::Decode);
     let can_decode = !decode.is_empty() || !combined.is_empty();
     let is_disaggregated = !prefill.is_empty() && can_decode;
-    if !is_disaggregated || is_turn_of_combined(view, request, &combined) {
+    if !is_disaggregated || should_use_combined(view, request, &combined) {
         if let Some(worker) = hashed::choose(view, request, &combined) {
             return Some(Placement::decode(worker));
         }
@@ -43,14 +43,14 @@
     if let Some(worker) = hashed::choose(view, request, &prefill) {
         return Some(Placement::prefill(worker));
     }
-    if !view.settings.self_prefill || is_prefill_worker_left(view, request) {
+    if !view.settings.self_prefill || has_usable_prefill_worker(view, request) {
         return None;
     }
     capacity::most_available(view, request, None).map(Placement::decode)
 }
 
 /// Whether a prefill worker is merely busy: as long as one is left, no decode worker prefills in its place.
-fn is_prefill_worker_left(view: &View<'_>, request: &RequestState) -> bool {
+fn has_usable_prefill_worker(view: &View<'_>, request: &RequestState) -> bool {
     let obligations = retry::obligations(view.settings, request);
     view.workers
         .values()
@@ -66,24 +66,25 @@
 /// Guards against few or slow prefill workers and congested decode workers; harms where combined workers answer early and
 /// stream slowly, so the factor is bounded. A draw decides on the fraction. One of many routers starts with fewer, fewest
 /// for slow ones.
-fn is_turn_of_combined(view: &View<'_>, request: &RequestState, combined: &[&WorkerState]) -> bool {
-    let mut others = 0_u32;
-    let mut in_flight_at_others = 0_u32;
+fn should_use_combined(view: &View<'_>, request: &RequestState, combined: &[&WorkerState]) -> bool {
+    let mut other_workers = 0_u32;
+    let mut in_flight_on_others = 0_u32;
     for worker in view.workers.values() {
         if worker.info.lifecycle == Lifecycle::Active && worker.info.role != Role::Combined {
-            others += 1;
-            in_flight_at_others += worker.attempts_in_flight();
+            other_workers += 1;
+            in_flight_on_others += worker.attempts_in_flight();
         }
     }
     let in_flight: u32 = combined.iter().map(|worker| worker.attempts_in_flight()).sum();
-    let least = if view.has_sparse_samples() { 1.0 / COMBINED_FACTOR } else { 1.0 };
+    let min_ratio = if view.has_sparse_samples() { 1.0 / MAX_COMBINED_FACTOR } else { 1.0 };
     let disaggregated = view.observed.disaggregated_seconds();
     let ratio = disaggregated
         .zip(view.observed.combined_seconds.mean())
-        .map_or(least, |(disaggregated, combined)| disaggregated / combined.max(1e-6));
-    let part = combined.len() as f64 * ratio.clamp(least, COMBINED_FACTOR);
-    let all_in_flight = f64::from(in_flight + in_flight_at_others + 1);
-    let due = all_in_flight * part / (part + f64::from(others)).max(1e-6);
-    let extra = f64::from(u8::from(view.draw(&*request.request.id.0, "") < due.fract()));
-    f64::from(in_flight) < due.floor() + extra
+        .map_or(min_ratio, |(disaggregated, combined)| disaggregated / combined.max(1e-6));
+    let combined_weight = combined.len() as f64 * ratio.clamp(min_ratio, MAX_COMBINED_FACTOR);
+    let all_in_flight = f64::from(in_flight + in_flight_on_others + 1);
+    let target_in_flight =
+        all_in_flight * combined_weight / (combined_weight + f64::from(other_workers)).max(1e-6);
+    let extra = f64::from(u8::from(view.draw(&*request.request.id.0, "") < target_in_flight.fract()));
+    f64::from(in_flight) < target_in_flight.floor() + extra
 }
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -65,7 +65,7 @@
     /// It counts among its worker's overdue attempts.
     pub overdue: bool,
     /// It ended without having reached its worker.
-    pub unreached: bool,
+    pub worker_unreached: bool,
     /// Tokens that its worker was thought to have in its cache; of local prefills only.
     pub predicted_cached_tokens: Option<u64>,
 }
--- a/crates/policy/src/reservations.rs
+++ b/crates/policy/src/reservations.rs
@@ -21,8 +21,8 @@
 /// How long a connection to the worker that is to pull the state may take; none where nothing is reserved.
 pub fn connect_timeout(settings: &Settings, request: &RequestState, now: Micros) -> Option<Micros> {
     request.reserved_on.as_ref()?;
-    let left = release_at(settings, request) - now;
-    Some(left.mul_f64(CONNECT_SHARE).max(settings.tick))
+    let remaining = release_at(settings, request) - now;
+    Some(remaining.mul_f64(CONNECT_SHARE).max(settings.tick))
 }
 
 /// Releases a request's reserved state when it is due, or when the request is over.
@@ -60,7 +60,8 @@
             continue;
         }
         let sent = attempt.facts.sent;
-        let is_overtaken = workers.get(&attempt.worker).is_some_and(|worker| worker.newest_answered > sent);
+        let is_overtaken =
+            workers.get(&attempt.worker).is_some_and(|worker| worker.newest_answered_sent_at > sent);
         if is_overtaken {
             attempt.overtaken_check_at = None;
             attempt.overdue_at = None;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -37,7 +37,7 @@
 }
 
 /// The last moment at which a request without an answer is looked at before its deadline.
-pub fn last_look(settings: &Settings, request: &RequestState) -> Micros {
+pub fn last_check(settings: &Settings, request: &RequestState) -> Micros {
     (0..TICKS_BEFORE_DEADLINE).fold(request.request.deadline, |time, _| time - settings.tick)
 }
 
@@ -46,8 +46,8 @@
     if is_repeat_into_congestion(view, request) {
         return Some(RejectionReason::Congested);
     }
-    let next_look = (0..TICKS_BEFORE_DEADLINE).fold(view.now, |time, _| time + view.settings.tick);
-    (next_look >= request.request.deadline).then(|| reason_at_deadline(view, request))
+    let next_check = (0..TICKS_BEFORE_DEADLINE).fold(view.now, |time, _| time + view.settings.tick);
+    (next_check >= request.request.deadline).then(|| reason_at_deadline(view, request))
 }
 
 fn is_repeat_into_congestion(view: &View<'_>, request: &RequestState) -> bool {
@@ -65,7 +65,7 @@
     let other_role = if request.reserved_on.is_some() { Role::Prefill } else { Role::Decode };
     let needed =
         |worker: &&WorkerState| worker.info.lifecycle == Lifecycle::Active && worker.info.role != other_role;
-    let obstacle = |worker: &WorkerState| {
+    let exclusion_reason = |worker: &WorkerState| {
         if !is_healthy(worker, view.now) {
             RejectionReason::NoneHealthy
         } else if worker.is_rejecting(request.request.class, view.now) {
@@ -74,11 +74,11 @@
             RejectionReason::WarmingUp
         }
     };
-    view.workers.values().filter(needed).map(obstacle).max().unwrap_or(RejectionReason::NoWorker)
+    view.workers.values().filter(needed).map(exclusion_reason).max().unwrap_or(RejectionReason::NoWorker)
 }
 
 /// Why no worker can ever take a request again, if so.
-pub fn reason_if_hopeless(view: &View<'_>, request: &RequestState) -> Option<RejectionReason> {
+pub fn permanent_rejection_reason(view: &View<'_>, request: &RequestState) -> Option<RejectionReason> {
     let denied = obligations(view.settings, request).permanent_denial(view.now)?;
     Some(match denied {
         Denied::MayHaveRun => RejectionReason::MayHaveRun,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -23,7 +23,7 @@
 /// A request that finds no worker is looked at again after this span.
 const RETRY_INTERVAL: Micros = Micros(40_000);
 /// The shortest timer.
-const SHORTEST_TIMER: Micros = Micros(1);
+const MIN_TIMER_DELAY: Micros = Micros(1);
 
 /// What a timer is for.
 #[derive(Debug, Clone)]
@@ -74,8 +74,8 @@
         self.now = now;
         match event {
             Event::Endpoints { update, workers } => self.apply_endpoints(update, workers, out),
-            Event::Request(request) => self.request(request, out),
-            Event::Streaming { id, attempt, elapsed } => self.first_token(&id, attempt, elapsed),
+            Event::Request(request) => self.handle_request(request, out),
+            Event::Streaming { id, attempt, elapsed } => self.handle_first_token(&id, attempt, elapsed),
             Event::AttemptOutcome { id, attempt, outcome, elapsed, request_ended, cached_tokens, report } => {
                 let Some(mut request) = self.requests.take(&id) else { return };
                 let end = AttemptEnd { outcome, elapsed, cached_tokens, load_report: report };
@@ -89,7 +89,7 @@
                 request.finished = true;
                 self.advance(request, out);
             }
-            Event::Timer(timer) => self.timer_fired(timer, out),
+            Event::Timer(timer) => self.handle_timer(timer, out),
         }
     }
 
@@ -111,11 +111,11 @@
         let timer = TimerId(self.next_timer);
         self.next_timer += 1;
         self.timers.insert(timer, purpose);
-        let after = (at - self.now).max(self.settings.tick).max(SHORTEST_TIMER);
+        let after = (at - self.now).max(self.settings.tick).max(MIN_TIMER_DELAY);
         out.push(Action::SetTimer { timer, after });
     }
 
-    fn timer_fired(&mut self, timer: TimerId, out: &mut Vec<Action>) {
+    fn handle_timer(&mut self, timer: TimerId, out: &mut Vec<Action>) {
         match self.timers.remove(&timer) {
             Some(TimerPurpose::PollEndpoints) => out.push(Action::Subscribe),
             Some(TimerPurpose::Advance(id)) => {
@@ -127,14 +127,14 @@
         }
     }
 
-    fn request(&mut self, request: Request, out: &mut Vec<Action>) {
+    fn handle_request(&mut self, request: Request, out: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(request.class.0) else {
             let reason = RejectionReason::UnknownClass;
             return out.push(Action::Fail { id: request.id, reason });
         };
         let thousands = request.prompt_tokens as f64 / 1e3;
-        let for_prompt = class.latency_objective_per_1000_tokens.mul_f64(thousands);
-        let latency_objective = class.latency_objective + for_prompt;
+        let prompt_extension = class.latency_objective_per_1000_tokens.mul_f64(thousands);
+        let latency_objective = class.latency_objective + prompt_extension;
         let over_quota = self.quotas.take(&self.settings, self.now, request.tenant);
         self.observed.record_request(self.now, &request);
         let request = RequestState::new(request, self.now, latency_objective);
@@ -160,24 +160,24 @@
             }
             if let Some(placement) = placement::choose(&self.view(), &request) {
                 self.send(&mut request, placement, out);
-            } else if let Some(reason) = retry::reason_if_hopeless(&self.view(), &request) {
+            } else if let Some(reason) = retry::permanent_rejection_reason(&self.view(), &request) {
                 return self.give_up(request, reason, out);
             }
         }
         if request.finished && !request.has_open_attempt() {
             return;
         }
-        self.schedule_next_look(&request, out);
+        self.schedule_next_check(&request, out);
         self.requests.put(request);
     }
 
     /// Sets a timer for the next time at which a request has to be looked at.
-    fn schedule_next_look(&mut self, request: &RequestState, out: &mut Vec<Action>) {
+    fn schedule_next_check(&mut self, request: &RequestState, out: &mut Vec<Action>) {
         let next = if request.has_open_attempt() {
             let open = request.attempts.iter().filter(|attempt| attempt.facts.open);
             open.flat_map(|attempt| attempt.overdue_at.into_iter().chain(attempt.overtaken_check_at)).min()
         } else {
-            Some((self.now + RETRY_INTERVAL).min(retry::last_look(&self.settings, request)))
+            Some((self.now + RETRY_INTERVAL).min(retry::last_check(&self.settings, request)))
         };
         let release = request.reserved_on.as_ref().map(|_| reservations::release_at(&self.settings, request));
         if let Some(at) = next.into_iter().chain(release).min() {
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -10,11 +10,11 @@
 use crate::worker_state::WorkerState;
 
 /// The largest share of the budget that is used.
-const BUDGET_SHARE: f64 = 0.8;
+const MAX_BUDGET_SHARE: f64 = 0.8;
 /// Less of it is used by this over the root of the number of routers: their sums scatter.
 const BUDGET_SCATTER: f64 = 0.7;
 /// Spans are at least this many seconds long where they divide.
-const SHORTEST_SPAN_S: f64 = 1e-6;
+const MIN_SPAN_S: f64 = 1e-6;
 
 /// A worker's budget in the present overload window.
 #[derive(Debug, Clone, Copy)]
@@ -49,18 +49,18 @@
     let finished = view.observed.finished_by_role.get(&worker.info.role);
     let rate = finished.map_or(0.0, |rate| rate.per_second(view.now, settings.slow_start_duration));
     let routers = f64::from(settings.routers.max(1));
-    let share = (1.0 - BUDGET_SCATTER / routers.sqrt()).min(BUDGET_SHARE);
+    let share = (1.0 - BUDGET_SCATTER / routers.sqrt()).min(MAX_BUDGET_SHARE);
     // Where nothing is known yet, all routers together try one request a window.
-    let least = 1.0 / routers;
-    let per_finished = settings.overload_multiple * present_capacity(view, worker) * share;
-    let allowed = (rate * window.as_secs_f64() * per_finished).max(least);
+    let minimum = 1.0 / routers;
+    let per_finished = settings.overload_multiple * current_capacity(view, worker) * share;
+    let allowed = (rate * window.as_secs_f64() * per_finished).max(minimum);
     Budget { sent: sent as f64, allowed: allowed / prompt_weight(view, request) }
 }
 
 /// The share of its capacity that a worker has at least, by the settings' ramp.
-fn present_capacity(view: &View<'_>, worker: &WorkerState) -> f64 {
+fn current_capacity(view: &View<'_>, worker: &WorkerState) -> f64 {
     let settings = view.settings;
-    let span = settings.slow_start_duration.as_secs_f64().max(SHORTEST_SPAN_S);
+    let span = settings.slow_start_duration.as_secs_f64().max(MIN_SPAN_S);
     let age = worker.warming_age(view.now, settings.slow_start_duration);
     let age = age.map_or(span, |age| age.as_secs_f64());
     settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age / span
@@ -68,7 +68,7 @@
 
 /// As how many usual prompts a long one counts.
 fn prompt_weight(view: &View<'_>, request: &RequestState) -> f64 {
-    (request.request.prompt_tokens as f64 / view.observed.usual_prompt_tokens()).max(1.0)
+    (request.request.prompt_tokens as f64 / view.observed.mean_prompt_tokens()).max(1.0)
 }
 
 /// For one of many routers: the chance with which a hash may fall on a worker of this role that warms up.
@@ -89,19 +89,20 @@
         let mut capacity = 0.0;
         for worker in view.workers.values().filter(is_active) {
             workers += 1.0;
-            capacity += present_capacity(view, worker);
+            capacity += current_capacity(view, worker);
         }
-        let most = (view.settings.overload_multiple * BUDGET_SHARE / 2.0 * capacity / f64::max(workers, 1.0))
-            .min(1.0);
+        let max_share = (view.settings.overload_multiple * MAX_BUDGET_SHARE / 2.0 * capacity
+            / f64::max(workers, 1.0))
+        .min(1.0);
         // With one imagined request that was finished: a router that has just started knows of none.
         let count = |rate: Option<&DecayingRate>| {
-            let seen =
+            let observed =
                 rate.map_or(0.0, |rate| rate.decayed_count(view.now, view.settings.slow_start_duration));
-            seen + 1.0 / view.peers(role)
+            observed + 1.0 / view.listed_worker_count(role)
         };
         let finished = count(view.observed.finished_by_role.get(&role));
         let sent = count(view.observed.sent_by_role.get(&role));
-        Self { share: most * (finished / sent).min(1.0) }
+        Self { share: max_share * (finished / sent).min(1.0) }
     }
 
     /// Whether a hash of this request may fall on this worker: it is warm, or drawn and within its budget.
@@ -111,7 +112,7 @@
         }
         let budget = budget(view, request, worker);
         let draw = view.draw(&*request.request.id.0, &worker.info.id.0);
-        let chance = present_capacity(view, worker) * self.share / prompt_weight(view, request);
+        let chance = current_capacity(view, worker) * self.share / prompt_weight(view, request);
         budget.sent < budget.allowed.floor().max(1.0) && draw < chance
     }
 }
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -7,13 +7,13 @@
 /// Weight of a new observation in every mean.
 const EWMA_GAIN: f64 = 0.1;
 /// Spans are at least this many seconds long where they divide.
-const SHORTEST_SPAN_S: f64 = 1e-6;
+const MIN_SPAN_S: f64 = 1e-6;
 /// The part of its span that a young rate counts as having seen, at the least.
-const LEAST_SEEN: f64 = 0.1;
+const MIN_OBSERVED_FRACTION: f64 = 0.1;
 
 /// What is left of an observation of this age: 1 at first, 1/e after `span`.
 pub fn decay(age: Micros, span: Micros) -> f64 {
-    (-(age.as_secs_f64() / span.as_secs_f64().max(SHORTEST_SPAN_S))).exp()
+    (-(age.as_secs_f64() / span.as_secs_f64().max(MIN_SPAN_S))).exp()
 }
 
 /// An exponentially weighted moving average.
@@ -71,10 +71,10 @@
 
     /// Events a second. A router that has just started has seen only part of the span.
     pub fn per_second(&self, now: Micros, span: Micros) -> f64 {
-        let span_s = span.as_secs_f64().max(SHORTEST_SPAN_S);
+        let span_s = span.as_secs_f64().max(MIN_SPAN_S);
         let age = self.first.map_or(0.0, |first| (now - first).as_secs_f64()) / span_s;
-        let seen = (1.0 - (-age).exp()).max(LEAST_SEEN);
-        self.decayed_count(now, span) / (span_s * seen)
+        let observed_fraction = (1.0 - (-age).exp()).max(MIN_OBSERVED_FRACTION);
+        self.decayed_count(now, span) / (span_s * observed_fraction)
     }
 }
 
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -10,9 +10,9 @@
 use crate::worker_state::{WorkerState, WorkerTable};
 
 /// A router among more than this many cannot judge a worker or the load by its own requests alone.
-const FEW_ROUTERS: f64 = 4.0;
+const MANY_ROUTERS_THRESHOLD: f64 = 4.0;
 /// ... as long as it receives fewer requests than this within the tightest latency objective.
-const SPARSE_REQUESTS: f64 = 4.0;
+const SPARSE_REQUESTS_THRESHOLD: f64 = 4.0;
 
 /// Read access to the state of one router, for the functions that decide.
 #[derive(Debug, Clone, Copy)]
@@ -43,14 +43,14 @@
     pub fn has_sparse_samples(&self) -> bool {
         let rate = self.observed.requests.per_second(self.now, REQUEST_RATE_SPAN);
         let within_objective = rate * self.tightest_objective().as_secs_f64();
-        within_objective < SPARSE_REQUESTS && is_one_of_many(self.settings)
+        within_objective < SPARSE_REQUESTS_THRESHOLD && has_many_routers(self.settings)
     }
 
     /// The listed workers of a role, at least one.
-    pub fn peers(&self, role: Role) -> f64 {
-        let is_peer =
+    pub fn listed_worker_count(&self, role: Role) -> f64 {
+        let is_listed =
             |worker: &&WorkerState| worker.info.role == role && worker.info.lifecycle != Lifecycle::Removed;
-        self.workers.values().filter(is_peer).count().max(1) as f64
+        self.workers.values().filter(is_listed).count().max(1) as f64
     }
 
     /// Whether a worker is warming up.
@@ -70,6 +70,6 @@
 }
 
 /// Whether a router of this site is one of many.
-pub fn is_one_of_many(settings: &Settings) -> bool {
-    f64::from(settings.routers) > FEW_ROUTERS
+pub fn has_many_routers(settings: &Settings) -> bool {
+    f64::from(settings.routers) > MANY_ROUTERS_THRESHOLD
 }
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -8,7 +8,7 @@
 use crate::time::Micros;
 
 /// The capacity that one queued request takes, as a share of the whole.
-const CAPACITY_PER_QUEUED: f64 = 0.02;
+const CAPACITY_PER_QUEUED_REQUEST: f64 = 0.02;
 
 /// The workers that this router knows of.
 pub type WorkerTable = BTreeMap<WorkerId, WorkerState>;
@@ -75,14 +75,14 @@
     /// When it last began an answer, or ended a prefill or an answer.
     pub last_response: Micros,
     /// When the newest attempt was sent that it has responded to.
-    pub newest_answered: Micros,
+    pub newest_answered_sent_at: Micros,
     /// For how long attempts that ended since its last response have waited there in vain.
     pub unanswered_wait: Micros,
 }
 
 impl WorkerState {
     /// Its memory in tokens; without bound where it is not known.
-    pub fn memory_tokens(&self) -> f64 {
+    pub fn kv_capacity_tokens(&self) -> f64 {
         self.info.kv_tokens.map_or(f64::INFINITY, |tokens| tokens.max(1) as f64)
     }
 
@@ -104,8 +104,8 @@
             report.waiting_tokens.unwrap_or(0.0) + self.tokens_since_report * f64::from(routers);
         let capacity = self.reported_capacity().unwrap_or(average);
         capacity
-            - waiting_tokens / self.memory_tokens()
-            - report.queued_requests.unwrap_or(0.0) * CAPACITY_PER_QUEUED
+            - waiting_tokens / self.kv_capacity_tokens()
+            - report.queued_requests.unwrap_or(0.0) * CAPACITY_PER_QUEUED_REQUEST
     }
 
     /// For how long it has been warming up; none once it is warm.
@@ -163,7 +163,7 @@
     pub fn record_response(&mut self, now: Micros, sent: Micros) {
         self.last_response = now;
         self.unanswered_wait = Micros(0);
-        self.newest_answered = self.newest_answered.max(sent);
+        self.newest_answered_sent_at = self.newest_answered_sent_at.max(sent);
     }
 
     /// The worker as the rules see it.
