--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: which requests are rejected on arrival, by load, and when a rejected client may come again.
+//! Admission control: load-based rejection of arriving requests, and the time after which rejected clients
+//! may try again.
 
 use std::collections::BTreeMap;
 
@@ -13,24 +14,28 @@
 use crate::view::View;
 use crate::worker_state::WorkerState;
 
-/// A request is rejected when its forecast first token takes more than this multiple of the tightest objective.
+/// Multiple of the tightest latency objective above which a forecast wait for the first token leads to
+/// rejection.
 const WAIT_LIMIT: f64 = 1.0;
-/// ... of a tenant beyond its quota, more than this.
+/// Same limit for a tenant that exceeds its quota.
 const WAIT_LIMIT_OVER_QUOTA: f64 = 0.4;
-/// ... and only once more than so many wait, or more than one for each worker and router.
+/// Number of waiting requests up to which the forecast is zero. The number of workers divided by the number
+/// of routers applies if it is larger.
 const MAX_UNCONGESTED_WAITING: usize = 4;
-/// A rise alone is no congestion: first tokens have to be late by this part of the limit, and those that wait, too.
+/// Share of the wait limit that both observed first tokens and waiting requests must exceed before the router
+/// counts as congested. A rising forecast alone is not congestion.
 const LATE_SHARE: f64 = 0.5;
-/// One of many routers goes by observed waits alone, and rejects the more, the further they exceed this multiple.
+/// Share of the wait limit above which a router with sparse samples rejects requests by observed waits. The
+/// rejection probability grows with the excess.
 const SHEDDING_THRESHOLD: f64 = 0.8;
-/// The rate of first tokens is not taken to be lower than so many in its span.
+/// Lower bound of the number of first tokens per [`FIRST_TOKEN_SPAN`] in the forecast.
 const MIN_FIRST_TOKENS: f64 = 5.0;
-/// Until the forecast has fallen to this part of what is admitted, rejected clients stay away.
+/// Share of the wait limit to which the forecast must fall before rejected clients should try again.
 const DRAINED_SHARE: f64 = 0.5;
-/// A tenant may save up this many seconds of its quota.
+/// Number of seconds of quota that a tenant can accumulate.
 const QUOTA_BURST_S: f64 = 2.0;
 
-/// The token buckets of the tenants.
+/// Token buckets of the tenants.
 #[derive(Debug, Clone)]
 pub struct TenantQuotas {
     buckets: Vec<TokenBucket>,
@@ -43,13 +48,13 @@
 }
 
 impl TenantQuotas {
-    /// Full buckets for all tenants of the settings.
+    /// Creates full buckets for all tenants of the settings.
     pub fn new(settings: &Settings) -> Self {
         let full = TokenBucket { tokens: f64::MAX, refilled: Micros(0) };
         Self { buckets: vec![full; settings.tenants.len()] }
     }
 
-    /// Takes a request from its tenant's bucket; tells whether it is beyond the quota.
+    /// Takes a token for a request from the tenant's bucket. Returns true if the request exceeds the quota.
     pub fn take(&mut self, settings: &Settings, now: Micros, tenant: Option<TenantId>) -> bool {
         let Some(TenantId(index)) = tenant else { return false };
         let allowance = settings.tenants.get(index).and_then(|tenant| tenant.allowance_per_s);
@@ -66,9 +71,9 @@
     }
 }
 
-/// Why a new request is rejected; none if it is admitted.
+/// Returns the reason for rejecting a new request, or `None` if the request is admitted.
 ///
-/// What has begun for its client and broke off is not given up for load: most of its work is done.
+/// A resumed request is never rejected for load, because most of its work is already done.
 pub fn reason_to_reject(
     view: &View<'_>,
     request: &RequestState,
@@ -91,8 +96,8 @@
     misses_deadline.then_some(RejectionReason::CannotMeetDeadline)
 }
 
-/// Whether a request is shed, by a draw. One of many routers counts no queue: all reject by how long first tokens take,
-/// and workers report their queues.
+/// Decides by a draw whether a request is shed. A router with sparse samples cannot estimate load from its
+/// own queue: all routers then reject by observed first-token times and by the queues that workers report.
 fn is_shed(view: &View<'_>, request: &RequestState, wait_limit: f64) -> bool {
     let chance = if view.has_sparse_samples() {
         observed_wait(view) / wait_limit - SHEDDING_THRESHOLD
@@ -104,7 +109,8 @@
     view.draw(&*request.request.id.0, "") < chance * queueing_share(view)
 }
 
-/// Whether the next request's first token is forecast to come too late, and first tokens are late already.
+/// Returns true if the next first token is forecast to be late and recent first tokens and waiting requests
+/// are already late.
 fn is_congested(view: &View<'_>, wait_limit: f64) -> bool {
     let limit = wait_limit * LATE_SHARE;
     let tightest = view.tightest_objective();
@@ -114,7 +120,8 @@
     waiting_requests_are_late && first_tokens_are_late && forecast_wait(view) > tightest.mul_f64(wait_limit)
 }
 
-/// Whether a request's client will not wait for as long as first tokens take. Asked only while they are slow.
+/// Returns true if first tokens are slow and the typical time to a first token exceeds the client's remaining
+/// time.
 fn cannot_meet_deadline(view: &View<'_>, request: &RequestState) -> bool {
     let wait = view.observed.first_token_wait.mean();
     let is_slow = wait.is_some_and(|wait| wait > WAIT_LIMIT_OVER_QUOTA);
@@ -122,8 +129,9 @@
     is_slow && view.now + typical > request.request.deadline
 }
 
-/// How long the next request is likely to wait for its first token, by Little's law, wherever the congestion is. A few that
-/// wait are never too many: a rate lags, and they would keep congestion that has passed in sight.
+/// Forecasts the wait of the next request for its first token by Little's law, independent of the stage that
+/// is congested. A few waiting requests never count as congestion: the measured rate lags and would prolong
+/// congestion that has ended.
 fn forecast_wait(view: &View<'_>) -> Micros {
     let waiting = view.requests.waiting().count;
     let per_worker_and_router = view.workers.len() / view.settings.routers.max(1) as usize;
@@ -135,7 +143,8 @@
     Micros::from_secs_f64(waiting as f64 / rate)
 }
 
-/// How long first tokens take over the tightest objective, those included that are waited for; decaying while none comes.
+/// Returns the mean wait for first tokens, including requests that still wait, divided by the tightest
+/// latency objective. The observed part decays while no first token arrives.
 pub fn observed_wait(view: &View<'_>) -> f64 {
     let observed = view.observed.decayed_first_token_wait(view.now);
     let mut sum = observed;
@@ -150,8 +159,9 @@
     sum / count
 }
 
-/// Of the workers of a role that responded lately the share that reports a queue, the largest of the roles: by its last few
-/// first tokens alone a router would reject though only some workers are slow.
+/// Returns the share of recently responding workers that report a queue, as the maximum over the roles.
+/// Without this factor a router would reject requests by its last few first tokens even if only some workers
+/// are slow.
 fn queueing_share(view: &View<'_>) -> f64 {
     #[derive(Default)]
     struct Reports {
@@ -171,8 +181,8 @@
     by_role.values().map(|reports| reports.queueing / reports.count).reduce(f64::max).unwrap_or(1.0)
 }
 
-/// When a rejected client may come again: once the queue that we see has fallen to what is admitted. One of many routers
-/// goes by first tokens.
+/// Returns the time after which a rejected client may try again: the time in which the forecast wait falls to
+/// [`DRAINED_SHARE`] of the wait limit. A router with sparse samples uses observed first-token waits.
 pub fn retry_after(view: &View<'_>) -> Option<Micros> {
     let excess = if view.has_sparse_samples() { observed_wait(view) - SHEDDING_THRESHOLD } else { 0.0 };
     let tightest = view.tightest_objective();
--- a/crates/policy/src/obligations.rs
+++ b/crates/policy/src/obligations.rs
@@ -1,9 +1,9 @@
-//! What a router owes for one request, and what it may do for it now: whether a call may be sent or repeated, whether the
-//! request may be rejected, answered or have its connection closed, and when its reserved state has to be released.
+//! Rules for a single request: whether an attempt may be sent or repeated, whether the request may be
+//! rejected or answered, and when its reserved state must be released.
 //!
-//! Only what a peer has proven counts: an attempt without an answer proves nothing of its peer, and stops no clock but its
-//! own. The module that decides asks here before it acts, and the program around it asks again, from its own record
-//! of the connections, before anything is written.
+//! Only proof from a peer counts. An attempt without a response proves nothing about its worker and stops no
+//! timer except its own. The policy checks these rules before it decides, and the caller checks them again
+//! before it writes anything, based on its own record of the connections.
 
 use crate::endpoints::{Lifecycle, Role};
 use crate::events::Outcome;
@@ -11,65 +11,66 @@
 use crate::settings::{DeduplicationScope, RetrySafety};
 use crate::time::Micros;
 
-/// Reserved state is released after this share of the time allowed: the rest is for the call to reach a running worker.
+/// Share of the reservation timeout after which reserved state is released. The rest is left for the release
+/// call to reach a running worker.
 const RELEASE_SHARE: f64 = 0.8;
 
-/// A repeat is over so long before its window ends: as long as a router may stand still between reading its clock and
-/// writing, or closing.
+/// Time by which a repeat must end before the deduplication window ends. It is the longest time that a router
+/// may stall between reading its clock and writing or closing.
 const REPEAT_WINDOW_MARGIN: Micros = Micros(150_000);
 
-/// What an attempt does at its worker.
+/// Task of an attempt on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// At a prefill worker: no effect, ends with state that is reserved there.
+    /// Prefill on a prefill worker. Has no effect and leaves state reserved on that worker.
     Prefill,
-    /// At a decode or combined worker.
+    /// Decode on a decode or combined worker.
     Decode,
 }
 
-/// A worker as the rules see it.
+/// Properties of a worker that the rules depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
-    /// What it does.
+    /// Stages that the worker performs.
     pub role: Role,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: Option<ZoneId>,
-    /// Its cell.
+    /// Cell of the worker.
     pub cell: CellId,
-    /// Whether it takes new work.
+    /// Lifecycle state of the worker.
     pub lifecycle: Lifecycle,
 }
 
-/// What is known of one attempt.
+/// Properties of an attempt that the rules depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptFacts {
-    /// What it does.
+    /// Task of the attempt.
     pub stage: Stage,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent: Micros,
-    /// Its worker, as it was then.
+    /// Worker at the time of the send.
     pub target: Target,
-    /// It has not ended.
+    /// Set until the attempt ends.
     pub open: bool,
-    /// It may have had its effect: nothing has proven that it did not.
+    /// Set unless the attempt is proven not to have had an effect.
     pub may_have_run: bool,
 }
 
 impl AttemptFacts {
-    /// An attempt that is sent now.
+    /// Creates the record of an attempt that is being sent.
     pub fn new(stage: Stage, sent: Micros, target: Target) -> Self {
         Self { stage, sent, target, open: true, may_have_run: stage == Stage::Decode }
     }
 
-    /// It has ended so.
+    /// Records the end of the attempt.
     pub fn end(&mut self, outcome: Outcome) {
         self.open = false;
         self.may_have_run = self.stage == Stage::Decode && !outcome.proves_not_run();
     }
 }
 
-/// Whether the end of an attempt proves that its call reached a running worker. What is silent, closed or reset proves
-/// nothing: bytes that the local system took may never have arrived.
+/// Returns true if the outcome proves that the call reached a running worker. Silence, a closed connection
+/// and a reset prove nothing, because bytes accepted by the local system may never have arrived.
 pub fn proves_arrival(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Served | Outcome::Prefilled | Outcome::ServerError | Outcome::Rejected { .. } => true,
@@ -81,29 +82,29 @@
     }
 }
 
-/// Why something may not be done now.
+/// Reason for denying an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denied {
-    /// The request has its final answer, or its client has left.
+    /// The request has its final answer, or the client has disconnected.
     Answered,
-    /// An answer has begun.
+    /// The answer has started.
     Begun,
-    /// Its client's time is up.
+    /// The client's deadline has passed.
     PastDeadline,
     /// Another attempt is open.
     AttemptOpen,
-    /// Its attempts are used up.
+    /// All attempts have been used.
     AttemptsUsed,
-    /// The worker takes nothing new, or is not listed.
+    /// The worker does not accept new work or is not listed.
     NotInService,
-    /// An earlier attempt may have run, and a repeat would not be discarded.
+    /// An earlier attempt may have run, and the worker would not discard a repeat.
     MayHaveRun,
-    /// It owes its client a final answer.
+    /// The client is still owed a final answer.
     AnswerOwed,
 }
 
 impl Denied {
-    /// As it is logged and counted.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -118,50 +119,50 @@
     }
 }
 
-/// How far the final answer of a request has come.
+/// Progress of the final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerState {
-    /// None was given yet.
+    /// No part of the answer has been sent.
     Owed,
-    /// A stream has begun.
+    /// A stream has started.
     Begun,
-    /// It was given, or the client has left.
+    /// The answer is complete, or the client has disconnected.
     Given,
 }
 
-/// Leave to send one attempt; only [`Obligations::may_send`] gives it.
+/// Permission to send one attempt, issued only by [`Obligations::may_send`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct SendPermit(());
 
-/// Leave to reject a request; only [`Obligations::may_reject`] gives it.
+/// Permission to reject a request, issued only by [`Obligations::may_reject`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct RejectPermit(());
 
-/// Leave to give a final answer; only [`Obligations::may_answer`] gives it.
+/// Permission to send a final answer, issued only by [`Obligations::may_answer`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct AnswerPermit(());
 
-/// One request's obligations, as they stand.
+/// State of a request that the rules depend on.
 #[derive(Debug, Clone)]
 pub struct Obligations {
-    /// Whether and where it may be attempted again.
+    /// Rule for repeated attempts.
     pub retry_safety: RetrySafety,
-    /// For deduplicated classes: how long repeats are discarded.
+    /// Duration for which workers discard repeats of a deduplicated request.
     pub dedup_window: Micros,
-    /// When its client gives it up.
+    /// Time at which the client gives up the request.
     pub deadline: Micros,
-    /// At most so many attempts.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
-    /// Its attempts so far.
+    /// Attempts so far.
     pub attempts: Vec<AttemptFacts>,
-    /// Its final answer.
+    /// Progress of the final answer.
     pub answer: AnswerState,
-    /// Since when a worker reserves state for it that nobody is known to have taken.
+    /// Time since which a worker has reserved state that is not known to have been pulled.
     pub reserved_at: Option<Micros>,
 }
 
 impl Obligations {
-    /// Whether an attempt may be sent to this worker now.
+    /// Permits an attempt on the worker at time `now`, or returns the reason for denial.
     pub fn may_send(&self, now: Micros, target: &Target) -> Result<SendPermit, Denied> {
         match self.answer {
             AnswerState::Given => return Err(Denied::Answered),
@@ -186,7 +187,8 @@
         Ok(SendPermit(()))
     }
 
-    /// No effect twice: whether every earlier attempt is proven not to have run, or a repeat there would be discarded.
+    /// Returns true if an attempt cannot cause a second effect: every earlier attempt is proven not to have
+    /// run, or the worker would discard the repeat.
     fn may_run_on(&self, now: Micros, target: &Target) -> bool {
         let mut earlier = self.attempts.iter().filter(|a| a.may_have_run).peekable();
         if earlier.peek().is_none() {
@@ -201,20 +203,22 @@
         }
     }
 
-    /// Until when a repeat of this attempt may be out.
+    /// Returns the time until which a repeat of the attempt may be in flight.
     fn repeat_window_end(&self, earlier: &AttemptFacts) -> Micros {
         earlier.sent + (self.dedup_window - REPEAT_WINDOW_MARGIN)
     }
 
-    /// When the next attempt has to be over, whatever has become of it: one that lies at a silent worker runs as that
-    /// wakes. None where its class or its earlier attempts set no such time.
+    /// Returns the time by which the next attempt must have ended, whatever its state, because an attempt
+    /// that waits on a silent worker runs when the worker resumes. `None` if neither the class nor earlier
+    /// attempts impose such a time.
     pub fn next_attempt_deadline(&self) -> Option<Micros> {
         let earlier = self.attempts.iter().filter(|a| a.may_have_run);
         let ends = earlier.map(|a| self.repeat_window_end(a)).min();
         ends.filter(|_| matches!(self.retry_safety, RetrySafety::Deduplicated(_)))
     }
 
-    /// Whether a rejection, which says that trying again is harmless, would be true.
+    /// Permits a rejection, which tells the client that another try is harmless, or returns the reason for
+    /// denial.
     pub fn may_reject(&self) -> Result<RejectPermit, Denied> {
         let may_have_run = self.attempts.iter().any(|a| a.may_have_run || a.open);
         match self.retry_safety {
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Whether a final answer may be given: exactly one is.
+    /// Permits a final answer. A request gets exactly one.
     pub fn may_answer(&self) -> Result<AnswerPermit, Denied> {
         match self.answer {
             AnswerState::Given => Err(Denied::Answered),
@@ -236,7 +240,8 @@
         }
     }
 
-    /// Why no worker can ever take it: its attempts are used up, or one that may have run bars more.
+    /// Returns the reason if no worker can ever take the request: its attempts are used up, or an attempt
+    /// that may have run forbids another.
     pub fn permanent_denial(&self, now: Micros) -> Option<Denied> {
         let forbids_retry = |a: &AttemptFacts| match self.retry_safety {
             RetrySafety::Idempotent => false,
@@ -249,16 +254,16 @@
         (self.attempts.len() >= self.max_attempts as usize).then_some(Denied::AttemptsUsed)
     }
 
-    /// When its reserved state is to be released, whatever is open: a pull that has arrived keeps what it takes, and one that
-    /// has not arrived takes nothing.
-    pub fn release_due(&self, release: Micros) -> Option<Micros> {
-        self.reserved_at.map(|since| release_due(since, release))
+    /// Returns the time at which reserved state must be released, regardless of open attempts: a pull that
+    /// has arrived keeps the state that it takes, and a pull that has not arrived takes none.
+    pub fn release_due(&self, reservation_timeout: Micros) -> Option<Micros> {
+        self.reserved_at.map(|reserved_at| release_due(reserved_at, reservation_timeout))
     }
 }
 
-/// When state that is reserved since then is to be released.
-pub fn release_due(since: Micros, release: Micros) -> Micros {
-    since + release.mul_f64(RELEASE_SHARE)
+/// Returns the time at which state reserved at `reserved_at` must be released.
+pub fn release_due(reserved_at: Micros, reservation_timeout: Micros) -> Micros {
+    reserved_at + reservation_timeout.mul_f64(RELEASE_SHARE)
 }
 
 fn is_in_scope(scope: DeduplicationScope, one: &Target, other: &Target) -> bool {
--- a/crates/policy/src/reservations.rs
+++ b/crates/policy/src/reservations.rs
@@ -1,6 +1,6 @@
-//! Reservations: state that a prefill worker holds for a request until a decode worker takes it or it is released.
+//! Reservations: state held on a prefill worker until a decode worker pulls it or the router releases it.
 //!
-//! The decision module owns when a reservation is released; the program around it carries the release out.
+//! The policy decides when a reservation is released, and the caller carries out the release.
 
 use crate::actions::Action;
 use crate::ids::AttemptNo;
@@ -10,25 +10,27 @@
 use crate::time::Micros;
 use crate::worker_state::WorkerTable;
 
-/// While no connection to a decode worker comes up the state waits for nobody: this part of its time may be spent on one.
+/// Share of the remaining reservation time that may be spent on a connection to a decode worker. Until the
+/// connection is established no worker can pull the state.
 const CONNECT_SHARE: f64 = 0.5;
 
-/// When a request's reserved state is due for release.
+/// Returns the time at which a request's reserved state must be released.
 pub fn release_at(settings: &Settings, request: &RequestState) -> Micros {
     release_due(request.reserved_at, settings.reservation_timeout)
 }
 
-/// How long a connection to the worker that is to pull the state may take; none where nothing is reserved.
+/// Returns the connect timeout for the worker that will pull the state, or `None` if no state is reserved.
 pub fn connect_timeout(settings: &Settings, request: &RequestState, now: Micros) -> Option<Micros> {
     request.reserved_on.as_ref()?;
     let remaining = release_at(settings, request) - now;
     Some(remaining.mul_f64(CONNECT_SHARE).max(settings.tick))
 }
 
-/// Releases a request's reserved state when it is due, or when the request is over.
+/// Releases a request's reserved state when it is due or when the request is over.
 ///
-/// A release is made whatever is in flight: a pull that has not arrived takes nothing, and one that has arrived keeps what
-/// it takes. But a release frees nothing that an attempt waits for, so it is repeated as that ends.
+/// The release does not wait for attempts in flight: a pull that has not arrived takes nothing, and a pull
+/// that has arrived keeps the state that it takes. A release does not free state that an open attempt is
+/// waiting for, so the release is repeated when the attempt ends.
 pub fn release_if_due(settings: &Settings, now: Micros, request: &mut RequestState, out: &mut Vec<Action>) {
     let in_flight = request.has_open_attempt();
     let is_due = now >= release_at(settings, request) || (request.finished && !in_flight);
@@ -42,8 +44,9 @@
     }
 }
 
-/// Cancels prefills that later ones have overtaken, once their state would have been due for release: the connection fell
-/// silent, the prefill may have ended long ago, and what it left has to be released.
+/// Cancels prefills that later prefills have overtaken, once their state would have been due for release. The
+/// connection has become silent: the prefill may have ended long ago, and the state that it left must be
+/// released.
 pub fn cancel_overtaken_prefills(
     settings: &Settings,
     now: Micros,
@@ -67,7 +70,7 @@
             attempt.overdue_at = None;
             out.push(Action::Cancel { id: request.request.id.clone(), attempt: AttemptNo(number as u32) });
         } else {
-            // Less often each time: a later prefill is answered soon, or none is.
+            // Check intervals grow: either a later prefill is answered soon or none is.
             attempt.overtaken_check_at = Some(now + (now - sent).max(settings.tick));
         }
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! What may be attempted again, and why not.
+//! Retry rules, and the reasons for giving up a request.
 
 use crate::actions::RejectionReason;
 use crate::endpoints::{Lifecycle, Role};
@@ -10,19 +10,21 @@
 use crate::view::View;
 use crate::worker_state::WorkerState;
 
-/// While first tokens take longer than this share of the tightest objective, one of many routers does not repeat what may
-/// have run: repeats would make the congestion.
+/// Share of the tightest latency objective above which waits for first tokens suppress retries of attempts
+/// that may have run, on routers with sparse samples. Such retries would cause more congestion.
 const CONGESTED_WAIT: f64 = 0.5;
-/// The clock may move on by one tick while an answer is on its way, and by one until it is looked at.
+/// Number of clock ticks before the deadline at which an unanswered request is checked for the last time. The
+/// clock may advance by one tick while the answer is in transit and by one tick before it is read.
 const TICKS_BEFORE_DEADLINE: u32 = 2;
 
-/// Whether a request may be repeated, and for how long repeats are discarded. A class without settings is repeated least.
+/// Returns the retry rule and the deduplication window of a request. A class without settings has the
+/// strictest rule.
 pub fn retry_safety(settings: &Settings, request: &RequestState) -> (RetrySafety, Micros) {
     let class = settings.classes.get(request.request.class.0);
     class.map_or((RetrySafety::NonIdempotent, Micros(0)), |class| (class.retry_safety, class.dedup_window))
 }
 
-/// What is owed for a request, as it stands.
+/// Returns the current state of a request as the obligation rules need it.
 pub fn obligations(settings: &Settings, request: &RequestState) -> Obligations {
     let (retry_safety, dedup_window) = retry_safety(settings, request);
     Obligations {
@@ -36,12 +38,12 @@
     }
 }
 
-/// The last moment at which a request without an answer is looked at before its deadline.
+/// Returns the last time before the deadline at which an unanswered request is checked.
 pub fn last_check(settings: &Settings, request: &RequestState) -> Micros {
     (0..TICKS_BEFORE_DEADLINE).fold(request.request.deadline, |time, _| time - settings.tick)
 }
 
-/// Why a request without an open attempt is given up now rather than attempted again.
+/// Returns the reason for giving up a request without an open attempt instead of attempting it again.
 pub fn reason_to_give_up(view: &View<'_>, request: &RequestState) -> Option<RejectionReason> {
     if is_repeat_into_congestion(view, request) {
         return Some(RejectionReason::Congested);
@@ -56,7 +58,8 @@
         && crate::admission::observed_wait(view) > CONGESTED_WAIT
 }
 
-/// What kept a request whose time is up from its next attempt: of the workers that it needed, the one that was closest.
+/// Returns the reason why a request received no further attempt before its deadline. Of the workers that were
+/// needed, the worker closest to being available determines the reason.
 fn reason_at_deadline(view: &View<'_>, request: &RequestState) -> RejectionReason {
     let ended_now = !request.attempts.is_empty() && request.reserved_at == view.now;
     if ended_now {
@@ -77,7 +80,7 @@
     view.workers.values().filter(needed).map(exclusion_reason).max().unwrap_or(RejectionReason::NoWorker)
 }
 
-/// Why no worker can ever take a request again, if so.
+/// Returns the reason if no worker can ever take the request again.
 pub fn permanent_rejection_reason(view: &View<'_>, request: &RequestState) -> Option<RejectionReason> {
     let denied = obligations(view.settings, request).permanent_denial(view.now)?;
     Some(match denied {
