--- a/crates/policy/src/candidates.rs
+++ b/crates/policy/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Which workers may get the next attempt of a request.
+//! Selection of the workers that may receive the next attempt of a request.
 
 use crate::endpoints::{Lifecycle, Role};
 use crate::ids::ZoneId;
@@ -9,7 +9,7 @@
 use crate::view::View;
 use crate::worker_state::WorkerState;
 
-/// The workers of the roles asked for that may get the next attempt.
+/// Returns the workers with a matching role that may receive the next attempt.
 pub fn eligible<'a>(
     view: &View<'a>,
     request: &RequestState,
@@ -18,8 +18,8 @@
     eligible_with(view, request, has_role, |worker| slow_start::has_budget(view, request, worker))
 }
 
-/// The workers of a role that a hash may fall on: warming ones beside warm ones by draws, where this is one of many
-/// routers.
+/// Returns the workers of a role that hash-based placement may choose. With sparse samples, draws decide
+/// which warming workers are included beside the warm workers.
 pub fn eligible_for_hash<'a>(view: &View<'a>, request: &RequestState, role: Role) -> Vec<&'a WorkerState> {
     if view.has_sparse_samples() {
         let share = HashShare::of_role(view, role);
@@ -31,8 +31,10 @@
     eligible(view, request, |r| r == role)
 }
 
-/// Unhealthy workers are left out unless they are more than half: then the fault is elsewhere. One where nobody listens
-/// stays out: it would use up every attempt. One that rejects looks empty and is not sick: it is left alone for a moment.
+/// Returns the workers that satisfy health, class, obligation and budget rules. Unhealthy workers are
+/// excluded unless they outnumber the healthy workers: in that case the fault is elsewhere. An unreachable
+/// failing worker stays excluded because it would use up every attempt. A worker that rejects requests
+/// reports little load although it is healthy, so it is skipped for the backoff time.
 fn eligible_with<'a>(
     view: &View<'a>,
     request: &RequestState,
@@ -58,8 +60,8 @@
     prefer_untried(view, request, allowed)
 }
 
-/// Those that were not attempted yet, and of these those outside zones where a worker could not be reached: the next may
-/// be behind the same partition.
+/// Prefers workers that the request has not tried and, among these, workers outside zones in which an attempt
+/// failed to reach a worker: the next worker of that zone may be behind the same partition.
 fn prefer_untried<'a>(
     view: &View<'a>,
     request: &RequestState,
@@ -74,7 +76,7 @@
     [reachable, untried].into_iter().find(|workers| !workers.is_empty()).unwrap_or(allowed)
 }
 
-/// The zone of a worker that an attempt could not reach.
+/// Returns the zone of the worker that an attempt failed to reach.
 fn unreached_zone(view: &View<'_>, attempt: &Attempt) -> Option<Option<ZoneId>> {
     let worker = view.workers.get(&attempt.worker).filter(|_| attempt.worker_unreached)?;
     Some(worker.info.zone)
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends attempts: the one place of the decision module that does.
+//! Dispatch of attempts. Only this module creates [`Action::Send`].
 
 use crate::actions::{Action, AttemptKind};
 use crate::endpoints::Role;
@@ -14,9 +14,9 @@
 use crate::view::{has_many_routers, View};
 use crate::worker_state::WorkerState;
 
-/// A silent attempt is overdue after this multiple of what others take,
+/// Multiple of the typical duration after which a silent attempt is overdue.
 const OVERDUE_MULTIPLE: f64 = 4.0;
-/// and after this share of its latency objective at the least.
+/// Minimum time before a silent attempt is overdue, as a share of the request's latency objective.
 const MIN_OVERDUE_SHARE: f64 = 0.4;
 
 impl Router {
@@ -43,7 +43,7 @@
             worker.tokens_since_report += prompt_tokens as f64;
         }
         let target = worker.target();
-        // What lies before it, and itself, has to be prefilled.
+        // The worker prefills the prompt tokens already in flight and then those of this prompt.
         let prefill_s = (worker.prefill_tokens_in_flight as f64 + prompt_tokens as f64) / local_prefill_rate;
         let unanswered_wait = worker.unanswered_wait;
         let silence_timeout = self.silence_timeout(request, placement.stage, unanswered_wait, prefill_s);
@@ -64,7 +64,7 @@
         out.push(Action::Send { id, worker: placement.worker, timeout, connect_timeout, kind });
     }
 
-    /// Counts a request that a role's workers are sent, as [`crate::observations::Observations`] says.
+    /// Counts a request sent to workers of a role, as described at [`crate::observations::Observations`].
     fn count_sent(&mut self, role: Role, is_warming_up: bool) {
         let counts = !is_warming_up || has_many_routers(&self.settings);
         let per_worker = if counts { 1.0 / self.view().listed_worker_count(role) } else { 0.0 };
@@ -72,7 +72,8 @@
         sent.add(self.now, self.settings.slow_start_duration, per_worker);
     }
 
-    /// For how long an attempt may stay silent. What earlier attempts waited there in vain is part of the silence.
+    /// Returns the time for which an attempt may stay silent. The time that earlier attempts have waited on
+    /// the worker without a response is subtracted.
     fn silence_timeout(
         &self,
         request: &RequestState,
@@ -90,7 +91,7 @@
         minimum.max(typical - unanswered_wait) + Micros::from_secs_f64(prefill_s)
     }
 
-    /// Where nothing can be cancelled, a timeout has to be set beforehand; only what may be repeated gets one.
+    /// Returns a timeout for an attempt that may be repeated, if attempts cannot be cancelled later.
     fn timeout(&self, request: &RequestState, stage: Stage, silence_timeout: Micros) -> Option<Micros> {
         let (retry_safety, _) = retry::retry_safety(&self.settings, request);
         let may_repeat = stage == Stage::Prefill || retry_safety == RetrySafety::Idempotent;
@@ -98,8 +99,9 @@
         (!self.settings.may_cancel && may_repeat && timeout.0 > 0).then_some(timeout)
     }
 
-    /// When the state of a prefill would be due for release, had it taken as long as prefills do as a rule; their mean holds
-    /// those that waited for a silent worker.
+    /// Returns the time at which the state of a prefill would be due for release if the prefill took the
+    /// typical time. The typical time is capped because the mean includes prefills that waited on a silent
+    /// worker.
     fn overtaken_check_at(&self, request: &RequestState, stage: Stage) -> Option<Micros> {
         let typical = Micros::from_secs_f64(self.observed.prefill_seconds.mean().unwrap_or(0.0));
         let typical = typical.min(request.latency_objective.mul_f64(MIN_OVERDUE_SHARE));
@@ -108,7 +110,7 @@
     }
 }
 
-/// What is known of the worker of an attempt, for those who read the log.
+/// Returns the condition of the attempt's worker, for the log.
 fn attempt_kind(view: &View<'_>, worker: &WorkerState) -> AttemptKind {
     if is_failing(worker) || !is_healthy(worker, view.now) {
         AttemptKind::Probe
@@ -119,7 +121,7 @@
     }
 }
 
-/// Within which span a decode has to end, for the sake of an earlier attempt that may have run.
+/// Returns the time within which a decode must end because an earlier attempt may have run.
 fn repeat_time_left(view: &View<'_>, request: &RequestState, stage: Stage) -> Option<Micros> {
     let repeat_deadline = retry::obligations(view.settings, request).next_attempt_deadline();
     let at = repeat_deadline.filter(|_| stage == Stage::Decode)?;
--- a/crates/policy/src/placement/capacity.rs
+++ b/crates/policy/src/placement/capacity.rs
@@ -1,4 +1,4 @@
-//! The choice of a decode worker: by free capacity, near the state that it pulls.
+//! Selection of a decode worker by free capacity and by distance from the state that the worker pulls.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,25 @@
 use crate::view::View;
 use crate::worker_state::WorkerState;
 
-/// A worker of the preferred cell is taken until another has this much more capacity (share of its memory; without load
-/// reports, in the unit of [`Capacities::unit`]), one of the same zone by half as much.
+/// Capacity bonus of a worker in the preferred cell, as a share of KV-cache memory. Without load reports the
+/// unit is [`Capacities::unit`]. A worker in the same zone has half the bonus.
 const SAME_CELL_BONUS: f64 = 0.3;
 const SAME_ZONE_BONUS: f64 = SAME_CELL_BONUS / 2.0;
-/// Of the cells with decode workers to spare, one of another zone weighs so much.
+/// Weight of a cell in another zone when a cell with spare decode workers is drawn.
 const OTHER_ZONE_WEIGHT: f64 = 0.25;
-/// A combined worker pulls state with so much more capacity than any decode worker: more than a near cell weighs.
+/// Capacity by which a combined worker must exceed every decode worker to pull state. It is larger than the
+/// bonus for the preferred cell.
 const COMBINED_PENALTY: f64 = 2.0 * SAME_CELL_BONUS;
-/// Without load reports, a decode of ours that still waits for its first token counts as so many more.
+/// Extra weight of a decode that waits for its first token, in decodes in flight. Used without load reports.
 const PENDING_WEIGHT: f64 = 3.0;
-/// Weights of workers are at least this.
+/// Lower bound of worker weights.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// The worker with most free capacity.
+/// Returns the worker with the most free capacity.
 ///
-/// A combined worker pulls state where no decode worker may be used, or where it has more capacity than any of them by
-/// [`COMBINED_PENALTY`]: the memory of decode workers can be full while their slots are not.
+/// A combined worker pulls state if no decode worker is eligible, or if its capacity exceeds that of every
+/// decode worker by [`COMBINED_PENALTY`]: decode workers can run out of memory while they still have free
+/// slots.
 pub fn most_available(
     view: &View<'_>,
     request: &RequestState,
@@ -57,13 +59,14 @@
         .map(|(_, _, worker)| worker.info.id.clone())
 }
 
-/// How the candidates' capacities compare.
+/// Comparison of the candidates' capacities.
 struct Capacities<'a> {
     view: &'a View<'a>,
-    /// What those that report have free in the mean; none where none reports.
+    /// Mean free capacity of the candidates that report load. `None` if none reports.
     mean: Option<f64>,
-    /// What a difference of one means: without reports the unit is our decodes, and a difference below the root of those
-    /// of other routers says nothing.
+    /// Scale of the locality bonus. With load reports, capacities are shares of memory and the scale is one.
+    /// Without them, capacities are counted in decodes of this router, and a difference below the square root
+    /// of the other routers' decodes is noise.
     unit: f64,
 }
 
@@ -77,14 +80,14 @@
         Self { view, mean, unit }
     }
 
-    /// The free capacity of a worker; `mean` is that of its kind.
+    /// Returns the free capacity of a worker. `mean` is the mean of workers of the same kind.
     fn of(&self, worker: &WorkerState, mean: Option<f64>) -> f64 {
         if self.mean.is_none() {
-            // One without a first token tells of a queue there.
+            // A decode without a first token indicates a queue on the worker.
             let pending = f64::from(worker.awaiting_first_token) * PENDING_WEIGHT;
             return -(f64::from(worker.decodes_in_flight) + pending) / self.weight(worker);
         }
-        // One that has just started is known to be empty.
+        // A worker that started recently is empty.
         let average = if self.view.is_warming_up(worker) { 1.0 } else { mean.unwrap_or_default() };
         worker.available_capacity(self.view.settings.routers, average)
     }
@@ -98,13 +101,13 @@
     }
 }
 
-/// What those that report have free in the mean; none where none reports.
+/// Returns the mean free capacity of the workers that report load, or `None` if none reports.
 fn mean_reported_capacity(workers: &[&WorkerState]) -> Option<f64> {
     let reported: Vec<f64> = workers.iter().filter_map(|worker| worker.reported_capacity()).collect();
     (!reported.is_empty()).then(|| reported.iter().sum::<f64>() / reported.len() as f64)
 }
 
-/// How near a worker is to the state that it pulls.
+/// Distance of workers from the state that a decode pulls.
 struct Locality<'a> {
     source: Option<&'a Worker>,
     preferred_cell: Option<CellId>,
@@ -120,9 +123,10 @@
     }
 }
 
-/// The cell whose decode workers are preferred: that of the prefill worker, which spares the link that the whole cell
-/// shares. Where it has more of the prefill than of the decode workers, these can take only their part: a draw sends the
-/// rest to cells with decode workers to spare, those of the same zone first.
+/// Returns the cell whose decode workers are preferred. The cell of the prefill worker is preferred because a
+/// pull within the cell spares the link that the whole cell shares. If the cell has a larger share of prefill
+/// workers than of decode workers, its decode workers can take only part of the pulls: a draw sends the rest
+/// to cells with spare decode workers, first of all in the same zone.
 fn preferred_cell(
     view: &View<'_>,
     request: &RequestState,
@@ -138,7 +142,8 @@
         let weight = if worker.info.zone == source.zone { 1.0 } else { OTHER_ZONE_WEIGHT };
         (1.0 - ratios.of(worker.info.cell)).max(0.0) * weight
     };
-    // The largest of such powers of a draw falls to each as often as its exponent's inverse weighs.
+    // Weighted random choice: the maximum of `draw.powf(1.0 / weight)` selects each worker with a probability
+    // proportional to its weight.
     candidates
         .iter()
         .filter(|worker| spare_weight(worker) > 0.0)
@@ -147,7 +152,7 @@
         .map(|(_, cell)| cell)
 }
 
-/// The prefill workers of each cell for each of its decode workers, over those of all cells.
+/// Ratio of prefill workers to decode workers for each cell, relative to the ratio over all cells.
 struct CellPrefillRatios {
     cells: BTreeMap<CellId, CellWorkers>,
     mean_ratio: f64,
--- a/crates/policy/src/placement/hashed.rs
+++ b/crates/policy/src/placement/hashed.rs
@@ -1,4 +1,5 @@
-//! The hashed choice of a prefill worker: rendezvous hashing, so that all routers send a prefix to the same few workers.
+//! Hash-based selection of a prefill worker. Rendezvous hashing makes all routers send a prefix to the same
+//! few workers.
 
 use std::cmp::Reverse;
 
@@ -11,19 +12,23 @@
 use crate::view::View;
 use crate::worker_state::WorkerState;
 
-/// A request has at least so many workers to choose from.
+/// Minimum number of workers that a request may choose from.
 const MIN_CHOICES: usize = 2;
-/// So many more of our requests at the chosen workers than at the least busy one widen the choice.
+/// Excess over the least load, in requests, at which a worker is no longer chosen. The first worker in the
+/// ranking below this limit takes its place.
 const EXCESS_LOAD_LIMIT: u32 = 2;
-/// A prefix may use this multiple of its part of our other requests, as a part of the workers.
+/// Factor between a prefix's share of the other requests and the share of the workers that the prefix may
+/// use.
 const PREFIX_CHOICE_FACTOR: f64 = 1.5;
-/// Its part is taken of so many imagined requests more.
+/// Pseudo-count added to the number of requests when a prefix's share is computed.
 const PSEUDO_REQUESTS: f64 = 5.0;
-/// Each such share of its latency objective that our last prefill there took counts as one of our requests in flight.
+/// Share of the latency objective that counts as one request in flight when the duration of a worker's last
+/// prefill is converted to load.
 const SLOW_PREFILL_SHARE: f64 = 0.25;
 
-/// Of the first two workers by the hash of the prefix, else of the session, the one with fewer of our requests in flight; of
-/// equals, one by the session, whose earlier prompts it keeps.
+/// Returns the less loaded of the first two workers in the ranking by the hash of the prefix, or of the
+/// session if there is no prefix. Ties are resolved by the hash of the session, so that a worker has the
+/// session's earlier prompts in its cache.
 pub fn choose(view: &View<'_>, request: &RequestState, candidates: &[&WorkerState]) -> Option<WorkerId> {
     let session = request.request.session.as_ref().map_or(&request.request.id.0, |session| &session.0);
     let key = request.request.prefix.as_ref().map_or(session, |prefix| &prefix.0);
@@ -42,7 +47,8 @@
     Some(worker.info.id.clone())
 }
 
-/// How many workers a request may choose from. A prefix can be too hot for two: it gets its part of our other requests.
+/// Returns the number of workers that a request may choose from. A frequent prefix can overload two workers,
+/// so its number grows with its share of the other requests.
 fn choice_count(view: &View<'_>, request: &RequestState, candidates: usize) -> usize {
     let observed = view.observed;
     let with_prefix = observed.other_requests_with_prefix(view.now, request.request.prefix.as_ref());
@@ -51,12 +57,12 @@
     ((prefix_share * PREFIX_CHOICE_FACTOR * candidates as f64).ceil() as usize).max(MIN_CHOICES)
 }
 
-/// How busy workers look to this router, counted in requests.
+/// Load of workers as seen by this router, in requests.
 struct Loads<'a> {
     view: &'a View<'a>,
     has_sparse_samples: bool,
-    /// The mean of the warm workers; nothing is known of one that warms up, which is taken to be no less busy: else all
-    /// routers would turn to it once the warm ones are slow.
+    /// Mean load of the warm workers. A warming worker has no known load and is assumed to be no less loaded
+    /// than this mean: otherwise all routers would switch to it once the warm workers are slow.
     mean_of_warm: u32,
 }
 
@@ -75,13 +81,14 @@
         loads
     }
 
-    /// The load of a worker.
+    /// Returns the load of a worker.
     fn of(&self, worker: &WorkerState) -> u32 {
         let floor = if self.view.is_warming_up(worker) { self.mean_of_warm } else { 0 };
         self.own(worker).max(floor)
     }
 
-    /// Our requests in flight there; a very long prompt counts as many as there are usual ones in it.
+    /// Returns the number of this router's requests in flight on the worker. A very long prompt counts as
+    /// several typical prompts.
     fn own(&self, worker: &WorkerState) -> u32 {
         if worker.info.role == Role::Combined {
             return worker.decodes_in_flight;
@@ -91,7 +98,8 @@
         worker.prefills_in_flight.max(by_tokens) + self.slow_prefill_load(worker)
     }
 
-    /// One of many routers has no prefills in flight to know a busy worker by, but knows how long its last one took.
+    /// Returns the load derived from the duration of the last prefill. A router with sparse samples has no
+    /// prefills in flight that would identify a busy worker, but knows the duration of the last one.
     fn slow_prefill_load(&self, worker: &WorkerState) -> u32 {
         if !self.has_sparse_samples {
             return 0;
--- a/crates/policy/src/placement/local.rs
+++ b/crates/policy/src/placement/local.rs
@@ -1,4 +1,4 @@
-//! Local prefill: a short remainder of a prompt is prefilled by the decode worker itself.
+//! Local prefill: a decode worker prefills a short remainder of a prompt itself.
 
 use super::capacity;
 use crate::candidates::eligible;
@@ -8,21 +8,23 @@
 use crate::time::Micros;
 use crate::view::View;
 
-/// A remainder is short when the decode worker prefills it in no more time than prefills take now, within these shares of
-/// the tightest objective: every stream of that worker waits for as long.
+/// Bounds of the local prefill time, as shares of the tightest latency objective. A remainder is short if the
+/// decode worker prefills it within the current prefill time, limited by these bounds, because every stream
+/// of that worker stalls for the duration of the prefill.
 const MIN_LOCAL_SHARE: f64 = 0.13;
 const MAX_LOCAL_SHARE: f64 = 0.2;
-/// ... up to this share while prefill workers are congested and decode workers are not.
+/// Upper bound while prefill workers are congested and decode workers are not.
 const MAX_LOCAL_SHARE_CONGESTED: f64 = 1.0;
-/// Prefill workers are congested while prefills take over this share of the tightest objective,
+/// Share of the tightest latency objective above which the mean prefill time indicates congested prefill
+/// workers.
 const CONGESTED_PREFILL_SHARE: f64 = 0.5;
-/// and decode workers are idle while pulls take less than this part of prefills.
+/// Share of the mean prefill time below which the mean pull time indicates idle decode workers.
 const IDLE_PULL_SHARE: f64 = 0.2;
-/// The threshold is at least this, in tokens: the default of the design.
+/// Minimum threshold in tokens, the default of the design.
 const MIN_THRESHOLD: u64 = 64;
 
-/// A local prefill, if the remainder is short: at the worker that keeps the session, or, for a short prompt of a session
-/// that no worker keeps, at the one with most capacity.
+/// Returns a local prefill if the remainder is short: on the worker that has the session in its cache, or,
+/// for a short prompt whose session is in no cache, on the worker with the most free capacity.
 pub fn local_prefill(view: &View<'_>, request: &RequestState) -> Option<Placement> {
     let threshold = threshold(view);
     let prompt_tokens = request.request.prompt_tokens;
@@ -44,7 +46,7 @@
     is_eligible.then(|| Placement::local_prefill(worker.info.id.clone(), cached_tokens))
 }
 
-/// A remainder below so many tokens is short.
+/// Returns the number of tokens below which a remainder is short.
 fn threshold(view: &View<'_>) -> u64 {
     let tightest = view.tightest_objective();
     let prefill_s = view.observed.prefill_seconds.mean().unwrap_or(0.0);
@@ -61,8 +63,9 @@
     (tokens as u64).max(MIN_THRESHOLD)
 }
 
-/// Whether prefill workers are congested and decode workers are not, as with half of the prefill workers gone: then decode
-/// workers prefill more. Where they report no load their streams would fall behind unseen.
+/// Returns true if prefill workers are congested and decode workers are not, for example after half of the
+/// prefill workers have failed. Decode workers then prefill more. Load reports are required because without
+/// them streams on decode workers could fall behind unnoticed.
 fn decode_workers_idle(view: &View<'_>, prefill_s: f64, pull_s: f64) -> bool {
     let tightest_s = view.tightest_objective().as_secs_f64();
     let prefill_is_congested = prefill_s > tightest_s * CONGESTED_PREFILL_SHARE;
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -1,8 +1,9 @@
-//! Placement: which worker gets the next step of a request.
+//! Placement: selection of the worker for the next step of a request.
 //!
-//! The remainder of a prompt is what its likely worker does not keep in its cache. A short remainder is prefilled where it
-//! is decoded ([`local_prefill`]). Any other prompt goes to one of two hashed prefill workers ([`hashed`]), and then to the
-//! decode worker with most free capacity ([`capacity`]). Workers that do both stages take their share.
+//! The remainder of a prompt is the part that its likely worker does not have in its cache. A short remainder
+//! is prefilled on the worker that decodes it ([`local_prefill`]). Any other prompt goes to one of two hashed
+//! prefill workers ([`hashed`]) and then to the decode worker with the most free capacity ([`capacity`]).
+//! Combined workers, which perform both stages, receive a share of the requests.
 
 mod capacity;
 mod hashed;
@@ -18,10 +19,11 @@
 use crate::view::View;
 use crate::worker_state::WorkerState;
 
-/// The share of combined workers is raised, or by one of many routers lowered, by at most this factor.
+/// Maximum factor by which the share of combined workers is raised, or lowered for a router with sparse
+/// samples.
 const MAX_COMBINED_FACTOR: f64 = 3.0;
 
-/// The next step of a request without an open attempt; none while no worker may take it.
+/// Returns the next step of a request without an open attempt, or `None` while no worker may take it.
 pub fn choose(view: &View<'_>, request: &RequestState) -> Option<Placement> {
     if let Some(prefill_worker) = &request.reserved_on {
         let worker = capacity::most_available(view, request, Some(prefill_worker))?;
@@ -49,7 +51,8 @@
     capacity::most_available(view, request, None).map(Placement::decode)
 }
 
-/// Whether a prefill worker is merely busy: as long as one is left, no decode worker prefills in its place.
+/// Returns true if a prefill worker is usable although it may be busy. Decode workers do not prefill in place
+/// of such a worker.
 fn has_usable_prefill_worker(view: &View<'_>, request: &RequestState) -> bool {
     let obligations = retry::obligations(view.settings, request);
     view.workers
@@ -60,12 +63,13 @@
         .any(|worker| slow_start::has_budget(view, request, worker))
 }
 
-/// Combined workers take their share: as many of our requests in flight on each as on the others, more where prefill and
-/// pull take longer to the first token.
+/// Decides whether combined workers take the request. Each combined worker receives as many requests of this
+/// router as each other worker, or more if prefill and pull take longer to the first token.
 ///
-/// Guards against few or slow prefill workers and congested decode workers; harms where combined workers answer early and
-/// stream slowly, so the factor is bounded. A draw decides on the fraction. One of many routers starts with fewer, fewest
-/// for slow ones.
+/// The correction helps when prefill workers are few or slow and when decode workers are congested. It hurts
+/// when combined workers send the first token early and then stream slowly, so the factor is bounded. A draw
+/// decides on the fractional part. A router with sparse samples starts with fewer requests, and with fewest
+/// for slow combined workers.
 fn should_use_combined(view: &View<'_>, request: &RequestState, combined: &[&WorkerState]) -> bool {
     let mut other_workers = 0_u32;
     let mut in_flight_on_others = 0_u32;
