--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Applies updates of the endpoint list. A worker that is not active gets nothing more from then on.
+//! Updates of the endpoint list. A worker that is not active receives no further attempts.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +9,10 @@
 use crate::settings::Discovery;
 use crate::worker_state::WorkerState;
 
-/// After a failed poll the list is polled again after about this share of the longest interval allowed,
+/// Share of the longest poll interval after which a failed poll is repeated.
 const POLL_RETRY_SHARE: f64 = 0.1;
-/// at a time of each router's own from this part of it on: all may have lost the list at one moment.
+/// Lower bound of the random factor of the poll delay. Each router draws its own factor because all routers
+/// may lose the list at the same time.
 const POLL_RETRY_MIN_FACTOR: f64 = 0.5;
 
 impl Router {
@@ -54,10 +55,10 @@
         }
     }
 
-    /// Adds a worker that is new, or has restarted.
+    /// Adds a worker that is new or has restarted.
     fn add_incarnation(&mut self, info: Worker) {
         let incarnation_start = info.started.unwrap_or(self.now).min(self.now);
-        // Only what was there as this router began may be as old as its stamp says.
+        // Only workers listed when the router started may be as old as their start time indicates.
         let warming_since = if self.has_current_list { self.now } else { incarnation_start };
         let mut worker = WorkerState {
             incarnation_start,
@@ -70,7 +71,8 @@
         self.workers.insert(worker.info.id.clone(), worker);
     }
 
-    /// Attempts since its start are in flight at this incarnation, though the notification comes only now.
+    /// Counts attempts in flight that were sent after the start of this incarnation, although the router
+    /// learns of the start only now.
     fn count_attempts_in_flight(&self, worker: &mut WorkerState) {
         for request in self.requests.iter() {
             let in_flight = request.attempts.iter().find(|attempt| {
@@ -85,7 +87,8 @@
         }
     }
 
-    /// A removed worker is forgotten once it is warm: until then what it was sent still counts against its slow start.
+    /// Removes delisted workers once they would be warm. Until then the attempts sent to a worker still count
+    /// against its slow-start budget.
     fn purge_removed(&mut self) {
         let now = self.now;
         let duration = self.settings.slow_start_duration;
@@ -94,7 +97,7 @@
         });
     }
 
-    /// Where the list has to be polled: at the start, and again some time after a poll has failed.
+    /// Polls the list at startup in poll mode, and schedules another poll after a poll has failed.
     fn poll_if_needed(&mut self, update: EndpointUpdate, out: &mut Vec<Action>) {
         match update {
             EndpointUpdate::LastKnown if self.settings.discovery == Discovery::Poll => {
--- a/crates/policy/src/outcomes.rs
+++ b/crates/policy/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! What comes back of attempts: first tokens and outcomes, and what they say of workers and load.
+//! Handling of first tokens and attempt outcomes, and the conclusions about workers and load.
 
 use crate::affinity::CachedSession;
 use crate::endpoints::Role;
@@ -12,19 +12,22 @@
 use crate::view::has_many_routers;
 use crate::worker_state::{same_incarnation, LastPrefill, WorkerState};
 
-/// A worker that rejected a class is left alone for it for this span, doubled for each time in a row.
+/// Initial time for which a worker that rejected a class receives no requests of that class. The time doubles
+/// with each consecutive rejection.
 const INITIAL_REJECTION_BACKOFF: Micros = Micros(50_000);
-/// It doubles so often at most;
+/// Maximum number of doublings.
 const MAX_REJECTION_DOUBLINGS: u32 = 6;
-/// and by so many doublings at once if the worker reports capacity: its load is not why it rejects.
+/// Number of doublings at once if the worker reports free capacity, because its load is then not the reason
+/// for the rejection.
 const IDLE_REJECTION_DOUBLINGS: u32 = 3;
-/// Free capacity from which on a worker without a queue counts as idle.
+/// Free capacity above which a worker without a queue counts as idle, as a share of the whole.
 const IDLE_CAPACITY: f64 = 0.5;
-/// Less than this part of the predicted tokens in a worker's cache means that the cache was lost.
+/// Divisor of the predicted cached tokens. A worker that finds fewer cached tokens than the quotient has lost
+/// its cache.
 const CACHE_LOSS_DIVISOR: u64 = 2;
 
 impl Router {
-    /// An answer has begun.
+    /// Handles the first token of an answer.
     pub(crate) fn handle_first_token(&mut self, id: &RequestId, number: AttemptNo, elapsed: Micros) {
         let Some(mut request) = self.requests.take(id) else { return };
         request.streaming = true;
@@ -45,7 +48,8 @@
         self.requests.put(request);
     }
 
-    /// Learns from the time that a first token took, unless its worker unresponsive meanwhile.
+    /// Updates the duration statistics from a time to the first token, unless the worker was unresponsive in
+    /// the meantime.
     fn observe_first_token(&mut self, request: &RequestState, number: AttemptNo, elapsed: Micros) {
         let attempt = request.attempt(number);
         if attempt.is_some_and(|attempt| waited_on_unresponsive_worker(&self.workers, attempt)) {
@@ -74,7 +78,7 @@
         attempt.overdue_at = None;
         attempt.worker_unreached = matches!(end.outcome, Outcome::NoConnection | Outcome::NotSent);
         let unresponsive = waited_on_unresponsive_worker(&self.workers, attempt);
-        // What is not proven to have reached anybody was never out: the time for which the state is reserved runs on.
+        // An attempt that is not proven to have reached a worker does not restart the reservation time.
         if proves_arrival(end.outcome) || request.reserved_on.is_none() {
             request.reserved_at = self.now;
         }
@@ -85,12 +89,12 @@
         }
         self.record_session(request, number, end);
         self.record_prefill(request, number, end, unresponsive);
-        // An answer that broke may be attempted again, and has then not begun.
+        // A broken answer may be attempted again, and the new attempt has not started streaming.
         request.streaming = false;
         request.waits_on_silent_worker = false;
     }
 
-    /// What the end of an attempt says of its worker, if that is the same incarnation.
+    /// Updates the worker's state from the end of an attempt, if the worker is still the same incarnation.
     fn update_worker(
         &mut self,
         request: &RequestState,
@@ -121,14 +125,15 @@
         }
     }
 
-    /// Counts a request that a role's workers finished, as [`crate::observations::Observations`] says.
+    /// Counts a request finished by a worker of a role, as described at
+    /// [`crate::observations::Observations`].
     fn count_finished(&mut self, role: Role) {
         let per_worker = 1.0 / self.view().listed_worker_count(role);
         let finished = self.observed.finished_by_role.entry(role).or_default();
         finished.add(self.now, self.settings.slow_start_duration, per_worker);
     }
 
-    /// Remembers where a session was answered.
+    /// Records the worker that answered a session.
     fn record_session(&mut self, request: &RequestState, number: AttemptNo, end: &AttemptEnd) {
         let Some(session) = request.request.session.as_ref().filter(|_| end.outcome == Outcome::Served)
         else {
@@ -147,7 +152,8 @@
         self.affinity.record(session.clone(), cached);
     }
 
-    /// Reserves the state of a prefill that has ended well; forgets state that is gone.
+    /// Records the reserved state of a successful prefill, and clears the reservation of state that no longer
+    /// exists.
     fn record_prefill(
         &mut self,
         request: &mut RequestState,
@@ -157,7 +163,8 @@
     ) {
         match end.outcome {
             Outcome::Prefilled => {
-                // What waited on a unresponsive worker says nothing of the time that prefills take.
+                // The duration of a prefill that waited on an unresponsive worker does not represent typical
+                // prefill times.
                 let seconds = self.observed.prefill_seconds.mean().filter(|_| unresponsive);
                 let seconds = seconds.unwrap_or(end.elapsed.as_secs_f64());
                 self.observed.prefill_seconds.add(seconds);
@@ -169,7 +176,7 @@
     }
 }
 
-/// What a judgement of a worker goes by, besides the attempt.
+/// Router state, apart from the attempt, that determines how an outcome affects a worker's health.
 struct HealthUpdate {
     now: Micros,
     first_ejection: Micros,
@@ -177,7 +184,7 @@
 }
 
 impl HealthUpdate {
-    /// What an outcome says of the worker's health.
+    /// Updates the worker's health from an outcome.
     fn apply(&self, worker: &mut WorkerState, request: &RequestState, attempt: &Attempt, end: &AttemptEnd) {
         let sent = attempt.facts.sent;
         let was_silent = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
@@ -204,7 +211,7 @@
     }
 }
 
-/// A load report replaces what was estimated since the last one.
+/// Replaces the load estimated since the last report with a new report.
 fn record_load(worker: &mut WorkerState, request: &RequestState, stage: Stage, end: &AttemptEnd) {
     if let Some(report) = end.load_report {
         worker.load_report = Some(report);
@@ -215,7 +222,7 @@
     }
 }
 
-/// Leaves a worker alone for a class that it rejected, longer each time.
+/// Stops sending a rejected class to a worker for a time that grows with each rejection.
 fn back_off(worker: &mut WorkerState, class: ClassId, now: Micros) {
     let queued = worker.load_report.and_then(|report| report.queued_requests).unwrap_or(0.0);
     let capacity = worker.reported_capacity();
@@ -226,7 +233,7 @@
     backoff.doublings = (backoff.doublings + doublings).min(MAX_REJECTION_DOUBLINGS);
 }
 
-/// The worker's count corrects the prediction: far less cached than predicted voids what is known of its cache.
+/// Discards cache records of a worker if it found far fewer cached tokens than predicted.
 fn record_cache_loss(worker: &mut WorkerState, attempt: &Attempt, end: &AttemptEnd) {
     let predicted = attempt.predicted_cached_tokens.unwrap_or(0);
     let is_lost = end.cached_tokens.saturating_mul(CACHE_LOSS_DIVISOR) < predicted;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: which workers fail or fall silent, for how long they are ejected, and which attempts are overdue.
+//! Outlier detection: finds failing and silent workers, sets the duration of their ejection and finds overdue
+//! attempts.
 
 use crate::actions::Action;
 use crate::events::Outcome;
@@ -12,38 +13,39 @@
 use crate::view::View;
 use crate::worker_state::{same_incarnation, WorkerState, WorkerTable};
 
-/// A failure closes this share of the gap between a worker's failure rate and 1.
+/// Share of the gap between a worker's failure rate and 1 that a failure closes.
 const FAILURE_GAIN: f64 = 0.3;
-/// A success takes this share off the failure rate.
+/// Share by which a success reduces the failure rate.
 const SUCCESS_GAIN: f64 = 0.15;
-/// From this failure rate on a worker is ejected: two failures in a row suffice.
+/// Failure rate at which a worker is ejected. Two consecutive failures reach it.
 const EJECTION_THRESHOLD: f64 = 0.45;
-/// A single failure after which a worker is ejected.
+/// Weight of a failure that ejects the worker by itself.
 const EJECTING_FAILURE_WEIGHT: f64 = EJECTION_THRESHOLD;
-/// Silence for so long that its worker is ejected at once.
+/// Weight of a long silence, which ejects the worker at once.
 const LONG_SILENCE_WEIGHT: f64 = 1.0;
-/// The shortest ejection.
+/// Shortest ejection.
 const MIN_EJECTION: Micros = Micros(1_000_000);
-/// It doubles with each in a row, so often at most.
+/// Maximum number of doublings of consecutive ejections.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// The longest ejection.
+/// Longest ejection.
 const MAX_EJECTION: Micros = Micros(MIN_EJECTION.0 << MAX_EJECTION_DOUBLINGS);
-/// A first ejection lasts for about so many of our requests.
+/// Duration of a first ejection, in requests of this router.
 const EJECTION_REQUESTS: f64 = 8.0;
 
-/// Whether a worker may get normal work: it is not ejected, has no overdue attempt, and gets one probe at a time while its
-/// failure rate is high.
+/// Returns true if the worker may receive regular work: it is not ejected, has no overdue attempt and, while
+/// its failure rate is high, has no other attempt in flight (one probe at a time).
 pub fn is_healthy(worker: &WorkerState, now: Micros) -> bool {
     let may_probe = !is_failing(worker) || worker.attempts_in_flight() == 0;
     now >= worker.ejected_until && may_probe && worker.overdue_attempts == 0
 }
 
-/// Whether its failure rate is high enough for an ejection.
+/// Returns true if the failure rate is high enough for an ejection.
 pub fn is_failing(worker: &WorkerState) -> bool {
     worker.failure_rate >= EJECTION_THRESHOLD
 }
 
-/// How long a first ejection lasts: by our request rate, since one that receives little would otherwise probe each time.
+/// Returns the duration of a first ejection. It depends on the request rate, because a router with few
+/// requests would otherwise use each of them as a probe.
 pub fn first_ejection(view: &View<'_>) -> Micros {
     let rate = view.observed.requests.per_second(view.now, REQUEST_RATE_SPAN).max(1e-3);
     Micros::from_secs_f64(EJECTION_REQUESTS / rate).clamp(MIN_EJECTION, MAX_EJECTION)
@@ -57,21 +59,22 @@
     }
 }
 
-/// Records an error or a broken connection. Where no response came lately one failure says enough: two may take minutes.
+/// Records an error or a broken connection. If the worker has not responded recently, a single failure ejects
+/// it, because a second one may be minutes away.
 pub fn record_error(worker: &mut WorkerState, now: Micros, first_ejection: Micros) {
     let responded_recently = worker.last_response + MIN_EJECTION > now && !worker.unreachable;
     let weight = if responded_recently { FAILURE_GAIN } else { EJECTING_FAILURE_WEIGHT };
     record_failure(worker, now, weight, first_ejection);
 }
 
-/// Records an attempt that ended after a long silence. A worker that has responded to later ones did not hang: the
-/// connection did.
+/// Records an attempt that ended after a long silence. If the worker has responded to later attempts, the
+/// connection was stuck and not the worker.
 pub fn record_silence(worker: &mut WorkerState, now: Micros, sent: Micros, first_ejection: Micros) {
     let weight = if worker.newest_answered_sent_at > sent { FAILURE_GAIN } else { LONG_SILENCE_WEIGHT };
     record_failure(worker, now, weight, first_ejection);
 }
 
-/// A failure; enough of them eject the worker, each time for longer.
+/// Records a failure. A sufficient failure rate ejects the worker, longer for each consecutive ejection.
 fn record_failure(worker: &mut WorkerState, now: Micros, weight: f64, first_ejection: Micros) {
     worker.failure_rate += (1.0 - worker.failure_rate) * weight;
     if is_failing(worker) && now >= worker.ejected_until {
@@ -81,32 +84,34 @@
     }
 }
 
-/// Whether a silence of this length says something of the worker: a client that gives up early says nothing.
+/// Returns true if a silence was long enough to count against the worker. Cancellation by an impatient client
+/// does not count.
 pub fn is_long_silence(end: &AttemptEnd, was_overdue: bool, request: &RequestState) -> bool {
     let was_silent = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
     let was_long = was_overdue || end.elapsed >= request.latency_objective;
     was_silent && was_long && !request.streaming && !request.finished
 }
 
-/// Whether an attempt was overdue while its worker responded to nobody: how long it took is no sign of load.
+/// Returns true if the attempt was overdue while the worker responded to no attempt. The duration of such an
+/// attempt does not indicate load.
 pub fn waited_on_unresponsive_worker(workers: &WorkerTable, attempt: &Attempt) -> bool {
     let worker = workers.get(&attempt.worker);
     attempt.overdue && worker.is_some_and(|worker| worker.last_response < attempt.facts.sent)
 }
 
-/// What of a router's state [`cancel_overdue`] needs beside the request and the workers.
+/// Router state that [`cancel_overdue`] needs in addition to the request and the workers.
 pub struct OverdueCheck<'a> {
-    /// The site's settings.
+    /// Settings of the site.
     pub settings: &'a Settings,
-    /// The time.
+    /// Current time.
     pub now: Micros,
-    /// Silence is not judged by sparse samples.
+    /// Set if samples are too sparse to judge a worker by its silence.
     pub has_sparse_samples: bool,
 }
 
-/// Counts attempts whose silence has lasted too long against their worker. One that has responded to nobody since is
-/// taken to hang: what can be repeated is cancelled there. So is, after twice the time, what later attempts have
-/// overtaken: its connection hangs.
+/// Counts overdue attempts against their workers. A worker that has responded to no attempt since the send is
+/// assumed to hang, and repeatable attempts on it are cancelled. An attempt that a later attempt has
+/// overtaken is cancelled after twice the time, because its connection hangs.
 pub fn cancel_overdue(
     check: &OverdueCheck<'_>,
     workers: &mut WorkerTable,
@@ -132,7 +137,8 @@
     }
 }
 
-/// Counts an overdue attempt against its worker; tells whether that still responds as far as the attempt is concerned.
+/// Counts an overdue attempt against its worker. Returns false if the worker or the attempt's connection no
+/// longer responds.
 fn count_overdue(workers: &mut WorkerTable, attempt: &mut Attempt) -> bool {
     let Some(worker) = same_incarnation(workers, &attempt.worker, &attempt.facts) else { return false };
     let was_counted = std::mem::replace(&mut attempt.overdue, true);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,7 +1,8 @@
-//! Slow start: how much of the work a worker that warms up may get from this router.
+//! Slow start: limits the requests that this router sends to a warming worker.
 //!
-//! All routers together must not overload it. Each keeps to its part of a shared budget, which follows from what the warm
-//! workers of the role finish for it; among many routers, whose parts are under one request, draws decide.
+//! All routers together must not overload a warming worker. Each router keeps to its part of a shared budget,
+//! which derives from the requests that warm workers of the role finish for this router. On sites with many
+//! routers the part is less than one request, and draws decide.
 
 use crate::endpoints::{Lifecycle, Role};
 use crate::request_state::RequestState;
@@ -9,25 +10,27 @@
 use crate::view::View;
 use crate::worker_state::WorkerState;
 
-/// The largest share of the budget that is used.
+/// Maximum share of the budget that is used.
 const MAX_BUDGET_SHARE: f64 = 0.8;
-/// Less of it is used by this over the root of the number of routers: their sums scatter.
+/// Reduction of the used share of the budget, divided by the square root of the number of routers. It covers
+/// the scatter of the routers' combined sends.
 const BUDGET_SCATTER: f64 = 0.7;
-/// Spans are at least this many seconds long where they divide.
+/// Lower bound in seconds of durations used as divisors.
 const MIN_SPAN_S: f64 = 1e-6;
 
-/// A worker's budget in the present overload window.
+/// Slow-start budget of a worker in the current overload window.
 #[derive(Debug, Clone, Copy)]
 struct Budget {
-    /// What this router has sent it.
+    /// Requests that this router has sent to the worker.
     sent: f64,
-    /// This router's part of what it may get.
+    /// Requests that this router may send to the worker.
     allowed: f64,
 }
 
-/// Whether a worker may get one more request of this router now, as far as its slow start is concerned.
+/// Returns true if slow start permits one more request of this router on the worker now.
 ///
-/// Among many routers the part is under one request: a draw for each window gives it to as many as it bears.
+/// On sites with many routers the part of each router is less than one request: a draw per window grants a
+/// request to as many routers as the budget covers.
 pub fn has_budget(view: &View<'_>, request: &RequestState, worker: &WorkerState) -> bool {
     if !view.is_warming_up(worker) {
         return true;
@@ -41,7 +44,7 @@
     budget.sent < budget.allowed.floor() + extra
 }
 
-/// What we sent it in this window, and our part of its budget.
+/// Returns the requests sent in this window and this router's part of the worker's budget.
 fn budget(view: &View<'_>, request: &RequestState, worker: &WorkerState) -> Budget {
     let settings = view.settings;
     let window = settings.overload_window;
@@ -50,14 +53,14 @@
     let rate = finished.map_or(0.0, |rate| rate.per_second(view.now, settings.slow_start_duration));
     let routers = f64::from(settings.routers.max(1));
     let share = (1.0 - BUDGET_SCATTER / routers.sqrt()).min(MAX_BUDGET_SHARE);
-    // Where nothing is known yet, all routers together try one request a window.
+    // Before any observation all routers together try one request per window.
     let minimum = 1.0 / routers;
     let per_finished = settings.overload_multiple * current_capacity(view, worker) * share;
     let allowed = (rate * window.as_secs_f64() * per_finished).max(minimum);
     Budget { sent: sent as f64, allowed: allowed / prompt_weight(view, request) }
 }
 
-/// The share of its capacity that a worker has at least, by the settings' ramp.
+/// Returns the minimum share of full capacity that the worker has now, according to the ramp of the settings.
 fn current_capacity(view: &View<'_>, worker: &WorkerState) -> f64 {
     let settings = view.settings;
     let span = settings.slow_start_duration.as_secs_f64().max(MIN_SPAN_S);
@@ -66,22 +69,25 @@
     settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age / span
 }
 
-/// As how many usual prompts a long one counts.
+/// Returns the number of typical prompts that a long prompt counts as, at least one.
 fn prompt_weight(view: &View<'_>, request: &RequestState) -> f64 {
     (request.request.prompt_tokens as f64 / view.observed.mean_prompt_tokens()).max(1.0)
 }
 
-/// For one of many routers: the chance with which a hash may fall on a worker of this role that warms up.
+/// Probability with which hash-based placement may choose a warming worker of a role, for routers with sparse
+/// samples.
 ///
-/// One of many routers seldom has budget for it just when its hash falls on it: all would leave it idle. So it takes a
-/// warming worker beside warm ones by a draw a request, as often as it is warm, less by what such workers are sent in
-/// vain, and by half of the budget where most workers are warming up.
+/// Such a router rarely has budget for a warming worker at the moment when the hash selects the worker, so
+/// that all routers would leave the worker idle. Instead, a draw per request includes a warming worker beside
+/// the warm workers, with a probability that follows its current capacity. The probability is reduced by the
+/// requests that such workers received and did not finish, and is limited by half of the budget while most
+/// workers are warming up.
 pub struct HashShare {
     share: f64,
 }
 
 impl HashShare {
-    /// The share of a role's workers now.
+    /// Computes the current probability factor for the workers of a role.
     pub fn of_role(view: &View<'_>, role: Role) -> Self {
         let is_active =
             |worker: &&WorkerState| worker.info.role == role && worker.info.lifecycle == Lifecycle::Active;
@@ -94,7 +100,7 @@
         let max_share = (view.settings.overload_multiple * MAX_BUDGET_SHARE / 2.0 * capacity
             / f64::max(workers, 1.0))
         .min(1.0);
-        // With one imagined request that was finished: a router that has just started knows of none.
+        // Adds one pseudo-request, because a router that has just started has observed no finished request.
         let count = |rate: Option<&DecayingRate>| {
             let observed =
                 rate.map_or(0.0, |rate| rate.decayed_count(view.now, view.settings.slow_start_duration));
@@ -105,7 +111,8 @@
         Self { share: max_share * (finished / sent).min(1.0) }
     }
 
-    /// Whether a hash of this request may fall on this worker: it is warm, or drawn and within its budget.
+    /// Returns true if the request may be hashed to this worker: the worker is warm, or it is drawn and has
+    /// budget left.
     pub fn admits(&self, view: &View<'_>, request: &RequestState, worker: &WorkerState) -> bool {
         if !view.is_warming_up(worker) {
             return true;
