--- a/crates/policy/src/affinity.rs
+++ b/crates/policy/src/affinity.rs
@@ -1,4 +1,4 @@
-//! Session affinity: which worker is likely to keep a session's text in its cache.
+//! Session affinity: the worker that probably has a session's text in its cache.
 
 use crate::ids::{SessionId, WorkerId};
 use crate::settings::Settings;
@@ -6,25 +6,26 @@
 use crate::time::Micros;
 use crate::worker_state::{WorkerState, WorkerTable};
 
-/// Sessions that are remembered, at most.
+/// Maximum number of remembered sessions.
 const SESSION_CAPACITY: usize = 32_768;
 
-/// What is remembered of a session's last answer.
+/// Record of a session's last answer.
 #[derive(Debug, Clone)]
 pub struct CachedSession {
-    /// The worker that answered.
+    /// Worker that answered.
     pub worker: WorkerId,
-    /// Tokens of the prompt, which that worker had in its cache then.
+    /// Prompt tokens in the worker's cache at the time of the answer.
     pub cached_tokens: u64,
-    /// When the answer ended.
+    /// Time at which the answer ended.
     pub recorded_at: Micros,
-    /// Prompt tokens that this router had sent the worker by then.
+    /// Value of [`WorkerState::prompt_tokens_sent`] at the time of the answer.
     pub prompt_tokens_sent: u64,
 }
 
 impl CachedSession {
-    /// Whether the worker is likely to keep it yet: it has not restarted, and less was sent there since than fits its
-    /// memory. The other routers are taken to send as this one does.
+    /// Returns true if the worker probably still has the session in its cache: the worker has not restarted,
+    /// and the tokens sent to it since then fit in its memory. The estimate assumes that all routers send as
+    /// many tokens as this router.
     fn is_likely_cached(&self, worker: &WorkerState, settings: &Settings) -> bool {
         let sent_since = worker.prompt_tokens_sent - self.prompt_tokens_sent.min(worker.prompt_tokens_sent);
         let sent_by_all = sent_since as f64 * f64::from(settings.routers);
@@ -32,19 +33,19 @@
     }
 }
 
-/// The sessions that this router answered lately. Bounded; a restart loses it.
+/// Sessions that this router answered recently. The table is bounded and is lost on restart.
 #[derive(Debug, Clone, Default)]
 pub struct AffinityTable {
     sessions: GenerationalCache<SessionId, CachedSession, SESSION_CAPACITY>,
 }
 
 impl AffinityTable {
-    /// Remembers where a session was answered.
+    /// Records the worker that answered a session.
     pub fn record(&mut self, session: SessionId, cached: CachedSession) {
         self.sessions.insert(session, cached);
     }
 
-    /// The worker that is likely to keep a session's text, and what it keeps.
+    /// Returns the worker that probably has the session in its cache, with the session's record.
     pub fn find<'a>(
         &'a self,
         session: Option<&SessionId>,
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to the end of its last attempt.
+//! State of a request from its arrival to the end of its last attempt.
 
 use std::collections::BTreeMap;
 
@@ -8,95 +8,98 @@
 use crate::obligations::{AttemptFacts, Stage};
 use crate::time::Micros;
 
-/// The next step of a request.
+/// Next step of a request.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// The worker.
+    /// Selected worker.
     pub worker: WorkerId,
-    /// What it is to do.
+    /// Task of the worker.
     pub stage: Stage,
-    /// For a local prefill: what the worker is thought to have in its cache.
+    /// Tokens that the worker is predicted to have in its cache. Set for local prefills only.
     pub predicted_cached_tokens: Option<u64>,
 }
 
 impl Placement {
-    /// A prefill, whose state a decode worker pulls afterwards.
+    /// Creates a prefill step. A decode worker pulls the resulting state afterwards.
     pub fn prefill(worker: WorkerId) -> Self {
         Self { worker, stage: Stage::Prefill, predicted_cached_tokens: None }
     }
 
-    /// A decode, of state that was prefilled elsewhere or of the whole prompt.
+    /// Creates a decode step for state prefilled elsewhere or for the whole prompt.
     pub fn decode(worker: WorkerId) -> Self {
         Self { worker, stage: Stage::Decode, predicted_cached_tokens: None }
     }
 
-    /// A decode whose worker prefills the remainder of the prompt itself.
+    /// Creates a decode step whose worker prefills the remainder of the prompt itself.
     pub fn local_prefill(worker: WorkerId, cached_tokens: u64) -> Self {
         Self { worker, stage: Stage::Decode, predicted_cached_tokens: Some(cached_tokens) }
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptEnd {
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
     /// Prompt tokens that the worker found in its cache.
     pub cached_tokens: u64,
-    /// The worker's load.
+    /// Load report of the worker.
     pub load_report: Option<LoadReport>,
 }
 
-/// One attempt of a request.
+/// Attempt of a request.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// Worker that received the attempt.
     pub worker: WorkerId,
-    /// What the rules need to know of it.
+    /// Properties that the obligations depend on.
     pub facts: AttemptFacts,
-    /// It pulls state that a prefill worker holds.
+    /// Set if the attempt pulls state from a prefill worker.
     pub pulls_state: bool,
-    /// When its silence becomes suspicious; none once it has been answered, or is cancelled.
+    /// Time at which a silent attempt becomes overdue. `None` after a response or a cancellation.
     pub overdue_at: Option<Micros>,
-    /// Of a prefill: when its state would be due for release, had it ended as prefills do and its answer been lost.
+    /// Time at which a prefill is checked for having been overtaken: its state would be due for release if
+    /// the prefill had taken the typical time and its response had been lost. `None` for other attempts.
     pub overtaken_check_at: Option<Micros>,
-    /// It counts among its worker's overdue attempts.
+    /// Set while the attempt counts among the overdue attempts of its worker.
     pub overdue: bool,
-    /// It ended without having reached its worker.
+    /// Set if the attempt ended without reaching its worker.
     pub worker_unreached: bool,
-    /// Tokens that its worker was thought to have in its cache; of local prefills only.
+    /// Tokens that the worker was predicted to have in its cache. Set for local prefills only.
     pub predicted_cached_tokens: Option<u64>,
 }
 
-/// A request from its arrival to the end of its last attempt.
+/// State of a request from its arrival to the end of its last attempt.
 #[derive(Debug, Clone)]
 pub struct RequestState {
-    /// The request.
+    /// Request as received.
     pub request: Request,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Micros,
-    /// Time to the first token that earns its full priority weight.
+    /// Time to the first token below which the request earns its full priority weight.
     pub latency_objective: Micros,
-    /// Its attempts in order.
+    /// Attempts in the order of their sends.
     pub attempts: Vec<Attempt>,
-    /// The prefill worker that holds its state.
+    /// Prefill worker that holds the request's state.
     pub reserved_on: Option<WorkerId>,
-    /// Since when that state waits: the end of the prefill, or of the last attempt that is proven to have reached a worker.
+    /// Start of the reservation time: the end of the prefill, or of the last attempt proven to have reached a
+    /// worker.
     pub reserved_at: Micros,
-    /// Its state was released while a pull was in flight: it is released once more when that ends.
+    /// Set if the state was released while a pull was in flight. The release is repeated when the pull ends.
     pub released_during_attempt: bool,
-    /// Its answer has begun.
+    /// Set once the answer has started.
     pub streaming: bool,
-    /// Its attempt is overdue at a worker that has not responded since: it waits there, in no queue.
+    /// Set if the attempt is overdue on a worker that has not responded since the send. The request then
+    /// waits on that worker and not in a queue.
     pub waits_on_silent_worker: bool,
-    /// A final answer was given, or the client is gone.
+    /// Set once a final answer was sent or the client disconnected.
     pub finished: bool,
 }
 
 impl RequestState {
-    /// A request that has just arrived.
+    /// Creates the state of a request that has just arrived.
     pub fn new(request: Request, now: Micros, latency_objective: Micros) -> Self {
         Self {
             request,
@@ -112,51 +115,52 @@
         }
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns true if an attempt is in flight.
     pub fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.facts.open)
     }
 
-    /// Whether it waits for its first token, other than on a silent worker.
+    /// Returns true if the request waits for its first token, but not on a silent worker.
     pub fn awaits_first_token(&self) -> bool {
         !self.streaming && !self.finished && !self.waits_on_silent_worker
     }
 
-    /// Whether an attempt at this worker has ended.
+    /// Returns true if an attempt on this worker has ended.
     pub fn has_attempted(&self, worker: &WorkerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.worker == *worker && !attempt.facts.open)
     }
 
-    /// The attempt of this number.
+    /// Returns the attempt with this number.
     pub fn attempt(&self, number: AttemptNo) -> Option<&Attempt> {
         self.attempts.get(number.0 as usize)
     }
 
-    /// Forgets the state that was reserved for it: it was taken, or is gone.
+    /// Clears the reservation after the state was pulled or lost.
     pub fn clear_reservation(&mut self) {
         self.reserved_on = None;
         self.released_during_attempt = false;
     }
 }
 
-/// How many requests wait for their first token, and the sum of their arrivals: open streams are not walked for it.
+/// Number of requests that wait for their first token, and the sum of their arrival times. The totals avoid
+/// an iteration over all open streams.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WaitingRequests {
-    /// How many.
+    /// Number of waiting requests.
     pub count: usize,
-    /// The sum of their arrivals, in microseconds.
+    /// Sum of the arrival times in microseconds.
     pub arrival_sum: u128,
 }
 
 impl WaitingRequests {
-    /// Whether their mean arrival lies before this time.
+    /// Returns true if the mean arrival time is before `time`.
     pub fn mean_arrival_is_before(&self, time: Micros) -> bool {
         u128::from(time.0) * self.count as u128 > self.arrival_sum
     }
 }
 
-/// The requests that a router has taken and not finished with. It owns their state: one that is being handled is taken
-/// out, and put back while anything of it is open.
+/// Active requests of a router. The table owns their state: a request being handled is removed and is put
+/// back while an attempt or an answer is outstanding.
 #[derive(Debug, Clone, Default)]
 pub struct RequestTable {
     requests: BTreeMap<RequestId, RequestState>,
@@ -164,7 +168,7 @@
 }
 
 impl RequestTable {
-    /// Takes a request out.
+    /// Removes a request and returns it.
     pub fn take(&mut self, id: &RequestId) -> Option<RequestState> {
         let request = self.requests.remove(id)?;
         if request.awaits_first_token() {
@@ -174,7 +178,7 @@
         Some(request)
     }
 
-    /// Puts a request in, or back.
+    /// Inserts a request, or puts it back.
     pub fn put(&mut self, request: RequestState) {
         if request.awaits_first_token() {
             self.waiting.count += 1;
@@ -183,12 +187,12 @@
         self.requests.insert(request.request.id.clone(), request);
     }
 
-    /// All of them, by id.
+    /// Returns all requests in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.requests.values()
     }
 
-    /// Those that wait for their first token.
+    /// Returns the totals of the requests that wait for their first token.
     pub fn waiting(&self) -> WaitingRequests {
         self.waiting
     }
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -1,22 +1,22 @@
-//! Small statistics of what a router observes: means and rates that forget, and a cache of bounded size.
+//! Statistics of a router's observations: decaying means and rates, and a bounded cache.
 
 use std::collections::BTreeMap;
 
 use crate::time::Micros;
 
-/// Weight of a new observation in every mean.
+/// Weight of a new observation in a mean.
 const EWMA_GAIN: f64 = 0.1;
-/// Spans are at least this many seconds long where they divide.
+/// Lower bound in seconds of durations used as divisors.
 const MIN_SPAN_S: f64 = 1e-6;
-/// The part of its span that a young rate counts as having seen, at the least.
+/// Minimum share of its span for which a new rate is assumed to have been observed.
 const MIN_OBSERVED_FRACTION: f64 = 0.1;
 
-/// What is left of an observation of this age: 1 at first, 1/e after `span`.
+/// Returns the weight of an observation of this age: 1 at age zero, 1/e after `span`.
 pub fn decay(age: Micros, span: Micros) -> f64 {
     (-(age.as_secs_f64() / span.as_secs_f64().max(MIN_SPAN_S))).exp()
 }
 
-/// An exponentially weighted moving average.
+/// Exponentially weighted moving average.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Ewma {
     mean: Option<f64>,
@@ -24,12 +24,12 @@
 }
 
 impl Ewma {
-    /// The mean; none before the first observation.
+    /// Returns the mean, or `None` before the first observation.
     pub fn mean(&self) -> Option<f64> {
         self.mean
     }
 
-    /// When [`Ewma::add_with_decay`] was last called.
+    /// Returns the time of the last call of [`Ewma::add_with_decay`].
     pub fn updated(&self) -> Micros {
         self.updated
     }
@@ -39,8 +39,8 @@
         self.mean = Some(self.mean.map_or(value, |mean| mean + EWMA_GAIN * (value - mean)));
     }
 
-    /// Adds an observation that weighs the more, the longer ago the last one came: where little is observed, what is
-    /// old does not outlive its cause.
+    /// Adds an observation with a weight that grows with the time since the last one, so that old
+    /// observations do not outlive their cause when observations are rare.
     pub fn add_with_decay(&mut self, now: Micros, span: Micros, value: f64) {
         let gain = 1.0 - decay(now - self.updated, span);
         self.mean = Some(self.mean.map_or(value, |mean| mean + gain.max(EWMA_GAIN) * (value - mean)));
@@ -48,7 +48,7 @@
     }
 }
 
-/// A rate of events, older ones decaying exponentially.
+/// Event rate with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingRate {
     count: f64,
@@ -57,19 +57,19 @@
 }
 
 impl DecayingRate {
-    /// The events, each by what is left of it.
+    /// Returns the number of events, each weighted by its decay.
     pub fn decayed_count(&self, now: Micros, span: Micros) -> f64 {
         self.count * decay(now - self.updated, span)
     }
 
-    /// Adds events that happened now.
+    /// Adds events that occur at time `now`.
     pub fn add(&mut self, now: Micros, span: Micros, events: f64) {
         self.count = self.decayed_count(now, span) + events;
         self.updated = now;
         self.first = self.first.or(Some(now));
     }
 
-    /// Events a second. A router that has just started has seen only part of the span.
+    /// Returns events per second, corrected for a router that has observed only part of the span.
     pub fn per_second(&self, now: Micros, span: Micros) -> f64 {
         let span_s = span.as_secs_f64().max(MIN_SPAN_S);
         let age = self.first.map_or(0.0, |first| (now - first).as_secs_f64()) / span_s;
@@ -78,8 +78,8 @@
     }
 }
 
-/// A map of at most `CAPACITY` entries in two generations: once the newer is full the older is dropped, with all that
-/// was not inserted again since.
+/// Map of at most `CAPACITY` entries in two generations. When the newer generation is full, the older one is
+/// dropped together with all entries that were not inserted again.
 #[derive(Debug, Clone)]
 pub struct GenerationalCache<K, V, const CAPACITY: usize> {
     newer: BTreeMap<K, V>,
@@ -93,7 +93,7 @@
 }
 
 impl<K: Ord, V, const CAPACITY: usize> GenerationalCache<K, V, CAPACITY> {
-    /// The entry of this key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.newer.get(key).or_else(|| self.older.get(key))
     }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,4 +1,4 @@
-//! What a decision may read: the settings, the time, and all that this router has observed.
+//! Read access for routing decisions: settings, time and the observations of this router.
 
 use crate::affinity::AffinityTable;
 use crate::endpoints::{Lifecycle, Role};
@@ -9,67 +9,69 @@
 use crate::time::Micros;
 use crate::worker_state::{WorkerState, WorkerTable};
 
-/// A router among more than this many cannot judge a worker or the load by its own requests alone.
+/// Number of routers above which a router may see too few requests of its own to judge a worker or the load.
 const MANY_ROUTERS_THRESHOLD: f64 = 4.0;
-/// ... as long as it receives fewer requests than this within the tightest latency objective.
+/// Number of requests within the tightest latency objective. A router on a site with many routers that
+/// receives fewer has sparse samples.
 const SPARSE_REQUESTS_THRESHOLD: f64 = 4.0;
 
-/// Read access to the state of one router, for the functions that decide.
+/// Read access to the state of one router, for the decision functions.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
-    /// The site's settings.
+    /// Settings of the site.
     pub settings: &'a Settings,
-    /// The seed of this router's hashes.
+    /// Seed of this router's hashes.
     pub seed: u64,
-    /// The time of the event that is handled.
+    /// Time of the event being handled.
     pub now: Micros,
-    /// The workers.
+    /// Known workers.
     pub workers: &'a WorkerTable,
-    /// The requests, without the one that is being handled.
+    /// Active requests, except the request being handled.
     pub requests: &'a RequestTable,
-    /// Where sessions were answered.
+    /// Workers that last answered each session.
     pub affinity: &'a AffinityTable,
-    /// What requests took lately.
+    /// Recent observations of this router's traffic.
     pub observed: &'a Observations,
 }
 
 impl View<'_> {
-    /// The tightest latency objective of all classes.
+    /// Returns the tightest latency objective of all classes.
     pub fn tightest_objective(&self) -> Micros {
         self.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or_default()
     }
 
-    /// Whether this is one of many routers, with too few requests to count queues or to judge silence by them.
+    /// Returns true if the site has many routers and this router receives too few requests to estimate load
+    /// from its own queue or to judge silence by its own attempts.
     pub fn has_sparse_samples(&self) -> bool {
         let rate = self.observed.requests.per_second(self.now, REQUEST_RATE_SPAN);
         let within_objective = rate * self.tightest_objective().as_secs_f64();
         within_objective < SPARSE_REQUESTS_THRESHOLD && has_many_routers(self.settings)
     }
 
-    /// The listed workers of a role, at least one.
+    /// Returns the number of listed workers of a role, at least one.
     pub fn listed_worker_count(&self, role: Role) -> f64 {
         let is_listed =
             |worker: &&WorkerState| worker.info.role == role && worker.info.lifecycle != Lifecycle::Removed;
         self.workers.values().filter(is_listed).count().max(1) as f64
     }
 
-    /// Whether a worker is warming up.
+    /// Returns true if the worker is warming up.
     pub fn is_warming_up(&self, worker: &WorkerState) -> bool {
         worker.warming_age(self.now, self.settings.slow_start_duration).is_some()
     }
 
-    /// How long a request has waited, over the tightest latency objective.
+    /// Returns the time since a request arrived, divided by the tightest latency objective.
     pub fn wait_ratio(&self, request: &RequestState) -> f64 {
         (self.now - request.arrived).as_secs_f64() / self.tightest_objective().as_secs_f64().max(1e-6)
     }
 
-    /// A number from 0 up to 1 that this router always draws for this label and key.
+    /// Returns a number in [0, 1) that is fixed for this router, label and key.
     pub fn draw(&self, label: impl AsRef<[u8]>, key: &str) -> f64 {
         hashing::uniform_draw(self.seed, label, key)
     }
 }
 
-/// Whether a router of this site is one of many.
+/// Returns true if the site has more than [`MANY_ROUTERS_THRESHOLD`] routers.
 pub fn has_many_routers(settings: &Settings) -> bool {
     f64::from(settings.routers) > MANY_ROUTERS_THRESHOLD
 }
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -1,4 +1,4 @@
-//! What this router has seen of one worker: its load, its capacity, its incarnation and its health.
+//! Observations of one worker: load, capacity, incarnation and health.
 
 use std::collections::BTreeMap;
 
@@ -7,86 +7,89 @@
 use crate::obligations::{AttemptFacts, Stage, Target};
 use crate::time::Micros;
 
-/// The capacity that one queued request takes, as a share of the whole.
+/// Capacity used by one queued request, as a share of the whole.
 const CAPACITY_PER_QUEUED_REQUEST: f64 = 0.02;
 
-/// The workers that this router knows of.
+/// Workers known to this router.
 pub type WorkerTable = BTreeMap<WorkerId, WorkerState>;
 
-/// A prefill that has ended.
+/// Most recent prefill that ended on a worker.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LastPrefill {
-    /// How long it took, over its request's latency objective.
+    /// Duration divided by the request's latency objective.
     pub objective_ratio: f64,
-    /// When it ended.
+    /// Time at which the prefill ended.
     pub ended: Micros,
 }
 
-/// A worker that rejected a class of requests is left alone for it for some time.
+/// Backoff of a worker for a class of requests that the worker rejected.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RejectionBackoff {
-    /// How often the wait has doubled.
+    /// Number of doublings so far.
     pub doublings: u32,
-    /// Until when it is left alone.
+    /// Time until which the worker receives no requests of the class.
     pub until: Micros,
 }
 
-/// A worker, and what this router has seen of it.
+/// State of a worker as observed by this router.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerState {
-    /// Its entry of the endpoint list.
+    /// Entry of the endpoint list.
     pub info: Worker,
-    /// When this incarnation began: as notified, but no later than the notification. What was sent before is not its.
+    /// Start of this incarnation, as notified but not after the notification. Earlier attempts belong to an
+    /// earlier incarnation.
     pub incarnation_start: Micros,
-    /// From when it counts as warming up: a start is stamped by another machine's wall clock, which may be wrong by an hour.
+    /// Start of the warm-up. The start time in the endpoint list comes from another machine's wall clock,
+    /// which may be wrong by an hour.
     pub warming_since: Micros,
-    /// Our prefills in flight there.
+    /// Prefills of this router in flight on the worker.
     pub prefills_in_flight: u32,
-    /// Their prompt tokens.
+    /// Prompt tokens of the prefills in flight.
     pub prefill_tokens_in_flight: u64,
-    /// Our decodes in flight there.
+    /// Decodes of this router in flight on the worker.
     pub decodes_in_flight: u32,
-    /// Those of them without a first token.
+    /// Decodes in flight that have no first token yet.
     pub awaiting_first_token: u32,
-    /// Our last prefill there.
+    /// Last prefill of this router on the worker.
     pub last_prefill: LastPrefill,
-    /// Its last load report.
+    /// Last load report.
     pub load_report: Option<LoadReport>,
-    /// Prompt tokens of decodes that we sent since that report.
+    /// Prompt tokens of decodes that this router sent since the last load report.
     pub tokens_since_report: f64,
-    /// Our sends within the overload window, while it is warming up.
+    /// Send times of this router's attempts within the overload window, recorded while the worker is warming
+    /// up.
     pub recent_sends: Vec<Micros>,
-    /// Prompt tokens that we have sent it in all: by these, what is known of its cache ages.
+    /// Total prompt tokens that this router has sent to the worker. Cache records age by this count.
     pub prompt_tokens_sent: u64,
-    /// What was known of its cache up to then is void: a restart loses it.
+    /// Time up to which cache records are void, because a restart empties the cache.
     pub cache_lost_at: Micros,
-    /// Share of failures among its last outcomes.
+    /// Decaying share of failures among outcomes.
     pub failure_rate: f64,
-    /// The last outcome proved that nobody listens there.
+    /// Set if the last outcome proved that nothing listens at the worker's address.
     pub unreachable: bool,
-    /// Ejections in a row.
+    /// Number of consecutive ejections.
     pub consecutive_ejections: u32,
-    /// The end of the last ejection.
+    /// End of the last ejection.
     pub ejected_until: Micros,
-    /// Silent attempts past their time.
+    /// Number of silent attempts that are overdue.
     pub overdue_attempts: u32,
-    /// Some workers reject one class alone.
+    /// Backoffs by class. Some workers reject only one class.
     pub rejections: BTreeMap<ClassId, RejectionBackoff>,
-    /// When it last began an answer, or ended a prefill or an answer.
+    /// Time at which the worker last started an answer, or ended a prefill or an answer.
     pub last_response: Micros,
-    /// When the newest attempt was sent that it has responded to.
+    /// Send time of the newest attempt that the worker has responded to.
     pub newest_answered_sent_at: Micros,
-    /// For how long attempts that ended since its last response have waited there in vain.
+    /// Total time that attempts without a response waited on the worker and ended since its last response.
     pub unanswered_wait: Micros,
 }
 
 impl WorkerState {
-    /// Its memory in tokens; without bound where it is not known.
+    /// Returns the KV-cache capacity in tokens, or infinity if unknown.
     pub fn kv_capacity_tokens(&self) -> f64 {
         self.info.kv_tokens.map_or(f64::INFINITY, |tokens| tokens.max(1) as f64)
     }
 
-    /// Free capacity as last reported, as a share of the whole.
+    /// Returns the free capacity of the last report, as a share of the whole.
     pub fn reported_capacity(&self) -> Option<f64> {
         let report = self.load_report?;
         if report.kv_utilization.is_none() && report.slot_utilization.is_none() {
@@ -96,8 +99,9 @@
         Some(1.0 - used)
     }
 
-    /// Free capacity by the last report less what we sent since, as a share of its memory. The other routers are taken to
-    /// send as we do, or all would choose the same worker. One without a report has the average capacity.
+    /// Returns the last reported free capacity less the capacity of later sends, as a share of memory. The
+    /// estimate assumes that other routers send as many requests as this router, because otherwise all would
+    /// choose the same worker. A worker without a report is assumed to have the average capacity.
     pub fn available_capacity(&self, routers: u32, average: f64) -> f64 {
         let report = self.load_report.unwrap_or_default();
         let waiting_tokens =
@@ -108,23 +112,23 @@
             - report.queued_requests.unwrap_or(0.0) * CAPACITY_PER_QUEUED_REQUEST
     }
 
-    /// For how long it has been warming up; none once it is warm.
+    /// Returns the time since the start of the warm-up, or `None` once the worker is warm.
     pub fn warming_age(&self, now: Micros, slow_start_duration: Micros) -> Option<Micros> {
         self.info.started?;
         Some(now - self.warming_since).filter(|age| *age < slow_start_duration)
     }
 
-    /// Whether it is left alone for a class that it rejected.
+    /// Returns true if the worker is in backoff for this class.
     pub fn is_rejecting(&self, class: ClassId, now: Micros) -> bool {
         self.rejections.get(&class).is_some_and(|backoff| now < backoff.until)
     }
 
-    /// Our attempts in flight there.
+    /// Returns the number of this router's attempts in flight on the worker.
     pub fn attempts_in_flight(&self) -> u32 {
         self.prefills_in_flight + self.decodes_in_flight
     }
 
-    /// Counts an attempt that is in flight here.
+    /// Counts an attempt that is in flight on the worker.
     pub fn count_attempt(&mut self, stage: Stage, prompt_tokens: u64) {
         match stage {
             Stage::Prefill => {
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Takes an attempt that has ended off the count.
+    /// Removes an ended attempt from the counts.
     pub fn uncount_attempt(&mut self, stage: Stage, prompt_tokens: u64, has_first_token: bool) {
         match stage {
             Stage::Prefill => {
@@ -154,26 +158,27 @@
         }
     }
 
-    /// Takes an attempt off the overdue ones, if it was one.
+    /// Removes an attempt from the overdue count if it was counted.
     pub fn clear_overdue(&mut self, was_overdue: bool) {
         self.overdue_attempts -= u32::from(was_overdue).min(self.overdue_attempts);
     }
 
-    /// It has responded to an attempt of that time.
+    /// Records a response to an attempt sent at `sent`.
     pub fn record_response(&mut self, now: Micros, sent: Micros) {
         self.last_response = now;
         self.unanswered_wait = Micros(0);
         self.newest_answered_sent_at = self.newest_answered_sent_at.max(sent);
     }
 
-    /// The worker as the rules see it.
+    /// Returns the worker's properties that the obligations depend on.
     pub fn target(&self) -> Target {
         let Worker { role, zone, cell, lifecycle, .. } = self.info;
         Target { role, zone, cell, lifecycle }
     }
 }
 
-/// The worker to which an attempt was sent, if it is the same incarnation: a later one has nothing of the attempt.
+/// Returns the worker that an attempt was sent to, if the worker is the same incarnation. A later incarnation
+/// has no part of the attempt.
 pub fn same_incarnation<'a>(
     workers: &'a mut WorkerTable,
     id: &WorkerId,
