--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -1,50 +1,53 @@
-//! What a router's decision module wants done.
+//! Actions that the router's policy requests from the caller.
 
 use crate::ids::{AttemptNo, RequestId, TimerId, WorkerId};
 use crate::time::Micros;
 
-/// Why a request is given up. The first that holds, in the order in which they are looked at.
+/// Reason for giving up a request: the first condition that holds, in the order in which the policy checks
+/// them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(rename_all = "snake_case"))]
 pub enum RejectionReason {
-    /// Its class is not in the settings.
+    /// The request's class is not in the settings.
     #[cfg_attr(feature = "serde", serde(rename = "no_class"))]
     UnknownClass,
-    /// On arrival: first tokens take too long, judged by what they took (one of many routers).
+    /// On arrival: first tokens take too long, measured by recent first tokens (sites with many routers).
     #[cfg_attr(feature = "serde", serde(rename = "pressure"))]
     ObservedLatency,
-    /// On arrival: first tokens would take too long, judged by what waits.
+    /// On arrival: the first token is forecast to take too long, computed from the number of waiting
+    /// requests.
     #[cfg_attr(feature = "serde", serde(rename = "forecast"))]
     ForecastLatency,
-    /// On arrival: its client will not wait for as long as first tokens take.
+    /// On arrival: the client's deadline is earlier than the time that first tokens take.
     #[cfg_attr(feature = "serde", serde(rename = "doomed"))]
     CannotMeetDeadline,
-    /// An attempt may have run, and nothing is repeated in congestion (one of many routers).
+    /// An attempt may have run, and retries are suppressed during congestion (sites with many routers).
     #[cfg_attr(feature = "serde", serde(rename = "jam"))]
     Congested,
-    /// Its attempts are used up.
+    /// The request has used all of its attempts.
     #[cfg_attr(feature = "serde", serde(rename = "attempts"))]
     AttemptsExhausted,
-    /// An attempt may have run, which bars its class from another.
+    /// An attempt may have run, and the request's class does not allow another attempt.
     MayHaveRun,
-    /// Its time ended with its last attempt.
+    /// The deadline passed by the time the last attempt ended.
     #[cfg_attr(feature = "serde", serde(rename = "late"))]
     DeadlineExceeded,
-    /// Its time ended while none of the workers that its next step needs was listed as active.
+    /// The deadline passed while no worker with a role needed for the next step was listed as active.
     NoWorker,
-    /// ... while those were all left out as unhealthy.
+    /// The deadline passed while all workers with a needed role were excluded as unhealthy.
     #[cfg_attr(feature = "serde", serde(rename = "unfit"))]
     NoneHealthy,
-    /// ... while those that were left had rejected its class.
+    /// The deadline passed while the healthy workers with a needed role were rejecting the request's class.
     #[cfg_attr(feature = "serde", serde(rename = "full"))]
     AtCapacity,
-    /// ... while those that were left were warming up, with their budget spent.
+    /// The deadline passed while the remaining workers with a needed role were warming up and their budget
+    /// was used up.
     #[cfg_attr(feature = "serde", serde(rename = "cold"))]
     WarmingUp,
 }
 
 impl RejectionReason {
-    /// As it is counted and stored.
+    /// Returns the name used in metrics and in stored records.
     pub fn name(self) -> &'static str {
         match self {
             Self::UnknownClass => "no_class",
@@ -63,79 +66,81 @@
     }
 }
 
-/// What is known of the worker that an attempt is sent to.
+/// Condition of the worker that an attempt is sent to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(rename_all = "snake_case"))]
 pub enum AttemptKind {
-    /// Nothing bad.
+    /// No known restriction.
     #[default]
     #[cfg_attr(feature = "serde", serde(rename = "usual"))]
     Normal,
-    /// It started within the slow start's duration and may still be warming up.
+    /// The worker started within the slow-start duration and may still be warming up.
     #[cfg_attr(feature = "serde", serde(rename = "cold"))]
     SlowStart,
-    /// It has failed, or been silent, lately: this shows whether it is healthy.
+    /// The worker failed or was silent recently. The attempt tests whether the worker is healthy again.
     #[cfg_attr(feature = "serde", serde(rename = "trial"))]
     Probe,
 }
 
-/// What a router does.
+/// Action that the caller carries out.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Action {
     /// Send a request to a worker.
     Send {
-        /// The request.
+        /// Request identifier.
         id: RequestId,
-        /// The worker.
+        /// Destination worker.
         worker: WorkerId,
-        /// Give up after this span (never zero); none: when the client does.
+        /// Time after which the attempt is abandoned, never zero. `None` means that the attempt lasts as long
+        /// as the client waits.
         #[cfg_attr(feature = "serde", serde(rename = "give_up"))]
         timeout: Option<Micros>,
-        /// Its connection has to stand within this span, or it is none; none: as the settings say.
+        /// Time within which the connection must be established, or the attempt ends as `NoConnection`.
+        /// `None` means the limit of the settings.
         #[cfg_attr(feature = "serde", serde(rename = "connect"))]
         connect_timeout: Option<Micros>,
-        /// What is known of that worker, for those who read the log.
+        /// Condition of the worker, for the log.
         #[cfg_attr(feature = "serde", serde(rename = "care"))]
         kind: AttemptKind,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// The request.
+        /// Request identifier.
         id: RequestId,
-        /// Its attempt.
+        /// Attempt to cancel.
         attempt: AttemptNo,
     },
-    /// Final answer: rejected, trying again does no harm.
+    /// Send a final answer that rejects the request. Another try by the client is harmless.
     #[cfg_attr(feature = "serde", serde(rename = "Refuse"))]
     Reject {
-        /// The request.
+        /// Request identifier.
         id: RequestId,
-        /// Time that the client should stay away.
+        /// Time that the client should wait before trying again.
         retry_after: Option<Micros>,
-        /// The condition, for those who read the log.
+        /// Reason for the rejection, for the log.
         #[cfg_attr(feature = "serde", serde(rename = "why"))]
         reason: RejectionReason,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Send a final answer that reports a failure. The request may have run.
     Fail {
-        /// The request.
+        /// Request identifier.
         id: RequestId,
-        /// The condition, for those who read the log.
+        /// Reason for the failure, for the log.
         #[cfg_attr(feature = "serde", serde(rename = "why"))]
         reason: RejectionReason,
     },
-    /// End a running stream so that it is resumed elsewhere.
+    /// End a running stream so that the client resumes it on another worker.
     #[cfg_attr(feature = "serde", serde(rename = "Move"))]
     Migrate(RequestId),
     /// Release all state that is reserved for a request.
     #[cfg_attr(feature = "serde", serde(rename = "LetGo"))]
     ReleaseReservation(RequestId),
-    /// Ask for an [`Event::Timer`](crate::Event::Timer) after this span.
+    /// Deliver an [`Event::Timer`](crate::Event::Timer) after a delay.
     SetTimer {
-        /// Given back when it fires.
+        /// Identifier to return when the timer fires.
         timer: TimerId,
-        /// Span from now.
+        /// Delay from now.
         after: Micros,
     },
     /// Subscribe to changes of the endpoint list.
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,91 +1,91 @@
-//! Workers as the endpoint list shows them, and their load reports.
+//! Workers of the endpoint list and their load reports.
 
 use crate::ids::{CellId, WorkerId, ZoneId};
 use crate::time::Micros;
 
-/// What a worker does.
+/// Stages that a worker performs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Role {
-    /// Prefills prompts; a decode worker then pulls the state.
+    /// Prefills prompts. A decode worker then pulls the state.
     #[cfg_attr(feature = "serde", serde(rename = "Reader"))]
     Prefill,
-    /// Pulls prefilled state and streams answers; may prefill by itself where the settings say so.
+    /// Pulls prefilled state and streams answers. Also prefills prompts if the settings allow it.
     #[cfg_attr(feature = "serde", serde(rename = "Writer"))]
     Decode,
-    /// Does both.
+    /// Performs both stages.
     #[default]
     #[cfg_attr(feature = "serde", serde(rename = "Mixed"))]
     Combined,
 }
 
-/// Whether a worker takes new work.
+/// Lifecycle state that determines whether a worker accepts new work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Lifecycle {
-    /// Takes work.
+    /// Accepts new work.
     #[cfg_attr(feature = "serde", serde(rename = "In"))]
     Active,
-    /// Finishes its work; nothing new may be sent.
+    /// Finishes running work and must receive no new work.
     Draining,
-    /// Not listed any more.
+    /// Is no longer listed.
     #[default]
     #[cfg_attr(feature = "serde", serde(rename = "Out"))]
     Removed,
 }
 
-/// An entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Worker {
-    /// Its id.
+    /// Worker identifier.
     pub id: WorkerId,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: Option<ZoneId>,
-    /// Its cell.
+    /// Cell of the worker.
     pub cell: CellId,
-    /// What it does.
+    /// Stages that the worker performs.
     pub role: Role,
-    /// Its memory, in tokens; none where it is not known.
+    /// KV-cache capacity in tokens. `None` if unknown.
     pub kv_tokens: Option<u64>,
-    /// Whether it takes new work.
+    /// Lifecycle state of the worker.
     pub lifecycle: Lifecycle,
-    /// Size for comparison with others.
+    /// Relative size of the worker compared with others.
     pub weight: f64,
-    /// Its most recent start; none: long ago.
+    /// Time of the most recent start. `None` if the worker started long ago.
     pub started: Option<Micros>,
 }
 
-/// How an update of the endpoint list is to be read.
+/// Kind of an endpoint-list update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum EndpointUpdate {
-    /// Complete, and current as far as discovery knows.
+    /// Complete list, current as far as discovery knows.
     #[cfg_attr(feature = "serde", serde(rename = "Full"))]
     Snapshot,
-    /// Complete, as last known before a restart; perhaps stale.
+    /// Complete list saved before a restart, possibly stale.
     #[cfg_attr(feature = "serde", serde(rename = "Stale"))]
     LastKnown,
     /// Changed entries only.
     #[cfg_attr(feature = "serde", serde(rename = "Changes"))]
     Delta,
-    /// A poll failed or the subscription broke; no entries, the list stays as it is.
+    /// Failed poll or broken subscription. Has no entries and leaves the list unchanged.
     Failed,
 }
 
-/// A worker's load, as far as it reports it.
+/// Load reported by a worker. Fields are `None` if the worker does not report them.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LoadReport {
-    /// Requests that wait.
+    /// Number of queued requests.
     #[cfg_attr(feature = "serde", serde(rename = "queued"))]
     pub queued_requests: Option<f64>,
-    /// Share of its slots in use, 0 to 1.
+    /// Share of slots in use, 0 to 1.
     #[cfg_attr(feature = "serde", serde(rename = "slots_used"))]
     pub slot_utilization: Option<f64>,
-    /// Share of its memory in use, 0 to 1.
+    /// Share of KV-cache memory in use, 0 to 1.
     #[cfg_attr(feature = "serde", serde(rename = "kv_used"))]
     pub kv_utilization: Option<f64>,
-    /// Prompt tokens that wait to be prefilled or pulled.
+    /// Prompt tokens waiting to be prefilled or pulled.
     pub waiting_tokens: Option<f64>,
 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,117 +1,117 @@
-//! What a router's decision module is notified of.
+//! Events that the router's policy receives.
 
 use crate::endpoints::{EndpointUpdate, LoadReport, Worker};
 use crate::ids::{AttemptNo, ClassId, PrefixId, RequestId, SessionId, TenantId, TimerId};
 use crate::time::Micros;
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Outcome {
-    /// Answered.
+    /// The worker answered the request.
     Served,
-    /// Prompt prefilled; its state waits at this worker. Proves that nothing ran.
+    /// The worker prefilled the prompt and holds the state. Proves that the request did not run.
     #[cfg_attr(feature = "serde", serde(rename = "Parsed"))]
     Prefilled,
-    /// The worker failed; it may have run.
+    /// The worker failed. The request may have run.
     ServerError,
-    /// Rejected by the worker. Proves that it never ran.
+    /// The worker rejected the attempt. Proves that the request did not run.
     #[cfg_attr(feature = "serde", serde(rename = "Refused"))]
     Rejected {
-        /// There was no state to pull.
+        /// Set if the state to be pulled does not exist on the prefill worker.
         no_state: bool,
     },
-    /// No response in time; it may have run.
+    /// No response arrived in time. The request may have run.
     TimedOut,
-    /// No connection. Proves that it never ran.
+    /// No connection was established. Proves that the request did not run.
     NoConnection,
-    /// Connection lost; it may have run.
+    /// The connection was lost. The request may have run.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// Not sent at all. Proves that it never ran.
+    /// Nothing was sent. Proves that the request did not run.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt had no effect.
+    /// Returns true if the outcome proves that the attempt had no effect.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Self::Prefilled | Self::Rejected { .. } | Self::NoConnection | Self::NotSent)
     }
 }
 
-/// A request as a client sends it.
+/// Request received from a client.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Request {
-    /// Its id.
+    /// Request identifier.
     pub id: RequestId,
-    /// Its class.
+    /// Request class.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// Tenant, if the site has tenants.
     pub tenant: Option<TenantId>,
-    /// Its session.
+    /// Session that the request belongs to.
     pub session: Option<SessionId>,
-    /// The prefix that it shares with other sessions.
+    /// Prompt prefix shared with other sessions.
     pub prefix: Option<PrefixId>,
-    /// Prompt tokens in all.
+    /// Total number of prompt tokens.
     pub prompt_tokens: u64,
-    /// The longest answer allowed, in tokens.
+    /// Maximum length of the answer in tokens.
     #[cfg_attr(feature = "serde", serde(rename = "max_output"))]
     pub max_output_tokens: u64,
-    /// When the client gives it up.
+    /// Time at which the client gives up the request.
     pub deadline: Micros,
-    /// The client resumes a stream that broke or was migrated.
+    /// Set if the client resumes a stream that broke or was migrated.
     #[cfg_attr(feature = "serde", serde(rename = "came_back"))]
     pub resumed: bool,
 }
 
-/// What a router is notified of.
+/// Event that the policy handles.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Event {
-    /// An update of the endpoint list.
+    /// Update of the endpoint list.
     #[cfg_attr(feature = "serde", serde(rename = "Workers"))]
     Endpoints {
-        /// How to read it.
+        /// Kind of update.
         #[cfg_attr(feature = "serde", serde(rename = "kind"))]
         update: EndpointUpdate,
-        /// The entries.
+        /// Entries of the update.
         workers: Vec<Worker>,
     },
-    /// A request has arrived; one final answer is owed.
+    /// A request arrived. Exactly one final answer is owed to the client.
     Request(Request),
-    /// An answer has begun; the client's deadline no longer runs.
+    /// An attempt sent the first token. The client's deadline no longer applies.
     Streaming {
-        /// The request.
+        /// Request identifier.
         id: RequestId,
-        /// Its attempt.
+        /// Attempt that sent the token.
         attempt: AttemptNo,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
-    /// An attempt has ended. Each attempt gets exactly one.
+    /// An attempt ended. Each attempt produces exactly one such event.
     #[cfg_attr(feature = "serde", serde(rename = "Verdict"))]
     AttemptOutcome {
-        /// The request.
+        /// Request identifier.
         id: RequestId,
-        /// Its attempt.
+        /// Attempt that ended.
         attempt: AttemptNo,
-        /// How it ended.
+        /// Result of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The request is over for the client.
+        /// Set if the request is complete for the client.
         #[cfg_attr(feature = "serde", serde(rename = "over"))]
         request_ended: bool,
-        /// Prompt tokens that the worker found in its cache (after `Served` and `Prefilled`).
+        /// Prompt tokens that the worker found in its cache. Meaningful after `Served` and `Prefilled`.
         #[cfg_attr(feature = "serde", serde(rename = "kept"))]
         cached_tokens: u64,
-        /// The worker's load.
+        /// Load report of the worker.
         report: Option<LoadReport>,
     },
-    /// The client has left; nothing more is owed.
+    /// The client disconnected. No answer is owed any more.
     ClientGone(RequestId),
-    /// A timer has fired.
+    /// A timer fired.
     Timer(TimerId),
 }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers. Classes, tenants and zones are positions in lists of the settings; their names never reach the module.
+//! Identifiers. Classes and tenants are indices into lists of the settings, zones are numbers; their names
+//! never reach this crate.
 
 use std::sync::Arc;
 
@@ -18,48 +19,48 @@
 }
 
 string_id!(
-    /// A request as this router knows it. Never repeated: a client's retry has a new id.
+    /// Identifier of a request, unique within a router. A client's retry gets a new identifier.
     RequestId
 );
 string_id!(
-    /// A worker, under the one id by which every router knows it.
+    /// Identifier of a worker, the same on every router.
     WorkerId
 );
 string_id!(
-    /// A conversation: each of its prompts holds all that went before.
+    /// Identifier of a conversation, in which each prompt contains all earlier prompts and answers.
     SessionId
 );
 string_id!(
-    /// A prefix that prompts of several sessions share.
+    /// Identifier of a prompt prefix that several sessions share.
     PrefixId
 );
 
-/// Position in [`Settings::classes`](crate::Settings::classes).
+/// Index of a class in [`Settings::classes`](crate::Settings::classes).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ClassId(pub usize);
 
-/// Position in [`Settings::tenants`](crate::Settings::tenants).
+/// Index of a tenant in [`Settings::tenants`](crate::Settings::tenants).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct TenantId(pub usize);
 
-/// A zone; equal numbers mean the same zone.
+/// Number of a zone. Equal numbers denote the same zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ZoneId(pub usize);
 
-/// A cell (rack): a small group of workers that share a network link.
+/// Number of a cell (rack): a small group of workers that share a network link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct CellId(pub u64);
 
-/// What a timer gives back when it fires; chosen by the module.
+/// Identifier of a timer, chosen by the policy and returned in the event when the timer fires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct TimerId(pub u64);
 
-/// Number of an attempt of one request, from 0.
+/// Index of an attempt among the attempts of one request, starting at 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptNo(pub u32);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,16 +1,18 @@
-//! The decision module of chalkyard: a router for language-model serving whose prompts are prefilled and whose answers are
-//! decoded on different workers.
+//! Routing policy of chalkyard, a router for language-model serving that prefills prompts and decodes answers
+//! on different workers.
 //!
-//! The module is sans-IO: it has no clock, no sockets and no knowledge of any wire. The program around it feeds [`Event`]s
-//! with the time and carries out the [`Action`]s that come back.
+//! The crate is sans-IO: it has no clock, no sockets and no knowledge of any wire format. The caller passes
+//! in [`Event`]s with the current time and carries out the returned [`Action`]s.
 //!
-//! [`Router`] owns the state. Beside it stand modules of one job each:
+//! [`Router`] owns the state. The other modules have one task each:
 //!
-//! - `endpoint_list`, `request_state`, `worker_state`, `observations`, `affinity`: what is known;
-//! - `admission`, `placement`, `candidates`, `dispatch`, `retry`: the way of a request;
-//! - `outcomes`, `outlier_detection`, `slow_start`, `reservations`: what comes back, and the guards of the rules;
-//! - [`obligations`]: what is owed for one request and what may be done for it now;
-//! - `view`, `statistics`, `hashing`: what these share.
+//! - `endpoint_list`, `request_state`, `worker_state`, `observations`, `affinity`: state and observations;
+//! - `admission`, `placement`, `candidates`, `dispatch`, `retry`: the path of a request from arrival to a
+//!   worker;
+//! - `outcomes`, `outlier_detection`, `slow_start`, `reservations`: handling of attempt results, and
+//!   protection of workers and reserved state;
+//! - [`obligations`]: the actions that correctness requires or permits for one request at a given time;
+//! - `view`, `statistics`, `hashing`: shared helpers.
 
 #![warn(clippy::too_many_lines, clippy::type_complexity, rustdoc::broken_intra_doc_links)]
 
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,6 +1,6 @@
-//! The decision module of one router: events in, actions out.
+//! Policy of one router, which turns events into actions.
 //!
-//! [`Router`] owns all state and moves each request on; what it decides stands in the modules beside it.
+//! [`Router`] owns all state and advances each request. The decisions are made in the other modules.
 
 use std::collections::BTreeMap;
 
@@ -20,28 +20,28 @@
 use crate::view::View;
 use crate::worker_state::WorkerTable;
 
-/// A request that finds no worker is looked at again after this span.
+/// Interval between attempts to place a request for which no worker is available.
 const RETRY_INTERVAL: Micros = Micros(40_000);
-/// The shortest timer.
+/// Shortest delay of a timer.
 const MIN_TIMER_DELAY: Micros = Micros(1);
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Debug, Clone)]
 pub(crate) enum TimerPurpose {
-    /// The endpoint list is polled again.
+    /// Poll the endpoint list again.
     PollEndpoints,
-    /// A request is looked at again.
+    /// Check a request again.
     Advance(RequestId),
 }
 
-/// The decision module of one router.
+/// Policy and state of one router.
 #[derive(Debug, Clone)]
 pub struct Router {
     pub(crate) settings: Settings,
     pub(crate) seed: u64,
     pub(crate) now: Micros,
     pub(crate) workers: WorkerTable,
-    /// Discovery has sent a list since the start: what is new from then on has come just now.
+    /// Set once discovery has sent a list since startup. Workers added after that point started recently.
     pub(crate) has_current_list: bool,
     pub(crate) requests: RequestTable,
     pub(crate) affinity: AffinityTable,
@@ -52,7 +52,8 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet. All its randomness comes from `seed`.
+    /// Creates a router without any knowledge of workers or requests. All pseudo-random choices derive from
+    /// `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             quotas: TenantQuotas::new(&settings),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions to `out`, in order.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// What decisions may read.
+    /// Returns read access to the state for decision functions.
     pub(crate) fn view(&self) -> View<'_> {
         View {
             settings: &self.settings,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Asks for a timer.
+    /// Requests a timer that fires at `at`.
     pub(crate) fn set_timer(&mut self, at: Micros, purpose: TimerPurpose, out: &mut Vec<Action>) {
         let timer = TimerId(self.next_timer);
         self.next_timer += 1;
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Brings a request one step on, whatever the event was, and keeps it while anything of it is open.
+    /// Advances a request by one step after any event, and keeps the request while an attempt or an answer is
+    /// outstanding.
     fn advance(&mut self, mut request: RequestState, out: &mut Vec<Action>) {
         let check = OverdueCheck {
             settings: &self.settings,
@@ -171,7 +173,7 @@
         self.requests.put(request);
     }
 
-    /// Sets a timer for the next time at which a request has to be looked at.
+    /// Sets a timer for the next time at which a request must be checked.
     fn schedule_next_check(&mut self, request: &RequestState, out: &mut Vec<Action>) {
         let next = if request.has_open_attempt() {
             let open = request.attempts.iter().filter(|attempt| attempt.facts.open);
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Gives the final answer: a rejection where that is allowed, else a failure.
+    /// Sends the final answer: a rejection where the obligations allow it, otherwise a failure.
     fn give_up(&mut self, mut request: RequestState, reason: RejectionReason, out: &mut Vec<Action>) {
         let id = request.request.id.clone();
         self.record_if_missed(&request);
@@ -205,7 +207,7 @@
         }
     }
 
-    /// A request that ends without a first token counts as a long wait.
+    /// Records a request that ends without a first token as a long wait.
     fn record_if_missed(&mut self, request: &RequestState) {
         if request.awaits_first_token() && !request.attempts.is_empty() {
             let wait = self.view().wait_ratio(request);
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,130 +1,132 @@
-//! What the site's settings tell a router when it starts.
+//! Settings of a site that a router needs at startup.
 
 use crate::time::Micros;
 
-/// Whether and where a class of requests may be attempted again.
+/// Rule that states whether and where a request of a class may be attempted again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum RetrySafety {
-    /// Repeating does no harm.
+    /// Repeating the request is harmless.
     #[cfg_attr(feature = "serde", serde(rename = "Free"))]
     Idempotent,
-    /// Repeats are discarded within a scope of workers for some time.
+    /// Workers in a given scope discard repeats for a limited time.
     #[cfg_attr(feature = "serde", serde(rename = "Guarded"))]
     Deduplicated(DeduplicationScope),
-    /// Must never run twice.
+    /// The request must never run twice.
     #[cfg_attr(feature = "serde", serde(rename = "SingleShot"))]
     NonIdempotent,
 }
 
-/// The workers that discard repeats of a deduplicated request.
+/// Set of workers that discard repeats of a deduplicated request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DeduplicationScope {
     /// All workers.
     All,
-    /// Those of one zone.
+    /// Workers in the zone of the first attempt.
     Zone,
-    /// Those of one cell.
+    /// Workers in the cell of the first attempt.
     Cell,
 }
 
-/// A class of requests.
+/// Settings of a request class.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
-    /// Time to the first token that earns the full priority weight.
+    /// Time to the first token below which a request earns the full priority weight.
     #[cfg_attr(feature = "serde", serde(rename = "aim"))]
     pub latency_objective: Micros,
-    /// Added to the objective for each 1,000 prompt tokens.
+    /// Extension of the latency objective for each 1,000 prompt tokens.
     #[cfg_attr(feature = "serde", serde(rename = "aim_per_1000_tokens"))]
     pub latency_objective_per_1000_tokens: Micros,
-    /// A client's whole waiting time, its retries included.
+    /// Total time that a client waits, including the client's own retries.
     pub deadline: Micros,
-    /// Whether and where it may be attempted again.
+    /// Rule for repeated attempts.
     #[cfg_attr(feature = "serde", serde(rename = "effect"))]
     pub retry_safety: RetrySafety,
-    /// For deduplicated classes: how long repeats are discarded, from the first send that may have run.
+    /// Duration for which workers discard repeats of a deduplicated request, measured from the first send
+    /// that may have run.
     pub dedup_window: Micros,
 }
 
-/// A tenant's quota.
+/// Quota of a tenant.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Tenant {
-    /// Requests a second within its quota, summed over all routers; none means no limit.
+    /// Requests per second within the quota, summed over all routers. `None` means no limit.
     pub allowance_per_s: Option<f64>,
 }
 
-/// How the endpoint list is learnt.
+/// Method by which the router learns about changes of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Discovery {
-    /// Changes are pushed.
+    /// Discovery pushes changes.
     Push,
-    /// Changes come only after [`Action::Subscribe`](crate::Action::Subscribe).
+    /// Discovery sends changes only after [`Action::Subscribe`](crate::Action::Subscribe).
     #[cfg_attr(feature = "serde", serde(rename = "Ask"))]
     Poll,
 }
 
-/// How workers report their load.
+/// Method by which workers report load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum LoadReporting {
-    /// Not at all.
+    /// Workers do not report load.
     Off,
-    /// With their responses.
+    /// Workers report load in responses.
     #[cfg_attr(feature = "serde", serde(rename = "InAnswers"))]
     InResponses,
 }
 
-/// What the site tells a router when it starts.
+/// Settings of a site.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
-    /// Number of routers, this one included.
+    /// Number of routers, including this router.
     pub routers: u32,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants. May be empty.
     pub tenants: Vec<Tenant>,
-    /// How the endpoint list is learnt.
+    /// Method by which the router learns about changes of the endpoint list.
     pub discovery: Discovery,
-    /// Without a subscription, the endpoint list must be polled at least this often.
+    /// Longest interval between polls of the endpoint list when there is no subscription.
     #[cfg_attr(feature = "serde", serde(rename = "must_ask_in"))]
     pub max_poll_interval: Micros,
-    /// Decode workers prefill a prompt by themselves when there is no state to pull.
+    /// Set if decode workers can prefill a prompt when there is no prefilled state to pull.
     pub self_prefill: bool,
-    /// A broken stream is resumed elsewhere, and a running one may be migrated.
+    /// Set if a broken stream is resumed on another worker and a running stream may be migrated.
     pub resume: bool,
-    /// Reserved state must be taken or released within this span.
+    /// Time within which reserved state must be pulled or released.
     #[cfg_attr(feature = "serde", serde(rename = "release"))]
     pub reservation_timeout: Micros,
-    /// At most this many attempts for a request.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// An attempt may be cancelled.
+    /// Set if the router may cancel an attempt.
     pub may_cancel: bool,
-    /// The longest `Retry-After` that clients are given; zero: they are given none.
+    /// Longest `Retry-After` sent to clients. Zero means that no `Retry-After` is sent.
     pub max_retry_after: Micros,
-    /// A worker that warms up falls over when sent this multiple of its present capacity ...
+    /// Multiple of its current capacity at which a warming worker becomes overloaded if the load lasts for
+    /// `overload_window`.
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// Time for which a load of `overload_multiple` must last to overload a warming worker.
     #[cfg_attr(feature = "serde", serde(rename = "fall_after"))]
     pub overload_window: Micros,
-    /// A worker starts with at least this share of its capacity ...
+    /// Share of full capacity that a worker has at least when it starts.
     #[cfg_attr(feature = "serde", serde(rename = "cold_from"))]
     pub slow_start_initial_share: f64,
-    /// ... and is warm after this span at the latest.
+    /// Time after its start by which a worker has reached full capacity.
     #[cfg_attr(feature = "serde", serde(rename = "cold_for"))]
     pub slow_start_duration: Micros,
-    /// How late a final answer still counts after the client's deadline.
+    /// Time after the client's deadline during which a final answer still counts.
     pub answer_slack: Micros,
-    /// The granularity of the clock.
+    /// Granularity of the clock.
     pub tick: Micros,
-    /// Whether worker weights mean anything.
+    /// Set if the weights of workers are meaningful.
     pub weighted: bool,
-    /// How workers report their load.
+    /// Method by which workers report load.
     #[cfg_attr(feature = "serde", serde(rename = "reports"))]
     pub load_reporting: LoadReporting,
 }
