--- a/crates/api/src/client.rs
+++ b/crates/api/src/client.rs
@@ -1,13 +1,16 @@
-//! The messages call of clients, `POST /v1/messages`: its request, its answers and its errors.
+//! The messages call of clients, `POST /v1/messages`: request, answers and errors.
 
 mod answer;
 mod error;
 mod prompt;
 mod request;
 
-pub use answer::{Event, Usage, WholeAnswer};
-pub use error::{ErrorBody, ErrorKind, Refusal};
-pub use request::{identity, is_name, Bounds, MessageRole, MessagesRequest, Sampling, NAME_BYTES};
+pub use answer::{CompleteAnswer, Event, Usage};
+pub use error::{ErrorBody, ErrorKind, RequestError};
+pub use request::{
+    is_valid_name, parse_idempotency_key, MessageRole, MessagesRequest, RequestLimits, Sampling,
+    MAX_NAME_BYTES,
+};
 
 #[cfg(test)]
 #[path = "client_test.rs"]
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -7,10 +7,12 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use chalkyard_platform::Started;
+use chalkyard_platform::StartupConfig;
 use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
-use chalkyard_router::shell::{granularity, Clock, ListenAddress, Shell, Sink, SinkEvent};
-use chalkyard_router::{Change, Core, Counters, Ended, Finished, Input, Tally, Transition};
+use chalkyard_router::shell::{timer_granularity, Clock, ListenAddress, Shell, Sink, SinkEvent};
+use chalkyard_router::{
+    Core, Counters, Input, RequestOutcome, RequestRecord, Tally, Transition, TransitionKind,
+};
 use chalkyard_state::{LifecycleAction, LifecycleEvent, LifecycleTimeouts};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -59,15 +61,18 @@
 
 impl Sink for LogSink {
     /// What was served or refused is no news, and what a client leaves is its own: these are counted.
-    fn finished(&mut self, record: Finished) {
-        let usual = matches!(record.ended, Ended::Served | Ended::Rejected | Ended::ClientGone);
+    fn finished(&mut self, record: RequestRecord) {
+        let usual = matches!(
+            record.ended,
+            RequestOutcome::Served | RequestOutcome::Rejected | RequestOutcome::ClientGone
+        );
         if self.all || (!usual && self.may_log()) {
             self.log.finished(&record);
         }
     }
 
     fn transition(&mut self, transition: &Transition) {
-        if self.all || transition.change == Change::Violation || self.may_log() {
+        if self.all || transition.change == TransitionKind::Violation || self.may_log() {
             self.log.transition(transition);
         }
     }
@@ -100,7 +105,7 @@
         self.rereads = Some(READ_AGAIN);
     }
 
-    fn period(&self) -> Option<std::time::Duration> {
+    fn housekeeping_interval(&self) -> Option<std::time::Duration> {
         Some(std::time::Duration::from_millis(100))
     }
 
@@ -113,7 +118,7 @@
                 if let Some(address) = address {
                     info!(target: "router", discovery = %address, "another configuration");
                 }
-                address.map(Input::DiscoveryMoved).into_iter().collect()
+                address.map(Input::DiscoveryAddressChanged).into_iter().collect()
             }
             Err(why) => {
                 self.rereads = left.checked_sub(1);
@@ -127,9 +132,9 @@
     }
 }
 
-fn read(file: &std::path::Path) -> Result<Started, String> {
+fn read(file: &std::path::Path) -> Result<StartupConfig, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Started::read(&text).map_err(|e| format!("{}: {e}", file.display()))
+    StartupConfig::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
 /// Runs a router. SIGTERM or SIGINT ends it once all that is open has ended; SIGHUP has the configuration read again.
@@ -144,21 +149,21 @@
     let started = read(&file).map_err(CommandError::BadInput)?;
     let clock = Clock::new();
     let mut config = started.config;
-    config.policy.tick = config.policy.tick.max(granularity());
+    config.policy.tick = config.policy.tick.max(timer_granularity());
     let leave = if config.timeouts.migration.is_some() { LEAVE_MOVING } else { LEAVE };
     let address = with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(started.listen, false));
     let address = address.map_err(|e| could_not(&format!("listening at {}", started.listen), e))?;
     let mut core = Core::new(config, started.seed.unwrap_or(clock.now().0), clock.now());
     let all = std::env::var_os(logs::LEVEL_NAME).is_some();
     if all {
-        core.count_seconds();
+        core.enable_tally();
     }
     let log = logs::Log { list_file: None };
     let told = LogSink { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
     let timeouts =
         LifecycleTimeouts { endpoint_wait: START, lame_duck: leave, drain: DRAIN, flush: FAREWELL };
     let mut shell = Shell::new(core, told, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
-    shell.bound_lingering(started.lingering);
+    shell.set_max_lingering(started.max_lingering);
     let handle = shell.handle();
     let wait_for_signals = move || {
         for signal in signals.forever() {
@@ -169,7 +174,8 @@
         }
     };
     std::thread::Builder::new().spawn(wait_for_signals).map_err(|e| could_not("the signals' thread", e))?;
-    let (stop, left) = shell.run(started.known.as_deref()).map_err(|e| could_not("running", e))?;
+    let (stop, left) =
+        shell.run(started.last_endpoint_list.as_deref()).map_err(|e| could_not("running", e))?;
     info!(target: "router", left, code = stop.exit_code(), "stopped");
     Ok(ExitCode::from(stop.exit_code()))
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -11,7 +11,7 @@
 
 use chalkyard_budget::Time;
 use chalkyard_router::shell::retry::{with_retries, STARTUP_ATTEMPTS};
-use chalkyard_router::shell::{granularity, Clock, Handle, ListenAddress, Shell};
+use chalkyard_router::shell::{timer_granularity, Clock, Handle, ListenAddress, Shell};
 use chalkyard_router::Core;
 use chalkyard_state::{LifecycleEvent, LifecycleTimeouts};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -68,7 +68,7 @@
     let clock = Clock::new();
     let seed = seed.unwrap_or(clock.now().0);
     let mut config = settings.config;
-    config.policy.tick = granularity();
+    config.policy.tick = timer_granularity();
     let place = Place { listen: settings.listen, shared_port: settings.shared_port };
     let (address, predecessor) = if take_over {
         let none = || CommandError::BadInput(format!("{}: <router> names no `control`", file.display()));
@@ -80,14 +80,14 @@
     let name = config.name.clone();
     let mut core = Core::new(config, seed, clock.now());
     if std::env::var_os(logs::LEVEL_NAME).is_some() {
-        core.count_seconds();
+        core.enable_tally();
     }
     // All that was spent is known before the first request is taken.
     let (told, news) = sync_channel(PENDING_NEWS);
     let mut ledger = None;
     if let Some(budgets) = &settings.budgets {
         let recovered = budget_runtime::recover(budgets, &name, Time(clock.now().0), predecessor, &told)?;
-        core.keep_budgets(recovered.enforcer);
+        core.enforce_budgets(recovered.enforcer);
         ledger = Some(recovered.ledger);
     }
     if let Some(file) = decisions {
--- a/crates/router/src/core/replies.rs
+++ b/crates/router/src/core/replies.rs
@@ -1,8 +1,8 @@
-//! Replies of workers, read part by part.
+//! Replies of workers, processed part by part.
 
 use chalkyard_api::engine::{self, StreamItem};
 use chalkyard_policy::{AttemptNo, Outcome, RequestId};
-use chalkyard_proto::{sse, Head, Part, Start};
+use chalkyard_proto::{sse, Head, Part, StartLine};
 
 use super::attempt::{AttemptStage, ReplyState};
 use super::load_report::load_report;
@@ -10,11 +10,11 @@
 use super::{ConnId, Core};
 use crate::dialect::ReplyHead;
 
-/// Bytes of a worker's error answer that are read.
-const ERROR_BYTES: usize = 64 * 1024;
+/// Maximum size of a worker's error body, bytes.
+const MAX_ERROR_BYTES: usize = 64 * 1024;
 
 impl Core {
-    /// Reads on until the reply is complete or more bytes are needed.
+    /// Reads until the reply is complete or more bytes are needed.
     pub(super) fn read_replies(&mut self, conn: ConnId) {
         loop {
             let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A part of the reply to an attempt; true: go on reading.
+    /// Processes a part of the reply to an attempt. Returns true to go on reading.
     fn attempt_reply_part(&mut self, conn: ConnId, part: Part) -> bool {
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         let Task::Attempt(id, no, reply) = &mut connection.task else { return false };
@@ -66,7 +66,7 @@
                 self.relay_events(conn, &id, no, &events, is_well_formed)
             }
             (Part::Data(data), ReplyState::Body { body, .. }) => {
-                if body.len() + data.len() <= ERROR_BYTES + engine::PARAMS_BYTES {
+                if body.len() + data.len() <= MAX_ERROR_BYTES + engine::MAX_PARAMS_BYTES {
                     body.extend(data);
                     return true;
                 }
@@ -80,7 +80,7 @@
                 self.end_attempt(&id, no, outcome, 0);
                 false
             }
-            // The reply has ended without its end marker: what was written may not be all.
+            // The reply has ended without its end marker, so the answer may be incomplete.
             (Part::End, ReplyState::Events(_)) => {
                 self.fail_reply(conn, &id, no, Outcome::ConnectionLost);
                 false
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The head of a reply in a dialect; true: go on reading.
+    /// Processes the head of a reply in a dialect. Returns true to go on reading.
     fn dialect_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let Some(dialect) = self.config.dialect.clone() else { return false };
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
@@ -110,16 +110,16 @@
         true
     }
 
-    /// The head of an engine's reply; true: go on reading.
+    /// Processes the head of an engine's reply. Returns true to go on reading.
     fn engine_head(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, head: &Head) -> bool {
         let event_bytes = self.config.bounds.event_bytes;
         let Some(attempt) = self.attempt_mut(id, no) else { return false };
-        attempt.report = load_report(head.header(engine::LOAD));
-        let Start::Response { status } = head.start else { return false };
+        attempt.report = load_report(head.header(engine::LOAD_HEADER));
+        let StartLine::Response { status } = head.start else { return false };
         let is_event_stream = head.header("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         let reply = match (status, attempt.stage) {
             (200, AttemptStage::Decode | AttemptStage::Combined) if is_event_stream => {
-                ReplyState::Events(Box::new(sse::Reader::new(event_bytes)))
+                ReplyState::Events(Box::new(sse::Parser::new(event_bytes)))
             }
             (200, AttemptStage::Decode | AttemptStage::Combined) => {
                 ReplyState::Body { status: 500, body: Vec::new() }
@@ -130,7 +130,7 @@
         true
     }
 
-    /// What follows on a connection after the head of its reply.
+    /// Sets what is read from a connection after the head of its reply.
     fn expect_reply(&mut self, conn: ConnId, reply: ReplyState) {
         let task = self.connections.get_mut(&conn).map(|c| &mut c.task);
         if let Some(Task::Attempt(_, _, expected)) = task {
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Relays events of a stream. After them may come what is no event: then it is not well-formed. True: go on reading.
+    /// Relays events of a stream. If `is_well_formed` is false, bytes that are no event follow the events. Returns
+    /// true to go on reading.
     fn relay_events(
         &mut self,
         conn: ConnId,
@@ -148,7 +149,7 @@
         is_well_formed: bool,
     ) -> bool {
         for event in events {
-            match engine::stream_item(&event.data) {
+            match engine::parse_stream_item(&event.data) {
                 Ok(StreamItem::Chunk(chunk)) => self.relay_chunk(id, no, chunk),
                 Ok(StreamItem::Done) => return self.end_before_reply(conn, id, no, Outcome::Served),
                 Err(_) => {
@@ -156,7 +157,7 @@
                     return false;
                 }
             }
-            // The chunk can have ended the request, and with it this connection.
+            // The chunk may have ended the request, and with it this connection.
             if !self.connections.contains_key(&conn) {
                 return false;
             }
@@ -167,7 +168,7 @@
         is_well_formed
     }
 
-    /// A reply with a body that is collected has ended.
+    /// Processes the complete body of a reply.
     fn body_complete(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, status: u16, body: &[u8]) {
         let Some(stage) = self.attempt_mut(id, no).map(|a| a.stage) else { return };
         let (outcome, cached_tokens) = match (status, stage) {
@@ -176,7 +177,7 @@
             }
             (200, AttemptStage::Prefill) => self.engine_prefilled(id, no, body),
             (429, _) => (Outcome::Rejected { no_state: false }, 0),
-            (409, AttemptStage::Decode) if engine::says_no_state(body) => {
+            (409, AttemptStage::Decode) if engine::is_no_state_error(body) => {
                 (Outcome::Rejected { no_state: true }, 0)
             }
             _ => (Outcome::ServerError, 0),
@@ -188,7 +189,7 @@
         self.end_attempt(id, no, outcome, cached_tokens);
     }
 
-    /// A prefill is complete, as a dialect says: its outcome, and the number of cached tokens.
+    /// Records a completed prefill in a dialect. Returns its outcome and the number of cached tokens.
     fn dialect_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
         let cached_tokens = self.config.dialect.as_ref().map_or(0, |d| d.cached_tokens(body));
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
@@ -201,23 +202,23 @@
         (Outcome::Prefilled, cached_tokens)
     }
 
-    /// A prefill is complete, if its answer can be read: its outcome, and the number of cached tokens.
+    /// Records a completed prefill if its answer can be parsed. Returns its outcome and the number of cached tokens.
     fn engine_prefilled(&mut self, id: &RequestId, no: AttemptNo, body: &[u8]) -> (Outcome, u64) {
-        let Ok((usage, transfer_params)) = engine::read_answer(body) else {
+        let Ok((usage, transfer_params)) = engine::parse_prefill_answer(body) else {
             return (Outcome::ServerError, 0);
         };
         let worker = self.attempt_mut(id, no).map(|a| a.worker.clone());
         if let Some(request) = self.requests.get_mut(id) {
             request.usage = usage;
-            request.cached_at_prefill = Some(usage.kept_tokens);
+            request.cached_at_prefill = Some(usage.cached_tokens);
         }
         if let Some(worker) = worker {
             self.reserve(id, worker, Some(transfer_params));
         }
-        (Outcome::Prefilled, usage.kept_tokens)
+        (Outcome::Prefilled, usage.cached_tokens)
     }
 
-    /// The reply to an attempt has ended well: its connection may be reused.
+    /// Returns the connection to the pool after the complete reply to an attempt.
     fn finish_connection(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo) {
         self.return_to_pool(conn);
         if let Some(attempt) = self.attempt_mut(id, no) {
@@ -225,8 +226,8 @@
         }
     }
 
-    /// The attempt's end is known before its reply's: the rest is read so that the connection can be reused. True: go on
-    /// reading.
+    /// Ends an attempt whose outcome is known before its reply is complete. The rest of the reply is read so that the
+    /// connection can be reused. Returns true to go on reading.
     fn end_before_reply(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, outcome: Outcome) -> bool {
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.conn = None;
@@ -239,7 +240,7 @@
         self.connections.contains_key(&conn)
     }
 
-    /// The reply to an attempt can't be used: its connection is closed.
+    /// Ends an attempt whose reply is unusable, and closes its connection.
     pub(super) fn fail_reply(&mut self, conn: ConnId, id: &RequestId, no: AttemptNo, outcome: Outcome) {
         if let Some(attempt) = self.attempt_mut(id, no) {
             attempt.conn = None;
--- a/crates/router/src/core/request_intake.rs
+++ b/crates/router/src/core/request_intake.rs
@@ -1,20 +1,20 @@
-//! A client's complete request: checked, and accepted or answered before anything has run.
+//! Intake of complete client requests, which are checked, and accepted or answered before anything has run.
 
-use chalkyard_api::client::{self, ErrorBody, ErrorKind, MessagesRequest, Refusal};
+use chalkyard_api::client::{self, ErrorBody, ErrorKind, MessagesRequest, RequestError};
 use chalkyard_api::engine;
 use chalkyard_policy as p;
 use chalkyard_policy::{Event, Micros};
-use chalkyard_proto::{encode, Head, Start};
+use chalkyard_proto::{encode, Head, StartLine};
 
 use super::active_request::{ActiveRequest, ClientCall};
 use super::client_answers::error;
 use super::client_connection::ClientPhase;
-use super::record::Finished;
-use super::{ConnId, Core, FinishedLine, Output, TimerEvent};
+use super::record::RequestRecord;
+use super::{ConnId, Core, FinishedOutput, Output, TimerEvent};
 use crate::dialect::ParsedRequest;
 use crate::identity::{IdentityError, RequestIdentity};
 
-/// The answer to a request that is not accepted: nothing of it has run.
+/// Answer to a request that is not accepted. Nothing of the request has run.
 #[derive(Debug)]
 pub(super) struct Rejection {
     pub(super) status: u16,
@@ -35,15 +35,15 @@
     }
 }
 
-/// A field of the request is invalid.
-impl From<Refusal> for Rejection {
-    fn from(refusal: Refusal) -> Self {
-        let body = ErrorBody { field: Some(refusal.field), ..error(ErrorKind::Invalid, refusal.reason) };
-        Self { status: refusal.status, body }
+/// Rejects a request with an invalid field.
+impl From<RequestError> for Rejection {
+    fn from(cause: RequestError) -> Self {
+        let body = ErrorBody { field: Some(cause.field), ..error(ErrorKind::Invalid, cause.reason) };
+        Self { status: cause.status, body }
     }
 }
 
-/// The request's idempotency key is known already, or can't be remembered.
+/// Rejects a request whose idempotency key is known already or cannot be stored.
 impl From<IdentityError> for Rejection {
     fn from(cause: IdentityError) -> Self {
         match cause {
@@ -56,9 +56,9 @@
     }
 }
 
-/// Whether a call asks for the router's health; an error if it is neither that nor a request to be served.
+/// Whether a call is a health check. Returns an error if it is neither a health check nor a request to be served.
 fn is_health_check(head: &Head) -> Result<bool, Rejection> {
-    let Start::Request { method, target } = &head.start else {
+    let StartLine::Request { method, target } = &head.start else {
         return Err(Rejection::new(400, ErrorKind::Invalid, "not a request"));
     };
     match (method.as_str(), target.as_str()) {
@@ -78,11 +78,11 @@
     Err(Rejection::new(415, ErrorKind::Invalid, "content-type must be application/json"))
 }
 
-fn idempotency_key(head: &Head) -> Result<Option<String>, Refusal> {
+fn idempotency_key(head: &Head) -> Result<Option<String>, RequestError> {
     if head.count("idempotency-key") > 1 {
-        return Err(Refusal::new("Idempotency-Key", "more than one"));
+        return Err(RequestError::new("Idempotency-Key", "more than one"));
     }
-    head.header("idempotency-key").map(client::identity).transpose()
+    head.header("idempotency-key").map(client::parse_idempotency_key).transpose()
 }
 
 impl Core {
@@ -102,18 +102,18 @@
             Ok(None) => {
                 let keep_alive = self.announce_keep_alive(conn);
                 self.write_client(conn, encode::response(200, &[], b"ok\n", keep_alive));
-                self.answered(conn);
+                self.finish_answer(conn);
             }
             Err(Rejection { status, body }) => {
-                let id = head.header(engine::REQUEST_ID).unwrap_or_default().to_owned();
-                let record = Finished::rejected_at_intake(id, self.now, body.reason.clone());
-                self.outputs.push(Output::Finished(Box::new(FinishedLine(record))));
+                let id = head.header(engine::REQUEST_ID_HEADER).unwrap_or_default().to_owned();
+                let record = RequestRecord::rejected_at_intake(id, self.now, body.reason.clone());
+                self.outputs.push(Output::Finished(Box::new(FinishedOutput(record))));
                 self.answer_error(conn, status, &body);
             }
         }
     }
 
-    /// From here on the request is owed exactly one final answer.
+    /// Accepts a request. From now on it is owed exactly one final answer.
     fn accept_request(&mut self, conn: ConnId, mut request: ActiveRequest) {
         let spec = request.spec.clone();
         let id = spec.id.clone();
@@ -131,14 +131,15 @@
         self.events.push_back(Event::Request(spec));
     }
 
-    /// Checks what only the core knows of a dialect's request: ids that are open, and bounds. None: a health check.
+    /// Checks what only the core knows about a dialect's request: open request ids and bounds. Returns `None` for a
+    /// health check.
     fn check_parsed(
         &mut self,
         conn: ConnId,
         parsed: ParsedRequest,
     ) -> Result<Option<ActiveRequest>, Rejection> {
         let (mut spec, forwarded) = match parsed {
-            ParsedRequest::HealthCheck if self.draining || self.leaving_since.is_some() => {
+            ParsedRequest::HealthCheck if self.draining || self.shutdown_since.is_some() => {
                 return Err(Rejection::stopping())
             }
             ParsedRequest::HealthCheck => return Ok(None),
@@ -150,21 +151,22 @@
         if self.stopping {
             return Err(Rejection::stopping());
         }
-        // What is accepted during the graceful shutdown is answered before the process ends.
-        if let Some((since, migration)) = self.leaving_since.zip(self.config.timeouts.migration) {
+        // A request accepted during the graceful shutdown is answered before the process ends.
+        if let Some((since, migration)) = self.shutdown_since.zip(self.config.timeouts.migration) {
             spec.deadline = spec.deadline.min(since + migration.until);
         }
         if self.requests.contains_key(&spec.id) {
             let reason = "a request under this id is open here";
             return Err(Rejection::new(409, ErrorKind::Duplicate, reason));
         }
-        if self.requests.len() >= self.config.bounds.open {
+        if self.requests.len() >= self.config.bounds.open_requests {
             return Err(Rejection::too_many_open());
         }
         Ok(Some(ActiveRequest::new(conn, spec, ClientCall::Forwarded(forwarded), None, self.now)))
     }
 
-    /// Checks a request of our own call; an error names the field and the reason. None: a health check.
+    /// Checks a request in the router's own API. An error names the field and the reason. Returns `None` for a health
+    /// check.
     fn check_messages_call(
         &mut self,
         conn: ConnId,
@@ -182,7 +184,7 @@
         if self.draining || self.stopping {
             return Err(Rejection::new(503, ErrorKind::Refused, "this router is draining"));
         }
-        if self.requests.len() >= self.config.bounds.open {
+        if self.requests.len() >= self.config.bounds.open_requests {
             return Err(Rejection::too_many_open());
         }
         let identity = key.map(|key| RequestIdentity { tenant, key });
@@ -191,7 +193,7 @@
         }
         let mut request = self.new_request(conn, call, class, tenant, identity.clone());
         if let Err(rejection) = self.reserve_budget(&mut request) {
-            // Nothing ran: the key may be used again.
+            // Nothing ran, so the key may be used again.
             if let Some(identity) = &identity {
                 self.identities.end(identity, None);
             }
@@ -200,7 +202,7 @@
         Ok(Some(request))
     }
 
-    /// The tenant whose API key the request carries; none where there are no tenants.
+    /// Tenant whose API key the request carries; `None` if no tenants are configured.
     fn tenant(&self, head: &Head) -> Result<Option<usize>, Rejection> {
         if self.config.tenants.is_empty() {
             return Ok(None);
@@ -218,19 +220,19 @@
         }
     }
 
-    /// The class that the request names, if the tenant's keys allow it.
-    fn class(&self, call: &MessagesRequest, tenant: Option<usize>) -> Result<usize, Refusal> {
+    /// Class that the request names, if the tenant's keys allow it.
+    fn class(&self, call: &MessagesRequest, tenant: Option<usize>) -> Result<usize, RequestError> {
         let class = match &call.class {
             None => self.config.default_class,
             Some(name) => {
                 let found = self.config.classes.iter().position(|c| c.name == *name);
-                found.ok_or_else(|| Refusal::new("metadata.class", format!("unknown class `{name}`")))?
+                found.ok_or_else(|| RequestError::new("metadata.class", format!("unknown class `{name}`")))?
             }
         };
         let allowed = tenant.and_then(|t| self.config.tenants.get(t)).and_then(|t| t.classes.as_ref());
         if allowed.is_some_and(|a| !a.contains(&class)) {
             let reason = "this key does not allow the class";
-            return Err(Refusal { status: 403, field: "metadata.class".into(), reason: reason.into() });
+            return Err(RequestError { status: 403, field: "metadata.class".into(), reason: reason.into() });
         }
         Ok(class)
     }
@@ -243,7 +245,7 @@
         tenant: Option<usize>,
         identity: Option<RequestIdentity>,
     ) -> ActiveRequest {
-        // The start time keeps ids of successive processes apart, the name ids of different routers.
+        // The time distinguishes ids of successive processes, the name ids of different routers.
         let id = format!("{}-{:x}-{:x}", self.config.name, self.now.0, self.next_request);
         self.next_request += 1;
         let longest = self.config.policy.classes.get(class).map(|c| c.deadline).unwrap_or_default();
@@ -261,7 +263,7 @@
             prompt_tokens: call.prompt_tokens,
             max_output_tokens: call.max_tokens,
             deadline: self.now + (timeout - margin),
-            resumed: call.came_back,
+            resumed: call.resumed,
         };
         ActiveRequest::new(conn, spec, ClientCall::Messages(Box::new(call)), identity, self.now)
     }
--- a/crates/router/src/shell/sink.rs
+++ b/crates/router/src/shell/sink.rs
@@ -9,12 +9,12 @@
 use chalkyard_budget::{Figures, Record, Settled};
 use chalkyard_state::LifecycleAction;
 
-use crate::{Counters, Finished, Input, Tally, Transition};
+use crate::{Counters, Input, RequestRecord, Tally, Transition};
 
 /// Takes what a router gives out. All methods are called in the loop and must not block.
 pub trait Sink {
     /// A request is over.
-    fn finished(&mut self, record: Finished);
+    fn finished(&mut self, record: RequestRecord);
     /// What was done in a second, if the core counts.
     fn tally(&mut self, _tally: &Tally) {}
     /// A transition of a request's state that is out of the ordinary.
@@ -32,7 +32,7 @@
         true
     }
     /// How often [`Sink::housekeep`] wants to be called; none: never.
-    fn period(&self) -> Option<Duration> {
+    fn housekeeping_interval(&self) -> Option<Duration> {
         None
     }
     /// What other threads have for the core.
@@ -52,7 +52,7 @@
         None
     }
     /// Budget figures, once a minute.
-    fn figures(&mut self, _figures: &BTreeMap<Box<str>, Figures>) {}
+    fn budget_figures(&mut self, _figures: &BTreeMap<Box<str>, Figures>) {}
 }
 
 /// What a [`Sink`] has for the core.
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -69,7 +69,7 @@
         let client = y.ask("report");
         let read = y.call();
         // From now on the system takes nothing on that connection but what is said below.
-        y.stuck.insert(pull.conn);
+        y.stalled.insert(pull.conn);
         y.parsed(&read);
         assert!(!y.has_call());
         if taken > 0 {
@@ -162,7 +162,7 @@
     y.reply(read.conn, 200, "{}");
     assert_eq!(y.outcomes(), [Outcome::Cancelled]);
     assert_eq!(y.releases().len(), 1, "what the read may have left is let go");
-    assert_eq!(y.finished[0].ended, Ended::ClientGone);
+    assert_eq!(y.finished[0].ended, RequestOutcome::ClientGone);
     assert_eq!(y.core.open_requests(), 0);
 }
 
