--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival until it is answered and no worker holds anything of it.
+//! A request from its arrival until it is answered and no attempt or reservation of it is left.
 
 use chalkyard_api::client::{MessagesRequest, Usage};
 use chalkyard_budget::{BilledAttempts, Usage as BilledTokens};
--- a/crates/router/src/core/client_connection.rs
+++ b/crates/router/src/core/client_connection.rs
@@ -35,7 +35,7 @@
     pub(super) output_full: bool,
     /// Whether reading is paused because too many bytes wait behind the open request.
     pub(super) pipeline_full: bool,
-    /// Whether reading is paused, for one of these reasons.
+    /// Whether reading is paused, for one of the reasons above.
     pub(super) paused: bool,
     /// Whether the connection is being closed unless unread bytes have arrived.
     pub(super) closing_if_quiet: bool,
--- a/crates/router/src/core/connection_pool.rs
+++ b/crates/router/src/core/connection_pool.rs
@@ -1,8 +1,8 @@
 //! Pool of connections to workers: opened, kept alive, reused, bounded and closed.
 //!
 //! `Core::connections` and `Core::workers` are written here; the endpoint list adds and removes workers.
-//! [`crate::Bounds::worker_connections`] and [`crate::Bounds::connections_per_worker`] bound the connections. No connection outlives
-//! the process.
+//! [`crate::Bounds::worker_connections`] and [`crate::Bounds::connections_per_worker`] bound the connections. No
+//! connection outlives the process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/router/src/core/worker_connection.rs
+++ b/crates/router/src/core/worker_connection.rs
@@ -15,7 +15,8 @@
 /// Maximum time between the reuse of a connection and the loss of its call, with nothing read of the reply, at which
 /// the loss shows that the worker had dropped the connection without closing it.
 const STALE_LOSS_WINDOW: Micros = Micros(20_000);
-/// Minimum idle time of such a connection; one that was idle for less was lost for another reason.
+/// Minimum idle time of a reused connection whose loss shows the same; a connection that was idle for less was lost
+/// for another reason.
 const STALE_MIN_IDLE: Micros = Micros(50_000);
 /// Interval after which a learned idle timeout doubles, up to the configured one.
 const LEARNED_TIMEOUT_DOUBLING: Micros = Micros(3_000_000);
