--- a/crates/platform/tests/stored_config.rs
+++ b/crates/platform/tests/stored_config.rs
@@ -1,5 +1,5 @@
-//! A configuration of the platform with every field, and the endpoint list that it keeps (`known`): what each is read
-//! as. The platform writes these files; a field that moves is a router that does not start.
+//! Tests of a configuration file with every field, and of the endpoint list in it (`known`). The platform writes these
+//! files, so a renamed field would keep routers from starting.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 const CONFIG: &str = include_str!("data/config.json");
 
-fn started() -> StartupConfig {
+fn startup_config() -> StartupConfig {
     StartupConfig::parse(CONFIG).unwrap()
 }
 
@@ -24,16 +24,16 @@
 }
 
 #[test]
-fn settings_of_the_platform_are_read_for_the_decision_module() {
-    let class = |aim, per_1000, deadline, effect, window| Class {
-        latency_objective: ms(aim),
+fn settings_are_translated_for_the_policy() {
+    let class = |objective, per_1000, deadline, safety, window| Class {
+        latency_objective: ms(objective),
         latency_objective_per_1000_tokens: ms(per_1000),
         deadline: ms(deadline),
-        retry_safety: effect,
+        retry_safety: safety,
         dedup_window: ms(window),
     };
     assert_eq!(
-        started().config.policy,
+        startup_config().config.policy,
         Settings {
             routers: 3,
             classes: vec![
@@ -65,26 +65,35 @@
 }
 
 #[test]
-fn name_addresses_seed_and_limits_are_read() {
-    let started = started();
-    assert_eq!(started.listen, "127.0.0.1:5000".parse().unwrap());
-    assert_eq!((started.seed, started.max_lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
-    let config = started.config;
+fn name_addresses_seed_and_limits_are_parsed() {
+    let startup_config = startup_config();
+    assert_eq!(startup_config.listen, "127.0.0.1:5000".parse().unwrap());
+    assert_eq!((startup_config.seed, startup_config.max_lingering), (Some(0x8c1f_30d2_7a5b_e964), 11));
+    let config = startup_config.config;
     assert_eq!((config.name.as_str(), config.discovery), ("n3", Some("127.0.0.1:9".parse().unwrap())));
     let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(classes, ["chat", "tool", "mail", "sum", "once"]);
     let tenants: Vec<&str> = config.tenants.iter().map(|t| t.name.as_str()).collect();
     assert_eq!(tenants, ["acme", "free"]);
-    let b = config.bounds;
+    let bounds = config.bounds;
     assert_eq!(
-        (b.open_requests, b.clients, b.worker_connections, b.connections_per_worker, b.idle_per_worker),
+        (
+            bounds.open_requests,
+            bounds.clients,
+            bounds.worker_connections,
+            bounds.connections_per_worker,
+            bounds.idle_per_worker
+        ),
         (500, 106, 119, 119, 119)
     );
-    assert_eq!((b.pending_body_bytes, b.client_buffer, b.workers, b.identities), (8 << 20, 65_536, 2_000, 0));
-    let w = config.timeouts;
-    assert_eq!((w.connect, w.worker_idle, w.release), (ms(250), ms(10_000), ms(150)));
-    assert_eq!((w.discovery, w.discovery_probe), (ms(3_000), ms(250)));
-    assert_eq!(w.migration, Some(MigrationWindow { from: ms(1_800), until: ms(3_300) }));
+    assert_eq!(
+        (bounds.pending_body_bytes, bounds.client_buffer, bounds.workers, bounds.identities),
+        (8 << 20, 65_536, 2_000, 0)
+    );
+    let timeouts = config.timeouts;
+    assert_eq!((timeouts.connect, timeouts.worker_idle, timeouts.release), (ms(250), ms(10_000), ms(150)));
+    assert_eq!((timeouts.discovery, timeouts.discovery_probe), (ms(3_000), ms(250)));
+    assert_eq!(timeouts.migration, Some(MigrationWindow { from: ms(1_800), until: ms(3_300) }));
 }
 
 fn worker(id: &str, zone: Option<usize>, cell: u64, role: Role, kv_tokens: Option<u64>) -> Worker {
@@ -105,15 +114,15 @@
 }
 
 #[test]
-fn the_kept_endpoint_list_is_read_with_every_field() {
-    let started = started();
-    let known = started.last_endpoint_list.unwrap();
+fn stored_endpoint_list_is_parsed_with_every_field() {
+    let startup_config = startup_config();
+    let known = startup_config.last_endpoint_list.unwrap();
     assert_eq!(
         serde_json::from_str::<Value>(&known).unwrap(),
         serde_json::from_str::<Value>(CONFIG).unwrap()["known"],
-        "kept as text, and read when the core starts"
+        "the list stays JSON text, which the core parses at its start"
     );
-    let list = started.config.dialect.unwrap().parse_list(known.as_bytes()).unwrap();
+    let list = startup_config.config.dialect.unwrap().parse_list(known.as_bytes()).unwrap();
     assert_eq!((list.version, list.complete, list.invalid.len()), (41, true, 0));
     let at = |text: &str| text.parse().unwrap();
     assert_eq!(
@@ -144,8 +153,8 @@
 }
 
 #[test]
-fn changes_of_the_list_that_cannot_be_read_are_told_by_their_entry() {
-    let dialect = started().config.dialect.unwrap();
+fn invalid_entries_of_the_list_are_reported() {
+    let dialect = startup_config().config.dialect.unwrap();
     let members = [
         json!({"id": "a", "host_port": "127.0.0.1:4", "flavor": "mixes", "phase": "up"}),
         json!({"id": "b", "host_port": "127.0.0.1:5", "phase": "asleep"}),
@@ -166,8 +175,8 @@
         reasons,
         [
             "`b`: unknown phase `asleep`",
-            "`c`: host_port is no address",
-            "`d`: host_port is no address",
+            "`c`: host_port is not an IP address with a port",
+            "`d`: host_port is not an IP address with a port",
             "missing field `id` at line 1 column 14",
             "invalid type: integer `7`, expected struct Member at line 1 column 1",
         ]
@@ -176,26 +185,26 @@
 }
 
 #[test]
-fn a_configuration_that_is_wrong_is_told_by_field_and_cause() {
-    let told = |path: &str, value: Value| {
+fn invalid_configuration_is_reported_with_field_and_cause() {
+    let error_of = |path: &str, value: Value| {
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         *config.pointer_mut(path).unwrap() = value;
         StartupConfig::parse(&config.to_string()).map(drop).unwrap_err().to_string()
     };
-    assert_eq!(told("/listen", json!("here")), "field `listen`: `here` is no address with a port");
-    assert_eq!(told("/discovery", json!("x")), "field `discovery`: `x` is no address with a port");
-    assert_eq!(told("/limits/sockets", json!(127)), "field `limits.sockets`: under 128");
-    assert_eq!(told("/limits/memory_mb", json!(15.9)), "field `limits.memory_mb`: under 16");
+    assert_eq!(error_of("/listen", json!("here")), "field `listen`: `here` is not an IP address with a port");
+    assert_eq!(error_of("/discovery", json!("x")), "field `discovery`: `x` is not an IP address with a port");
+    assert_eq!(error_of("/limits/sockets", json!(127)), "field `limits.sockets`: must be at least 128");
+    assert_eq!(error_of("/limits/memory_mb", json!(15.9)), "field `limits.memory_mb`: must be at least 16");
     assert_eq!(
-        told("/settings/categories/0/repeat", json!("twice")),
+        error_of("/settings/categories/0/repeat", json!("twice")),
         "field `settings`: field `repeat`: unknown value `twice`"
     );
     assert_eq!(
-        told("/settings/family_info/role_by_kind/0", json!("reads")),
+        error_of("/settings/family_info/role_by_kind/0", json!("reads")),
         "field `settings`: field `role_by_kind`: unknown role `reads`"
     );
     assert_eq!(
-        told("/settings", json!({})),
+        error_of("/settings", json!({})),
         "field `settings`: missing field `balancers` at line 1 column 2"
     );
     assert_eq!(
