--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -65,8 +65,8 @@
 }
 
 /// A request that is open, or that still has an open attempt or a reservation. `Core::requests` owns it: only the
-/// core writes it, and views read it. [`crate::Bounds::open`] bounds the number of requests. After a crash only the
-/// ledger knows of them.
+/// core writes it, and views read it. [`crate::Bounds::open_requests`] bounds the number of requests. After a crash
+/// only the ledger knows of them.
 #[derive(Debug)]
 pub(super) struct ActiveRequest {
     pub(super) client: ConnId,
