--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a router.
+//! Router configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,63 +10,64 @@
 
 use crate::dialect::Dialect;
 
-/// A class by its name; its place in the list is its [`p::ClassId`].
+/// A request class. Its index in [`Config::classes`] is its [`p::ClassId`].
 #[derive(Debug, Clone)]
 pub struct ClassConfig {
-    /// Its name, as clients give it.
+    /// The name that clients send.
     pub name: String,
 }
 
-/// A tenant by its name; its place in the list is its [`p::TenantId`].
+/// A tenant. Its index in [`Config::tenants`] is its [`p::TenantId`].
 #[derive(Debug, Clone)]
 pub struct TenantConfig {
-    /// Its name, for the log.
+    /// The name that the log shows.
     pub name: String,
-    /// Classes that its keys may ask for, by place; none: all.
+    /// Indices of the classes that the tenant's keys may request; `None` allows all.
     pub classes: Option<Vec<usize>>,
 }
 
-/// A kind of worker.
+/// A kind of worker: the role and the memory that its workers share.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerKind {
-    /// Its role.
+    /// Whether its workers prefill, decode or do both.
     pub role: p::Role,
-    /// Its KV memory in tokens, where known.
+    /// Size of the KV cache in tokens, if known.
     pub kv_tokens: Option<u64>,
 }
 
-/// Bounds of a router's buffers and tables. What is past one is rejected or waits; each says which.
+/// Limits on a router's buffers and tables. Each field says what happens at its limit.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Of client connections' decoders.
+    /// Limits of the decoders of client connections.
     pub client: chalkyard_proto::Limits,
-    /// Of worker connections' decoders; the body's length is that of one complete stream.
+    /// Limits of the decoders of worker connections. The body limit applies to one complete stream.
     pub worker: chalkyard_proto::Limits,
-    /// Of one call.
+    /// Limits on the contents of one request body.
     pub call: client::RequestLimits,
-    /// Bytes of one event of a worker's stream.
+    /// Bytes of one event in a worker's stream.
     pub event_bytes: usize,
-    /// Bytes of one answer's text that is collected for a client that wants it in one body.
+    /// Bytes of text collected for a client that requested a non-streamed answer.
     pub answer_bytes: usize,
-    /// Client connections; one more is answered 503 and closed.
+    /// Client connections. A further one is answered with 503 and closed.
     pub clients: usize,
-    /// At that bound, the client that has been silent for longest makes room.
+    /// Whether, at the limit of client connections, the one that has been silent for longest is closed instead. Connections
+    /// with an open request are never closed for this.
     pub evict_clients: bool,
-    /// Bytes of request bodies, together, that came and may still have to be sent.
+    /// Total bytes of received request bodies that may still have to be sent to a worker.
     pub pending_body_bytes: u64,
-    /// Open requests; one more is rejected before the policy sees it.
+    /// Open requests. A further one is rejected before it reaches the policy.
     pub open_requests: usize,
-    /// Connections to one worker; at the bound an attempt ends as `NotSent`.
+    /// Connections to one worker. At the limit, an attempt ends as `NotSent`.
     pub connections_per_worker: usize,
-    /// Connections to all workers; at the bound the oldest idle one makes room.
+    /// Connections to all workers. At the limit, the oldest idle connection is closed.
     pub worker_connections: usize,
-    /// Idle connections to one worker.
+    /// Idle connections kept to one worker.
     pub idle_per_worker: usize,
-    /// Bytes waiting for a slow client at which its worker is no longer read; at half of that it is read again.
+    /// Unsent bytes for a slow client at which reading from its worker pauses. Reading resumes at half of this.
     pub client_buffer: usize,
-    /// Entries of the endpoint list.
+    /// Entries in the endpoint list.
     pub workers: usize,
-    /// Idempotency keys remembered.
+    /// Idempotency keys kept in memory.
     pub identities: usize,
 }
 
@@ -93,47 +94,47 @@
     }
 }
 
-/// Timeouts of a router.
+/// Router timeouts.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// From a request's first byte to the end of its body.
+    /// Time to receive a request, from its first byte to the end of its body.
     pub request: p::Micros,
-    /// A client connection between two requests.
+    /// Idle time of a client connection between two requests.
     pub idle: p::Micros,
-    /// A new client connection, to the end of its first request.
+    /// Time from accepting a client connection to the end of its first request.
     pub first_request: p::Micros,
-    /// The answer to a call that releases a reservation.
+    /// Wait for the answer to a call that releases a reservation.
     pub release: p::Micros,
-    /// When streams are migrated during the graceful shutdown; none: never. What is accepted meanwhile is answered by its
-    /// end.
+    /// When streams are migrated during a graceful shutdown; `None` disables migration. Requests accepted during the
+    /// shutdown are answered by the end of the window.
     pub migration: Option<MigrationWindow>,
-    /// When no new requests are accepted any more, a client that has connected just now has this long to begin its first.
+    /// Once the router drains, time for a newly connected client to begin its first request.
     pub drain_grace: p::Micros,
-    /// An idle connection to a worker; under the workers' own.
+    /// Idle time of a connection to a worker. It must be shorter than the workers' own idle timeout.
     pub worker_idle: p::Micros,
-    /// Until a connection to a worker or to service discovery stands.
+    /// Time to connect to a worker or to service discovery.
     pub connect: p::Micros,
-    /// Between two events of an answer that has begun.
+    /// Gap between two events of a stream that has begun.
     pub stream: p::Micros,
-    /// A client that takes nothing of what waits for it.
+    /// Time during which a client accepts none of its unsent bytes.
     pub slow_client: p::Micros,
-    /// Service discovery that is silent.
+    /// Silence of service discovery.
     pub discovery: p::Micros,
-    /// The same after a call to a dialect's service discovery has failed.
+    /// Silence of a dialect's service discovery after a call to it has failed.
     pub discovery_probe: p::Micros,
-    /// A final answer leaves this long before the client's deadline.
+    /// How long before the client's deadline the final answer is sent.
     pub reply_margin: p::Micros,
-    /// How long idempotency keys of finished requests that may have run are remembered.
+    /// How long the idempotency key of a finished request that may have run is kept.
     pub identity: p::Micros,
 }
 
-/// Streams of a stopping router are migrated evenly within this window: all at once, at its end, they would overload the
-/// other routers.
+/// The window over which a stopping router spreads the migration of its streams. Migrating all of them at once at the end
+/// of the shutdown would overload the other routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MigrationWindow {
-    /// From the beginning of the graceful shutdown to the first migration.
+    /// Time from the start of the graceful shutdown to the first migration.
     pub from: p::Micros,
-    /// ... and to the last.
+    /// Time from the start of the graceful shutdown to the last migration.
     pub until: p::Micros,
 }
 
@@ -159,44 +160,45 @@
     }
 }
 
-/// What can be changed in a running core. Open requests go on as they were accepted.
+/// Settings that a running core can reload. Open requests keep the settings under which they were accepted.
 #[derive(Debug, Clone)]
 pub struct RuntimeSettings {
-    /// API keys, by the places of the tenants that the core was started with.
+    /// API keys. Tenant indices refer to the tenants that the core was started with.
     pub keys: KeyRing,
-    /// By those places: the classes that a tenant's keys may ask for; none: all.
+    /// By tenant index: the classes that the tenant's keys may request; `None` allows all.
     pub classes: Vec<Option<Vec<usize>>>,
-    /// Bounds; those of connections hold for new ones.
+    /// Limits. Those on connections apply to new connections.
     pub bounds: Bounds,
-    /// Timeouts; they hold for what begins.
+    /// Timeouts. They apply to operations that begin after the reload.
     pub timeouts: Timeouts,
 }
 
-/// All that a [`crate::Core`] is started with.
+/// The configuration that a [`crate::Core`] starts with.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This router's name; it must differ from all others' and goes into request ids.
+    /// The router's name, part of its request ids. It must be unique among all routers.
     pub name: String,
-    /// The policy's settings.
+    /// Settings of the policy.
     pub policy: p::Settings,
     /// Classes, in the order of `policy.classes`.
     pub classes: Vec<ClassConfig>,
-    /// The class of calls that name none.
+    /// Index of the class of requests that name none.
     pub default_class: usize,
     /// Tenants, in the order of `policy.tenants`.
     pub tenants: Vec<TenantConfig>,
-    /// Their API keys. Without tenants, no key is asked for.
+    /// API keys of the tenants. Without tenants, no key is required.
     pub keys: KeyRing,
     /// Zones by name.
     pub zones: BTreeMap<String, p::ZoneId>,
     /// Kinds of workers by name.
     pub kinds: BTreeMap<String, WorkerKind>,
-    /// Where service discovery listens; none: the stored list is all there is.
+    /// Address of service discovery. With `None`, the stored endpoint list is the only source.
     pub discovery: Option<SocketAddr>,
-    /// Bounds.
+    /// Limits on buffers and tables.
     pub bounds: Bounds,
     /// Timeouts.
     pub timeouts: Timeouts,
-    /// The platform's protocol; none: our own call for clients, the engines' published calls, our own service discovery.
+    /// The platform's protocol. With `None`, the router uses its own client API and service discovery protocol and the
+    /// published API of the workers.
     pub dialect: Option<Arc<dyn Dialect>>,
 }
--- a/crates/router/src/dialect.rs
+++ b/crates/router/src/dialect.rs
@@ -1,7 +1,7 @@
-//! The protocol of one platform, as far as [`crate::Core`] needs it. A dialect turns bytes into what the policy decides by
-//! and back; connections, attempts, timers, reservations and deadlines stay in the core.
+//! The interface between [`crate::Core`] and the protocol of one platform. A dialect translates between bytes and the
+//! policy's types; connections, attempts, timers, reservations and deadlines stay in the core.
 //!
-//! A dialect forwards requests and streams unchanged. It only reads what the policy has to know about them.
+//! A dialect forwards requests and streams unchanged and reads only the fields that the policy needs.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,105 +12,105 @@
 use chalkyard_proto::Head;
 use thiserror::Error;
 
-/// A client's request as it came, to be forwarded unchanged.
+/// A client's request, to be forwarded unchanged.
 #[derive(Debug, Clone, Default)]
 pub struct ForwardedRequest {
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// The client's idempotency key, by which workers discard repeats of requests that may be deduplicated.
+    /// The client's idempotency key. Workers use it to discard repeats of requests that may be deduplicated.
     pub idempotency_key: Option<String>,
-    /// Body, byte for byte. Dropped once no attempt can follow.
+    /// The exact bytes of the body. Dropped once no further attempt is possible.
     pub body: Vec<u8>,
 }
 
-/// What a client asks for.
+/// The meaning of a client's request.
 #[derive(Debug)]
 pub enum ParsedRequest {
-    /// Whether this router is ready.
+    /// A query whether this router is ready.
     HealthCheck,
-    /// An answer of a worker.
+    /// A request to be answered by a worker.
     Inference(Box<p::Request>, ForwardedRequest),
-    /// Nothing that this router serves. Nothing was sent to a worker.
+    /// A request that this router does not serve. Nothing is sent to a worker.
     Invalid {
-        /// HTTP status of the answer.
+        /// HTTP status to answer with.
         status: u16,
-        /// What is wrong with it.
+        /// Why the request is invalid.
         reason: String,
     },
 }
 
-/// What the head of a worker's reply says.
+/// The meaning of the head of a worker's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyHead {
-    /// The answer's stream follows.
+    /// The answer follows as a stream.
     Stream,
-    /// The prefill is complete; the number of cached tokens follows.
+    /// The prefill is complete; the body holds the number of cached tokens.
     Prefilled,
-    /// The attempt is over.
+    /// The attempt is over, with this outcome.
     Ended(Outcome),
 }
 
-/// Tokens of one request, as a worker counts them.
+/// Token counts of one request, as reported by a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TokenUsage {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Of these, tokens that were found in the worker's cache.
+    /// Prompt tokens that were found in the worker's cache.
     pub cached_tokens: u64,
-    /// Tokens of the answer.
+    /// Output tokens.
     pub output_tokens: u64,
 }
 
-/// What a stream has said of itself so far.
+/// What has been read from a stream so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct StreamProgress {
-    /// A complete event has come.
+    /// At least one complete event has arrived.
     pub begun: bool,
-    /// Complete events so far.
+    /// Number of complete events.
     pub events: u64,
-    /// Tokens, once the stream has named them.
+    /// Token counts, once the stream has reported them.
     pub usage: Option<TokenUsage>,
-    /// The worker's load.
+    /// The worker's latest load report in the stream.
     pub report: Option<p::LoadReport>,
 }
 
-/// Reads a stream while it is forwarded. It accepts any bytes and holds a bounded part of them.
+/// Observes a stream while it is forwarded. It accepts any bytes and buffers a bounded number of them.
 pub trait ResponseObserver: fmt::Debug + Send {
-    /// Takes the stream's next bytes.
+    /// Processes the next bytes of the stream.
     fn push(&mut self, bytes: &[u8]);
-    /// What is known by now.
+    /// The state after all bytes so far.
     fn progress(&self) -> StreamProgress;
 }
 
-/// A worker and where it listens.
+/// A worker and the address that it listens on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// The worker, as the policy knows it.
+    /// The worker, as described to the policy.
     pub worker: p::Worker,
-    /// Its address.
+    /// The worker's address.
     pub address: SocketAddr,
 }
 
-/// The endpoint list, or what has changed in it.
+/// The complete endpoint list, or a delta of it.
 #[derive(Debug, Default)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list after this update.
     pub version: u64,
-    /// It names all endpoints, not only those that have changed.
+    /// Whether all endpoints are listed, rather than the changed ones alone.
     pub complete: bool,
-    /// Its entries that could be read.
+    /// The valid entries.
     pub endpoints: Vec<Endpoint>,
-    /// Why the others could not be.
+    /// One error for each invalid entry.
     pub invalid: Vec<EndpointListError>,
 }
 
-/// An endpoint list, or one of its entries, that can't be read.
+/// An endpoint list, or one of its entries, is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{reason}")]
 pub struct EndpointListError {
-    /// What is wrong, with the entry or the place in the text where there is one.
+    /// What is wrong, with the entry or the position in the text if there is one.
     pub reason: String,
 }
 
@@ -122,9 +122,9 @@
 
 /// A platform's protocol.
 pub trait Dialect: fmt::Debug + Send + Sync {
-    /// Reads a client's complete request, whose first byte came at `arrived_at`.
+    /// Parses a client's complete request, whose first byte arrived at `arrived_at`.
     fn parse_request(&self, arrived_at: Micros, head: &Head, body: Vec<u8>) -> ParsedRequest;
-    /// The bytes of a call that forwards a request to a worker and waits for `timeout`.
+    /// Encodes a call that forwards a request to the worker at `host`, to be answered within `timeout`.
     fn attempt_call(
         &self,
         request: &p::Request,
@@ -132,19 +132,19 @@
         host: &str,
         timeout: Micros,
     ) -> Vec<u8>;
-    /// Reads the head of a worker's reply.
+    /// Parses the head of a worker's reply.
     fn parse_reply(&self, stage: Stage, head: &Head) -> ReplyHead;
-    /// The load report in the head of a worker's reply.
+    /// Extracts the load report from the head of a worker's reply.
     fn load_report(&self, head: &Head) -> Option<p::LoadReport>;
-    /// The number of cached tokens in the body of a reply to a prefill.
+    /// Extracts the number of cached tokens from the body of a reply to a prefill.
     fn cached_tokens(&self, body: &[u8]) -> u64;
-    /// A reader for a stream that begins.
+    /// Creates an observer for a new stream.
     fn response_observer(&self) -> Box<dyn ResponseObserver>;
-    /// The bytes of a call that releases all that is reserved for a request, whichever worker gets it.
+    /// Encodes a call that releases all reservations of a request. Any worker may receive it.
     fn release_call(&self, id: &p::RequestId, host: &str) -> Vec<u8>;
-    /// The bytes of a call for changes of the endpoint list after a version. It is answered at once or, with `long_poll`,
-    /// once there is a change.
+    /// Encodes a call for changes of the endpoint list after version `after`. The answer comes at once or, with
+    /// `long_poll`, once there is a change.
     fn list_call(&self, after: Option<u64>, long_poll: bool, host: &str) -> Vec<u8>;
-    /// Reads the answer to [`Dialect::list_call`].
+    /// Parses the answer to [`Dialect::list_call`].
     fn parse_list(&self, body: &[u8]) -> Result<EndpointList, EndpointListError>;
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,8 +1,9 @@
-//! The endpoint list in the form of our own service discovery: a snapshot, then deltas, versioned. Sans-IO.
+//! The endpoint list in the format of the built-in service discovery protocol: a snapshot followed by deltas, each with a
+//! version. Sans-IO.
 //!
-//! `GET /v1/workers?watch=1` answers with a stream of events `snapshot` and `change`, data
-//! `{"version":N,"workers":[...]}`; a change's version follows the one before, or an event was lost.
-//! `GET /v1/workers` answers with one snapshot as JSON. The stored list has the form of a snapshot.
+//! `GET /v1/workers?watch=1` answers with a stream of `snapshot` and `change` events with data
+//! `{"version":N,"workers":[...]}`. The version of a change is the previous version plus one; any other version means that
+//! an event was lost. `GET /v1/workers` answers with one snapshot as JSON. The stored list has the format of a snapshot.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +15,7 @@
 use crate::config::Config;
 use crate::dialect::Endpoint;
 
-/// An entry as it is sent and stored.
+/// An entry of the endpoint list, as transmitted and stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndpointEntry {
     worker: String,
@@ -27,7 +28,7 @@
     state: EndpointState,
     #[serde(default)]
     weight: Option<f64>,
-    /// Most recent start, ms since 1970.
+    /// Most recent start of the worker, in ms since the Unix epoch.
     #[serde(default)]
     started_unix_ms: Option<u64>,
 }
@@ -42,14 +43,14 @@
     Removed,
 }
 
-/// A snapshot or a delta, as it is sent and stored.
+/// A snapshot or a delta, as transmitted; a snapshot is also the stored format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndpointMessage {
     pub version: u64,
     pub workers: Vec<EndpointEntry>,
 }
 
-/// The newest list, as it is stored for the next start.
+/// The latest endpoint list, which is stored for the next start.
 #[derive(Debug, Default)]
 pub(crate) struct KnownEndpoints {
     version: Option<u64>,
@@ -59,25 +60,25 @@
 /// Why a snapshot or a delta was not applied.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum EndpointUpdateError {
-    /// Not in the form that is documented above; with the parser's words.
+    /// The text does not have the documented format, or names unknown kinds or zones; with the reason.
     #[error("{0}")]
     Malformed(String),
-    /// A delta that does not follow the newest list: one before it was lost.
+    /// The delta's version does not follow that of the latest list: an earlier delta was lost.
     #[error("the delta does not follow the newest list")]
     VersionGap,
 }
 
-/// What a delta has changed.
+/// The effect of a delta.
 #[derive(Debug)]
 pub(crate) struct AppliedDelta {
-    /// The endpoints that were added, changed or removed.
+    /// Endpoints that were added, changed or removed.
     pub endpoints: Vec<Endpoint>,
-    /// Endpoints that were left out, since as many are known as may be.
+    /// Number of new endpoints that were left out because the list is at its limit.
     pub left_out: usize,
 }
 
 impl KnownEndpoints {
-    /// Replaces the list by a snapshot.
+    /// Replaces the list with a snapshot.
     pub fn apply_snapshot(
         &mut self,
         text: &str,
@@ -90,8 +91,8 @@
         Ok(endpoints)
     }
 
-    /// Applies a delta. New workers past the bound are left out; what is said of known ones, above all that they drain, is
-    /// applied in any case.
+    /// Applies a delta. New workers beyond the limit are left out; changes of known workers always apply, because a worker
+    /// that drains must not get further requests.
     pub fn apply_delta(&mut self, text: &str, config: &Config) -> Result<AppliedDelta, EndpointUpdateError> {
         let mut message = parse(text, config)?;
         if self.version.and_then(|v| v.checked_add(1)) != Some(message.version) {
@@ -105,7 +106,7 @@
         Ok(AppliedDelta { endpoints, left_out: named - message.workers.len() })
     }
 
-    /// Whether the entry was applied.
+    /// Applies one entry; false if it is new and the list is at its limit.
     fn apply_entry(&mut self, entry: &EndpointEntry, bound: usize) -> bool {
         if entry.state == EndpointState::Removed {
             self.entries.remove(&entry.worker);
@@ -118,7 +119,7 @@
         fits
     }
 
-    /// The newest list, as one snapshot.
+    /// The latest list as the text of one snapshot.
     pub fn to_text(&self) -> String {
         let message = EndpointMessage {
             version: self.version.unwrap_or(0),
@@ -138,7 +139,7 @@
     Ok(message)
 }
 
-/// Replaces the names of kinds and zones by what the settings say of them.
+/// Resolves the names of kinds and zones against the configuration.
 fn resolve(message: &EndpointMessage, config: &Config) -> Result<Vec<Endpoint>, EndpointUpdateError> {
     message.workers.iter().map(|entry| resolve_entry(entry, config)).collect()
 }
--- a/crates/router/src/identity.rs
+++ b/crates/router/src/identity.rs
@@ -1,50 +1,51 @@
-//! Idempotency keys at one router: requests under one key of one tenant are one request. Sans-IO.
+//! Deduplication by idempotency key at one router: requests of one tenant with the same key are the same request. Sans-IO.
 //!
-//! While the first request is open, a repeat is rejected as a duplicate. Afterwards a request that may have run and must
-//! not run twice is remembered for a time, and a repeat is told to look it up. A request that was rejected, or that is
-//! idempotent, is forgotten at its end. Across routers the key is forwarded to the workers, which discard repeats.
+//! While the first request is open, a repeat is rejected as a duplicate. The key of a request that may have run and must
+//! not run twice is kept for a time after its end; the error for a repeat asks the client to look up the first request. The
+//! key of a request that was rejected, or that is idempotent, is dropped at its end. To deduplicate across routers, the key
+//! is forwarded to the workers, which discard repeats.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use chalkyard_policy::Micros;
 use thiserror::Error;
 
-/// A client's idempotency key. Keys of different tenants are different.
+/// A client's idempotency key, scoped to its tenant.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestIdentity {
-    /// The place of the tenant in the settings.
+    /// Index of the tenant in the configuration.
     pub tenant: Option<usize>,
-    /// The key as the client gave it.
+    /// The key that the client sent.
     pub key: String,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum IdentityState {
     Open,
-    /// Ended; remembered until then.
+    /// The request has ended and may have run; the key is kept until this time.
     MayHaveRun(Micros),
 }
 
-/// Why a request is not accepted as a new one.
+/// Why a request is not accepted as new.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum IdentityError {
-    /// The first request under the key is still open here.
+    /// The first request with this key is still open at this router.
     #[error("a request under this Idempotency-Key is open here; wait for its answer")]
     StillOpen,
-    /// The first request has ended here and may have run.
+    /// The first request with this key has ended at this router and may have run.
     #[error("a request under this Idempotency-Key may have run; look it up")]
     MayHaveRun,
-    /// No more keys can be remembered: accepting the request could run it twice.
+    /// The table is full. Accepting the request without keeping its key could run it twice.
     #[error("too many identities are remembered")]
     TableFull,
 }
 
-/// The keys that are known here: the only owner of that state. A router's core writes and reads it; it is bounded by
-/// `capacity`, and after a crash the keys that may have run come back from the ledger.
+/// The idempotency keys known to this router. Only the router's core reads and writes the table. It holds at most
+/// `capacity` keys. After a crash, the keys of requests that may have run are restored from the ledger.
 #[derive(Debug)]
 pub(crate) struct IdentityTable {
     known: BTreeMap<RequestIdentity, IdentityState>,
-    /// Ended ones, in the order in which they are forgotten.
+    /// Keys of ended requests, in order of expiry.
     ended: VecDeque<(Micros, RequestIdentity)>,
     capacity: usize,
 }
@@ -54,14 +55,14 @@
         Self { known: BTreeMap::new(), ended: VecDeque::new(), capacity }
     }
 
-    /// How many are remembered.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Begins a new request under its key, or says why not.
+    /// Registers a new request under its key.
     pub fn begin(&mut self, now: Micros, identity: &RequestIdentity) -> Result<(), IdentityError> {
-        self.forget_expired(now);
+        self.drop_expired(now);
         match self.known.get(identity) {
             Some(IdentityState::Open) => Err(IdentityError::StillOpen),
             Some(IdentityState::MayHaveRun(_)) => Err(IdentityError::MayHaveRun),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The request has its final answer. With `until`, it may have run and must not run again before then.
+    /// Records the final answer of a request. With `until`, the request may have run and must not run again before then.
     pub fn end(&mut self, identity: &RequestIdentity, until: Option<Micros>) {
         match until {
             Some(until) => {
@@ -86,15 +87,16 @@
         }
     }
 
-    /// Restores a request that may have run in an earlier process; in the order in which they ended.
+    /// Restores the key of a request that may have run in an earlier process. Calls must follow the order in which the
+    /// requests ended.
     pub fn restore(&mut self, identity: &RequestIdentity, until: Micros) {
         if self.known.len() < self.capacity {
             self.end(identity, Some(until));
         }
     }
 
-    /// All are remembered for the same span, so the first that ended is the first to be forgotten.
-    fn forget_expired(&mut self, now: Micros) {
+    /// Drops expired keys. All keys are kept for the same time, so they expire in the order in which their requests ended.
+    fn drop_expired(&mut self, now: Micros) {
         while let Some((until, identity)) = self.ended.pop_front_if(|(until, _)| *until <= now) {
             if self.known.get(&identity) == Some(&IdentityState::MayHaveRun(until)) {
                 self.known.remove(&identity);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,12 +1,12 @@
-//! The way of a request between a client, the workers and the policy.
+//! The request path between clients, workers and the policy.
 //!
-//! [`Core`] is sans-IO: `core.handle(now, input, &mut outputs)`, where an input is bytes on a connection, a
-//! connection's state or the time, and an output is bytes to write, a connection to open or close, or a
-//! record for the log. [`shell`] drives it with mio; tests drive it by hand. Every decision about
-//! workers, retries and load shedding is the policy's ([`chalkyard_policy`]).
+//! [`Core`] is sans-IO: `core.handle(now, input, &mut outputs)`, where an input is bytes received on a connection, a
+//! change of a connection's state or the passing of time, and an output is bytes to write, a connection to open or close,
+//! or a record for the log. [`shell`] drives it with mio; tests call it directly. The policy ([`chalkyard_policy`])
+//! makes every decision about workers, retries and load shedding.
 
 #![warn(clippy::type_complexity, rustdoc::broken_intra_doc_links)]
-// A test that plays a long sequence stays one function.
+// Tests are exempt: a test of a long sequence is easier to read as one function.
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
 mod config;
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -1,17 +1,17 @@
-//! Timers in the order in which they are due.
+//! A queue of timers, ordered by due time.
 
 use std::collections::BTreeMap;
 
 use chalkyard_policy::Micros;
 
-/// A set of timers; of those that are due at the same time, the one set first comes first.
+/// A queue of timers. Timers that are due at the same time fire in the order in which they were set.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
     due: BTreeMap<TimerKey, T>,
     next_sequence: u64,
 }
 
-/// Names a timer that was set. Keys are ordered as their timers are due.
+/// Identifies a timer. Keys sort in the order in which their timers fire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TimerKey {
     /// When the timer is due.
@@ -42,7 +42,7 @@
         self.due.keys().next().map(|key| key.due)
     }
 
-    /// The next event that is due by now.
+    /// Removes and returns the next event that is due at `now`.
     pub fn pop(&mut self, now: Micros) -> Option<T> {
         self.next_due().filter(|due| *due <= now)?;
         self.due.pop_first().map(|(_, event)| event)
