--- a/crates/router/src/shell/accept.rs
+++ b/crates/router/src/shell/accept.rs
@@ -1,4 +1,4 @@
-//! Connections are accepted from the listening socket.
+//! Accepting connections from the listening socket.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -7,13 +7,14 @@
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
-/// Connections accepted at once before others have their turn.
-pub(super) const ACCEPTS_A_TURN: usize = 64;
-/// Without free file descriptors, no connection is accepted for this span.
+/// Maximum number of connections accepted before other sockets are handled.
+pub(super) const MAX_CONSECUTIVE_ACCEPTS: usize = 64;
+/// How long no connection is accepted after accepting failed, for example for want of a file descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// The most other failures in one turn. One that lasts pauses as well, so that the loop does not spin.
-const ACCEPT_FAILURES: u32 = 16;
-/// EMFILE and ENFILE of accept(2): the process, or the system, has no descriptor left.
+/// Maximum number of other failures in one loop iteration. Beyond it, accepting pauses, so that a persistent failure does
+/// not make the loop spin.
+const MAX_ACCEPT_FAILURES: u32 = 16;
+/// `EMFILE` and `ENFILE` of accept(2): the process or the system has no file descriptor left.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
 
 fn is_out_of_descriptors(error: &io::Error) -> bool {
@@ -21,11 +22,11 @@
 }
 
 impl<S: Sink> Shell<S> {
-    /// Accepts connections that wait; true: there may be more.
+    /// Accepts pending connections. Returns whether more may be pending.
     pub(super) fn accept(&mut self) -> bool {
         self.accept_at = None;
         let mut failures = 0;
-        for _ in 0..ACCEPTS_A_TURN {
+        for _ in 0..MAX_CONSECUTIVE_ACCEPTS {
             if !self.drop_finished_lingering(self.max_lingering) {
                 self.accept_at = Some(Instant::now() + ACCEPT_PAUSE);
                 return false;
@@ -35,13 +36,13 @@
                 Ok((stream, _)) => {
                     let id = ConnId(self.next_client);
                     self.next_client += 2;
-                    if self.add(id, stream, ConnectionState::Open).is_ok() {
-                        self.feed(Input::Accepted(id));
+                    if self.add_connection(id, stream, ConnectionState::Open).is_ok() {
+                        self.handle_input(Input::Accepted(id));
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
-                // A failure of one connection alone, or gone at the next call: others wait behind it, and their time runs.
-                Err(e) if !is_out_of_descriptors(&e) && failures < ACCEPT_FAILURES => failures += 1,
+                // The failure concerns one connection, or may be transient. Others are pending, and their timeouts run.
+                Err(e) if !is_out_of_descriptors(&e) && failures < MAX_ACCEPT_FAILURES => failures += 1,
                 Err(e) => {
                     self.sink.note("accept", &format!("no connection can be taken for now: {e}"));
                     self.accept_at = Some(Instant::now() + ACCEPT_PAUSE);
--- a/crates/router/src/shell/clock.rs
+++ b/crates/router/src/shell/clock.rs
@@ -1,27 +1,28 @@
-//! The shell's clock, and the granularity of its waits.
+//! The shell's clock, and a measurement of its timer granularity.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use chalkyard_policy::Micros;
 use mio::{Events, Poll};
 
-/// µs since 1970 by a clock that never goes back: the time of day at its start, monotonic from then on.
+/// A monotonic clock in µs since the Unix epoch. It reads the time of day once, at its start, and advances monotonically from
+/// there.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: Micros,
+    unix_start: Micros,
 }
 
 impl Clock {
-    /// Starts at the present time of day.
+    /// Starts a clock at the current time of day.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), unix: Micros(unix.as_micros() as u64) }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { start: Instant::now(), unix_start: Micros(unix_start.as_micros() as u64) }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Micros {
-        self.unix + Micros(self.start.elapsed().as_micros() as u64)
+        self.unix_start + Micros(self.start.elapsed().as_micros() as u64)
     }
 }
 
@@ -31,7 +32,8 @@
     }
 }
 
-/// The loop's granularity: the longest of a few waits of 1 ms, between 1 and 10 ms.
+/// Measures the timer granularity of the event loop: the longest of five 1 ms polls, clamped to 1..=10 ms. 2 ms if no poll
+/// instance can be created.
 pub fn timer_granularity() -> Micros {
     let Ok(mut poll) = Poll::new() else { return Micros(2_000) };
     let mut events = Events::with_capacity(1);
--- a/crates/router/src/shell/connect.rs
+++ b/crates/router/src/shell/connect.rs
@@ -1,4 +1,4 @@
-//! Connections to workers and service discovery are begun, with retries where the system could not for a moment.
+//! Connecting to workers and service discovery, with retries of transient local failures.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,38 +10,39 @@
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
-/// How often a connection is begun in all.
+/// Maximum number of attempts to start a connection.
 const CONNECT_ATTEMPTS: u32 = 10;
-/// The pause between two attempts. All pauses together are shorter than any connect timeout, after which the core gives the
-/// connection up by itself.
-const PAUSE: Duration = Duration::from_millis(8);
+/// Delay between two attempts. The sum of all delays is shorter than any connect timeout, after which the core gives up on
+/// the connection.
+const RETRY_DELAY: Duration = Duration::from_millis(8);
 
-/// A connection that is begun again.
+/// A connection to be attempted again.
 #[derive(Debug)]
 struct ConnectRetry {
-    at: Instant,
+    due: Instant,
     id: ConnId,
     address: SocketAddr,
-    /// Attempts so far.
+    /// Number of attempts so far.
     attempts: u32,
 }
 
-/// Connections that wait for their next attempt: no more than the core has asked for and not given up.
+/// Connections that wait for their next attempt. Their number is bounded by the connections that the core has requested
+/// and not aborted.
 #[derive(Debug, Default)]
 pub(super) struct ConnectRetries(Vec<ConnectRetry>);
 
 impl ConnectRetries {
     pub(super) fn next_due(&self) -> Option<Instant> {
-        self.0.iter().map(|r| r.at).min()
+        self.0.iter().map(|retry| retry.due).min()
     }
 
-    /// The core has given a connection up.
+    /// Drops the retry of a connection that the core has aborted.
     pub(super) fn forget(&mut self, id: ConnId) {
-        self.0.retain(|r| r.id != id);
+        self.0.retain(|retry| retry.id != id);
     }
 
     fn take_due(&mut self, now: Instant) -> Vec<ConnectRetry> {
-        self.0.extract_if(.., |r| r.at <= now).collect()
+        self.0.extract_if(.., |retry| retry.due <= now).collect()
     }
 }
 
@@ -50,22 +51,28 @@
         self.attempt_connect(id, address, 1);
     }
 
-    /// Begins the connections that are due.
-    pub(super) fn retry_connects(&mut self) {
+    /// Starts the attempts that are due.
+    pub(super) fn retry_due_connects(&mut self) {
         for ConnectRetry { id, address, attempts, .. } in self.connect_retries.take_due(Instant::now()) {
             self.attempt_connect(id, address, attempts + 1);
         }
     }
 
     fn attempt_connect(&mut self, id: ConnId, address: SocketAddr, attempts: u32) {
-        let begun = TcpStream::connect(address).and_then(|s| self.add(id, s, ConnectionState::Connecting));
-        let Err(error) = begun else { return };
+        let started = TcpStream::connect(address)
+            .and_then(|stream| self.add_connection(id, stream, ConnectionState::Connecting));
+        let Err(error) = started else { return };
         let refused = error.kind() == io::ErrorKind::ConnectionRefused;
         if !refused && attempts < CONNECT_ATTEMPTS {
-            self.connect_retries.0.push(ConnectRetry { at: Instant::now() + PAUSE, id, address, attempts });
+            self.connect_retries.0.push(ConnectRetry {
+                due: Instant::now() + RETRY_DELAY,
+                id,
+                address,
+                attempts,
+            });
             return;
         }
-        // Either the peer can't be reached, or local resources are missing.
+        // Any other error means that local resources are missing.
         let is_unreachable = refused || is_network_error(&error);
         let input = if is_unreachable { Input::Lost(id) } else { Input::NotStarted(id) };
         self.core.handle(self.clock.now(), input, &mut self.outputs);
--- a/crates/router/src/shell/connection.rs
+++ b/crates/router/src/shell/connection.rs
@@ -1,4 +1,4 @@
-//! One connection as the shell holds it: its socket, what is to be written, and how far its end has come.
+//! The shell's state of one connection: its socket, its unsent bytes and its progress towards being closed.
 
 use std::io;
 use std::time::Instant;
@@ -8,78 +8,80 @@
 
 use crate::ConnId;
 
-/// How far a connection has come.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It does not stand yet.
+    /// The connection is being established.
     Connecting,
-    /// It can be read and written.
+    /// The connection can be read and written.
     Open,
-    /// To be closed once all is written.
+    /// The connection is closed once all bytes are written.
     Closing,
 }
 
-/// What becomes of bytes that come on a connection that is being closed.
+/// How to handle bytes received on a connection that is being closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AfterClose {
-    /// They are read and dropped: they belong to a request that was answered by its head.
+    /// Read and drop them. They belong to a request whose head was sufficient to answer it.
     Drop,
-    /// They stay unread: a request that nobody has read may be sent again by its client.
+    /// Leave them unread. A client may safely resend a request that was never read.
     LeaveUnread,
 }
 
-/// A connection of either side.
+/// A connection to a client, a worker or service discovery.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) id: ConnId,
     pub(super) stream: TcpStream,
-    /// Bytes to write: those of one group of events are written together.
+    /// Bytes to write. The bytes of one batch of events are written together.
     pub(super) unsent: Vec<u8>,
-    /// How many of `unsent`, from the front, the system has taken.
+    /// Number of bytes at the front of `unsent` that the kernel has accepted.
     pub(super) written: usize,
-    /// The system has taken none of them.
-    pub(super) is_unwritten: bool,
+    /// Whether the kernel has accepted none of `unsent`.
+    pub(super) nothing_written: bool,
     pub(super) state: ConnectionState,
-    /// Not to be read for now.
+    /// Whether reading is suspended.
     pub(super) paused: bool,
-    /// Readable since the last read that would have blocked.
+    /// Whether the socket has become readable since the last read that would have blocked.
     pub(super) readable: bool,
-    /// The peer has closed its side, or reset the connection; what came before may not have been read yet.
+    /// Whether the peer has closed its side or reset the connection, and the core was not notified. Earlier bytes may still
+    /// be unread.
     pub(super) end_pending: bool,
-    /// The same; it stays set once the core was notified.
+    /// Whether the peer has closed its side or reset the connection. Stays set after the core was notified.
     pub(super) peer_closed: bool,
-    /// All is written, and this side is closed.
+    /// Whether all bytes are written and the write side is shut down.
     pub(super) write_shut: bool,
-    /// What becomes of bytes that still come, once it is closing.
+    /// How to handle bytes that are received while the connection is closing.
     pub(super) after_close: AfterClose,
-    /// When closing began.
+    /// When the connection began to close.
     pub(super) closing_since: Option<Instant>,
-    /// The peer has taken bytes since the last check of a lingering connection.
-    pub(super) took_bytes: bool,
+    /// Whether bytes were written since the last check of the lingering connection.
+    pub(super) wrote_since_check: bool,
 }
 
-/// When a lingering connection is dropped, unless the peer still takes bytes.
+/// When a lingering connection is dropped, unless the peer still accepts bytes.
 #[derive(Debug)]
 pub(super) struct LingerDeadline {
-    pub(super) at: Instant,
+    pub(super) deadline: Instant,
     pub(super) key: usize,
     pub(super) id: ConnId,
 }
 
-/// The token of a connection: its own number, so that an event for one that is gone reaches no other.
+/// The mio token of a connection. It is derived from the connection's id, which is never reused, so a late event of a removed
+/// connection cannot be attributed to another one.
 pub(super) fn token(id: ConnId) -> Token {
     Token(usize::try_from(id.0).map_or(usize::MAX, |n| n.saturating_add(1)))
 }
 
 impl Connection {
-    /// Whether a connection to a worker that is about to carry a call was closed, or has brought bytes, since it was last
-    /// read: the call would be lost, or answered by what is not its reply. Nothing of the call is written yet.
+    /// Whether a worker connection on which a call is about to begin was closed or has received bytes since the last read.
+    /// The call would be lost, or the bytes would be taken for its reply. No byte of the call has been written yet.
     pub(super) fn has_unexpected_bytes(&self) -> bool {
-        let begins = self.is_unwritten && self.state == ConnectionState::Open;
-        begins && self.id.is_outbound() && self.peek().is_ok()
+        let call_begins = self.nothing_written && self.state == ConnectionState::Open;
+        call_begins && self.id.is_outbound() && self.peek().is_ok()
     }
 
-    /// Peeks for a byte; an interrupted call is repeated.
+    /// Peeks at the next byte, repeating an interrupted call.
     pub(super) fn peek(&self) -> io::Result<usize> {
         loop {
             match self.stream.peek(&mut [0]) {
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Whether all is written and both sides are closed.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether all bytes are written and both sides are closed.
+    pub(super) fn is_closed(&self) -> bool {
         self.state == ConnectionState::Closing && self.write_shut && self.peer_closed
     }
 }
--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of a shell: added, read, written and removed.
+//! Adding, reading, writing and removing connections.
 
 use std::io::{self, Read, Write};
 use std::net::Shutdown;
@@ -11,15 +11,16 @@
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
-/// Bytes of one read.
-pub(super) const READ_BYTES: usize = 16 * 1024;
-/// Reads of one connection before others have their turn.
-const READS_A_TURN: usize = 8;
-/// So many written bytes at the front of a buffer are dropped together.
-const COMPACT_BYTES: usize = 64 * 1024;
+/// Size of the read buffer.
+pub(super) const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum number of consecutive reads of one connection before others are handled.
+const MAX_CONSECUTIVE_READS: usize = 8;
+/// Written bytes at the front of a buffer are removed once there are more than this many.
+const COMPACT_THRESHOLD_BYTES: usize = 64 * 1024;
+
 impl<S: Sink> Shell<S> {
-    /// Takes a socket into the loop.
-    pub(super) fn add(
+    /// Adds a socket to the event loop.
+    pub(super) fn add_connection(
         &mut self,
         id: ConnId,
         mut stream: TcpStream,
@@ -28,14 +29,14 @@
         let _ = stream.set_nodelay(true);
         let entry = self.connections.vacant_entry();
         let key = entry.key();
-        let both = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, token(id), both)?;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.poll.registry().register(&mut stream, token(id), interest)?;
         entry.insert(Connection {
             id,
             stream,
             unsent: Vec::new(),
             written: 0,
-            is_unwritten: false,
+            nothing_written: false,
             state,
             paused: false,
             readable: false,
@@ -44,14 +45,14 @@
             write_shut: false,
             after_close: AfterClose::Drop,
             closing_since: None,
-            took_bytes: false,
+            wrote_since_check: false,
         });
         self.by_id.insert(id, key);
         Ok(key)
     }
 
-    /// Drops a connection, which closes its socket.
-    pub(super) fn remove(&mut self, key: usize) -> Option<ConnId> {
+    /// Removes a connection and closes its socket.
+    pub(super) fn remove_connection(&mut self, key: usize) -> Option<ConnId> {
         let mut connection = self.connections.try_remove(key)?;
         let _ = self.poll.registry().deregister(&mut connection.stream);
         self.to_write.remove(&key);
@@ -63,24 +64,25 @@
         Some(connection.id)
     }
 
-    /// The connection failed: the core is notified unless it has closed it itself.
-    pub(super) fn lost(&mut self, key: usize) {
-        let closing = self.connections.get(key).is_some_and(|s| s.state == ConnectionState::Closing);
-        if let Some(id) = self.remove(key) {
+    /// Handles the failure of a connection. The core is notified unless it has closed the connection.
+    pub(super) fn connection_failed(&mut self, key: usize) {
+        let closing = self.connections.get(key).is_some_and(|c| c.state == ConnectionState::Closing);
+        if let Some(id) = self.remove_connection(key) {
             if !closing {
                 self.core.handle(self.clock.now(), Input::Lost(id), &mut self.outputs);
             }
         }
     }
 
-    /// Whether what waits to be written to this connection begins a call to a worker.
-    pub(super) fn begins_call(&self, key: usize) -> bool {
+    /// Whether the unsent bytes of this connection begin a call to a worker.
+    pub(super) fn begins_worker_call(&self, key: usize) -> bool {
         self.connections
             .get(key)
-            .is_some_and(|s| s.is_unwritten && s.id.is_outbound() && s.state == ConnectionState::Open)
+            .is_some_and(|c| c.nothing_written && c.id.is_outbound() && c.state == ConnectionState::Open)
     }
 
-    pub(super) fn pause(&mut self, id: ConnId, paused: bool) {
+    /// Suspends or resumes reading a connection.
+    pub(super) fn set_paused(&mut self, id: ConnId, paused: bool) {
         let Some(key) = self.by_id.get(&id).copied() else { return };
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.paused = paused;
@@ -89,7 +91,8 @@
         }
     }
 
-    pub(super) fn ready_socket(&mut self, key: usize, readiness: Readiness) {
+    /// Handles the readiness of one socket.
+    pub(super) fn handle_socket(&mut self, key: usize, readiness: Readiness) {
         let Readiness { readable, writable, ended, .. } = readiness;
         let Some(connection) = self.connections.get_mut(key) else { return };
         if connection.state == ConnectionState::Connecting {
@@ -101,17 +104,17 @@
                 (Ok(None), Ok(_)) => {
                     connection.state = ConnectionState::Open;
                     let id = connection.id;
-                    self.feed(Input::Connected(id));
+                    self.handle_input(Input::Connected(id));
                 }
                 (Ok(None), Err(e)) if e.kind() == io::ErrorKind::NotConnected => return,
                 _ => {
-                    self.lost(key);
-                    return self.carry_out_all();
+                    self.connection_failed(key);
+                    return self.perform_outputs();
                 }
             }
         } else if writable {
             self.to_write.insert(key);
-            self.carry_out_all();
+            self.perform_outputs();
         }
         if readable {
             if let Some(connection) = self.connections.get_mut(key) {
@@ -123,11 +126,11 @@
         }
     }
 
-    /// Reads until a read would block, or others have their turn. A read that doesn't fill the buffer proves nothing: there
-    /// would be no other event for what it left.
+    /// Reads until a read would block or a limit is reached. A read that does not fill the buffer is not proof that the
+    /// socket is empty: events are edge-triggered, so there would be no further event for bytes that it left.
     pub(super) fn read(&mut self, key: usize) {
-        for n in 0..READS_A_TURN {
-            if n > 0 && self.is_turn_over() {
+        for n in 0..MAX_CONSECUTIVE_READS {
+            if n > 0 && self.is_iteration_over() {
                 break;
             }
             if !self.read_once(key) {
@@ -137,7 +140,7 @@
         self.to_read.push_back(key);
     }
 
-    /// One read of a connection, if it is to be read at all; true: more may be there.
+    /// Reads a connection once, unless reading is suspended. Returns whether more bytes may be available.
     fn read_once(&mut self, key: usize) -> bool {
         let Some(connection) = self.connections.get_mut(key) else { return false };
         if connection.state == ConnectionState::Closing {
@@ -145,7 +148,7 @@
         }
         let id = connection.id;
         if connection.paused && connection.end_pending && !id.is_outbound() {
-            self.notice_departure(key);
+            self.report_disconnect(key);
             return false;
         }
         if connection.paused || connection.state == ConnectionState::Connecting {
@@ -156,14 +159,14 @@
                 connection.readable = false;
                 connection.end_pending = false;
                 connection.peer_closed = true;
-                // Nothing more can come; writing goes on.
+                // No more bytes can arrive; writing continues.
                 connection.paused = true;
-                self.feed(Input::Eof(id));
+                self.handle_input(Input::Eof(id));
                 false
             }
             Ok(n) => {
                 let buffer = std::mem::take(&mut self.buffer);
-                self.feed(Input::Bytes(id, buffer.get(..n).unwrap_or_default()));
+                self.handle_input(Input::Bytes(id, buffer.get(..n).unwrap_or_default()));
                 self.buffer = buffer;
                 true
             }
@@ -171,13 +174,13 @@
         }
     }
 
-    /// One read of a connection that is being closed: what comes is dropped or left unread; true: more may be there.
+    /// Reads a closing connection once, dropping the bytes or leaving them unread. Returns whether more may be available.
     fn read_closing(&mut self, key: usize) -> bool {
         let Some(connection) = self.connections.get_mut(key) else { return false };
         if connection.after_close == AfterClose::LeaveUnread {
             connection.readable = false;
-            if connection.is_over() {
-                self.remove(key);
+            if connection.is_closed() {
+                self.remove_connection(key);
             }
             return false;
         }
@@ -187,7 +190,7 @@
         match connection.stream.read(&mut self.buffer) {
             Ok(0) => {
                 if connection.unsent.is_empty() {
-                    self.remove(key);
+                    self.remove_connection(key);
                 } else {
                     connection.readable = false;
                     connection.paused = true;
@@ -199,7 +202,7 @@
         }
     }
 
-    /// A read has failed, or finds nothing for now; true: it was interrupted alone.
+    /// Handles the error of a read. Returns whether to read again because the call was merely interrupted.
     fn read_failed(&mut self, key: usize, error: &io::Error) -> bool {
         match error.kind() {
             io::ErrorKind::Interrupted => return true,
@@ -209,25 +212,26 @@
                 }
             }
             _ => {
-                self.lost(key);
-                self.carry_out_all();
+                self.connection_failed(key);
+                self.perform_outputs();
             }
         }
         false
     }
 
-    /// A client that is not read has gone all the same, and what it sent before with it.
-    fn notice_departure(&mut self, key: usize) {
+    /// Notifies the core that a client has disconnected while reading from it is suspended. Its unread bytes are dropped.
+    fn report_disconnect(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.end_pending = false;
         if let Ok(None) = connection.stream.take_error() {
             let id = connection.id;
-            return self.feed(Input::Eof(id));
+            return self.handle_input(Input::Eof(id));
         }
-        self.lost(key);
-        self.carry_out_all();
+        self.connection_failed(key);
+        self.perform_outputs();
     }
 
+    /// Writes as many unsent bytes as the kernel accepts.
     pub(super) fn write(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let (id, before) = (connection.id, connection.written);
@@ -244,21 +248,22 @@
             }
         }
         let wrote = connection.written - before;
-        connection.is_unwritten &= wrote == 0;
-        connection.took_bytes |= wrote > 0;
+        connection.nothing_written &= wrote == 0;
+        connection.wrote_since_check |= wrote > 0;
         if connection.written >= connection.unsent.len() {
-            // An idle connection keeps no buffer.
+            // Frees the buffer, so that idle connections hold no memory.
             connection.unsent = Vec::new();
             connection.written = 0;
-        } else if connection.written > COMPACT_BYTES {
+        } else if connection.written > COMPACT_THRESHOLD_BYTES {
             connection.unsent.drain(..connection.written);
             connection.written = 0;
         }
-        let (written, closing) = (connection.unsent.is_empty(), connection.state == ConnectionState::Closing);
-        if written && closing && !connection.write_shut {
+        let (all_written, closing) =
+            (connection.unsent.is_empty(), connection.state == ConnectionState::Closing);
+        if all_written && closing && !connection.write_shut {
             connection.write_shut = true;
             let _ = connection.stream.shutdown(Shutdown::Write);
-            // The peer may have closed before: then there will be no other event.
+            // The peer may have closed its side already, in which case there will be no further event.
             connection.paused = false;
             self.to_read.push_back(key);
         }
@@ -266,7 +271,7 @@
             self.core.handle(self.clock.now(), Input::Wrote(id, wrote), &mut self.outputs);
         }
         if failed {
-            self.lost(key);
+            self.connection_failed(key);
         }
     }
 }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -1,4 +1,4 @@
-//! Commands to a running shell from other threads, in a bounded queue.
+//! A bounded queue of commands from other threads to a running shell.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,32 +11,33 @@
 
 use super::Handover;
 
-/// What an operator asks of a running router.
+/// A query of an operator to a running router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminQuery {
-    /// Its counts and its phase.
+    /// Counts and the lifecycle phase.
     Status,
-    /// Its workers.
+    /// The known workers.
     Workers,
-    /// Its open requests.
+    /// The open requests.
     Requests,
-    /// One request, open or ended lately.
+    /// One request, by its id: open, or ended recently.
     Trace(String),
 }
 
-/// A command, with the channel for its answer.
+/// A command, with the channel for its answer if it has one.
 #[derive(Debug)]
 pub(super) enum Command {
     Lifecycle(LifecycleEvent),
     Query(AdminQuery, SyncSender<String>),
-    /// With a flag that whoever is first sets: the loop, as it hands over, or the caller, as it stops waiting.
+    /// Hand the listening socket and the ledger over. The flag decides a race: it is set first either by the event loop, which
+    /// then hands over, or by the caller, which then stops waiting.
     HandOver(SyncSender<Handover>, Arc<AtomicBool>),
 }
 
-/// The most commands that wait for the loop.
-const COMMANDS: usize = 64;
+/// Capacity of the command queue.
+const COMMAND_QUEUE_CAPACITY: usize = 64;
 
-/// Gives commands to a running shell from another thread.
+/// Sends commands to a running shell from other threads.
 #[derive(Debug, Clone)]
 pub struct Handle {
     pub(super) waker: Arc<Waker>,
@@ -44,42 +45,44 @@
 }
 
 impl Handle {
-    fn put(&self, command: Command) -> bool {
+    /// Queues a command and wakes the event loop; false if the queue is full or the loop cannot be woken.
+    fn enqueue(&self, command: Command) -> bool {
         let Ok(mut commands) = self.commands.lock() else { return false };
-        if commands.len() >= COMMANDS {
+        if commands.len() >= COMMAND_QUEUE_CAPACITY {
             return false;
         }
         commands.push_back(command);
         self.waker.wake().is_ok()
     }
 
-    /// Notifies the lifecycle of a signal or an operator's command. False: too many commands wait.
+    /// Passes a signal or an operator's command to the lifecycle. Returns whether it was queued.
     pub fn notify(&self, event: LifecycleEvent) -> bool {
-        self.put(Command::Lifecycle(event))
+        self.enqueue(Command::Lifecycle(event))
     }
 
-    /// Answers a query; none if there is no answer within the time.
-    pub fn query(&self, query: AdminQuery, within: Duration) -> Option<String> {
-        let (answer, got) = sync_channel(1);
-        self.put(Command::Query(query, answer)).then(|| got.recv_timeout(within).ok()).flatten()
+    /// Sends a query and returns its answer, or `None` if there is none in time.
+    pub fn query(&self, query: AdminQuery, timeout: Duration) -> Option<String> {
+        let (answer, received) = sync_channel(1);
+        self.enqueue(Command::Query(query, answer)).then(|| received.recv_timeout(timeout).ok()).flatten()
     }
 
-    /// Has the router hand its listening socket and its ledger over to the next process; none if it has none, or does not
-    /// answer in time.
-    pub fn hand_over(&self, within: Duration) -> Option<Handover> {
-        let (answer, got) = sync_channel(1);
+    /// Asks the router to hand its listening socket and its ledger over to the next process. Returns `None` if the router is
+    /// not listening or does not answer in time.
+    pub fn hand_over(&self, timeout: Duration) -> Option<Handover> {
+        let (answer, received) = sync_channel(1);
         let decided = Arc::new(AtomicBool::new(false));
-        if !self.put(Command::HandOver(answer, decided.clone())) {
+        if !self.enqueue(Command::HandOver(answer, decided.clone())) {
             return None;
         }
-        match got.recv_timeout(within) {
-            // The loop was first: it is about to answer, or has ended and dropped the channel.
-            Err(RecvTimeoutError::Timeout) if decided.swap(true, Ordering::SeqCst) => got.recv().ok(),
+        match received.recv_timeout(timeout) {
+            // The event loop has set the flag first: it is about to answer, or has ended and dropped the channel.
+            Err(RecvTimeoutError::Timeout) if decided.swap(true, Ordering::SeqCst) => received.recv().ok(),
             other => other.ok(),
         }
     }
 
-    pub(super) fn take(&self) -> Vec<Command> {
+    /// Removes and returns all queued commands.
+    pub(super) fn take_commands(&self) -> Vec<Command> {
         self.commands.lock().map(|mut commands| commands.drain(..).collect()).unwrap_or_default()
     }
 }
--- a/crates/router/src/shell/lifecycle.rs
+++ b/crates/router/src/shell/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The lifecycle at the shell: signals and commands are its events, and its actions are carried out on sockets and core.
+//! Drives the lifecycle state machine: signals and commands become its events, and its actions are performed on the sockets
+//! and the core.
 
 use std::os::fd::AsFd;
 use std::sync::mpsc::SyncSender;
@@ -6,13 +7,13 @@
 use chalkyard_state::{LifecycleAction, LifecycleEvent, Phase};
 use mio::Interest;
 
-use super::accept::ACCEPTS_A_TURN;
+use super::accept::MAX_CONSECUTIVE_ACCEPTS;
 use super::listen::BACKLOG;
 use super::retry::{with_retries, RUNTIME_ATTEMPTS, STARTUP_ATTEMPTS};
 use super::{AdminQuery, Handover, Shell, Sink, LISTENER};
 
 impl<S: Sink> Shell<S> {
-    /// Notifies the lifecycle of what the loop itself can see.
+    /// Passes events that the event loop itself detects to the lifecycle.
     pub(super) fn check_lifecycle(&mut self) {
         match self.lifecycle.phase() {
             Phase::Starting if self.core.has_list() => self.lifecycle_event(LifecycleEvent::EndpointsKnown),
@@ -27,32 +28,33 @@
         self.lifecycle_event(LifecycleEvent::Tick);
     }
 
-    /// Hands the listening socket over. Connections that were not accepted yet wait in it for the next process: none is
+    /// Hands the listening socket over. Connections that are pending in its backlog wait for the next process, so none is
     /// refused or reset.
     pub(super) fn hand_over(&mut self, answer: &SyncSender<Handover>) {
         let ready = matches!(self.lifecycle.phase(), Phase::Ready);
         let Some(listener) = self.listener.as_ref().filter(|_| ready) else { return };
         match listener.as_fd().try_clone_to_owned() {
             Ok(listener) => {
-                // All requests accepted so far are in the ledger before it is handed over.
+                // The records of all requests accepted so far must be in the ledger before it is handed over.
                 self.lifecycle_event(LifecycleEvent::ListenerHandedOver);
                 self.flush();
                 let settled = self.sink.hand_over_ledger();
                 let _ = answer.try_send(Handover { listener, settled });
             }
-            Err(e) => self.sink.note("succession", &format!("the listening socket can't be given: {e}")),
+            Err(e) => self.sink.note("succession", &format!("cannot hand over the listening socket: {e}")),
         }
     }
 
+    /// Passes an event to the lifecycle and performs the resulting actions.
     pub(super) fn lifecycle_event(&mut self, event: LifecycleEvent) {
         let mut actions = Vec::new();
         self.lifecycle.handle(self.clock.now().0, event, &mut actions);
         for action in actions {
-            self.perform(action);
+            self.perform_action(action);
         }
     }
 
-    pub(super) fn perform(&mut self, action: LifecycleAction) {
+    pub(super) fn perform_action(&mut self, action: LifecycleAction) {
         match action {
             LifecycleAction::Listen => {
                 let event =
@@ -64,8 +66,8 @@
                 self.sink.counters(self.core.counters());
             }
             LifecycleAction::StopAccepting { .. } => {
-                // Connections that wait in the socket are accepted first: closing it would reset them.
-                for _ in 0..=BACKLOG / ACCEPTS_A_TURN {
+                // Pending connections are accepted first: closing the listening socket would reset them.
+                for _ in 0..=BACKLOG / MAX_CONSECUTIVE_ACCEPTS {
                     if !self.accept() {
                         break;
                     }
@@ -78,7 +80,7 @@
                 if self.listen() {
                     self.core.undrain();
                 } else {
-                    // It drains on; the operator is told, and may try again.
+                    // The router keeps draining. The failure is logged; the operator may try again.
                     self.lifecycle_event(LifecycleEvent::Drain);
                 }
             }
@@ -91,11 +93,11 @@
             | LifecycleAction::NotifyReloading
             | LifecycleAction::NotifyStopping => {}
         }
-        self.sink.lifecycle_action(action, Some(self.listen_address.at()));
+        self.sink.lifecycle_action(action, Some(self.listen_address.address()));
     }
 
-    /// Begins to listen, with retries; at the start with more of them, since nothing else is done meanwhile and a router
-    /// that does not listen ends.
+    /// Starts to listen, with retries. At startup there are more attempts, since a router that cannot listen exits and no
+    /// other work is delayed.
     pub(super) fn listen(&mut self) -> bool {
         let attempts =
             if self.lifecycle.phase() == Phase::Binding { STARTUP_ATTEMPTS } else { RUNTIME_ATTEMPTS };
@@ -106,18 +108,20 @@
         });
         match listening {
             Ok(listener) => self.listener = Some(listener),
-            Err(e) => self.sink.note("listen", &format!("can't listen at {}: {e}", self.listen_address.at())),
+            Err(e) => {
+                self.sink.note("listen", &format!("cannot listen on {}: {e}", self.listen_address.address()))
+            }
         }
         self.listener.is_some()
     }
 
-    /// The answer to a query, as one JSON object.
+    /// Answers a query with one JSON object.
     pub(super) fn answer(&self, query: &AdminQuery) -> String {
         let json = match query {
             AdminQuery::Status => serde_json::to_value(self.core.status()).map(|mut counts| {
                 if let Some(object) = counts.as_object_mut() {
                     object.insert("phase".into(), serde_json::json!(self.lifecycle.phase()));
-                    object.insert("at".into(), serde_json::json!(self.listen_address.at().to_string()));
+                    object.insert("at".into(), serde_json::json!(self.listen_address.address().to_string()));
                     object.insert("sockets".into(), serde_json::json!(self.connections.len()));
                     object.insert("since_start".into(), serde_json::json!(self.core.counters()));
                 }
--- a/crates/router/src/shell/linger.rs
+++ b/crates/router/src/shell/linger.rs
@@ -1,4 +1,4 @@
-//! Connections that are being closed: they linger, so that the peer can read all that was written to it.
+//! Lingering close: a connection that is being closed stays open until the peer has read all bytes written to it.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -7,25 +7,25 @@
 use super::{Shell, Sink};
 use crate::{ConnId, Input};
 
-/// A connection that is closed lingers this long, and as long again each time that the peer has taken bytes meanwhile.
-const LINGER: Duration = Duration::from_secs(2);
-/// The longest time that a connection lingers.
-const LINGER_MOST: Duration = Duration::from_secs(10);
+/// How long a closing connection lingers. The time starts again if the peer has accepted bytes meanwhile.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Upper limit on the total time that a connection lingers.
+const MAX_LINGER_TIME: Duration = Duration::from_secs(10);
 
 impl<S: Sink> Shell<S> {
-    /// Closes a connection once all is written, and lingers until the peer has closed its side too.
+    /// Closes a connection once all bytes are written, and lingers until the peer has closed its side too.
     pub(super) fn close(&mut self, id: ConnId, after_close: AfterClose) {
         let Some(key) = self.by_id.get(&id).copied() else { return };
-        // A connection with something left to write stays, even beyond the bound: its descriptor was a client's, and no
-        // other client is accepted meanwhile.
+        // A connection with unsent bytes stays, even beyond the limit: it keeps the descriptor that it already had, and no
+        // client is accepted while the limit is exceeded.
         self.drop_finished_lingering(self.max_lingering.saturating_sub(1));
         if let Some(connection) = self.connections.get_mut(key) {
             let now = Instant::now();
             connection.state = ConnectionState::Closing;
             connection.after_close = after_close;
             connection.closing_since = Some(now);
-            connection.took_bytes = false;
-            self.linger_deadlines.push_back(LingerDeadline { at: now + LINGER, key, id });
+            connection.wrote_since_check = false;
+            self.linger_deadlines.push_back(LingerDeadline { deadline: now + LINGER_TIMEOUT, key, id });
             connection.paused = false;
             self.lingering += 1;
             self.to_write.insert(key);
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Closes a connection on which no request is open, unless bytes have come meanwhile or its client has gone: that is
-    /// read instead.
+    /// Closes a connection without an open request. If bytes have arrived meanwhile or the client has disconnected, the
+    /// connection is read instead.
     pub(super) fn close_if_quiet(&mut self, id: ConnId) {
         let Some(key) = self.by_id.get(&id).copied() else { return };
         let Some(connection) = self.connections.get_mut(key) else { return };
@@ -48,41 +48,43 @@
         }
     }
 
-    /// Drops lingering connections to which all is written, the oldest first, while more than `most` linger. True: no more
-    /// than that are left.
-    pub(super) fn drop_finished_lingering(&mut self, most: usize) -> bool {
+    /// Drops lingering connections without unsent bytes, oldest first, while more than `max` linger. Returns whether at most
+    /// `max` are left.
+    pub(super) fn drop_finished_lingering(&mut self, max: usize) -> bool {
         let mut deadlines = self.linger_deadlines.iter();
         let mut finished = Vec::new();
-        while self.lingering - finished.len() > most {
+        while self.lingering - finished.len() > max {
             let Some(LingerDeadline { key, id, .. }) = deadlines.next() else { break };
             if self.connections.get(*key).is_some_and(|c| c.id == *id && c.write_shut) {
                 finished.push(*key);
             }
         }
         for key in finished {
-            self.remove(key);
+            self.remove_connection(key);
         }
-        self.lingering <= most
+        self.lingering <= max
     }
 
-    /// Drops connections that linger past their time.
-    pub(super) fn sweep(&mut self) {
+    /// Drops lingering connections whose deadline has passed.
+    pub(super) fn drop_expired_lingering(&mut self) {
         let now = Instant::now();
-        while let Some(due) = self.linger_deadlines.pop_front_if(|deadline| deadline.at <= now) {
-            if self.by_id.get(&due.id) != Some(&due.key) {
+        while let Some(expired) = self.linger_deadlines.pop_front_if(|entry| entry.deadline <= now) {
+            if self.by_id.get(&expired.id) != Some(&expired.key) {
                 continue;
             }
-            let was_finished = self.connections.get(due.key).is_some_and(|c| c.write_shut);
-            // The system reports a socket as writable only once there is much room: a slow peer may have taken bytes before.
-            self.write(due.key);
-            let Some(connection) = self.connections.get_mut(due.key).filter(|c| c.id == due.id) else {
+            let was_finished = self.connections.get(expired.key).is_some_and(|c| c.write_shut);
+            // The kernel reports a socket as writable only once much of its buffer is free: a slow peer may have accepted bytes
+            // before that.
+            self.write(expired.key);
+            let Some(connection) = self.connections.get_mut(expired.key).filter(|c| c.id == expired.id)
+            else {
                 continue;
             };
-            let may_linger = connection.closing_since.is_some_and(|since| now < since + LINGER_MOST);
-            if may_linger && !was_finished && std::mem::take(&mut connection.took_bytes) {
-                self.linger_deadlines.push_back(LingerDeadline { at: now + LINGER, ..due });
+            let may_linger = connection.closing_since.is_some_and(|since| now < since + MAX_LINGER_TIME);
+            if may_linger && !was_finished && std::mem::take(&mut connection.wrote_since_check) {
+                self.linger_deadlines.push_back(LingerDeadline { deadline: now + LINGER_TIMEOUT, ..expired });
             } else {
-                self.remove(due.key);
+                self.remove_connection(expired.key);
             }
         }
     }
--- a/crates/router/src/shell/listen.rs
+++ b/crates/router/src/shell/listen.rs
@@ -1,4 +1,4 @@
-//! The address where a router listens: bound first, listened at once it is ready.
+//! The listening address of a router. The socket is bound first and starts to listen once the router is ready.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,42 +6,43 @@
 
 use mio::net::TcpListener;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections pending in the listening socket.
 pub(super) const BACKLOG: usize = 1_024;
 
-/// An address that is bound, and not listened at yet.
+/// An address that the router listens on; before that, with its bound socket.
 #[derive(Debug)]
 pub struct ListenAddress {
-    at: SocketAddr,
+    address: SocketAddr,
     shared: bool,
     bound: Option<socket2::Socket>,
 }
 
 impl ListenAddress {
-    /// Binds an address; with `shared`, several processes may listen on it (`SO_REUSEPORT`).
+    /// Binds a socket to an address. With `shared`, several processes may listen on it (`SO_REUSEPORT`).
     pub fn bind(address: SocketAddr, shared: bool) -> io::Result<Self> {
         let socket = bind(address, shared)?;
-        let at = socket.local_addr()?.as_socket().unwrap_or(address);
-        Ok(Self { at, shared, bound: Some(socket) })
+        let address = socket.local_addr()?.as_socket().unwrap_or(address);
+        Ok(Self { address, shared, bound: Some(socket) })
     }
 
-    /// Adopts a socket that the previous process listened at.
+    /// Takes over the listening socket of the previous process.
     pub fn adopt(listener: OwnedFd, shared: bool) -> io::Result<Self> {
         let socket = socket2::Socket::from(listener);
-        let at = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::InvalidInput)?;
+        let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::InvalidInput)?;
         socket.set_nonblocking(true)?;
-        Ok(Self { at, shared, bound: Some(socket) })
+        Ok(Self { address, shared, bound: Some(socket) })
     }
 
-    /// The address.
-    pub fn at(&self) -> SocketAddr {
-        self.at
+    /// The bound address.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
+    /// Starts to listen, on the bound socket or, if that was used before, on a new one.
     pub(super) fn listen(&mut self) -> io::Result<TcpListener> {
         let socket = match self.bound.take() {
             Some(socket) => socket,
-            None => bind(self.at, self.shared)?,
+            None => bind(self.address, self.shared)?,
         };
         socket.listen(BACKLOG as i32)?;
         Ok(TcpListener::from_std(socket.into()))
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -1,4 +1,4 @@
-//! The thin shell: sockets and time for a [`Core`], on mio, one thread.
+//! The I/O shell: a single-threaded mio event loop that provides a [`Core`] with sockets and time.
 
 mod accept;
 mod clock;
@@ -28,7 +28,7 @@
 pub use self::clock::{timer_granularity, Clock};
 use self::connect::ConnectRetries;
 use self::connection::{AfterClose, Connection, ConnectionState, LingerDeadline};
-use self::connections::READ_BYTES;
+use self::connections::READ_BUFFER_BYTES;
 use self::handle::Command;
 pub use self::handle::{AdminQuery, Handle};
 pub use self::listen::ListenAddress;
@@ -39,27 +39,27 @@
 
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
-/// The most connections that may linger, unless set otherwise. Of more, those to which all is written are dropped first, and
-/// while too many still have something to write no connection is accepted.
-const LINGERING: usize = 1_024;
-/// The most events of one poll.
-const EVENTS: usize = 1_024;
-/// How often budget figures and counters are given out.
-const FIGURES: Duration = Duration::from_secs(60);
-/// A wait that ends this much too late, or a turn of the loop that takes this long, is logged: streams stood still as long.
-const STALL: Duration = Duration::from_millis(300);
+/// Default limit on lingering connections. Beyond it, connections without unsent bytes are dropped first; while those with
+/// unsent bytes exceed it, no connection is accepted.
+const DEFAULT_MAX_LINGERING: usize = 1_024;
+/// Maximum number of events returned by one poll.
+const EVENT_CAPACITY: usize = 1_024;
+/// How often budget figures and counters are reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(60);
+/// A poll that returns this much too late, or a loop iteration that takes this long, is logged: it delays all streams.
+const STALL_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// Sockets and time for one core. It owns the sockets; the core owns everything that is decided about them.
+/// Runs one core on sockets and a clock. The shell owns the sockets; the core owns all state that decisions depend on.
 pub struct Shell<S> {
     poll: Poll,
-    /// The events of one poll.
+    /// Events of the latest poll.
     events: Events,
-    /// Readiness that was not handled yet.
+    /// Socket readiness that has not been handled yet.
     ready: ReadyQueue,
-    /// When the last poll ended.
+    /// When the latest poll returned.
     polled_at: Instant,
-    /// When the present turn of the loop is over.
-    turn_until: Instant,
+    /// When the current loop iteration stops handling sockets.
+    iteration_deadline: Instant,
     core: Core,
     sink: S,
     clock: Clock,
@@ -71,38 +71,38 @@
     by_id: BTreeMap<ConnId, usize>,
     /// Connections with bytes to write.
     to_write: BTreeSet<usize>,
-    /// Connections that may be read on without another event.
+    /// Connections to read again without waiting for another event.
     to_read: VecDeque<usize>,
-    /// Connections that are being closed.
+    /// Number of connections in [`ConnectionState::Closing`].
     lingering: usize,
     max_lingering: usize,
-    /// When lingering connections are dropped, in order: all linger for the same span.
+    /// Deadlines of lingering connections, in order, since all linger for the same time.
     linger_deadlines: VecDeque<LingerDeadline>,
-    /// When connections are accepted next.
+    /// When to accept connections next.
     accept_at: Option<Instant>,
     connect_retries: ConnectRetries,
     next_client: u64,
     stop: Option<StopReason>,
     outputs: Vec<Output>,
     buffer: Vec<u8>,
-    /// Records wait for the ledger.
+    /// Whether records wait to be written to the ledger.
     records_pending: bool,
     /// Whether the last write to the ledger succeeded.
     ledger_writable: bool,
-    housekeep_at: Instant,
-    figures_at: Instant,
+    next_housekeeping: Instant,
+    next_report: Instant,
 }
 
-/// Whether the loop stood still, and where: in its own work, or in a wait that the system ended too late.
-fn stalled(worked: Duration, wait: Option<Duration>, waited: Duration) -> Option<String> {
-    let late = wait.map_or(Duration::ZERO, |wait| waited.saturating_sub(wait));
-    (worked >= STALL || late >= STALL).then(|| {
+/// Describes a stall of the event loop, if there was one: time spent working, or the delay of a poll beyond its timeout.
+fn describe_stall(worked: Duration, timeout: Option<Duration>, waited: Duration) -> Option<String> {
+    let late = timeout.map_or(Duration::ZERO, |timeout| waited.saturating_sub(timeout));
+    (worked >= STALL_THRESHOLD || late >= STALL_THRESHOLD).then(|| {
         format!("the loop worked for {} ms, then woke {} ms late", worked.as_millis(), late.as_millis())
     })
 }
 
 impl<S: Sink> Shell<S> {
-    /// A shell around a core that was not started yet.
+    /// Creates a shell for a core that has not been started.
     pub fn new(
         core: Core,
         sink: S,
@@ -114,10 +114,10 @@
         let waker = Arc::new(with_retries(STARTUP_ATTEMPTS, || Waker::new(poll.registry(), WAKER))?);
         Ok(Self {
             poll,
-            events: Events::with_capacity(EVENTS),
+            events: Events::with_capacity(EVENT_CAPACITY),
             ready: ReadyQueue::default(),
             polled_at: Instant::now(),
-            turn_until: Instant::now(),
+            iteration_deadline: Instant::now(),
             core,
             sink,
             clock,
@@ -130,57 +130,60 @@
             to_write: BTreeSet::new(),
             to_read: VecDeque::new(),
             lingering: 0,
-            max_lingering: LINGERING,
+            max_lingering: DEFAULT_MAX_LINGERING,
             linger_deadlines: VecDeque::new(),
             accept_at: None,
             connect_retries: ConnectRetries::default(),
             next_client: 2,
             stop: None,
             outputs: Vec::new(),
-            buffer: vec![0; READ_BYTES],
+            buffer: vec![0; READ_BUFFER_BYTES],
             records_pending: false,
             ledger_writable: true,
-            housekeep_at: Instant::now(),
-            figures_at: Instant::now() + FIGURES,
+            next_housekeeping: Instant::now(),
+            next_report: Instant::now() + REPORT_INTERVAL,
         })
     }
 
-    /// Bounds the connections that linger.
-    pub fn set_max_lingering(&mut self, most: usize) {
-        self.max_lingering = most;
+    /// Sets the limit on lingering connections.
+    pub fn set_max_lingering(&mut self, max: usize) {
+        self.max_lingering = max;
     }
 
-    /// A handle for other threads.
+    /// Returns a handle for sending commands from other threads.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Runs until the router's lifecycle is over. Gives the reason, and how many requests were still open.
+    /// Runs the event loop until the router stops. Returns the reason and the number of requests that were still open.
     pub fn run(&mut self, stored_list: Option<&str>) -> io::Result<(StopReason, usize)> {
         self.core.start(self.clock.now(), stored_list, &mut self.outputs);
         self.flush();
-        let mut woke = Instant::now();
+        let mut woke_at = Instant::now();
         loop {
-            let (waits, wait) = (Instant::now(), self.wait());
-            let polled = self.poll.poll(&mut self.events, wait);
-            let worked = waits.saturating_duration_since(std::mem::replace(&mut woke, Instant::now()));
-            if let Some(text) = stalled(worked, wait, woke.saturating_duration_since(waits)) {
+            let (poll_started, timeout) = (Instant::now(), self.poll_timeout());
+            let polled = self.poll.poll(&mut self.events, timeout);
+            let worked =
+                poll_started.saturating_duration_since(std::mem::replace(&mut woke_at, Instant::now()));
+            if let Some(text) =
+                describe_stall(worked, timeout, woke_at.saturating_duration_since(poll_started))
+            {
                 self.sink.note("stall", &text);
             }
             match polled {
-                // No events, but time has passed: what is due goes on.
+                // An interrupted poll has no events, but timers may be due.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => self.events.clear(),
                 other => other?,
             }
             self.polled_at = Instant::now();
             self.queue_events();
-            self.take_turn();
-            self.retry_connects();
-            self.feed(Input::Tick);
+            self.handle_ready_sockets();
+            self.retry_due_connects();
+            self.handle_input(Input::Tick);
             self.run_commands();
             self.housekeep();
             self.flush();
-            self.sweep();
+            self.drop_expired_lingering();
             self.check_lifecycle();
             self.flush();
             if let Some(stop) = self.stop {
@@ -190,12 +193,12 @@
         }
     }
 
-    /// Runs the commands of other threads.
+    /// Executes the commands that other threads have queued.
     fn run_commands(&mut self) {
-        for command in self.handle.take() {
+        for command in self.handle.take_commands() {
             match command {
                 Command::Lifecycle(event) => self.lifecycle_event(event),
-                // Nobody may be waiting any more.
+                // The caller may have stopped waiting; the send error is ignored.
                 Command::Query(query, answer) => drop(answer.try_send(self.answer(&query))),
                 Command::HandOver(answer, decided) => {
                     if !decided.swap(true, Ordering::SeqCst) {
@@ -206,80 +209,88 @@
         }
     }
 
-    /// How long the next poll may wait; none: until an event.
-    fn wait(&self) -> Option<Duration> {
+    /// Timeout of the next poll; `None` waits until an event.
+    fn poll_timeout(&self) -> Option<Duration> {
         if !self.to_read.is_empty() || !self.ready.is_empty() {
             return Some(Duration::ZERO);
         }
         let now = self.clock.now();
-        // At least 1 µs, which is rounded up to the millisecond that the system waits in: waking too early would spin.
-        let core = self.core.next_due().map(|at| Duration::from_micros((at - now).0.max(1)));
-        let from = Instant::now();
-        let accept = self.accept_at.map(|at| at.saturating_duration_since(from));
-        let linger = (self.lingering > 0).then_some(Duration::from_millis(100));
-        let life = self.lifecycle.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
-        let house =
-            self.sink.housekeeping_interval().map(|_| self.housekeep_at.saturating_duration_since(from));
-        let retry = self.connect_retries.next_due().map(|at| at.saturating_duration_since(from));
-        [core, accept, linger, life, house, retry].into_iter().flatten().min()
+        // At least 1 µs, which poll rounds up to its granularity of 1 ms: waking too early would spin.
+        let core_timeout = self.core.next_due().map(|at| Duration::from_micros((at - now).0.max(1)));
+        let instant = Instant::now();
+        let accept_timeout = self.accept_at.map(|at| at.saturating_duration_since(instant));
+        let linger_timeout = (self.lingering > 0).then_some(Duration::from_millis(100));
+        let lifecycle_timeout =
+            self.lifecycle.due().map(|at| Duration::from_micros(at.saturating_sub(now.0).max(1)));
+        let housekeeping_timeout = self
+            .sink
+            .housekeeping_interval()
+            .map(|_| self.next_housekeeping.saturating_duration_since(instant));
+        let retry_timeout = self.connect_retries.next_due().map(|at| at.saturating_duration_since(instant));
+        [core_timeout, accept_timeout, linger_timeout, lifecycle_timeout, housekeeping_timeout, retry_timeout]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// Gives an input to the core and carries its outputs out.
-    fn feed(&mut self, input: Input<'_>) {
+    /// Passes an input to the core and executes the resulting outputs.
+    fn handle_input(&mut self, input: Input<'_>) {
         let now = self.clock.now();
         self.core.handle(now, input, &mut self.outputs);
-        self.carry_out_all();
+        self.perform_outputs();
     }
 
-    /// Notifies the core if the ledger can be written again, or can't be any more.
+    /// Notifies the core when the ledger becomes writable or unwritable.
     fn set_ledger_writable(&mut self, writable: bool) {
         if std::mem::replace(&mut self.ledger_writable, writable) != writable {
             self.core.handle(self.clock.now(), Input::LedgerWritable(writable), &mut self.outputs);
         }
     }
 
+    /// Handles the events of the sink and reports figures, each at its interval.
     fn housekeep(&mut self) {
-        let Some(period) = self.sink.housekeeping_interval().filter(|_| self.housekeep_at <= Instant::now())
+        let Some(period) =
+            self.sink.housekeeping_interval().filter(|_| self.next_housekeeping <= Instant::now())
         else {
             return;
         };
-        self.housekeep_at = Instant::now() + period;
+        self.next_housekeeping = Instant::now() + period;
         for event in self.sink.housekeep() {
             match event {
                 Input::LedgerWritable(writable) => self.set_ledger_writable(writable),
-                other => self.feed(other),
+                other => self.handle_input(other),
             }
         }
-        if self.figures_at <= Instant::now() {
-            self.figures_at = Instant::now() + FIGURES;
+        if self.next_report <= Instant::now() {
+            self.next_report = Instant::now() + REPORT_INTERVAL;
             self.sink.budget_figures(&self.core.budget_figures());
             self.sink.counters(self.core.counters());
         }
-        self.carry_out_all();
+        self.perform_outputs();
     }
 
-    /// Carries out outputs; bytes are written at the end of the group of events.
-    fn carry_out_all(&mut self) {
+    /// Executes all pending outputs. Bytes are only queued; they are written at the end of the batch of events.
+    fn perform_outputs(&mut self) {
         while !self.outputs.is_empty() {
             for output in std::mem::take(&mut self.outputs) {
-                self.carry_out(output);
+                self.perform_output(output);
             }
         }
     }
 
-    /// Ends a group of events: all its records go to the ledger in one write, then its bytes to sockets, until nothing is
-    /// left that writing causes.
+    /// Ends a batch of events: writes its records to the ledger in one write and then its bytes to the sockets. Repeats until
+    /// writing causes no further outputs.
     fn flush(&mut self) {
         loop {
-            self.carry_out_all();
+            self.perform_outputs();
             if std::mem::take(&mut self.records_pending) {
                 let written = self.sink.flush();
                 self.set_ledger_writable(written);
                 continue;
             }
             let Some(key) = self.to_write.pop_first() else { return };
-            if self.begins_call(key) && self.poll_departures() {
-                // A client has gone: the core may have dropped what was to be written.
+            if self.begins_worker_call(key) && self.poll_disconnects() {
+                // A client has disconnected: the core may have dropped the call that was to be written.
                 self.to_write.insert(key);
                 continue;
             }
@@ -287,12 +298,12 @@
         }
     }
 
-    /// Queues bytes that are written at the end of the group of events.
+    /// Queues bytes to be written at the end of the batch of events.
     fn queue_bytes(&mut self, id: ConnId, bytes: Vec<u8>) {
         let Some(key) = self.by_id.get(&id).copied() else { return };
         let Some(connection) = self.connections.get_mut(key) else { return };
         if connection.unsent.is_empty() {
-            connection.is_unwritten = true;
+            connection.nothing_written = true;
             connection.unsent = bytes;
         } else {
             connection.unsent.extend_from_slice(&bytes);
@@ -302,7 +313,7 @@
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn perform_output(&mut self, output: Output) {
         match output {
             Output::Connect(id, address) => self.connect(id, address),
             Output::Write(id, bytes) => self.queue_bytes(id, bytes),
@@ -312,11 +323,11 @@
             Output::Abort(id) => {
                 self.connect_retries.forget(id);
                 if let Some(key) = self.by_id.get(&id).copied() {
-                    self.remove(key);
+                    self.remove_connection(key);
                 }
             }
-            Output::Pause(id) => self.pause(id, true),
-            Output::Resume(id) => self.pause(id, false),
+            Output::Pause(id) => self.set_paused(id, true),
+            Output::Resume(id) => self.set_paused(id, false),
             Output::StoreEndpointList(text) => self.sink.store_endpoint_list(&text),
             Output::Record(number, record) => {
                 self.sink.record(number, &record);
--- a/crates/router/src/shell/ready_queue.rs
+++ b/crates/router/src/shell/ready_queue.rs
@@ -1,17 +1,17 @@
-//! Readiness of sockets that the loop has not handled yet, in the order in which it is to be handled.
+//! A queue of ready sockets that the event loop has not handled yet, in the order in which to handle them.
 
 use std::collections::BTreeMap;
 
 use mio::event::Event;
 use mio::Token;
 
-/// What one socket is ready for.
+/// The operations that one socket is ready for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Readiness {
     pub(super) token: Token,
     pub(super) readable: bool,
     pub(super) writable: bool,
-    /// The peer has closed its side, or the connection is lost.
+    /// The peer has closed its side, or the connection has failed.
     pub(super) ended: bool,
 }
 
@@ -28,8 +28,8 @@
 }
 
 impl Readiness {
-    /// The readiness of one socket by two events.
-    fn and(self, other: Self) -> Self {
+    /// Combines the readiness of one socket from two events.
+    fn merge(self, other: Self) -> Self {
         Self {
             token: self.token,
             readable: self.readable || other.readable,
@@ -39,100 +39,100 @@
     }
 }
 
-/// Which peer a socket belongs to.
+/// The kind of peer that a socket is connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Side {
-    /// A client; also the listening socket.
+pub(super) enum PeerKind {
+    /// A client. The listening socket and the waker count as clients.
     Client,
-    /// A worker, or service discovery.
+    /// A worker or service discovery.
     Worker,
 }
 
-/// The class in which a socket is handled.
+/// The priority with which a socket is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Priority {
-    /// A client that has gone: before all others.
-    Departure,
-    /// Taking turns with clients.
+    /// A client that has disconnected: handled before all others.
+    Disconnected,
+    /// A worker: alternates with clients.
     Worker,
-    /// Taking turns with workers.
+    /// A client: alternates with workers.
     Client,
 }
 
-/// Tokens of one class by their position.
-type Order = BTreeMap<u64, Token>;
+/// Tokens of one priority, ordered by position.
+type TokenQueue = BTreeMap<u64, Token>;
 
 /// A socket that waits to be handled.
 #[derive(Debug, Clone, Copy)]
 struct QueuedSocket {
-    /// Its position among all: when it was first pushed.
+    /// Position among all sockets, in the order in which they were first pushed.
     position: u64,
     priority: Priority,
     readiness: Readiness,
 }
 
-/// Sockets that are ready: one entry each, however many events come before it is handled, so that there are no more entries
-/// than open sockets.
+/// The queue of ready sockets. Each socket has one entry, however many events arrive before it is handled, so the number of
+/// entries never exceeds the number of open sockets.
 #[derive(Debug, Default)]
 pub(super) struct ReadyQueue {
-    waiting: BTreeMap<Token, QueuedSocket>,
-    departures: Order,
-    workers: Order,
-    clients: Order,
-    /// The next one is a client's, if both have any.
-    clients_turn: bool,
+    entries: BTreeMap<Token, QueuedSocket>,
+    disconnected: TokenQueue,
+    workers: TokenQueue,
+    clients: TokenQueue,
+    /// Whether [`ReadyQueue::next`] last preferred clients to workers. Alternates with each call.
+    clients_first: bool,
     last_position: u64,
 }
 
 impl ReadyQueue {
-    fn order(&mut self, priority: Priority) -> &mut Order {
+    fn queue_of(&mut self, priority: Priority) -> &mut TokenQueue {
         match priority {
-            Priority::Departure => &mut self.departures,
+            Priority::Disconnected => &mut self.disconnected,
             Priority::Worker => &mut self.workers,
             Priority::Client => &mut self.clients,
         }
     }
 
-    /// Adds an event. A socket that waits already keeps its position; if its client has gone, among the departures.
-    pub(super) fn push(&mut self, readiness: Readiness, side: Side) {
+    /// Adds an event. A queued socket keeps its position; if its client has disconnected, it moves to that priority.
+    pub(super) fn push(&mut self, readiness: Readiness, peer: PeerKind) {
         let before = self.remove(readiness.token);
-        let readiness = before.map_or(readiness, |earlier| readiness.and(earlier.readiness));
-        let priority = match side {
-            Side::Client if readiness.ended => Priority::Departure,
-            Side::Client => Priority::Client,
-            Side::Worker => Priority::Worker,
+        let readiness = before.map_or(readiness, |earlier| readiness.merge(earlier.readiness));
+        let priority = match peer {
+            PeerKind::Client if readiness.ended => Priority::Disconnected,
+            PeerKind::Client => Priority::Client,
+            PeerKind::Worker => Priority::Worker,
         };
         self.last_position += 1;
         let position = before.map_or(self.last_position, |earlier| earlier.position);
-        self.order(priority).insert(position, readiness.token);
-        self.waiting.insert(readiness.token, QueuedSocket { position, priority, readiness });
+        self.queue_of(priority).insert(position, readiness.token);
+        self.entries.insert(readiness.token, QueuedSocket { position, priority, readiness });
     }
 
-    /// Drops the entry of a socket that is gone.
+    /// Drops the entry of a socket that was removed.
     pub(super) fn forget(&mut self, token: Token) {
         self.remove(token);
     }
 
     fn remove(&mut self, token: Token) -> Option<QueuedSocket> {
-        let queued = self.waiting.remove(&token)?;
-        self.order(queued.priority).remove(&queued.position);
+        let queued = self.entries.remove(&token)?;
+        self.queue_of(queued.priority).remove(&queued.position);
         Some(queued)
     }
 
     fn pop(&mut self, priority: Priority) -> Option<Readiness> {
-        let (_, token) = self.order(priority).pop_first()?;
-        self.waiting.remove(&token).map(|queued| queued.readiness)
+        let (_, token) = self.queue_of(priority).pop_first()?;
+        self.entries.remove(&token).map(|queued| queued.readiness)
     }
 
-    /// The next client that has closed its side or is lost.
-    pub(super) fn next_departure(&mut self) -> Option<Readiness> {
-        self.pop(Priority::Departure)
+    /// The next client that has closed its side or whose connection has failed.
+    pub(super) fn next_disconnected(&mut self) -> Option<Readiness> {
+        self.pop(Priority::Disconnected)
     }
 
-    /// The next of the others: workers and clients take turns, so that a flood of either does not starve the other.
+    /// The next of the other sockets. Workers and clients alternate, so that neither can starve the other.
     pub(super) fn next(&mut self) -> Option<Readiness> {
-        self.clients_turn = !self.clients_turn;
-        let (first, second) = match self.clients_turn {
+        self.clients_first = !self.clients_first;
+        let (first, second) = match self.clients_first {
             true => (Priority::Client, Priority::Worker),
             false => (Priority::Worker, Priority::Client),
         };
@@ -140,13 +140,13 @@
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Sockets that wait.
+    /// Number of queued sockets.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.entries.len()
     }
 }
 
--- a/crates/router/src/shell/retry_test.rs
+++ b/crates/router/src/shell/retry_test.rs
@@ -1,15 +1,15 @@
-//! Tests of `retry`.
+//! Tests of the retries of system calls.
 #![allow(clippy::unwrap_used)]
 use super::*;
 
 #[test]
-fn a_call_is_made_again_while_its_error_may_pass_and_no_more_than_so_often() {
+fn a_transient_error_is_retried_up_to_the_attempt_limit() {
     for failures in [0, 1, 3, 9] {
         let mut calls = 0;
         let result = with_retries(4, || {
             calls += 1;
             if calls <= failures {
-                Err(io::Error::from_raw_os_error(NO_BUFFERS))
+                Err(io::Error::from_raw_os_error(ENOBUFS))
             } else {
                 Ok(calls)
             }
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_address_that_another_has_is_not_waited_for() {
+fn an_address_in_use_is_not_retried() {
     let mut calls = 0;
     let result: io::Result<()> = with_retries(4, || {
         calls += 1;
@@ -30,5 +30,5 @@
     assert_eq!(calls, 1);
 }
 
-/// ENOBUFS.
-const NO_BUFFERS: i32 = 105;
+/// No buffer space is available, a transient error.
+const ENOBUFS: i32 = 105;
--- a/crates/router/src/shell/sink.rs
+++ b/crates/router/src/shell/sink.rs
@@ -1,4 +1,4 @@
-//! The interface between a shell and the program around it.
+//! The interface between a shell and the program that embeds it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,58 +11,59 @@
 
 use crate::{Counters, Input, RequestRecord, Tally, Transition};
 
-/// Takes what a router gives out. All methods are called in the loop and must not block.
+/// Receives a router's records and events. All methods are called in the event loop and must not block.
 pub trait Sink {
-    /// A request is over.
+    /// A request has finished.
     fn finished(&mut self, record: RequestRecord);
-    /// What was done in a second, if the core counts.
+    /// Counts of one second, if the core is set to count.
     fn tally(&mut self, _tally: &Tally) {}
-    /// A transition of a request's state that is out of the ordinary.
+    /// An unusual transition in a request's state.
     fn transition(&mut self, _transition: &Transition) {}
-    /// Counters since the start: once a minute, when the graceful shutdown begins, and at the end.
+    /// Counters since the start, reported once a minute, when a graceful shutdown begins, and at the end.
     fn counters(&mut self, _counters: &Counters) {}
-    /// Something happened that an operator may want to know.
+    /// A message for operators: its topic and its text.
     fn note(&mut self, what: &str, text: &str);
-    /// The endpoint list to be stored for the next start.
+    /// Stores the endpoint list for the next start.
     fn store_endpoint_list(&mut self, text: &str);
-    /// A record for the ledger.
+    /// Adds a record to the ledger's next write.
     fn record(&mut self, _number: u64, _record: &Record) {}
-    /// Writes all records, before anything that follows them leaves the router; false: they could not be written.
+    /// Writes all added records to the ledger. Later outputs leave the router only after this. Returns whether the write
+    /// succeeded.
     fn flush(&mut self) -> bool {
         true
     }
-    /// How often [`Sink::housekeep`] wants to be called; none: never.
+    /// How often to call [`Sink::housekeep`]; `None` means never.
     fn housekeeping_interval(&self) -> Option<Duration> {
         None
     }
-    /// What other threads have for the core.
+    /// Returns events from other threads for the core.
     fn housekeep(&mut self) -> Vec<SinkEvent> {
         Vec::new()
     }
-    /// The lifecycle has come to this action; a supervisor may be notified of it.
+    /// The lifecycle has performed an action, of which a service manager may be notified.
     fn lifecycle_action(&mut self, _action: LifecycleAction, _at: Option<SocketAddr>) {}
-    /// Gives the ledger up to the next process; what is settled from then on goes there.
+    /// Hands the ledger over to the next process. Returns the channel of the settlements from then on.
     fn hand_over_ledger(&mut self) -> Option<Receiver<Settled>> {
         None
     }
-    /// Settings are to be read again; the result comes from [`Sink::housekeep`].
+    /// Starts to reload the settings. The result arrives through [`Sink::housekeep`].
     fn reload(&mut self) {}
-    /// The record of a request that ended lately.
+    /// The record of a recently ended request, as JSON.
     fn recent_request(&self, _id: &str) -> Option<String> {
         None
     }
-    /// Budget figures, once a minute.
+    /// Budget figures by tenant, reported once a minute.
     fn budget_figures(&mut self, _figures: &BTreeMap<Box<str>, Figures>) {}
 }
 
-/// What a [`Sink`] has for the core.
+/// An event from a [`Sink`] for the core.
 pub type SinkEvent = Input<'static>;
 
-/// What the next process takes over from this one.
+/// The resources that the next process takes over from this one.
 #[derive(Debug)]
 pub struct Handover {
     /// The listening socket.
     pub listener: OwnedFd,
-    /// What this process settles from now on; none without a ledger.
+    /// Settlements by this process from now on; `None` without a ledger.
     pub settled: Option<Receiver<Settled>>,
 }
