--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets in the flow of a core that is driven by hand: what clients and engines see, and in which order the
-//! ledger hears of it.
+//! Budgets in a core driven by the test harness: what clients and workers receive, and the order of the records in the
+//! ledger.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod common;
@@ -13,11 +13,12 @@
 use chalkyard_router::*;
 use common::*;
 
-/// What one of the yard's long requests reserves: 4,006 tokens by the estimate, raised by a tenth, and 50.
-const WORST: u64 = 4_457;
+/// Tokens that a long request of the harness reserves: 4,006 estimated prompt tokens plus a margin of a tenth, and 50 output
+/// tokens.
+const WORST_CASE: u64 = 4_457;
 
 fn plan(tokens: u64, at_hard: AtHard) -> Plan {
-    // No tenants: all requests are nobody's, who has a budget here.
+    // Without tenants, all requests are charged to the unnamed tenant, which has a budget here.
     let key = AccountKey { tenant: "".into(), class: None, kind: PeriodKind::Day };
     let limit =
         Limit { hard: Units::tokens(tokens), soft: 1_000, at_soft: AtSoft::Warn, at_hard, marks: vec![] };
@@ -33,15 +34,15 @@
 }
 
 fn harness_with(plan: Plan) -> Harness {
-    let mut harness = Harness::new(config(), &usual());
+    let mut harness = Harness::new(config(), &default_workers());
     harness.core.enforce_budgets(BudgetEnforcer::new("r1", plan, State::default(), Time(START.0)));
     harness
 }
 
-/// Ending, prompt and output tokens, the reading and the writing attempt.
-type Bill = (Ending, u64, u64, Option<u32>, Option<u32>);
+/// Ending, prompt tokens, output tokens, prefill attempt and answering attempt of a settled request.
+type SettledRequest = (Ending, u64, u64, Option<u32>, Option<u32>);
 
-fn settled(harness: &Harness) -> Vec<Bill> {
+fn settled(harness: &Harness) -> Vec<SettledRequest> {
     let of = |r: &Record| match r {
         Record::Settled(s) => {
             Some((s.ending, s.usage.prompt, s.usage.output, s.prefill_attempt, s.answering_attempt))
@@ -54,35 +55,35 @@
 fn used(harness: &Harness) -> u64 {
     let mut state = State::default();
     for (n, r) in &harness.records {
-        assert_eq!(*n, state.sequence + 1, "numbered without gaps");
+        assert_eq!(*n, state.sequence + 1, "sequence numbers have no gaps");
         state.take(*n, r);
     }
     state.usage.values().map(|h| h.used()).sum::<Units>().in_tokens()
 }
 
 #[test]
-fn a_request_over_budget_is_refused_at_once_and_reaches_no_engine() {
+fn a_request_over_budget_is_rejected_at_once_and_reaches_no_worker() {
     let mut harness = harness_with(plan(4_000, AtHard::Refuse));
-    let client = harness.ask("help");
+    let client = harness.send_request("help");
     assert_eq!(harness.error(client), (429, "refused".into(), false));
     let raw = String::from_utf8_lossy(harness.raw(client)).into_owned();
     assert!(raw.contains("retry-after: ") && raw.contains("/*/day"), "{raw}");
     assert!(!harness.has_call() && settled(&harness).is_empty());
-    // Under an identity it may come again: nothing ran.
+    // Nothing ran, so the request may be repeated under its idempotency key.
     for _ in 0..2 {
         let client = harness.client();
-        harness.ask_with(client, "report", Some("k"), true, 4_000);
+        harness.send_request_with(client, "report", Some("k"), true, 4_000);
         assert_eq!(harness.error(client).0, 429);
     }
 }
 
 #[test]
-fn an_answer_is_cut_to_what_is_left_and_a_missing_max_tokens_is_the_bound() {
-    let mut harness = harness_with(plan(WORST - 20, AtHard::Clamp(8)));
-    let client = harness.ask("help");
-    let read = harness.call();
-    harness.parsed(&read);
-    assert_eq!(harness.call().body["max_tokens"], 30, "what is left after the prompt");
+fn max_tokens_is_clamped_to_the_budget_and_defaults_to_the_limit() {
+    let mut harness = harness_with(plan(WORST_CASE - 20, AtHard::Clamp(8)));
+    let client = harness.send_request("help");
+    let prefill = harness.next_call();
+    harness.reply_prefilled(&prefill);
+    assert_eq!(harness.next_call().body["max_tokens"], 30, "the budget that is left after the prompt");
     assert!(harness.answers(client).is_empty());
 
     let mut harness = harness_with(plan(1_000_000, AtHard::Refuse));
@@ -95,19 +96,19 @@
 }
 
 #[test]
-fn a_served_request_costs_what_the_engines_counted_and_is_recorded_before_the_client_hears() {
+fn a_served_request_costs_the_tokens_that_workers_counted_and_is_recorded_before_its_answer_ends() {
     let mut harness = harness_with(plan(100_000, AtHard::Refuse));
-    let client = harness.ask("help");
-    let read = harness.call();
-    assert_eq!(read.header("x-attempt"), "0");
-    harness.parsed(&read);
-    let write = harness.call();
-    assert_eq!(write.header("x-attempt"), "1");
-    harness.begin_stream(write.conn);
-    harness.token(write.conn, "a");
-    harness.token(write.conn, "b");
-    assert_eq!(used(&harness), WORST, "the worst case is reserved");
-    // Of the outputs of the input that ends it, the record comes before any byte to the client.
+    let client = harness.send_request("help");
+    let prefill = harness.next_call();
+    assert_eq!(prefill.header("x-attempt"), "0");
+    harness.reply_prefilled(&prefill);
+    let decode = harness.next_call();
+    assert_eq!(decode.header("x-attempt"), "1");
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.send_token(decode.conn, "b");
+    assert_eq!(used(&harness), WORST_CASE, "the worst case is reserved");
+    // Among the outputs that end the request, the record precedes all bytes to the client.
     let mut out = Vec::new();
     let mut end = Vec::new();
     for data in [r#"{"choices":[],"usage":{"prompt_tokens":4000,"completion_tokens":2}}"#, "[DONE]"] {
@@ -115,11 +116,11 @@
         chalkyard_proto::sse::write(&mut event, "", None, data);
         chalkyard_proto::encode::chunk(&mut end, &event);
     }
-    harness.core.handle(harness.now, Input::Bytes(write.conn, &end), &mut out);
+    harness.core.handle(harness.now, Input::Bytes(decode.conn, &end), &mut out);
     let record =
         out.iter().position(|o| matches!(o, Output::Record(_, r) if matches!(**r, Record::Settled(_))));
-    let said = out.iter().position(|o| matches!(o, Output::Write(c, _) if *c == client));
-    assert!(record.unwrap() < said.unwrap(), "{out:?}");
+    let written = out.iter().position(|o| matches!(o, Output::Write(c, _) if *c == client));
+    assert!(record.unwrap() < written.unwrap(), "{out:?}");
     let Some(Output::Record(_, r)) = out.get(record.unwrap()) else { panic!() };
     let Record::Settled(s) = &**r else { panic!() };
     assert_eq!((s.ending, s.usage.prompt, s.usage.cached, s.usage.output), (Ending::Served, 4_000, 64, 2));
@@ -127,92 +128,92 @@
 }
 
 #[test]
-fn a_retry_reserves_once_and_names_the_attempt_that_won() {
+fn a_retried_request_reserves_once_and_records_the_answering_attempt() {
     let mut harness = harness_with(plan(100_000, AtHard::Refuse));
-    let (client, write) = harness.pulling("help");
-    harness.reply(write.conn, 500, "{}");
-    let second = harness.call();
-    assert_eq!(used(&harness), WORST);
-    let reader = second.body["kv_transfer_params"]["do_remote_decode"] == true;
-    let write = if reader {
-        harness.parsed(&second);
-        harness.call()
+    let (client, decode) = harness.start_decode("help");
+    harness.reply(decode.conn, 500, "{}");
+    let second = harness.next_call();
+    assert_eq!(used(&harness), WORST_CASE);
+    let is_prefill = second.body["kv_transfer_params"]["do_remote_decode"] == true;
+    let decode = if is_prefill {
+        harness.reply_prefilled(&second);
+        harness.next_call()
     } else {
         second
     };
-    harness.begin_stream(write.conn);
-    harness.token(write.conn, "a");
-    harness.end_stream(write.conn);
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.end_stream(decode.conn);
     let all = settled(&harness);
     assert_eq!(all.len(), 1);
-    assert_eq!((all[0].0, all[0].4), (Ending::Served, write.header("x-attempt").parse().ok()));
+    assert_eq!((all[0].0, all[0].4), (Ending::Served, decode.header("x-attempt").parse().ok()));
     assert_eq!(used(&harness), 4_002);
     assert_eq!(harness.answer(client).0, 200);
 }
 
 #[test]
-fn what_breaks_or_fails_costs_nothing_and_who_leaves_midway_pays_for_what_came() {
-    // Broken midway.
+fn broken_answers_cost_nothing_and_a_disconnect_during_the_stream_costs_the_received_tokens() {
+    // The worker's connection is lost during the stream.
     let mut harness = harness_with(plan(100_000, AtHard::Refuse));
-    let (client, write) = harness.pulling("report");
-    harness.begin_stream(write.conn);
-    harness.token(write.conn, "a");
-    harness.input(Input::Lost(write.conn));
+    let (client, decode) = harness.start_decode("report");
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.input(Input::Lost(decode.conn));
     assert_eq!(harness.answer(client).1.last().unwrap().0, "message.broken");
     assert_eq!((settled(&harness)[0].0, used(&harness)), (Ending::Broken, 0));
 
-    // All tokens came, the end marker did not: the client is told that it broke, so nobody pays.
-    let (client, write) = harness.pulling("report");
-    harness.begin_stream(write.conn);
-    harness.token(write.conn, "a");
-    harness.event(write.conn, r#"{"choices":[],"usage":{"prompt_tokens":4000,"completion_tokens":1}}"#);
-    harness.input(Input::Lost(write.conn));
+    // All tokens arrived but the end marker did not: the client is notified of a broken answer, so it is not charged.
+    let (client, decode) = harness.start_decode("report");
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.send_event(decode.conn, r#"{"choices":[],"usage":{"prompt_tokens":4000,"completion_tokens":1}}"#);
+    harness.input(Input::Lost(decode.conn));
     assert_eq!(harness.answer(client).1.last().unwrap().0, "message.broken");
     assert_eq!((settled(&harness)[1].0, used(&harness)), (Ending::Broken, 0));
 
-    // The client leaves: while it waits, and midway.
-    let client = harness.ask("help");
+    // The client disconnects before the stream begins, and during the stream.
+    let client = harness.send_request("help");
     harness.input(Input::Lost(client));
     assert_eq!((settled(&harness)[2].0, used(&harness)), (Ending::LeftEarly, 0));
     harness.calls.clear();
-    let (client, write) = harness.pulling("help");
-    harness.begin_stream(write.conn);
-    harness.token(write.conn, "a");
-    harness.token(write.conn, "b");
-    harness.token(write.conn, "c");
+    let (client, decode) = harness.start_decode("help");
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.send_token(decode.conn, "b");
+    harness.send_token(decode.conn, "c");
     harness.input(Input::Lost(client));
     assert_eq!(settled(&harness)[3], (Ending::Left, 4_000, 3, Some(0), Some(1)));
     assert_eq!(used(&harness), 4_003);
 }
 
 #[test]
-fn without_a_ledger_nothing_new_is_taken_and_what_is_open_ends() {
+fn without_a_writable_ledger_new_requests_are_rejected_and_open_ones_complete() {
     let mut harness = harness_with(plan(100_000, AtHard::Refuse));
-    let client = harness.ask("help");
+    let client = harness.send_request("help");
     harness.input(Input::LedgerWritable(false));
-    let second = harness.ask("help");
+    let second = harness.send_request("help");
     assert_eq!(harness.error(second), (503, "refused".into(), false));
-    let read = harness.call();
-    harness.parsed(&read);
-    let write = harness.call();
-    harness.begin_stream(write.conn);
-    harness.token(write.conn, "a");
-    harness.end_stream(write.conn);
+    let prefill = harness.next_call();
+    harness.reply_prefilled(&prefill);
+    let decode = harness.next_call();
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.end_stream(decode.conn);
     assert_eq!(harness.answer(client).0, 200);
     harness.input(Input::LedgerWritable(true));
-    harness.ask("help");
+    harness.send_request("help");
     assert!(harness.has_call());
 }
 
 #[test]
-fn budgets_reload_while_streams_run() {
+fn budgets_can_be_reloaded_while_streams_run() {
     let mut harness = harness_with(plan(4_500, AtHard::Refuse));
-    harness.ask("help");
-    let refused = harness.ask("help");
+    harness.send_request("help");
+    let refused = harness.send_request("help");
     assert_eq!(harness.error(refused).0, 429);
     harness.input(Input::BudgetPlan(Box::new(plan(9_000, AtHard::Refuse))));
-    harness.ask("help");
-    assert_eq!(used(&harness), 2 * WORST, "what was reserved stays");
-    let refused = harness.ask("help");
+    harness.send_request("help");
+    assert_eq!(used(&harness), 2 * WORST_CASE, "reservations are kept");
+    let refused = harness.send_request("help");
     assert_eq!(harness.error(refused).0, 429);
 }
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the core: slow, half-closed, past a bound, wrong, and those of a draining router.
+//! Client connections: slow, half-closed, beyond a limit, with invalid requests, and at a draining router.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod common;
@@ -8,79 +8,79 @@
 use common::*;
 
 #[test]
-fn a_slow_client_stops_its_engine_and_is_then_cut() {
-    let mut y = harness();
-    let (client, pull) = y.pulling("help");
-    y.begin_stream(pull.conn);
-    y.token(pull.conn, "a");
-    y.stalled.insert(client);
+fn a_slow_client_suspends_reading_from_its_worker_and_is_then_closed() {
+    let mut harness = harness();
+    let (client, decode) = harness.start_decode("help");
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.stalled.insert(client);
     let text = "x".repeat(1_000);
     for _ in 0..70 {
-        y.token(pull.conn, &text);
+        harness.send_token(decode.conn, &text);
     }
-    assert!(y.paused.contains(&pull.conn), "the engine is not read while its client takes nothing");
-    // It takes some: the engine is read again.
-    y.input(Input::Wrote(client, 60_000));
-    assert!(!y.paused.contains(&pull.conn));
+    assert!(harness.paused.contains(&decode.conn), "the worker is not read while its client accepts nothing");
+    // The client accepts some bytes: the worker is read again.
+    harness.input(Input::Wrote(client, 60_000));
+    assert!(!harness.paused.contains(&decode.conn));
     for _ in 0..70 {
-        y.token(pull.conn, &text);
+        harness.send_token(decode.conn, &text);
     }
-    y.advance(ms(11_000));
-    assert!(y.closed.contains(&client) && y.closed.contains(&pull.conn));
-    assert_eq!(y.finished[0].ended, RequestOutcome::ClientSlow);
-    assert_eq!(y.outcomes().last(), Some(&Outcome::Cancelled));
+    harness.advance(ms(11_000));
+    assert!(harness.closed.contains(&client) && harness.closed.contains(&decode.conn));
+    assert_eq!(harness.finished[0].ended, RequestOutcome::ClientSlow);
+    assert_eq!(harness.outcomes().last(), Some(&Outcome::Cancelled));
 }
 
 #[test]
-fn half_closed_clients_are_taken_to_leave_and_get_one_answer() {
-    let mut y = harness();
-    let (client, pull) = y.pulling("report");
-    y.input(Input::Eof(client));
-    assert_eq!(y.error(client), (400, "failed".into(), true));
-    assert!(y.closed.contains(&client) && y.closed.contains(&pull.conn));
-    assert_eq!(y.outcomes().last(), Some(&Outcome::Cancelled));
+fn a_half_closed_client_counts_as_disconnected_and_gets_one_answer() {
+    let mut harness = harness();
+    let (client, decode) = harness.start_decode("report");
+    harness.input(Input::Eof(client));
+    assert_eq!(harness.error(client), (400, "failed".into(), true));
+    assert!(harness.closed.contains(&client) && harness.closed.contains(&decode.conn));
+    assert_eq!(harness.outcomes().last(), Some(&Outcome::Cancelled));
 }
 
 #[test]
-fn bounds_refuse_what_is_past_them_and_say_so() {
+fn requests_and_clients_beyond_a_limit_are_rejected_with_a_reason() {
     let mut c = config();
     c.bounds.open_requests = 1;
     c.bounds.clients = 3;
     c.bounds.client.pipelined_bytes = 1_024;
-    let mut y = Harness::new(c, &usual());
-    let first = y.ask("help");
-    let second = y.ask("help");
-    assert_eq!(y.error(second), (503, "refused".into(), false));
-    let idle = y.client();
-    let one_more = y.client();
-    assert_eq!(y.error(one_more), (503, "refused".into(), false));
-    assert!(y.closed.contains(&one_more));
-    // Behind an open request only so much is read ahead; what was read is answered after that request.
-    y.ask_with(first, "help", None, true, 400);
-    assert!(y.paused.contains(&first));
-    let read = y.call();
-    y.parsed(&read);
-    let pull = y.call();
-    y.begin_stream(pull.conn);
-    y.token(pull.conn, "a");
-    y.end_stream(pull.conn);
-    assert!(!y.paused.contains(&first), "there is room for more");
-    let read = y.call();
-    y.parsed(&read);
-    let pull = y.call();
-    y.begin_stream(pull.conn);
-    y.token(pull.conn, "b");
-    y.end_stream(pull.conn);
-    let answers = y.answers(first);
+    let mut harness = Harness::new(c, &default_workers());
+    let first = harness.send_request("help");
+    let second = harness.send_request("help");
+    assert_eq!(harness.error(second), (503, "refused".into(), false));
+    let idle = harness.client();
+    let one_more = harness.client();
+    assert_eq!(harness.error(one_more), (503, "refused".into(), false));
+    assert!(harness.closed.contains(&one_more));
+    // Behind an open request, a limited number of bytes is read ahead. Requests in them are answered after the open one.
+    harness.send_request_with(first, "help", None, true, 400);
+    assert!(harness.paused.contains(&first));
+    let prefill = harness.next_call();
+    harness.reply_prefilled(&prefill);
+    let decode = harness.next_call();
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.end_stream(decode.conn);
+    assert!(!harness.paused.contains(&first), "reading resumes below the limit");
+    let prefill = harness.next_call();
+    harness.reply_prefilled(&prefill);
+    let decode = harness.next_call();
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "b");
+    harness.end_stream(decode.conn);
+    let answers = harness.answers(first);
     assert_eq!((answers.len(), answers[0].0, answers[1].0), (2, 200, 200));
-    y.advance(ms(61_000));
-    assert!(y.closed.contains(&idle), "idle connections are closed");
-    assert_eq!(y.core.open_clients(), 0);
+    harness.advance(ms(61_000));
+    assert!(harness.closed.contains(&idle), "idle connections are closed");
+    assert_eq!(harness.core.open_clients(), 0);
 }
 
 #[test]
-fn bad_calls_name_their_fault_and_never_reach_an_engine() {
-    let mut y = harness();
+fn invalid_requests_get_a_reason_and_never_reach_a_worker() {
+    let mut harness = harness();
     let cases: [(&[u8], u16); 7] = [
         (b"GET /v1/messages HTTP/1.1\r\nHost: a\r\n\r\n", 405),
         (b"POST /v2/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 404),
@@ -91,106 +91,111 @@
         (b"nonsense\r\n\r\n", 400),
     ];
     for (bytes, status) in cases {
-        let client = y.client();
-        y.bytes(client, bytes);
-        let (got, body) = y.answer(client);
+        let client = harness.client();
+        harness.bytes(client, bytes);
+        let (got, body) = harness.answer(client);
         assert_eq!(got, status, "{}", String::from_utf8_lossy(bytes));
         assert!(!body[0].1["error"]["reason"].as_str().unwrap().is_empty());
     }
-    let client = y.client();
-    y.ask_with(client, "nonsense", None, true, 10);
-    assert_eq!(y.answer(client).1[0].1["error"]["field"], "metadata.class");
-    let slow = y.client();
-    y.bytes(slow, b"POST /v1/mess");
-    y.advance(ms(10_100));
-    assert_eq!(y.answer(slow).0, 408);
-    assert!(y.calls.is_empty());
-    assert!(y.policy_events.lock().unwrap().iter().all(|(_, e, _)| !matches!(e, Event::Request(_))));
+    let client = harness.client();
+    harness.send_request_with(client, "nonsense", None, true, 10);
+    assert_eq!(harness.answer(client).1[0].1["error"]["field"], "metadata.class");
+    let slow = harness.client();
+    harness.bytes(slow, b"POST /v1/mess");
+    harness.advance(ms(10_100));
+    assert_eq!(harness.answer(slow).0, 408);
+    assert!(harness.calls.is_empty());
+    assert!(harness.policy_events.lock().unwrap().iter().all(|(_, e, _)| !matches!(e, Event::Request(_))));
 }
 
 #[test]
-fn expect_continue_is_answered_and_one_byte_at_a_time_is_the_same_request() {
-    let mut y = harness();
-    let client = y.client();
+fn expect_continue_is_answered_and_a_request_may_arrive_byte_by_byte() {
+    let mut harness = harness();
+    let client = harness.client();
     let body = br#"{"model":"m","messages":[{"role":"user","content":"hello you"}]}"#;
     let length = body.len();
     let head = format!(
         "POST /v1/messages HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: {length}\r\n\r\n"
     );
     for b in head.as_bytes().iter().chain(body) {
-        assert!(!y.has_call());
-        y.bytes(client, &[*b]);
+        assert!(!harness.has_call());
+        harness.bytes(client, &[*b]);
     }
-    let whole = y.call();
-    assert!(whole.body["prompt"].as_str().unwrap().contains("hello you"));
-    assert!(y.raw(client).starts_with(b"HTTP/1.1 100 Continue\r\n\r\n"));
+    let call = harness.next_call();
+    assert!(call.body["prompt"].as_str().unwrap().contains("hello you"));
+    assert!(harness.raw(client).starts_with(b"HTTP/1.1 100 Continue\r\n\r\n"));
 }
 
 #[test]
-fn draining_answers_what_is_open_and_takes_nothing_new() {
-    let mut y = harness();
-    let (idle, just_come, silent) = (y.client(), y.client(), y.client());
-    y.bytes(idle, b"GET /health HTTP/1.1\r\nHost: a\r\n\r\n");
-    let (client, pull) = y.pulling("report");
+fn a_draining_router_answers_open_requests_and_accepts_no_new_ones() {
+    let mut harness = harness();
+    let (idle, new_client, silent) = (harness.client(), harness.client(), harness.client());
+    harness.bytes(idle, b"GET /health HTTP/1.1\r\nHost: a\r\n\r\n");
+    let (client, decode) = harness.start_decode("report");
     let mut out = Vec::new();
-    y.core.drain(y.now, &mut out);
-    assert_eq!(out, [Output::CloseIfQuiet(idle)], "who has had an answer knows that it may be closed");
-    // Nothing has come on it: the shell closes it.
-    y.input(Input::Lost(idle));
-    y.ask_with(just_come, "help", None, true, 10);
-    assert_eq!(y.error(just_come), (503, "refused".into(), false), "who has just come is heard");
-    y.advance(ms(600));
-    assert!(y.closed.contains(&silent));
-    let late = y.client();
-    assert_eq!(y.error(late), (503, "refused".into(), false));
-    y.begin_stream(pull.conn);
-    y.token(pull.conn, "a");
-    y.end_stream(pull.conn);
-    assert_eq!(y.answer(client).0, 200);
-    assert_eq!((y.core.open_requests(), y.core.open_clients()), (0, 0));
+    harness.core.drain(harness.now, &mut out);
+    assert_eq!(out, [Output::CloseIfQuiet(idle)], "a client that has had an answer may be closed at once");
+    // The shell has found no unread bytes and closes the connection.
+    harness.input(Input::Lost(idle));
+    harness.send_request_with(new_client, "help", None, true, 10);
+    assert_eq!(
+        harness.error(new_client),
+        (503, "refused".into(), false),
+        "a new client may still send a request"
+    );
+    harness.advance(ms(600));
+    assert!(harness.closed.contains(&silent));
+    let late = harness.client();
+    assert_eq!(harness.error(late), (503, "refused".into(), false));
+    harness.begin_stream(decode.conn);
+    harness.send_token(decode.conn, "a");
+    harness.end_stream(decode.conn);
+    assert_eq!(harness.answer(client).0, 200);
+    assert_eq!((harness.core.open_requests(), harness.core.open_clients()), (0, 0));
 }
 
-/// What it asked last has gone with it, though some of its answers were taken meanwhile and there would be room.
+/// A client accepts some of its pending answers and then disconnects while the core has suspended reading. The core must
+/// not start the request that was read ahead.
 #[test]
-fn a_client_that_is_held_up_and_goes_has_nothing_more_begun_for_it() {
-    let mut y = harness();
-    let client = y.client();
-    y.stalled.insert(client);
+fn no_request_is_started_for_a_suspended_client_that_disconnects() {
+    let mut harness = harness();
+    let client = harness.client();
+    harness.stalled.insert(client);
     let body = r#"{"model":"m","max_tokens":5,"messages":[{"role":"user","content":"hello"}]}"#;
-    let good =
+    let valid =
         format!("POST /v1/messages HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let bad = "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n";
-    while !y.paused.contains(&client) {
-        y.bytes(client, bad.as_bytes());
+    let invalid = "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n";
+    while !harness.paused.contains(&client) {
+        harness.bytes(client, invalid.as_bytes());
     }
-    y.bytes(client, good.as_bytes());
-    assert!(!y.has_call());
-    y.input(Input::Wrote(client, 1_000));
-    assert!(y.paused.contains(&client), "not yet heard again");
-    y.input(Input::Eof(client));
-    assert!(!y.has_call(), "begun for nobody");
-    assert_eq!((y.core.open_requests(), y.core.open_clients()), (0, 0));
+    harness.bytes(client, valid.as_bytes());
+    assert!(!harness.has_call());
+    harness.input(Input::Wrote(client, 1_000));
+    assert!(harness.paused.contains(&client), "reading is still suspended");
+    harness.input(Input::Eof(client));
+    assert!(!harness.has_call(), "a request was started for a disconnected client");
+    assert_eq!((harness.core.open_requests(), harness.core.open_clients()), (0, 0));
 }
 
 #[test]
-fn a_client_that_asks_on_and_takes_no_answer_is_held_up_and_then_cut() {
-    let mut y = harness();
-    let client = y.client();
-    y.stalled.insert(client);
-    let bad = b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n".repeat(100);
+fn a_client_that_sends_requests_and_reads_no_answers_is_suspended_and_then_closed() {
+    let mut harness = harness();
+    let client = harness.client();
+    harness.stalled.insert(client);
+    let invalid = b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n".repeat(100);
     let mut sent = 0;
-    while !y.paused.contains(&client) {
-        y.bytes(client, &bad);
+    while !harness.paused.contains(&client) {
+        harness.bytes(client, &invalid);
         sent += 1;
-        assert!(sent < 100, "its answers pile up without bound");
+        assert!(sent < 100, "the number of pending answers is not bounded");
     }
-    // It takes them after all: it is heard again, and answered for what waited.
-    y.input(Input::Wrote(client, 60_000));
-    assert!(!y.paused.contains(&client));
-    while !y.paused.contains(&client) {
-        y.bytes(client, &bad);
+    // The client accepts the bytes: it is read again, and its pending requests are answered.
+    harness.input(Input::Wrote(client, 60_000));
+    assert!(!harness.paused.contains(&client));
+    while !harness.paused.contains(&client) {
+        harness.bytes(client, &invalid);
     }
-    y.advance(ms(11_000));
-    assert!(y.closed.contains(&client));
-    assert_eq!(y.core.open_clients(), 0);
+    harness.advance(ms(11_000));
+    assert!(harness.closed.contains(&client));
+    assert_eq!(harness.core.open_clients(), 0);
 }
--- a/crates/router/tests/common/day.rs
+++ b/crates/router/tests/common/day.rs
@@ -1,5 +1,11 @@
-//! A day of one core among peers that do as they like, and an onlooker of the five rules that reads only what goes over
-//! its connections.
+//! A simulation of one core among peers with arbitrary behaviour, and a checker of five rules. The checker reads only the
+//! traffic on the core's connections:
+//!
+//! 1. Each client that stays connected gets exactly one final answer, by its deadline.
+//! 2. A request that must not run twice is not sent again after an attempt that may have run.
+//! 3. No attempt goes to a worker that drains or was removed.
+//! 4. A worker that has just started gets no more attempts than its slow start allows.
+//! 5. Reserved state is released in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,130 +14,134 @@
 
 use super::*;
 
-/// What can happen; what is named by number is taken modulo how many there are.
+/// An event of the simulation. Indices are taken modulo the number of candidates.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    Ask {
-        single: bool,
+    SendRequest {
+        non_idempotent: bool,
         stream: bool,
         long: bool,
     },
-    Answer {
-        which: usize,
-        how: u8,
+    Reply {
+        index: usize,
+        kind: u8,
     },
-    LoseEngine {
-        which: usize,
+    LoseWorker {
+        index: usize,
         reset: bool,
     },
     LoseClient {
-        which: usize,
+        index: usize,
         eof: bool,
     },
-    Refuse {
+    RefuseConnections {
         port: u16,
-        on: bool,
+        refuse: bool,
     },
-    /// The register tells of the engine at this port; one that comes back has just started.
-    List {
+    /// Service discovery reports a new state of the worker at this port. A worker that comes back has just started.
+    ListChange {
         port: u16,
         state: &'static str,
     },
-    Pass {
+    Advance {
         millis: u64,
     },
 }
 
-/// What the onlooker goes by: what clients, engines and operators were promised.
+/// The time limits that the checker enforces.
 #[derive(Debug, Clone)]
-pub struct Promised {
+pub struct TimeLimits {
     pub deadline: Micros,
     pub release: Micros,
-    pub cold_for: Micros,
+    pub slow_start: Micros,
 }
 
-pub const PROMISED: Promised = Promised { deadline: ms(4_000), release: ms(1_000), cold_for: ms(8_000) };
-/// Over all that is promised: ticks, margins, slack.
-const SLACK: Micros = ms(100);
-const WINDOW: Micros = ms(2_000);
+pub const TIME_LIMITS: TimeLimits =
+    TimeLimits { deadline: ms(4_000), release: ms(1_000), slow_start: ms(8_000) };
+/// Tolerance on all limits, for ticks and margins of the core.
+const TOLERANCE: Micros = ms(100);
+const OVERLOAD_WINDOW: Micros = ms(2_000);
 
-struct Asked {
+struct ClientRequest {
     conn: ConnId,
     at: Micros,
-    left: bool,
+    disconnected: bool,
 }
 
-/// State at a reader that was told to us.
-struct Held {
-    /// Since when nothing of its request is out.
-    idle: Option<Micros>,
+/// State reserved at a prefill worker after a reply to the core.
+struct Reservation {
+    /// Since when no attempt of the request is open.
+    idle_since: Option<Micros>,
 }
 
-pub struct Day {
-    pub y: Harness,
-    promised: Promised,
+pub struct Simulation {
+    pub harness: Harness,
+    limits: TimeLimits,
     /// Prompt tokens of a long request.
     pub long: usize,
-    /// The register's news are lost on the way.
-    pub deaf: bool,
-    asked: Vec<Asked>,
+    /// Whether changes from service discovery are lost before they reach the core.
+    pub lose_list_changes: bool,
+    requests: Vec<ClientRequest>,
     calls: Vec<Call>,
-    /// By request: attempts of a single shot that may have run.
-    sent: BTreeMap<String, u32>,
-    held: BTreeMap<String, Held>,
-    watch: Option<ConnId>,
+    /// By request id: decode attempts of a non-idempotent request that may have run.
+    maybe_run: BTreeMap<String, u32>,
+    reservations: BTreeMap<String, Reservation>,
+    discovery_conn: Option<ConnId>,
     version: u64,
-    /// Ports of engines that drain or are gone, and when others came back.
+    /// Ports of workers that drain or were removed.
     stopped: BTreeSet<u16>,
+    /// When the workers at these ports came back.
     started: BTreeMap<u16, Micros>,
-    to: Vec<(Micros, u16)>,
-    done: Vec<(Micros, u16)>,
+    /// Attempts sent, by time and port.
+    sent: Vec<(Micros, u16)>,
+    /// Attempts completed, by time and port.
+    completed: Vec<(Micros, u16)>,
 }
 
-impl Day {
+impl Simulation {
     pub fn new(
         mut config: Config,
-        promised: Promised,
+        limits: TimeLimits,
         workers: &[serde_json::Value],
-        register: bool,
+        discovery: bool,
     ) -> Self {
-        if register {
-            config.discovery = Some(REGISTER.parse().unwrap());
+        if discovery {
+            config.discovery = Some(DISCOVERY_ADDRESS.parse().unwrap());
         }
-        let mut y = Harness::new(config, workers);
-        let mut watch = None;
-        if register {
-            let call = y.calls.remove(0);
-            y.begin_stream(call.conn);
-            news(&mut y, call.conn, "snapshot", &list(1, workers));
-            watch = Some(call.conn);
+        let mut harness = Harness::new(config, workers);
+        let mut discovery_conn = None;
+        if discovery {
+            let call = harness.calls.remove(0);
+            harness.begin_stream(call.conn);
+            send_discovery_event(&mut harness, call.conn, "snapshot", &list(1, workers));
+            discovery_conn = Some(call.conn);
         }
         Self {
-            y,
-            promised,
+            harness,
+            limits,
             long: 4_000,
-            deaf: false,
-            asked: Vec::new(),
+            lose_list_changes: false,
+            requests: Vec::new(),
             calls: Vec::new(),
-            sent: BTreeMap::new(),
-            held: BTreeMap::new(),
-            watch,
+            maybe_run: BTreeMap::new(),
+            reservations: BTreeMap::new(),
+            discovery_conn,
             version: 1,
             stopped: BTreeSet::new(),
             started: BTreeMap::new(),
-            to: Vec::new(),
-            done: Vec::new(),
+            sent: Vec::new(),
+            completed: Vec::new(),
         }
     }
 
-    /// Requests so far, and calls that engines have not answered.
+    /// The number of requests so far, and the calls that workers have not answered.
     pub fn open(&self) -> (usize, &[Call]) {
-        (self.asked.len(), &self.calls)
+        (self.requests.len(), &self.calls)
     }
 
-    /// Clients that have neither left nor been cut.
+    /// Number of clients that have neither disconnected nor been closed by the core.
     pub fn clients(&self) -> usize {
-        self.asked.iter().filter(|a| !a.left && !self.y.closed.contains(&a.conn)).count()
+        self.requests.iter().filter(|a| !a.disconnected && !self.harness.closed.contains(&a.conn)).count()
     }
 
     pub fn stopped(&self, port: u16) -> bool {
@@ -140,212 +150,219 @@
 
     pub fn step(&mut self, step: &Step) {
         match step {
-            Step::Ask { single, stream, long } => {
-                let conn = self.y.client();
-                self.asked.push(Asked { conn, at: self.y.now, left: false });
-                let class = if *single { "report" } else { "help" };
-                self.y.ask_with(conn, class, None, *stream, if *long { self.long } else { 20 });
+            Step::SendRequest { non_idempotent, stream, long } => {
+                let conn = self.harness.client();
+                self.requests.push(ClientRequest { conn, at: self.harness.now, disconnected: false });
+                let class = if *non_idempotent { "report" } else { "help" };
+                self.harness.send_request_with(
+                    conn,
+                    class,
+                    None,
+                    *stream,
+                    if *long { self.long } else { 20 },
+                );
             }
-            Step::Answer { which, how } if !self.calls.is_empty() => {
-                let call = self.calls.remove(which % self.calls.len());
-                if !self.y.closed.contains(&call.conn) {
-                    self.answer(&call, *how);
+            Step::Reply { index, kind } if !self.calls.is_empty() => {
+                let call = self.calls.remove(index % self.calls.len());
+                if !self.harness.closed.contains(&call.conn) {
+                    self.reply(&call, *kind);
                 }
             }
-            Step::LoseEngine { which, reset } if !self.calls.is_empty() => {
-                let call = self.calls.remove(which % self.calls.len());
-                if !self.y.closed.contains(&call.conn) {
+            Step::LoseWorker { index, reset } if !self.calls.is_empty() => {
+                let call = self.calls.remove(index % self.calls.len());
+                if !self.harness.closed.contains(&call.conn) {
                     if *reset {
-                        self.y.closed.insert(call.conn);
-                        self.y.input(Input::Lost(call.conn));
+                        self.harness.closed.insert(call.conn);
+                        self.harness.input(Input::Lost(call.conn));
                     } else {
-                        self.y.input(Input::Eof(call.conn));
+                        self.harness.input(Input::Eof(call.conn));
                     }
                 }
             }
-            Step::LoseClient { which, eof } if !self.asked.is_empty() => {
-                let n = which % self.asked.len();
-                let conn = self.asked[n].conn;
-                if !self.y.closed.contains(&conn) {
-                    self.asked[n].left = true;
+            Step::LoseClient { index, eof } if !self.requests.is_empty() => {
+                let n = index % self.requests.len();
+                let conn = self.requests[n].conn;
+                if !self.harness.closed.contains(&conn) {
+                    self.requests[n].disconnected = true;
                     if *eof {
-                        self.y.input(Input::Eof(conn));
+                        self.harness.input(Input::Eof(conn));
                     } else {
-                        self.y.closed.insert(conn);
-                        self.y.input(Input::Lost(conn));
+                        self.harness.closed.insert(conn);
+                        self.harness.input(Input::Lost(conn));
                     }
                 }
             }
-            Step::Refuse { port, on } => {
-                if *on {
-                    self.y.refused_ports.insert(*port);
+            Step::RefuseConnections { port, refuse } => {
+                if *refuse {
+                    self.harness.refused_ports.insert(*port);
                 } else {
-                    self.y.refused_ports.remove(port);
+                    self.harness.refused_ports.remove(port);
                 }
             }
-            Step::List { port, state } => self.told(*port, state),
-            Step::Pass { millis } => self.y.advance(ms(*millis)),
+            Step::ListChange { port, state } => self.send_list_change(*port, state),
+            Step::Advance { millis } => self.harness.advance(ms(*millis)),
             _ => {}
         }
-        self.look();
+        self.check();
     }
 
-    fn told(&mut self, port: u16, state: &str) {
-        let Some(watch) = self.watch else { return };
+    fn send_list_change(&mut self, port: u16, state: &str) {
+        let Some(discovery_conn) = self.discovery_conn else { return };
         let (id, kind) =
             if port == 1 { ("read".to_owned(), "reader") } else { (format!("write-{}", port - 1), "writer") };
         let mut entry = entry(&id, kind, port, state);
         if state == "in" {
             self.stopped.remove(&port);
-            self.started.insert(port, self.y.now);
-            // What its earlier life got does not press on this one.
-            self.to.retain(|(_, to)| *to != port);
-            entry["started_unix_ms"] = (self.y.now.0 / 1_000).into();
+            self.started.insert(port, self.harness.now);
+            // Attempts before the restart do not count.
+            self.sent.retain(|(_, to)| *to != port);
+            entry["started_unix_ms"] = (self.harness.now.0 / 1_000).into();
         } else {
             self.stopped.insert(port);
         }
         self.version += 1;
-        if !self.deaf {
-            news(&mut self.y, watch, "change", &list(self.version, &[entry]));
+        if !self.lose_list_changes {
+            send_discovery_event(&mut self.harness, discovery_conn, "change", &list(self.version, &[entry]));
         }
     }
 
-    fn answer(&mut self, call: &Call, how: u8) {
-        let (y, id) = (&mut self.y, call.header("x-request-id").to_owned());
-        let reads = call.port == 1;
-        // What is turned away proves that it never ran, and may be sent again.
-        let turned = how == 0 || (how == 2 && !call.body["kv_transfer_params"].is_null());
-        if turned && !reads {
-            if let Some(n) = self.sent.get_mut(&id) {
+    fn reply(&mut self, call: &Call, kind: u8) {
+        let (harness, id) = (&mut self.harness, call.header("x-request-id").to_owned());
+        let is_prefill = call.port == 1;
+        // A rejection proves that the request did not run, so it may be sent again.
+        let rejected = kind == 0 || (kind == 2 && !call.body["kv_transfer_params"].is_null());
+        if rejected && !is_prefill {
+            if let Some(n) = self.maybe_run.get_mut(&id) {
                 *n -= 1;
             }
         }
-        match how {
-            0 => y.reply(call.conn, 429, "{}"),
-            1 => y.reply(call.conn, 500, "{}"),
-            2 => y.reply(call.conn, 409, r#"{"error":{"type":"no_state"}}"#),
-            3 => y.bytes(call.conn, b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"),
-            _ if reads => {
-                self.done.push((y.now, call.port));
-                // Before the answer: what it sets off may take the state or let it go at once.
-                self.held.insert(id, Held { idle: None });
-                y.parsed(call);
+        match kind {
+            0 => harness.reply(call.conn, 429, "{}"),
+            1 => harness.reply(call.conn, 500, "{}"),
+            2 => harness.reply(call.conn, 409, r#"{"error":{"type":"no_state"}}"#),
+            3 => harness.bytes(call.conn, b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"),
+            _ if is_prefill => {
+                self.completed.push((harness.now, call.port));
+                // Recorded before the reply, which may cause the core to use or release the state at once.
+                self.reservations.insert(id, Reservation { idle_since: None });
+                harness.reply_prefilled(call);
             }
             4 => {
-                y.begin_stream(call.conn);
-                y.token(call.conn, "a");
-                if !y.closed.contains(&call.conn) {
-                    y.input(Input::Eof(call.conn));
+                harness.begin_stream(call.conn);
+                harness.send_token(call.conn, "a");
+                if !harness.closed.contains(&call.conn) {
+                    harness.input(Input::Eof(call.conn));
                 }
             }
             5 => {
-                // Begins and says no more.
-                y.begin_stream(call.conn);
-                y.token(call.conn, "a");
+                // The stream begins and then stalls.
+                harness.begin_stream(call.conn);
+                harness.send_token(call.conn, "a");
             }
             _ => {
-                self.done.push((y.now, call.port));
-                y.begin_stream(call.conn);
-                y.token(call.conn, "a");
-                y.token(call.conn, "b");
-                y.end_stream(call.conn);
+                self.completed.push((harness.now, call.port));
+                harness.begin_stream(call.conn);
+                harness.send_token(call.conn, "a");
+                harness.send_token(call.conn, "b");
+                harness.end_stream(call.conn);
             }
         }
     }
 
-    /// Takes in what the core has said, and checks it.
-    fn look(&mut self) {
-        let now = self.y.now;
-        for call in std::mem::take(&mut self.y.calls) {
+    /// Processes and checks the core's calls and answers.
+    fn check(&mut self) {
+        let now = self.harness.now;
+        for call in std::mem::take(&mut self.harness.calls) {
             let id = call.header("x-request-id").to_owned();
             if call.target == "/v1/kv/release" {
-                self.held.remove(&id);
-                if !self.y.closed.contains(&call.conn) {
-                    self.y.reply(call.conn, 200, "{}");
+                self.reservations.remove(&id);
+                if !self.harness.closed.contains(&call.conn) {
+                    self.harness.reply(call.conn, 200, "{}");
                 }
                 continue;
             }
             if call.target != "/v1/completions" {
-                self.watch = Some(call.conn);
+                self.discovery_conn = Some(call.conn);
                 continue;
             }
             assert!(
                 !self.stopped.contains(&call.port),
-                "rule 3: sent to {} that drains or is gone",
+                "rule 3: an attempt was sent to {}, which drains or was removed",
                 call.port
             );
-            self.cold(call.at, call.port);
-            self.to.push((call.at, call.port));
+            self.check_slow_start(call.at, call.port);
+            self.sent.push((call.at, call.port));
             if call.port != 1 && !call.body["kv_transfer_params"].is_null() {
-                self.held.remove(&id);
+                self.reservations.remove(&id);
             }
             if call.port != 1 && call.header("x-class") == "report" {
-                let n = self.sent.entry(id.clone()).or_default();
+                let n = self.maybe_run.entry(id.clone()).or_default();
                 *n += 1;
-                assert!(*n <= 1, "rule 2: {id} was sent again though it may have run");
+                assert!(*n <= 1, "rule 2: {id} was sent again although it may have run");
             }
             self.calls.push(call);
         }
-        for a in self.asked.iter().filter(|a| !a.left) {
-            let late = now > a.at + self.promised.deadline + SLACK;
-            assert!(!late || !self.y.raw(a.conn).is_empty(), "rule 1: no answer in time");
-            assert!(self.y.answers(a.conn).len() <= 1, "rule 1: more than one final answer");
+        for a in self.requests.iter().filter(|a| !a.disconnected) {
+            let overdue = now > a.at + self.limits.deadline + TOLERANCE;
+            assert!(!overdue || !self.harness.raw(a.conn).is_empty(), "rule 1: no answer in time");
+            assert!(self.harness.answers(a.conn).len() <= 1, "rule 1: more than one final answer");
         }
-        // A reader that can't be reached can't be told to let go; what it held is left to its own time-out.
-        if self.y.refused_ports.contains(&1) {
-            self.held.clear();
+        // A release cannot reach a worker that refuses connections; its state expires by the worker's own timeout.
+        if self.harness.refused_ports.contains(&1) {
+            self.reservations.clear();
         }
-        let (calls, closed) = (&self.calls, &self.y.closed);
-        for (id, held) in &mut self.held {
-            let out = calls.iter().any(|c| c.header("x-request-id") == id && !closed.contains(&c.conn));
-            let idle = *held.idle.get_or_insert(now);
-            held.idle = (!out).then_some(idle);
-            let over = !out && now > idle + self.promised.release + SLACK;
-            assert!(!over, "rule 5: state of {id} is pinned");
+        let (calls, closed) = (&self.calls, &self.harness.closed);
+        for (id, reservation) in &mut self.reservations {
+            let is_open = calls.iter().any(|c| c.header("x-request-id") == id && !closed.contains(&c.conn));
+            let idle_since = *reservation.idle_since.get_or_insert(now);
+            reservation.idle_since = (!is_open).then_some(idle_since);
+            let expired = !is_open && now > idle_since + self.limits.release + TOLERANCE;
+            assert!(!expired, "rule 5: the reservation of {id} was not released");
         }
     }
 
-    /// Within the window no more than the multiple of what a warm one of its role was seen to end, at its present share of
-    /// capacity; a first one is always allowed.
-    fn cold(&self, now: Micros, port: u16) {
-        let Some(started) = self.started.get(&port).filter(|s| now < **s + self.promised.cold_for) else {
+    /// Checks the slow-start limit: within the window, a worker that has just started gets at most the overload multiple of
+    /// the attempts that the best worker of its role completed, scaled by its current share of capacity. One attempt is
+    /// always allowed.
+    fn check_slow_start(&self, now: Micros, port: u16) {
+        let Some(started) = self.started.get(&port).filter(|s| now < **s + self.limits.slow_start) else {
             return;
         };
-        let since = |at: &Micros| *at + WINDOW > now;
-        let here = self.to.iter().filter(|(at, to)| to == &port && since(at)).count();
-        // Peers of its role, and what it did itself in its life before.
+        let since = |at: &Micros| *at + OVERLOAD_WINDOW > now;
+        let sent = self.sent.iter().filter(|(at, to)| to == &port && since(at)).count();
+        // Workers of the same role, and this worker before its restart.
         let counts = |of: u16, at: &Micros| since(at) && (of != port || at <= started);
-        let done = |of: u16| self.done.iter().filter(|(at, p)| *p == of && counts(of, at)).count();
+        let done = |of: u16| self.completed.iter().filter(|(at, p)| *p == of && counts(of, at)).count();
         let role = if port == 1 { 1..=1 } else { 2..=3 };
         let best = role.map(done).max().unwrap_or(0);
-        let present = 0.3 + 0.7 * (now - *started).as_secs_f64() / self.promised.cold_for.as_secs_f64();
-        let most = (best as f64 * 3.0 * present).max(1.0);
-        assert!((here as f64) < most, "rule 4: {here} of {most} at {port}");
+        let share = 0.3 + 0.7 * (now - *started).as_secs_f64() / self.limits.slow_start.as_secs_f64();
+        let max = (best as f64 * 3.0 * share).max(1.0);
+        assert!((sent as f64) < max, "rule 4: {sent} attempts at {port}, limit {max}");
     }
 
-    /// Lets all that can still come fall due, and checks that it did.
+    /// Advances the time past all deadlines, and checks that nothing is left.
     pub fn finish(mut self) {
         for _ in 0..40 {
-            self.y.advance(ms(1_000));
-            self.look();
+            self.harness.advance(ms(1_000));
+            self.check();
         }
-        assert_eq!(self.y.core.open_requests(), 0, "rule 5: nothing stays open or held");
-        for a in self.asked.iter().filter(|a| !a.left) {
-            assert_eq!(self.y.answers(a.conn).len(), 1, "rule 1: exactly one final answer");
+        assert_eq!(self.harness.core.open_requests(), 0, "rule 5: requests or reservations stay open");
+        for a in self.requests.iter().filter(|a| !a.disconnected) {
+            assert_eq!(self.harness.answers(a.conn).len(), 1, "rule 1: exactly one final answer");
         }
-        assert_eq!(self.y.finished.len(), self.asked.len());
-        // Each has one end, and a condition exactly where the module gave it up.
-        let ids: BTreeSet<&str> = self.y.finished.iter().map(|f| f.id.as_str()).collect();
-        assert_eq!(ids.len(), self.asked.len());
-        for f in &self.y.finished {
+        assert_eq!(self.harness.finished.len(), self.requests.len());
+        // Each request has one record, with a rejection reason exactly if the policy rejected or failed it.
+        let ids: BTreeSet<&str> = self.harness.finished.iter().map(|f| f.id.as_str()).collect();
+        assert_eq!(ids.len(), self.requests.len());
+        for f in &self.harness.finished {
             let given_up = matches!(f.ended, RequestOutcome::Rejected | RequestOutcome::Failed);
             assert_eq!(given_up, f.rejection_reason.is_some(), "{f:?}");
         }
-        let policy_events = self.y.policy_events.lock().unwrap();
-        let (mut sends, mut verdicts): (BTreeMap<String, u32>, BTreeSet<(String, u32)>) = Default::default();
+        let policy_events = self.harness.policy_events.lock().unwrap();
+        let (mut sends, mut outcomes): (BTreeMap<String, u32>, BTreeSet<(String, u32)>) = Default::default();
         for (_, event, actions) in policy_events.iter() {
             if let Event::AttemptOutcome { id, attempt, .. } = event {
-                assert!(verdicts.insert((id.0.to_string(), attempt.0)), "two verdicts for one attempt");
+                assert!(outcomes.insert((id.0.to_string(), attempt.0)), "two outcomes for one attempt");
             }
             for a in actions {
                 if let Action::Send { id, .. } = a {
@@ -353,6 +370,6 @@
                 }
             }
         }
-        assert_eq!(sends.values().sum::<u32>() as usize, verdicts.len(), "one verdict for each attempt");
+        assert_eq!(sends.values().sum::<u32>() as usize, outcomes.len(), "one outcome for each attempt");
     }
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A core driven by hand: virtual time, scripted peers, nothing but bytes and connections' fates.
+//! A test harness that drives a core with virtual time, scripted peers, and bytes and events of connections alone.
 #![allow(
     dead_code,
     clippy::unwrap_used,
@@ -21,7 +21,7 @@
 use chalkyard_router::*;
 
 pub const START: Micros = Micros(1_700_000_000_000_000);
-pub const REGISTER: &str = "127.0.0.1:9";
+pub const DISCOVERY_ADDRESS: &str = "127.0.0.1:9";
 
 pub const fn ms(n: u64) -> Micros {
     Micros(n * 1_000)
@@ -82,8 +82,8 @@
     serde_json::json!({ "version": version, "workers": workers }).to_string()
 }
 
-/// One reader at port 1, writers at 2 and 3.
-pub fn usual() -> Vec<serde_json::Value> {
+/// One prefill worker at port 1 and decode workers at ports 2 and 3.
+pub fn default_workers() -> Vec<serde_json::Value> {
     vec![
         entry("read", "reader", 1, "in"),
         entry("write-1", "writer", 2, "in"),
@@ -91,6 +91,7 @@
     ]
 }
 
+/// A complete call that the core has sent to a worker or to service discovery.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
     pub at: Micros,
@@ -109,6 +110,7 @@
 
 pub type PolicyEvents = Arc<Mutex<Vec<(Micros, Event, Vec<Action>)>>>;
 
+/// A core with its outputs recorded. Connections succeed and bytes are accepted unless a field says otherwise.
 pub struct Harness {
     pub core: Core,
     pub now: Micros,
@@ -120,17 +122,17 @@
     pub tallies: Vec<Tally>,
     pub notes: Vec<String>,
     pub transitions: Vec<Transition>,
-    /// What the ledger was given.
+    /// Records for the ledger.
     pub records: Vec<(u64, chalkyard_budget::Record)>,
-    pub kept_list: Option<String>,
+    pub stored_list: Option<String>,
     pub policy_events: PolicyEvents,
-    /// Calls that reached engines, oldest first, until taken.
+    /// Calls that workers have received, oldest first, until a test takes them.
     pub calls: Vec<Call>,
-    /// No connection can be begun for want of descriptors.
-    pub unconnected: bool,
-    /// Connections on which bytes have come that were not read yet.
+    /// Whether every attempt to connect fails locally, as for want of file descriptors.
+    pub fail_connects: bool,
+    /// Connections with received bytes that the core has not read yet.
     pub with_unread_bytes: BTreeSet<ConnId>,
-    /// Connections whose bytes the system does not take.
+    /// Connections that are not established and accept no bytes.
     pub stalled: BTreeSet<ConnId>,
     decoders: BTreeMap<ConnId, Decoder>,
     heads: BTreeMap<ConnId, Box<chalkyard_proto::Head>>,
@@ -144,7 +146,7 @@
         Self::with_stored_list(config, text.as_deref())
     }
 
-    /// One that starts with this text as the list of its last life.
+    /// Starts a core with this text as its stored endpoint list.
     pub fn with_stored_list(config: Config, text: Option<&str>) -> Self {
         let mut core = Core::new(config, 7, START);
         let policy_events: PolicyEvents = Arc::default();
@@ -164,10 +166,10 @@
             notes: Vec::new(),
             transitions: Vec::new(),
             records: Vec::new(),
-            kept_list: None,
+            stored_list: None,
             policy_events,
             calls: Vec::new(),
-            unconnected: false,
+            fail_connects: false,
             with_unread_bytes: BTreeSet::new(),
             stalled: BTreeSet::new(),
             decoders: BTreeMap::new(),
@@ -177,22 +179,22 @@
         };
         let mut out = Vec::new();
         harness.core.start(START, text, &mut out);
-        harness.carry_out(out);
+        harness.perform_outputs(out);
         harness
     }
 
     pub fn input(&mut self, input: Input<'_>) {
         let mut out = Vec::new();
         self.core.handle(self.now, input, &mut out);
-        self.carry_out(out);
+        self.perform_outputs(out);
     }
 
-    fn carry_out(&mut self, out: Vec<Output>) {
-        for o in out {
-            match o {
+    fn perform_outputs(&mut self, out: Vec<Output>) {
+        for output in out {
+            match output {
                 Output::Connect(conn, address) => {
                     self.ports.insert(conn, address.port());
-                    if self.unconnected {
+                    if self.fail_connects {
                         self.input(Input::NotStarted(conn));
                     } else if self.refused_ports.contains(&address.port()) {
                         self.input(Input::Lost(conn));
@@ -201,12 +203,12 @@
                     }
                 }
                 Output::Write(conn, bytes) => {
-                    assert!(!self.closed.contains(&conn), "write on a closed connection");
+                    assert!(!self.closed.contains(&conn), "write to a closed connection");
                     if self.stalled.contains(&conn) {
                         continue;
                     }
                     if self.ports.contains_key(&conn) {
-                        self.engine_bytes(conn, &bytes);
+                        self.worker_bytes(conn, &bytes);
                     } else {
                         self.answers.entry(conn).or_default().extend_from_slice(&bytes);
                     }
@@ -215,7 +217,7 @@
                 Output::Close(conn) | Output::CloseAnswered(conn) | Output::Abort(conn) => {
                     assert!(self.closed.insert(conn), "closed twice");
                 }
-                // Bytes that have come are found unread where a test says so; it feeds them then.
+                // The test passes the unread bytes to the core afterwards.
                 Output::CloseIfQuiet(conn) if self.with_unread_bytes.contains(&conn) => {}
                 Output::CloseIfQuiet(conn) => {
                     assert!(self.closed.insert(conn), "closed twice");
@@ -223,7 +225,7 @@
                 }
                 Output::Pause(conn) => assert!(self.paused.insert(conn)),
                 Output::Resume(conn) => assert!(self.paused.remove(&conn)),
-                Output::StoreEndpointList(text) => self.kept_list = Some(text),
+                Output::StoreEndpointList(text) => self.stored_list = Some(text),
                 Output::Finished(line) => self.finished.push(line.0),
                 Output::Tally(tally) => self.tallies.push(*tally),
                 Output::Transition(transition) => self.transitions.push(*transition),
@@ -233,11 +235,12 @@
         }
     }
 
-    fn engine_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
-        let d = self.decoders.entry(conn).or_insert_with(|| Decoder::new(Side::Request, Limits::default()));
-        d.push(bytes);
+    fn worker_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
+        let decoder =
+            self.decoders.entry(conn).or_insert_with(|| Decoder::new(Side::Request, Limits::default()));
+        decoder.push(bytes);
         let mut body = Vec::new();
-        while let Some(part) = d.next_part().expect("engines get whole, well-formed calls") {
+        while let Some(part) = decoder.next_part().expect("workers receive complete, well-formed calls") {
             match part {
                 Part::Head(head) => {
                     self.heads.insert(conn, head);
@@ -260,7 +263,7 @@
         }
     }
 
-    /// Lets time pass, with every timer at its due time.
+    /// Advances the time, with a tick at each due time of a timer.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(due) = self.core.next_due().filter(|at| *at <= end) {
@@ -271,6 +274,7 @@
         self.input(Input::Tick);
     }
 
+    /// Connects a client.
     pub fn client(&mut self) -> ConnId {
         let conn = ConnId(self.next_client);
         self.next_client += 2;
@@ -282,7 +286,14 @@
         self.input(Input::Bytes(conn, bytes));
     }
 
-    pub fn ask_with(&mut self, conn: ConnId, class: &str, key: Option<&str>, stream: bool, tokens: usize) {
+    pub fn send_request_with(
+        &mut self,
+        conn: ConnId,
+        class: &str,
+        key: Option<&str>,
+        stream: bool,
+        tokens: usize,
+    ) {
         let text = "word ".repeat(tokens);
         let body = serde_json::json!({
             "model": "m", "messages": [{"role": "user", "content": text}], "max_tokens": 50, "stream": stream,
@@ -297,27 +308,27 @@
         self.bytes(conn, &bytes);
     }
 
-    /// A streamed request whose prompt is long enough to be read at a reader.
-    pub fn ask(&mut self, class: &str) -> ConnId {
+    /// Sends a streamed request whose prompt is long enough to be prefilled at the prefill worker.
+    pub fn send_request(&mut self, class: &str) -> ConnId {
         let conn = self.client();
-        self.ask_with(conn, class, None, true, 4_000);
+        self.send_request_with(conn, class, None, true, 4_000);
         conn
     }
 
-    /// A request that was read and is being pulled: its client, and the writer's call.
-    pub fn pulling(&mut self, class: &str) -> (ConnId, Call) {
-        let client = self.ask(class);
-        let read = self.call();
-        assert_eq!(read.port, 1);
-        assert_eq!(read.body["kv_transfer_params"]["do_remote_decode"], true);
-        self.parsed(&read);
-        let pull = self.call();
-        assert_ne!(pull.port, 1);
-        (client, pull)
+    /// Sends a request and answers its prefill. Returns the client and the decode call.
+    pub fn start_decode(&mut self, class: &str) -> (ConnId, Call) {
+        let client = self.send_request(class);
+        let prefill = self.next_call();
+        assert_eq!(prefill.port, 1);
+        assert_eq!(prefill.body["kv_transfer_params"]["do_remote_decode"], true);
+        self.reply_prefilled(&prefill);
+        let decode = self.next_call();
+        assert_ne!(decode.port, 1);
+        (client, decode)
     }
 
-    /// The next completion call; there must be one.
-    pub fn call(&mut self) -> Call {
+    /// Takes the next completion call; panics if there is none.
+    pub fn next_call(&mut self) -> Call {
         let at = self.calls.iter().position(|c| c.target == "/v1/completions");
         self.calls.remove(at.expect("a completion call"))
     }
@@ -326,6 +337,7 @@
         self.calls.iter().any(|c| c.target == "/v1/completions")
     }
 
+    /// Takes all release calls.
     pub fn releases(&mut self) -> Vec<Call> {
         let (releases, rest) =
             std::mem::take(&mut self.calls).into_iter().partition(|c| c.target == "/v1/kv/release");
@@ -338,7 +350,8 @@
         self.bytes(conn, &bytes);
     }
 
-    pub fn parsed(&mut self, call: &Call) {
+    /// Answers a prefill call.
+    pub fn reply_prefilled(&mut self, call: &Call) {
         let body = r#"{"usage":{"prompt_tokens":4000,"prompt_tokens_details":{"cached_tokens":64}},
             "kv_transfer_params":{"remote_engine_id":"read"}}"#;
         self.reply(call.conn, 200, body);
@@ -348,33 +361,33 @@
         self.bytes(conn, &encode::chunked_head(200, &[("content-type", "text/event-stream")], true));
     }
 
-    pub fn event(&mut self, conn: ConnId, data: &str) {
+    pub fn send_event(&mut self, conn: ConnId, data: &str) {
         let (mut event, mut bytes) = (Vec::new(), Vec::new());
         sse::write(&mut event, "", None, data);
         encode::chunk(&mut bytes, &event);
         self.bytes(conn, &bytes);
     }
 
-    pub fn token(&mut self, conn: ConnId, text: &str) {
-        self.event(conn, &serde_json::json!({"choices": [{"text": text}]}).to_string());
+    pub fn send_token(&mut self, conn: ConnId, text: &str) {
+        self.send_event(conn, &serde_json::json!({"choices": [{"text": text}]}).to_string());
     }
 
     pub fn end_stream(&mut self, conn: ConnId) {
-        self.event(conn, r#"{"choices":[],"usage":{"prompt_tokens":4000,"completion_tokens":2}}"#);
-        self.event(conn, "[DONE]");
+        self.send_event(conn, r#"{"choices":[],"usage":{"prompt_tokens":4000,"completion_tokens":2}}"#);
+        self.send_event(conn, "[DONE]");
         self.bytes(conn, encode::LAST_CHUNK);
     }
 }
 
-/// A core on the usual workers.
+/// A core with the default workers.
 pub fn harness() -> Harness {
-    Harness::new(config(), &usual())
+    Harness::new(config(), &default_workers())
 }
 
-/// News of the register on its stream.
-pub fn news(y: &mut Harness, conn: ConnId, name: &str, data: &str) {
+/// Sends an event on the stream of service discovery.
+pub fn send_discovery_event(harness: &mut Harness, conn: ConnId, name: &str, data: &str) {
     let (mut text, mut bytes) = (Vec::new(), Vec::new());
     sse::write(&mut text, name, None, data);
     encode::chunk(&mut bytes, &text);
-    y.bytes(conn, &bytes);
+    harness.bytes(conn, &bytes);
 }
--- a/crates/router/tests/outputs.rs
+++ b/crates/router/tests/outputs.rs
@@ -1,6 +1,6 @@
-//! What operators, clients and engines read from a router, byte for byte: records of requests, transitions, tallies,
-//! counters, views, notes, the stored endpoint list, answers and calls. The recorded text was written before any
-//! renaming of the types behind it and does not follow one.
+//! The exact bytes that operators, clients and workers receive from a router: records of requests, transitions, tallies,
+//! counters, views, notes, the stored endpoint list, answers and calls. The recorded text must not change when the types
+//! behind it are renamed.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 mod common;
@@ -11,9 +11,9 @@
 use common::*;
 use serde::Serialize;
 
-/// Text collected from one router, one JSON value or one escaped line of bytes a line.
+/// Collects the outputs of one router as text. Each line holds one JSON value or escaped bytes.
 struct Recorder {
-    y: Harness,
+    harness: Harness,
     text: String,
     finished: usize,
     transitions: usize,
@@ -24,10 +24,10 @@
 
 impl Recorder {
     fn new(title: &str, config: Config) -> Self {
-        let mut y = Harness::new(config, &usual());
-        y.core.enable_tally();
+        let mut harness = Harness::new(config, &default_workers());
+        harness.core.enable_tally();
         let text = format!("# {title}\n");
-        Self { y, text, finished: 0, transitions: 0, tallies: 0, notes: 0, clients: Vec::new() }
+        Self { harness, text, finished: 0, transitions: 0, tallies: 0, notes: 0, clients: Vec::new() }
     }
 
     fn line(&mut self, name: &str, value: &impl Serialize) {
@@ -35,26 +35,26 @@
     }
 
     fn views(&mut self) {
-        let (counts, open, engines) =
-            (self.y.core.status(), self.y.core.request_view(), self.y.core.worker_view());
+        let (counts, open, workers) =
+            (self.harness.core.status(), self.harness.core.request_view(), self.harness.core.worker_view());
         self.line("counts", &counts);
         self.line("open", &open);
-        self.line("engines", &engines);
+        self.line("engines", &workers);
     }
 
-    /// Records the next completion call, if there is one, and has its worker answer it.
-    fn answer(&mut self, answer: impl FnOnce(&mut Harness, &Call)) {
-        if !self.y.has_call() {
+    /// Records the next completion call, if there is one, and answers it.
+    fn answer_next_call(&mut self, answer: impl FnOnce(&mut Harness, &Call)) {
+        if !self.harness.has_call() {
             self.text.push_str("no call\n");
             return;
         }
-        let call = self.y.call();
+        let call = self.harness.next_call();
         self.write_call(&call);
-        answer(&mut self.y, &call);
+        answer(&mut self.harness, &call);
     }
 
     fn releases(&mut self) -> Vec<Call> {
-        let releases = self.y.releases();
+        let releases = self.harness.releases();
         for call in &releases {
             self.write_call(call);
         }
@@ -69,26 +69,26 @@
             .unwrap();
     }
 
-    fn ask(&mut self, class: &str, stream: bool) -> ConnId {
-        let conn = self.y.client();
+    fn send_request(&mut self, class: &str, stream: bool) -> ConnId {
+        let conn = self.harness.client();
         self.clients.push(conn);
         let key = format!("key-{}", self.clients.len());
-        self.y.ask_with(conn, class, Some(&key), stream, 4_000);
+        self.harness.send_request_with(conn, class, Some(&key), stream, 4_000);
         conn
     }
 
-    /// Whatever has come since the last time.
+    /// Records all outputs since the previous call.
     fn outputs(&mut self) {
-        for record in self.y.finished.split_off(self.finished) {
+        for record in self.harness.finished.split_off(self.finished) {
             self.line("finished", &record);
         }
-        for transition in self.y.transitions.split_off(self.transitions) {
+        for transition in self.harness.transitions.split_off(self.transitions) {
             self.line("transition", &transition);
         }
-        for tally in self.y.tallies.split_off(self.tallies) {
+        for tally in self.harness.tallies.split_off(self.tallies) {
             self.line("tally", &tally);
         }
-        for note in self.y.notes.split_off(self.notes) {
+        for note in self.harness.notes.split_off(self.notes) {
             writeln!(self.text, "note {note}").unwrap();
         }
     }
@@ -96,182 +96,197 @@
     fn end(mut self) -> String {
         self.outputs();
         for conn in std::mem::take(&mut self.clients) {
-            let bytes = String::from_utf8_lossy(self.y.raw(conn)).escape_debug().to_string();
+            let bytes = String::from_utf8_lossy(self.harness.raw(conn)).escape_debug().to_string();
             writeln!(self.text, "answer {bytes}").unwrap();
         }
-        let counters = self.y.core.counters().clone();
+        let counters = self.harness.core.counters().clone();
         self.line("counters", &counters);
-        if let Some(list) = self.y.kept_list.take() {
+        if let Some(list) = self.harness.stored_list.take() {
             writeln!(self.text, "list {list}").unwrap();
         }
         self.text
     }
 }
 
-/// The whole answer of a worker that decodes.
-fn answered(y: &mut Harness, call: &Call) {
-    y.begin_stream(call.conn);
-    y.token(call.conn, "a");
-    y.end_stream(call.conn);
+/// Sends the complete answer to a decode call.
+fn reply_decoded(harness: &mut Harness, call: &Call) {
+    harness.begin_stream(call.conn);
+    harness.send_token(call.conn, "a");
+    harness.end_stream(call.conn);
 }
 
-fn lost(y: &mut Harness, call: &Call) {
-    y.closed.insert(call.conn);
-    y.input(Input::Lost(call.conn));
+fn lose_connection(harness: &mut Harness, call: &Call) {
+    harness.closed.insert(call.conn);
+    harness.input(Input::Lost(call.conn));
 }
 
-/// A prefill, a transfer and a streamed answer, seen in each phase; and answers in one body.
+/// A prefill, a transfer and a streamed answer, with the views in each phase, and non-streamed answers.
 fn served() -> String {
-    let mut r = Recorder::new("served", config());
-    r.ask("help", true);
-    r.views();
-    r.answer(Harness::parsed);
-    r.views();
+    let mut recorder = Recorder::new("served", config());
+    recorder.send_request("help", true);
+    recorder.views();
+    recorder.answer_next_call(Harness::reply_prefilled);
+    recorder.views();
     let mut decode = None;
-    r.answer(|y, call| {
-        y.begin_stream(call.conn);
-        y.advance(ms(7));
-        y.token(call.conn, "a");
+    recorder.answer_next_call(|harness, call| {
+        harness.begin_stream(call.conn);
+        harness.advance(ms(7));
+        harness.send_token(call.conn, "a");
         decode = Some(call.conn);
     });
-    r.views();
-    r.y.end_stream(decode.unwrap());
-    let conn = r.ask("report", false);
-    r.answer(Harness::parsed);
-    r.answer(answered);
-    r.y.advance(ms(1_500));
-    r.y.ask_with(conn, "help", None, false, 5);
-    r.views();
-    r.answer(answered);
-    r.y.advance(ms(1_500));
-    r.end()
+    recorder.views();
+    recorder.harness.end_stream(decode.unwrap());
+    let conn = recorder.send_request("report", false);
+    recorder.answer_next_call(Harness::reply_prefilled);
+    recorder.answer_next_call(reply_decoded);
+    recorder.harness.advance(ms(1_500));
+    recorder.harness.send_request_with(conn, "help", None, false, 5);
+    recorder.views();
+    recorder.answer_next_call(reply_decoded);
+    recorder.harness.advance(ms(1_500));
+    recorder.end()
 }
 
-/// Attempts of every failing kind, and what is answered for them.
+/// Failed attempts of every kind, and the resulting answers.
 fn failed() -> String {
-    let mut r = Recorder::new("failed", config());
+    let mut recorder = Recorder::new("failed", config());
     for (status, body) in [(429, "{}"), (500, "{}"), (409, r#"{"error":{"type":"no_state"}}"#)] {
-        r.ask("help", true);
-        r.answer(Harness::parsed);
-        r.answer(|y, call| y.reply(call.conn, status, body));
-        r.y.advance(ms(10));
-        r.views();
-        r.y.advance(ms(5_000));
-        r.releases();
-        r.outputs();
-        r.y.calls.clear();
-        r.y.advance(ms(30_000));
+        recorder.send_request("help", true);
+        recorder.answer_next_call(Harness::reply_prefilled);
+        recorder.answer_next_call(|harness, call| harness.reply(call.conn, status, body));
+        recorder.harness.advance(ms(10));
+        recorder.views();
+        recorder.harness.advance(ms(5_000));
+        recorder.releases();
+        recorder.outputs();
+        recorder.harness.calls.clear();
+        recorder.harness.advance(ms(30_000));
     }
-    r.ask("report", true);
-    r.answer(Harness::parsed);
-    r.answer(lost);
-    r.y.advance(ms(5_000));
-    r.outputs();
-    r.y.calls.clear();
-    r.y.advance(ms(30_000));
-    r.ask("help", true);
-    r.answer(Harness::parsed);
-    r.answer(|y, call| {
-        y.begin_stream(call.conn);
-        y.token(call.conn, "a");
-        lost(y, call);
+    recorder.send_request("report", true);
+    recorder.answer_next_call(Harness::reply_prefilled);
+    recorder.answer_next_call(lose_connection);
+    recorder.harness.advance(ms(5_000));
+    recorder.outputs();
+    recorder.harness.calls.clear();
+    recorder.harness.advance(ms(30_000));
+    recorder.send_request("help", true);
+    recorder.answer_next_call(Harness::reply_prefilled);
+    recorder.answer_next_call(|harness, call| {
+        harness.begin_stream(call.conn);
+        harness.send_token(call.conn, "a");
+        lose_connection(harness, call);
     });
-    r.y.advance(ms(1_000));
-    r.end()
+    recorder.harness.advance(ms(1_000));
+    recorder.end()
 }
 
-/// What is turned away before the decisions hear of it, and what they refuse.
+/// Requests that are rejected before they reach the policy, and requests that the policy rejects.
 fn rejected() -> String {
-    let mut r = Recorder::new("rejected", config());
-    let conn = r.y.client();
-    r.clients.push(conn);
-    r.y.bytes(conn, b"POST /v1/messages HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}");
-    r.y.bytes(conn, b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n");
-    r.y.bytes(conn, b"GET /health HTTP/1.1\r\nHost: h\r\n\r\n");
-    r.y.refused_ports.extend([1, 2, 3]);
-    r.ask("help", true);
-    r.y.advance(ms(5_000));
-    r.y.unconnected = true;
-    r.ask("report", true);
-    r.y.advance(ms(5_000));
+    let mut recorder = Recorder::new("rejected", config());
+    let conn = recorder.harness.client();
+    recorder.clients.push(conn);
+    recorder.harness.bytes(conn, b"POST /v1/messages HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}");
+    recorder.harness.bytes(conn, b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n");
+    recorder.harness.bytes(conn, b"GET /health HTTP/1.1\r\nHost: h\r\n\r\n");
+    recorder.harness.refused_ports.extend([1, 2, 3]);
+    recorder.send_request("help", true);
+    recorder.harness.advance(ms(5_000));
+    recorder.harness.fail_connects = true;
+    recorder.send_request("report", true);
+    recorder.harness.advance(ms(5_000));
     let mut closes = Vec::new();
-    r.y.core.drain(r.y.now, &mut closes);
+    recorder.harness.core.drain(recorder.harness.now, &mut closes);
     assert_eq!(closes.len(), 3, "idle clients are closed");
-    let conn = r.y.client();
-    r.clients.push(conn);
-    r.end()
+    let conn = recorder.harness.client();
+    recorder.clients.push(conn);
+    recorder.end()
 }
 
-/// State that stays at its reader: released beside an open attempt, not answered for, and at last given up.
+/// A reservation at a prefill worker: released during an open attempt, not answered for, and finally given up.
 fn released() -> String {
-    let mut r = Recorder::new("released", config());
-    r.ask("report", true);
-    r.answer(Harness::parsed);
-    r.y.refused_ports.extend([1]);
-    r.y.advance(ms(1_100));
-    r.views();
-    r.releases();
-    r.y.advance(ms(4_000));
-    r.releases();
-    r.y.refused_ports.clear();
-    r.outputs();
-    let client = r.ask("help", true);
-    r.answer(Harness::parsed);
-    r.y.closed.insert(client);
-    r.y.input(Input::Lost(client));
-    r.views();
-    r.y.advance(ms(400));
-    for release in r.releases() {
-        if !r.y.closed.contains(&release.conn) {
-            r.y.reply(release.conn, 200, "{}");
+    let mut recorder = Recorder::new("released", config());
+    recorder.send_request("report", true);
+    recorder.answer_next_call(Harness::reply_prefilled);
+    recorder.harness.refused_ports.extend([1]);
+    recorder.harness.advance(ms(1_100));
+    recorder.views();
+    recorder.releases();
+    recorder.harness.advance(ms(4_000));
+    recorder.releases();
+    recorder.harness.refused_ports.clear();
+    recorder.outputs();
+    let client = recorder.send_request("help", true);
+    recorder.answer_next_call(Harness::reply_prefilled);
+    recorder.harness.closed.insert(client);
+    recorder.harness.input(Input::Lost(client));
+    recorder.views();
+    recorder.harness.advance(ms(400));
+    for release in recorder.releases() {
+        if !recorder.harness.closed.contains(&release.conn) {
+            recorder.harness.reply(release.conn, 200, "{}");
         }
     }
-    r.y.advance(ms(3_000));
-    r.end()
+    recorder.harness.advance(ms(3_000));
+    recorder.end()
 }
 
-/// News of the register: taken, past a gap, malformed; and its loss.
+/// Changes from service discovery: applied, after a version gap, and malformed; and the loss of its connection.
 fn discovered() -> String {
     let mut config = config();
-    config.discovery = Some(REGISTER.parse().unwrap());
+    config.discovery = Some(DISCOVERY_ADDRESS.parse().unwrap());
     config.bounds.workers = 3;
-    let mut r = Recorder::new("discovered", config);
-    let watch = r.y.calls.remove(0);
-    r.write_call(&watch);
-    r.y.begin_stream(watch.conn);
-    news(&mut r.y, watch.conn, "snapshot", &list(5, &usual()));
-    r.views();
+    let mut recorder = Recorder::new("discovered", config);
+    let discovery_call = recorder.harness.calls.remove(0);
+    recorder.write_call(&discovery_call);
+    recorder.harness.begin_stream(discovery_call.conn);
+    send_discovery_event(
+        &mut recorder.harness,
+        discovery_call.conn,
+        "snapshot",
+        &list(5, &default_workers()),
+    );
+    recorder.views();
     let mut workers = vec![entry("write-1", "writer", 2, "draining"), entry("write-3", "writer", 4, "in")];
     workers[0]["weight"] = 2.5.into();
     workers[0]["started_unix_ms"] = 1_700_000_000_000_u64.into();
-    news(&mut r.y, watch.conn, "change", &list(6, &workers));
-    news(&mut r.y, watch.conn, "change", "{");
-    news(&mut r.y, watch.conn, "change", &list(7, &[entry("w", "none", 9, "in")]));
-    news(&mut r.y, watch.conn, "change", &list(7, &[entry("write-2", "writer", 3, "out")]));
-    r.views();
-    news(&mut r.y, watch.conn, "change", &list(9, &[]));
-    let watch = r.y.calls.remove(0);
-    r.y.input(Input::Lost(watch.conn));
-    r.y.advance(ms(2_000));
-    r.end()
+    send_discovery_event(&mut recorder.harness, discovery_call.conn, "change", &list(6, &workers));
+    send_discovery_event(&mut recorder.harness, discovery_call.conn, "change", "{");
+    send_discovery_event(
+        &mut recorder.harness,
+        discovery_call.conn,
+        "change",
+        &list(7, &[entry("w", "none", 9, "in")]),
+    );
+    send_discovery_event(
+        &mut recorder.harness,
+        discovery_call.conn,
+        "change",
+        &list(7, &[entry("write-2", "writer", 3, "out")]),
+    );
+    recorder.views();
+    send_discovery_event(&mut recorder.harness, discovery_call.conn, "change", &list(9, &[]));
+    let discovery_call = recorder.harness.calls.remove(0);
+    recorder.harness.input(Input::Lost(discovery_call.conn));
+    recorder.harness.advance(ms(2_000));
+    recorder.end()
 }
 
-/// A stored list that can't be read at the start.
+/// A stored endpoint list that is invalid at startup.
 fn unreadable_list() -> String {
-    let mut y = Harness::with_stored_list(config(), Some("{"));
-    y.advance(ms(10));
+    let mut harness = Harness::with_stored_list(config(), Some("{"));
+    harness.advance(ms(10));
     let unknown = list(3, &[entry("w", "none", 9, "in")]);
     let unknown = Harness::with_stored_list(config(), Some(&unknown));
-    format!("# unreadable list\nnotes {:?} {:?}\n", y.notes, unknown.notes)
+    format!("# unreadable list\nnotes {:?} {:?}\n", harness.notes, unknown.notes)
 }
 
 #[test]
-fn outputs_of_scripted_days_match_the_recorded_text() {
+fn outputs_of_scripted_runs_match_the_recorded_text() {
     let parts = [served(), failed(), rejected(), released(), discovered(), unreadable_list()];
     let text = parts.concat();
     let recorded = include_str!("data/outputs.txt");
-    for (n, (now, then)) in text.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(now, then, "line {} of data/outputs.txt", n + 1);
+    for (n, (actual, expected)) in text.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(actual, expected, "line {} of data/outputs.txt", n + 1);
     }
     assert_eq!(text.lines().count(), recorded.lines().count());
 }
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -1,5 +1,5 @@
-//! What logs, `status` and the control socket hold of this crate's types: names, order and forms of every field and
-//! variant. `losses` and operators' own tools read them, so they outlast the Rust names.
+//! The serialized form of this crate's types in logs, in `status` and on the control socket: the names, order and format of
+//! every field and variant. `losses` and operators' tools read them, so they must not change with the Rust names.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use chalkyard_policy::{AttemptKind, LoadReport, RejectionReason};
@@ -10,7 +10,7 @@
     serde_json::to_string(value).unwrap()
 }
 
-/// The names that a list of variants is written as.
+/// The serialized names of a list of variants.
 fn names<T: Serialize>(variants: &[T]) -> Vec<String> {
     variants.iter().map(|v| serde_json::to_value(v).unwrap().as_str().unwrap().to_owned()).collect()
 }
@@ -29,7 +29,7 @@
 ];
 
 #[test]
-fn each_end_of_a_request_is_written_and_counted_by_its_name() {
+fn every_end_of_a_request_is_serialized_and_counted_by_its_name() {
     let written = names(&ENDED);
     assert_eq!(
         written,
@@ -47,8 +47,8 @@
         ]
     );
     assert_eq!(ENDED.map(RequestOutcome::name).to_vec(), written);
-    for (place, ended) in ENDED.iter().enumerate() {
-        // Exhaustive: a new one belongs into the list.
+    for (index, ended) in ENDED.iter().enumerate() {
+        // An exhaustive match: a new variant must be added to the list.
         let expected = match ended {
             RequestOutcome::Served => 0,
             RequestOutcome::Rejected => 1,
@@ -61,7 +61,7 @@
             RequestOutcome::RejectedAtIntake => 8,
             RequestOutcome::Overdue => 9,
         };
-        assert_eq!((place, *ended as usize), (expected, expected));
+        assert_eq!((index, *ended as usize), (expected, expected));
     }
 }
 
@@ -76,7 +76,7 @@
 ];
 
 #[test]
-fn each_change_of_a_request_is_written_by_its_name() {
+fn every_change_of_a_request_is_serialized_by_its_name() {
     assert_eq!(
         names(&CHANGES),
         [
@@ -89,7 +89,7 @@
             "violation"
         ]
     );
-    for (place, change) in CHANGES.iter().enumerate() {
+    for (index, change) in CHANGES.iter().enumerate() {
         let expected = match change {
             TransitionKind::AttemptEnded => 0,
             TransitionKind::ReleasedDuringAttempt => 1,
@@ -99,7 +99,7 @@
             TransitionKind::Denied => 5,
             TransitionKind::Violation => 6,
         };
-        assert_eq!((place, *change as usize), (expected, expected));
+        assert_eq!((index, *change as usize), (expected, expected));
     }
 }
 
@@ -107,18 +107,18 @@
     [Violation::AnswerOverdue, Violation::EffectUnproven, Violation::ReservationOverdue];
 
 #[test]
-fn each_violation_is_written_and_counted_by_its_name() {
+fn every_violation_is_serialized_and_counted_by_its_name() {
     let written = names(&VIOLATIONS);
     assert_eq!(written, ["answer_overdue", "effect_unproven", "held_overdue"]);
     assert_eq!(VIOLATIONS.map(Violation::name).to_vec(), written);
     assert!(VIOLATIONS.is_sorted());
-    for (place, violation) in VIOLATIONS.iter().enumerate() {
+    for (index, violation) in VIOLATIONS.iter().enumerate() {
         let expected = match violation {
             Violation::AnswerOverdue => 0,
             Violation::EffectUnproven => 1,
             Violation::ReservationOverdue => 2,
         };
-        assert_eq!((place, *violation as usize), (expected, expected));
+        assert_eq!((index, *violation as usize), (expected, expected));
     }
 }
 
@@ -150,7 +150,7 @@
 );
 
 #[test]
-fn an_attempt_is_written_with_what_was_known_of_its_worker() {
+fn an_attempt_is_serialized_with_the_load_report_of_its_worker() {
     assert_eq!(json(&attempt(AttemptKind::Probe, Some(report()))), FULL_ATTEMPT);
     for (kind, written) in
         [(AttemptKind::Normal, "usual"), (AttemptKind::SlowStart, "cold"), (AttemptKind::Probe, "trial")]
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_finished_request_is_written_with_every_field() {
+fn a_finished_request_is_serialized_with_every_field() {
     let finished = RequestRecord {
         id: "r1-1".into(),
         class: "help".into(),
@@ -189,7 +189,7 @@
     let head = r#"{"id":"r1-1","class":"help","came_back":true,"tenant":"nord","identity":"k1","session":"s1","prefix":"p1","ended":"refused","why":"may_have_run","phase":"waiting","list_age_us":4,"open":5,"reason":"not taken now","attempts":["#;
     let tail = r#"],"arrived_us":6,"first_token_us":7,"total_us":8,"estimated_tokens":9,"prompt_tokens":10,"kept_tokens":11,"output_tokens":12}"#;
     assert_eq!(json(&finished), format!("{head}{FULL_ATTEMPT}{tail}"));
-    let bare = RequestRecord {
+    let without_options = RequestRecord {
         tenant: None,
         identity: None,
         session: None,
@@ -201,11 +201,11 @@
         ..finished
     };
     let none = r#"{"id":"r1-1","class":"help","came_back":true,"tenant":null,"identity":null,"session":null,"prefix":null,"ended":"refused","why":null,"phase":"waiting","list_age_us":null,"open":5,"reason":"not taken now","attempts":[],"arrived_us":6,"first_token_us":null,"total_us":8,"estimated_tokens":9,"prompt_tokens":10,"kept_tokens":11,"output_tokens":12}"#;
-    assert_eq!(json(&bare), none);
+    assert_eq!(json(&without_options), none);
 }
 
 #[test]
-fn a_transition_is_written_with_every_field() {
+fn a_transition_is_serialized_with_every_field() {
     let transition = Transition {
         id: "r1-1".into(),
         change: TransitionKind::Denied,
@@ -226,7 +226,7 @@
 const TALLY: &str = r#"{"second":1,"first":2,"pulls":3,"again_safe":4,"again_ran":5,"trials":6,"cold":7,"connects":8,"list_calls":9,"list_news":10,"releases":11,"unheard":12,"moved":13,"open":14}"#;
 
 #[test]
-fn the_counts_of_a_second_are_written_and_read_back_by_their_names() {
+fn the_counts_of_a_second_round_trip_by_their_names() {
     let tally = Tally {
         second: 1,
         first: 2,
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn counters_since_the_start_are_written_by_cause() {
+fn counters_are_serialized_by_cause() {
     let counts = |name: &'static str, n: u64| CountsByCause::from([(name, n)]);
     let counters = Counters {
         requests: 1,
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn what_operators_ask_for_is_written_with_every_field() {
+fn operator_views_are_serialized_with_every_field() {
     let counts = CoreStatus {
         open_requests: 1,
         clients: 2,
@@ -285,7 +285,7 @@
         json(&counts),
         r#"{"open_requests":1,"clients":2,"engines":3,"connections":4,"draining":true,"has_list":false,"register":true,"identities":5,"lease":[6,7]}"#
     );
-    let engines = BoundedList {
+    let workers = BoundedList {
         items: vec![WorkerView {
             id: "m1".into(),
             address: "127.0.0.1:1".into(),
@@ -298,7 +298,7 @@
         more: 4,
     };
     assert_eq!(
-        json(&engines),
+        json(&workers),
         r#"{"items":[{"id":"m1","address":"127.0.0.1:1","role":"mixed","listed":true,"connections":1,"idle":2,"attempts":3}],"more":4}"#
     );
     let open = OpenRequest {
