--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -60,7 +60,8 @@
 /// Why a snapshot or a delta was not applied.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum EndpointUpdateError {
-    /// The text does not have the documented format, or names unknown kinds or zones; with the reason.
+    /// The text does not have the documented format, names unknown kinds or zones, or lists too many workers; with the
+    /// reason.
     #[error("{0}")]
     Malformed(String),
     /// The delta's version does not follow that of the latest list: an earlier delta was lost.
--- a/crates/router/src/shell/clock.rs
+++ b/crates/router/src/shell/clock.rs
@@ -5,8 +5,8 @@
 use chalkyard_policy::Micros;
 use mio::{Events, Poll};
 
-/// A monotonic clock in µs since the Unix epoch. It reads the time of day once, at its start, and advances monotonically from
-/// there.
+/// A monotonic clock in µs since the Unix epoch. It reads the time of day once, at its start, and advances monotonically
+/// from there.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
--- a/crates/router/src/shell/connection.rs
+++ b/crates/router/src/shell/connection.rs
@@ -67,8 +67,8 @@
     pub(super) id: ConnId,
 }
 
-/// The mio token of a connection. It is derived from the connection's id, which is never reused, so a late event of a removed
-/// connection cannot be attributed to another one.
+/// The mio token of a connection. It is derived from the connection's id, which is never reused, so a late event of a
+/// removed connection cannot be attributed to another one.
 pub(super) fn token(id: ConnId) -> Token {
     Token(usize::try_from(id.0).map_or(usize::MAX, |n| n.saturating_add(1)))
 }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -29,8 +29,8 @@
 pub(super) enum Command {
     Lifecycle(LifecycleEvent),
     Query(AdminQuery, SyncSender<String>),
-    /// Hand the listening socket and the ledger over. The flag decides a race: it is set first either by the event loop, which
-    /// then hands over, or by the caller, which then stops waiting.
+    /// Hand the listening socket and the ledger over. The flag decides a race: it is set first either by the event loop,
+    /// which then hands over, or by the caller, which then stops waiting.
     HandOver(SyncSender<Handover>, Arc<AtomicBool>),
 }
 
@@ -55,7 +55,7 @@
         self.waker.wake().is_ok()
     }
 
-    /// Passes a signal or an operator's command to the lifecycle. Returns whether it was queued.
+    /// Passes a signal or an operator's command to the lifecycle. False if the queue is full or the loop cannot be woken.
     pub fn notify(&self, event: LifecycleEvent) -> bool {
         self.enqueue(Command::Lifecycle(event))
     }
--- a/crates/router/src/shell/linger.rs
+++ b/crates/router/src/shell/linger.rs
@@ -73,8 +73,8 @@
                 continue;
             }
             let was_finished = self.connections.get(expired.key).is_some_and(|c| c.write_shut);
-            // The kernel reports a socket as writable only once much of its buffer is free: a slow peer may have accepted bytes
-            // before that.
+            // The kernel reports a socket as writable only once much of its buffer is free: a slow peer may have accepted
+            // bytes before that.
             self.write(expired.key);
             let Some(connection) = self.connections.get_mut(expired.key).filter(|c| c.id == expired.id)
             else {
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -278,8 +278,8 @@
         }
     }
 
-    /// Ends a batch of events: writes its records to the ledger in one write and then its bytes to the sockets. Repeats until
-    /// writing causes no further outputs.
+    /// Ends a batch of events: writes its records to the ledger in one write and then its bytes to the sockets. Repeats
+    /// until writing causes no further outputs.
     fn flush(&mut self) {
         loop {
             self.perform_outputs();
--- a/crates/router/src/shell/turn.rs
+++ b/crates/router/src/shell/turn.rs
@@ -1,5 +1,5 @@
-//! The socket part of one event loop iteration: handles ready sockets for a limited time, and sends nothing for a client that
-//! has disconnected.
+//! The socket part of one event loop iteration: handles ready sockets for a limited time, and sends nothing for a client
+//! that has disconnected.
 
 use std::time::{Duration, Instant};
 
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Handles ready sockets until the time of the iteration is over: at least one event, one batch of new connections and one
-    /// connection with more bytes to read.
+    /// Handles ready sockets until the time of the iteration is over: at least one event, one batch of new connections and
+    /// one connection with more bytes to read.
     pub(super) fn handle_ready_sockets(&mut self) {
         self.iteration_deadline = Instant::now() + ITERATION_TIME;
         self.handle_disconnects();
@@ -61,7 +61,8 @@
         Instant::now() >= self.iteration_deadline
     }
 
-    /// Handles disconnected clients, so that nothing more is sent for them in this iteration. Returns whether there were any.
+    /// Handles disconnected clients, so that nothing more is sent for them in this iteration. Returns whether there were
+    /// any.
     fn handle_disconnects(&mut self) -> bool {
         let mut handled_any = false;
         while let Some(readiness) = self.ready.next_disconnected() {
--- a/crates/router/tests/common/day.rs
+++ b/crates/router/tests/common/day.rs
@@ -60,6 +60,7 @@
     TimeLimits { deadline: ms(4_000), release: ms(1_000), slow_start: ms(8_000) };
 /// Tolerance on all limits, for ticks and margins of the core.
 const TOLERANCE: Micros = ms(100);
+/// The window of the policy's overload limit, as in [`config`].
 const OVERLOAD_WINDOW: Micros = ms(2_000);
 
 struct ClientRequest {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -286,6 +286,8 @@
         self.input(Input::Bytes(conn, bytes));
     }
 
+    /// Sends a request on a client's connection, with an idempotency key if `key` is given and a prompt of about `tokens`
+    /// tokens.
     pub fn send_request_with(
         &mut self,
         conn: ConnId,
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -40,8 +40,8 @@
     harness.ports.keys().take(2 * n).any(|c| *c == call.conn)
 }
 
-/// Sends a request, applies `end` to its calls on pooled connections, and answers its prefills on new ones. Returns the number
-/// of calls on pooled connections.
+/// Sends a request, applies `end` to its calls on pooled connections, and answers its prefills on new ones. Returns the
+/// number of calls on pooled connections.
 fn stale_attempts(harness: &mut Harness, n: usize, end: impl Fn(&mut Harness, &Call)) -> usize {
     harness.send_request("help");
     let mut stale = 0;
--- a/crates/router/tests/flow.rs
+++ b/crates/router/tests/flow.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_connection_lost_before_the_first_byte_proves_that_the_request_did_not_run() {
+fn a_loss_before_the_first_byte_proves_that_the_request_did_not_run_and_a_later_loss_does_not() {
     // If a reused connection ends before a byte was written, the same attempt is sent on a new connection. The outcome is
     // `NoConnection` only if that fails too.
     let cases = [
@@ -71,7 +71,7 @@
         harness.end_stream(decode.conn);
         let client = harness.send_request("report");
         let prefill = harness.next_call();
-        // From here on, the connection accepts only the bytes given by `taken`.
+        // From here on, the connection accepts only the number of bytes given by `written`.
         harness.stalled.insert(decode.conn);
         harness.reply_prefilled(&prefill);
         assert!(!harness.has_call());
--- a/crates/router/tests/orders.rs
+++ b/crates/router/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Exhaustive exploration of event orders around one core with three workers. Every sequence of events up to the depths stated
-//! here is replayed from the start and checked by the rules of `common/day.rs`. No wall clock, no randomness.
+//! Exhaustive exploration of event orders around one core with three workers. Every sequence of events up to the depths
+//! stated here is replayed from the start and checked by the rules of `common/day.rs`. No wall clock, no randomness.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod common;
@@ -11,7 +11,9 @@
 
 /// The space of event sequences to explore.
 struct Scope {
+    /// Length of the sequences.
     depth: usize,
+    /// Maximum number of requests.
     requests: usize,
     /// Kinds of requests: whether they are non-idempotent, and whether their prompt is long.
     request_kinds: &'static [(bool, bool)],
@@ -23,7 +25,7 @@
     time_steps: &'static [u64],
 }
 
-/// What the core is set up with. The checker assumes the correct setup, so a wrong one must break a rule.
+/// The setup of the core. The checker assumes the correct setup, so an incorrect one must break a rule.
 struct Setup {
     config: Config,
     lose_list_changes: bool,
@@ -67,6 +69,7 @@
     out
 }
 
+/// Prints the sequence of events if the test panics.
 struct PrintOnPanic<'a>(&'a [Step]);
 
 impl Drop for PrintOnPanic<'_> {
--- a/crates/router/tests/random.rs
+++ b/crates/router/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random sequences of events for one core. Whatever its peers do, each request gets one answer in time, each attempt has one
-//! outcome, a non-idempotent request is not sent again after it may have run, and no reservation stays open.
+//! Random sequences of events for one core. Whatever its peers do, each request gets one answer in time, each attempt has
+//! one outcome, a non-idempotent request is not sent again after it may have run, and no reservation stays open.
 
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
