--- a/crates/budget/src/bill/biller.rs
+++ b/crates/budget/src/bill/biller.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Bill, Cause, Difference, EngineLine, LineKey};
+use super::{Bill, Cause, Difference, EngineRecord, LineKey};
 use crate::calendar::Period;
 use crate::plan::Plan;
 use crate::record::{Ending, Record, Reservation, Settled};
@@ -38,9 +38,9 @@
     /// Records taken, by ledger and number: the same file read twice counts once.
     seen: BTreeMap<Box<str>, BTreeSet<u64>>,
     /// Engines' work that no request accounts for yet.
-    work: BTreeMap<AttemptKey, EngineLine>,
+    work: BTreeMap<AttemptKey, EngineRecord>,
     /// Attempts that two records name with different tokens.
-    conflicting: Vec<EngineLine>,
+    conflicting: Vec<EngineRecord>,
 }
 
 impl Biller {
@@ -70,7 +70,7 @@
     }
 
     /// Takes a line of an engine's record; the same line twice counts once.
-    pub fn work(&mut self, line: EngineLine) {
+    pub fn work(&mut self, line: EngineRecord) {
         let key = AttemptKey { request: line.request.clone(), attempt: line.attempt };
         match self.work.get(&key) {
             None => {
@@ -101,7 +101,7 @@
         }
         self.list_unknown_work(&mut bill);
         for difference in &bill.differences {
-            if difference.cause.explains() {
+            if difference.cause.is_explained() {
                 bill.explained_tokens += difference.tokens;
             } else {
                 bill.unexplained_tokens += difference.tokens;
@@ -143,7 +143,7 @@
     fn charge(&mut self, reservation: &Reservation, settled: &Settled, plan: &Plan, bill: &mut Bill) {
         let prefill = self.take_work(&reservation.id, settled.prefill_attempt, bill);
         let answering = self.take_work(&reservation.id, settled.answering_attempt, bill);
-        let done = |line: &Option<EngineLine>| line.as_ref().map_or(Usage::default(), EngineLine::done);
+        let done = |line: &Option<EngineRecord>| line.as_ref().map_or(Usage::default(), EngineRecord::done);
         let engines = done(&prefill).plus(done(&answering));
         let is_missing = answering.is_none() || (settled.prefill_attempt.is_some() && prefill.is_none());
         // The router could not know how much was written for a client that had left.
@@ -164,7 +164,7 @@
     }
 
     /// Takes an attempt's work out of what no request accounts for.
-    fn take_work(&mut self, id: &str, attempt: Option<u32>, bill: &mut Bill) -> Option<EngineLine> {
+    fn take_work(&mut self, id: &str, attempt: Option<u32>, bill: &mut Bill) -> Option<EngineRecord> {
         let line = self.work.remove(&AttemptKey { request: id.into(), attempt: attempt? })?;
         bill.engine_tokens += line.done().total();
         Some(line)
@@ -227,7 +227,7 @@
     }
 }
 
-fn list_difference(bill: &mut Bill, line: &EngineLine, cause: Cause) {
+fn list_difference(bill: &mut Bill, line: &EngineRecord, cause: Cause) {
     let tokens = line.done().total();
     // An attempt that did nothing is no difference.
     if tokens > 0 {
--- a/crates/budget/src/bill/mod.rs
+++ b/crates/budget/src/bill/mod.rs
@@ -37,7 +37,7 @@
 /// One line of an engine's own record: an attempt that did work. Documented in `docs/bills.md`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EngineLine {
+pub struct EngineRecord {
     /// The engine.
     pub engine: Box<str>,
     /// The router's id of the request, as its call named it.
@@ -57,7 +57,7 @@
     pub at: Time,
 }
 
-impl EngineLine {
+impl EngineRecord {
     /// The tokens that it did.
     fn done(&self) -> Usage {
         match self.work {
@@ -98,7 +98,7 @@
 
 impl Cause {
     /// Whether a bill may go out with it.
-    pub fn explains(self) -> bool {
+    pub fn is_explained(self) -> bool {
         !matches!(self, Self::NoReservation | Self::NoEngineRecord | Self::Mismatch)
     }
 }
--- a/crates/budget/src/budget_enforcer/account.rs
+++ b/crates/budget/src/budget_enforcer/account.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, RateLimit};
+use crate::plan::{AccountKey, HardLimitAction, Limit, Mode, Plan, RateLimit, SoftLimitAction};
 use crate::record::DeniedDemand;
 use crate::state::{AccountPeriod, AccountUsage, Demand};
 use crate::token_bucket::TokenBucket;
@@ -145,9 +145,9 @@
             return;
         }
         match &self.limit.at_soft {
-            AtSoft::Warn => {}
-            AtSoft::Clamp(longest) => admission.output = admission.output.min(*longest),
-            AtSoft::Lower(class) => admission.lower_to = Some(class.clone()),
+            SoftLimitAction::Warn => {}
+            SoftLimitAction::Clamp(longest) => admission.output = admission.output.min(*longest),
+            SoftLimitAction::Lower(class) => admission.lower_to = Some(class.clone()),
         }
     }
 
@@ -158,7 +158,7 @@
         if weights.worst(prompt, output) <= available {
             return Some(output);
         }
-        let AtHard::Clamp(shortest) = self.limit.at_hard else { return None };
+        let HardLimitAction::Clamp(shortest) = self.limit.at_hard else { return None };
         let for_output = available.minus(weights.worst(prompt, 0));
         let longest = for_output.0 / u64::from(weights.output.max(1));
         if longest < shortest.max(1) || weights.worst(prompt, longest) > available {
--- a/crates/budget/src/budget_enforcer/admission.rs
+++ b/crates/budget/src/budget_enforcer/admission.rs
@@ -121,7 +121,7 @@
             return Err(Denial { reason, account: None, retry_after: LEDGER_RETRY_AFTER });
         }
         let mut admission = Admission { output: request.output, lower_to: None, marks: Vec::new() };
-        let prompt = self.plan.raised(request.prompt);
+        let prompt = self.plan.with_margin(request.prompt);
         let Self { plan, state, current_periods, tenants, .. } = self;
         let reserved = match tenants.get_mut(request.tenant) {
             Some(tenant) => {
@@ -148,7 +148,7 @@
 
     /// Counts a denial, and keeps the demand that a larger share would have met for the next lease.
     fn note_denial(&mut self, request: ReservationRequest<'_>, denial: &Denial) {
-        let worst = self.plan.weights.worst(self.plan.raised(request.prompt), request.output);
+        let worst = self.plan.weights.worst(self.plan.with_margin(request.prompt), request.output);
         if !self.tenants.contains_key(request.tenant) {
             self.tenants.insert(request.tenant.into(), TenantAccount::default());
         }
--- a/crates/budget/src/budget_enforcer/mod.rs
+++ b/crates/budget/src/budget_enforcer/mod.rs
@@ -61,9 +61,9 @@
     }
 
     /// Takes over from a process that handed its ledger over and admits nothing new, but still finishes its
-    /// open requests. Their settlements come by [`BudgetEnforcer::inherit`], until
-    /// [`BudgetEnforcer::inherited_all`].
-    pub fn succeed(router: &str, plan: Plan, state: State, now: Time) -> Self {
+    /// open requests. Their settlements come by [`BudgetEnforcer::settle_inherited`], until
+    /// [`BudgetEnforcer::finish_inheritance`].
+    pub fn take_over(router: &str, plan: Plan, state: State, now: Time) -> Self {
         let mut enforcer = Self::with_state(router, plan, state);
         enforcer.inherited = enforcer.state.open.keys().cloned().collect();
         let now = enforcer.monotonic(now);
@@ -85,7 +85,7 @@
     }
 
     /// Applies a settlement of the previous process. False: the request is not one that it left open.
-    pub fn inherit(&mut self, now: Time, settled: &Settled) -> bool {
+    pub fn settle_inherited(&mut self, now: Time, settled: &Settled) -> bool {
         if !self.inherited.remove(&settled.id) {
             return false;
         }
@@ -94,7 +94,7 @@
     }
 
     /// The previous process has ended: what it did not settle is orphaned.
-    pub fn inherited_all(&mut self, now: Time) {
+    pub fn finish_inheritance(&mut self, now: Time) {
         let unsettled: Vec<Box<str>> = std::mem::take(&mut self.inherited).into_iter().collect();
         self.settle_orphans(now, &unsettled);
     }
@@ -123,7 +123,7 @@
 
     /// Replaces budgets, rates and prices. What is spent and reserved stays, and requests of tenants that the
     /// new plan does not name are still settled.
-    pub fn replan(&mut self, plan: Plan) {
+    pub fn set_plan(&mut self, plan: Plan) {
         let mut tenants = account::tenants_of(&plan);
         self.current_periods.clear();
         for (tenant, old) in std::mem::take(&mut self.tenants) {
@@ -144,7 +144,7 @@
     /// Applies a record and queues it for the ledger. False: it changed nothing.
     fn record(&mut self, record: Record) -> bool {
         let number = self.state.sequence + 1;
-        let changed = self.state.take(number, &record);
+        let changed = self.state.apply(number, &record);
         self.unwritten_records.push((number, record));
         changed
     }
--- a/crates/budget/src/calendar.rs
+++ b/crates/budget/src/calendar.rs
@@ -23,7 +23,7 @@
     pub const ALL: [Self; 3] = [Self::Hour, Self::Day, Self::Month];
 
     /// Its word in settings and reports.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Hour => "hour",
             Self::Day => "day",
--- a/crates/budget/src/lease_allocator/division.rs
+++ b/crates/budget/src/lease_allocator/division.rs
@@ -13,10 +13,10 @@
     pub largest: Units,
 }
 
-/// Divides what is left: one part in `even` evenly, the rest by demand; what nobody needs stays undivided.
-pub(super) fn divide(left: Units, demands: &[RouterDemand], even: u64) -> Vec<Units> {
+/// Divides what is left: one part in `divisor` evenly, the rest by demand; what nobody needs stays undivided.
+pub(super) fn divide(left: Units, demands: &[RouterDemand], divisor: u64) -> Vec<Units> {
     let alive = demands.iter().filter(|demand| demand.is_alive).count() as u64;
-    let even_share = even_share(left, demands, even, alive);
+    let even_share = even_share(left, demands, divisor, alive);
     let rest = left.minus(Units(even_share.0.saturating_mul(alive)));
     let wanted: Units = demands.iter().filter(|demand| demand.is_alive).map(|demand| demand.units).sum();
     let mut shares: Vec<Units> =
@@ -32,9 +32,9 @@
 }
 
 /// The share of each living router whatever its demand; none, if it would be too small for a request.
-fn even_share(left: Units, demands: &[RouterDemand], even: u64, alive: u64) -> Units {
+fn even_share(left: Units, demands: &[RouterDemand], divisor: u64, alive: u64) -> Units {
     let largest = demands.iter().map(|demand| demand.largest).max().unwrap_or_default();
-    let share = left.share(1, even.max(1).saturating_mul(alive.max(1)));
+    let share = left.share(1, divisor.max(1).saturating_mul(alive.max(1)));
     if share < largest {
         Units(0)
     } else {
--- a/crates/budget/src/lease_allocator/mod.rs
+++ b/crates/budget/src/lease_allocator/mod.rs
@@ -38,7 +38,7 @@
     /// The largest difference between two clocks.
     pub clock_error: u64,
     /// Not a time: of what is left, one part in so many is spread evenly over the living routers, for bursts.
-    pub even: u64,
+    pub even_share_divisor: u64,
 }
 
 /// An account in the period that begins at a time.
@@ -132,7 +132,7 @@
     }
 
     /// Replaces the budgets, from the next round on.
-    pub fn replan(&mut self, plan: Plan, extra: BTreeMap<AccountStart, i64>) {
+    pub fn set_plan(&mut self, plan: Plan, extra: BTreeMap<AccountStart, i64>) {
         self.plan = plan;
         self.extra = extra;
     }
@@ -256,7 +256,7 @@
     fn ceilings(&self, account: &AccountStart, limit: Units, total: Units) -> Vec<Units> {
         let demands: Vec<RouterDemand> =
             self.routers.values().map(|view| self.demand(&account.key, view)).collect();
-        let shares = divide(limit.minus(total), &demands, self.terms.even);
+        let shares = divide(limit.minus(total), &demands, self.terms.even_share_divisor);
         let committed: Vec<Units> =
             self.routers.iter().map(|(router, view)| self.committed(router, view, account)).collect();
         let used: Vec<Units> = self.routers.values().map(|view| view.usage(account).used()).collect();
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -17,8 +17,8 @@
     let limit = Limit {
         hard: Units(BUDGET),
         soft: 1_000,
-        at_soft: AtSoft::Warn,
-        at_hard: AtHard::Refuse,
+        at_soft: SoftLimitAction::Warn,
+        at_hard: HardLimitAction::Refuse,
         marks: vec![],
     };
     Plan {
@@ -92,7 +92,7 @@
     fn new(scope: &Scope) -> Self {
         let mode = Mode::Leases { epoch: 1, routers: 2 };
         let enforcer = |name: &&str| BudgetEnforcer::new(name, plan(mode), State::default(), Time(START));
-        let terms = LeaseTerms { epoch: 1, lease: 2, clock_error: scope.clock_error, even: 1 };
+        let terms = LeaseTerms { epoch: 1, lease: 2, clock_error: scope.clock_error, even_share_divisor: 1 };
         let allocator = LeaseAllocator::new(plan(mode), terms, &ROUTERS);
         let mut world = Self {
             now: START,
@@ -216,7 +216,7 @@
                 self.ledgers[r].truncate(kept);
                 let mut state = State::default();
                 for (number, record) in &self.ledgers[r] {
-                    state.take(*number, record);
+                    state.apply(*number, record);
                 }
                 let now = self.clock(r, scope);
                 let mode = Mode::Leases { epoch: 1, routers: 2 };
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -30,7 +30,7 @@
 pub use calendar::{Calendar, Period, PeriodKind};
 pub use grant::{Allowance, Grant, Outstanding, Round, SignatureError, SigningKey};
 pub use lease_allocator::{AccountStart, AccountSummary, JournalForkError, LeaseAllocator, LeaseTerms};
-pub use plan::{AccountKey, AtHard, AtSoft, Limit, Mode, Plan, Price, RateLimit};
+pub use plan::{AccountKey, HardLimitAction, Limit, Mode, Plan, Price, RateLimit, SoftLimitAction};
 pub use record::{
     AccountCeiling, AdoptedLease, BilledAttempts, DeniedDemand, Ending, Record, Reservation, Settled,
 };
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -20,13 +20,13 @@
 
 impl std::fmt::Display for AccountKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}/{}/{}", self.tenant, self.class.as_deref().unwrap_or("*"), self.kind.word())
+        write!(f, "{}/{}/{}", self.tenant, self.class.as_deref().unwrap_or("*"), self.kind.name())
     }
 }
 
 /// What happens to a request that the budget does not hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AtHard {
+pub enum HardLimitAction {
     /// It is refused, with a time to come back.
     Refuse,
     /// Its longest answer is cut to what is left, down to so many tokens; below, it is refused.
@@ -35,7 +35,7 @@
 
 /// What happens past the soft limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AtSoft {
+pub enum SoftLimitAction {
     /// It is told of.
     Warn,
     /// Answers are no longer than so many tokens.
@@ -52,9 +52,9 @@
     /// Thousandths of `hard` from which `at_soft` holds; 1,000: never.
     pub soft: u32,
     /// Past the soft limit.
-    pub at_soft: AtSoft,
+    pub at_soft: SoftLimitAction,
     /// At the hard one.
-    pub at_hard: AtHard,
+    pub at_hard: HardLimitAction,
     /// Thousandths of `hard` whose passing is told of, in order.
     pub marks: Vec<u32>,
 }
@@ -148,7 +148,7 @@
     }
 
     /// The estimate of a prompt, raised by the margin.
-    pub fn raised(&self, prompt: u64) -> u64 {
+    pub fn with_margin(&self, prompt: u64) -> u64 {
         prompt.saturating_add(prompt.saturating_mul(self.margin.into()).div_ceil(1_000))
     }
 }
--- a/crates/budget/src/state.rs
+++ b/crates/budget/src/state.rs
@@ -103,7 +103,7 @@
 impl State {
     /// Applies a record by its number. False: it changes nothing, since it was applied before (the same
     /// ledger read twice does no harm), or settles what is not open.
-    pub fn take(&mut self, number: u64, record: &Record) -> bool {
+    pub fn apply(&mut self, number: u64, record: &Record) -> bool {
         if number <= self.sequence {
             return false;
         }
--- a/crates/budget/src/units.rs
+++ b/crates/budget/src/units.rs
@@ -25,16 +25,16 @@
 
 impl Units {
     /// Units in a token of weight 1.
-    pub const A_TOKEN: u64 = 1_000;
+    pub const PER_TOKEN: u64 = 1_000;
 
     /// So many tokens of weight 1.
     pub fn tokens(tokens: u64) -> Self {
-        Self(tokens.saturating_mul(Self::A_TOKEN))
+        Self(tokens.saturating_mul(Self::PER_TOKEN))
     }
 
     /// Whole tokens, rounded up.
     pub fn in_tokens(self) -> u64 {
-        self.0.div_ceil(Self::A_TOKEN)
+        self.0.div_ceil(Self::PER_TOKEN)
     }
 
     /// The sum, held at the largest.
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use chalkyard_budget::bill::{BillLine, Biller, Cause, EngineLine, LineKey, Work};
+use chalkyard_budget::bill::{BillLine, Biller, Cause, EngineRecord, LineKey, Work};
 use chalkyard_budget::*;
 
 const S: u64 = 1_000_000;
@@ -25,8 +25,8 @@
     Limit {
         hard: Units::tokens(tokens),
         soft: 1_000,
-        at_soft: AtSoft::Warn,
-        at_hard: AtHard::Refuse,
+        at_soft: SoftLimitAction::Warn,
+        at_hard: HardLimitAction::Refuse,
         marks: vec![],
     }
 }
@@ -108,7 +108,7 @@
 #[test]
 fn soft_limits_warn_clamp_and_lower_and_hard_ones_can_clamp() {
     let soft = |at_soft| Limit { soft: 500, at_soft, marks: vec![500, 900], ..limit(1_000) };
-    let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Clamp(20)))]);
+    let mut k = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Clamp(20)))]);
     let first = k.admit(noon(), ask("a", 100, 100)).unwrap();
     assert_eq!(
         (first.output, &first.marks[..]),
@@ -116,11 +116,12 @@
     );
     assert_eq!(k.admit(noon(), ask("b", 100, 100)).unwrap().output, 20);
 
-    let mut k = one(vec![(key(PeriodKind::Day), soft(AtSoft::Lower("later".into())))]);
+    let mut k = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Lower("later".into())))]);
     assert_eq!(k.admit(noon(), ask("a", 100, 100)).unwrap().lower_to, None);
     assert_eq!(k.admit(noon(), ask("b", 100, 10)).unwrap().lower_to.as_deref(), Some("later"));
 
-    let mut k = one(vec![(key(PeriodKind::Day), Limit { at_hard: AtHard::Clamp(16), ..limit(1_000) })]);
+    let mut k =
+        one(vec![(key(PeriodKind::Day), Limit { at_hard: HardLimitAction::Clamp(16), ..limit(1_000) })]);
     assert_eq!(k.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
     assert_eq!(k.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "what is left");
     assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
@@ -285,12 +286,12 @@
 fn a_tenant_removed_while_it_streams_is_settled_and_billed() {
     let mut k = one(vec![(key(PeriodKind::Day), limit(1_000))]);
     k.admit(noon(), ask("a", 100, 100)).unwrap();
-    k.replan(plan(vec![], Mode::Shares(1)));
+    k.set_plan(plan(vec![], Mode::Shares(1)));
     assert!(served(&mut k, noon(), "a", 100, 0, 40));
     let place = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units::tokens(260));
     // Put back, it finds what it had spent.
-    k.replan(plan(vec![(key(PeriodKind::Day), limit(300))], Mode::Shares(1)));
+    k.set_plan(plan(vec![(key(PeriodKind::Day), limit(300))], Mode::Shares(1)));
     assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
     assert!(k.admit(noon(), ask("b", 40, 0)).is_ok());
 }
@@ -324,8 +325,8 @@
     for cut in 0..=all.len() {
         let mut state = State::default();
         for (n, r) in &all[..cut] {
-            state.take(*n, r);
-            assert!(!state.take(*n, r) || matches!(r, Record::Started(_)), "fed twice it changes nothing");
+            state.apply(*n, r);
+            assert!(!state.apply(*n, r) || matches!(r, Record::Started(_)), "fed twice it changes nothing");
         }
         let spent = |s: &State| s.usage.values().map(|h| h.spent).sum::<Units>();
         let before = spent(&state);
@@ -337,7 +338,7 @@
     let mut from_checkpoint = State::default();
     let start = all.iter().position(|(_, r)| matches!(r, Record::State(_))).unwrap();
     for (n, r) in &all[start..] {
-        from_checkpoint.take(*n, r);
+        from_checkpoint.apply(*n, r);
     }
     assert_eq!(&from_checkpoint, k.state());
 }
@@ -353,7 +354,7 @@
     }
     let mode = Mode::Leases { epoch: S, routers: 2 };
     let plan = plan(vec![(key(PeriodKind::Day), limit(1_000))], mode);
-    let mut new = BudgetEnforcer::succeed("r1", plan, old.state().clone(), noon());
+    let mut new = BudgetEnforcer::take_over("r1", plan, old.state().clone(), noon());
     assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease goes on");
     let said = |k: &mut BudgetEnforcer, id: &str| {
         served(k, noon(), id, 10, 0, 5);
@@ -361,12 +362,12 @@
         s
     };
     let a = said(&mut old, "a");
-    assert!(new.inherit(noon(), &a));
-    assert!(!new.inherit(noon(), &a), "told twice");
+    assert!(new.settle_inherited(noon(), &a));
+    assert!(!new.settle_inherited(noon(), &a), "told twice");
     let own = Settled { id: "d".into(), ..a.clone() };
-    assert!(!new.inherit(noon(), &own), "its own are not the old life's to settle");
-    new.inherited_all(noon());
-    assert!(!new.inherit(noon(), &said(&mut old, "b")), "after its end it says nothing");
+    assert!(!new.settle_inherited(noon(), &own), "its own are not the old life's to settle");
+    new.finish_inheritance(noon());
+    assert!(!new.settle_inherited(noon(), &said(&mut old, "b")), "after its end it says nothing");
     let ids: Vec<&str> = new.state().open.keys().map(|id| &**id).collect();
     assert_eq!(ids, ["d"]);
     assert_eq!(new.state().usage.values().map(|h| h.spent).sum::<Units>(), Units::tokens(10 + 4 * 5));
@@ -391,7 +392,7 @@
         };
         let plan = plan(vec![(key(PeriodKind::Day), limit(tokens))], mode);
         let enforcer = |n: &String| BudgetEnforcer::new(n, plan.clone(), State::default(), noon());
-        let terms = LeaseTerms { epoch: S, lease: 5 * S, clock_error: 100_000, even: 4 };
+        let terms = LeaseTerms { epoch: S, lease: 5 * S, clock_error: 100_000, even_share_divisor: 4 };
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
         let enforcers = names.iter().map(enforcer).collect();
         Self { enforcers, allocator: LeaseAllocator::new(plan, terms, &refs), now: noon(), n: 0 }
@@ -561,8 +562,8 @@
     })
 }
 
-fn work(id: &str, attempt: u32, work: Work, usage: (u64, u64, u64)) -> EngineLine {
-    EngineLine {
+fn work(id: &str, attempt: u32, work: Work, usage: (u64, u64, u64)) -> EngineRecord {
+    EngineRecord {
         engine: "e".into(),
         request: id.into(),
         attempt,
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -4,7 +4,7 @@
 
 use std::path::{Path, PathBuf};
 
-use chalkyard_budget::bill::{EngineLine, Work};
+use chalkyard_budget::bill::{EngineRecord, Work};
 use chalkyard_budget::*;
 use chalkyard_ledger::{encode, read, segment_name, DirectoryVolume, Tail};
 
@@ -134,7 +134,7 @@
 fn recovered(records: &[Record]) -> State {
     let mut state = State::default();
     for (number, record) in (1..).zip(records) {
-        assert!(state.take(number, record), "record {number}");
+        assert!(state.apply(number, record), "record {number}");
     }
     state
 }
@@ -211,10 +211,10 @@
     let (_, read) = read_segment("ledger");
     let mut from_all = State::default();
     for (number, record) in &read[..19] {
-        assert!(from_all.take(*number, record));
+        assert!(from_all.apply(*number, record));
     }
     let mut from_checkpoint = State::default();
-    assert!(from_checkpoint.take(20, &read[19].1));
+    assert!(from_checkpoint.apply(20, &read[19].1));
     assert_eq!(from_checkpoint.sequence, 20);
     from_checkpoint.sequence = 19;
     assert_eq!(from_checkpoint, from_all);
@@ -318,7 +318,7 @@
 #[test]
 fn engine_records_have_the_same_json() {
     let stored = std::fs::read_to_string(data("engines.jsonl")).unwrap();
-    let line = |attempt, work| EngineLine {
+    let line = |attempt, work| EngineRecord {
         engine: "m1".into(),
         request: "r1-0".into(),
         attempt,
@@ -331,7 +331,7 @@
     let expected = [line(0, Work::Prefill), line(1, Work::Decode), line(2, Work::Combined)];
     assert_eq!(stored.lines().count(), expected.len());
     for (expected, stored) in expected.iter().zip(stored.lines()) {
-        assert_eq!(&serde_json::from_str::<EngineLine>(stored).unwrap(), expected);
+        assert_eq!(&serde_json::from_str::<EngineRecord>(stored).unwrap(), expected);
         assert_eq!(serde_json::to_string(expected).unwrap(), stored);
     }
 }
--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, Cause, EngineLine, LineKey};
+use chalkyard_budget::bill::{round_to_smallest_unit, Bill, Biller, Cause, EngineRecord, LineKey};
 use chalkyard_budget::{Period, Record, Time};
 use chalkyard_ledger::{read, segment_number, DirectoryVolume, Volume};
 
@@ -59,7 +59,7 @@
             return Err(wrong(n + 1, format!("longer than {LINE_BYTES} bytes")));
         }
         if !line.trim().is_empty() {
-            let line: EngineLine = serde_json::from_str(&line).map_err(|e| wrong(n + 1, e.to_string()))?;
+            let line: EngineRecord = serde_json::from_str(&line).map_err(|e| wrong(n + 1, e.to_string()))?;
             biller.work(line);
         }
     }
@@ -252,7 +252,7 @@
         for (cause, sum) in &by_cause {
             println!("  {cause:?}: {} tokens in {} attempts", sum.tokens, sum.attempts);
         }
-        for difference in bill.differences.iter().filter(|difference| !difference.cause.explains()) {
+        for difference in bill.differences.iter().filter(|difference| !difference.cause.is_explained()) {
             println!(
                 "  unexplained: {:?}, request {}, {} tokens",
                 difference.cause, difference.request, difference.tokens
--- a/crates/daemon/src/budget_runtime.rs
+++ b/crates/daemon/src/budget_runtime.rs
@@ -103,7 +103,7 @@
         Some(predecessor) => {
             let news = news.clone();
             spawn("inherit", move || inherit(predecessor, &news))?;
-            BudgetEnforcer::succeed(router, budgets.plan.clone(), state, now)
+            BudgetEnforcer::take_over(router, budgets.plan.clone(), state, now)
         }
     };
     let ledger = Ledger {
@@ -128,7 +128,7 @@
     let limits = Limits { segment_bytes: budgets.segment, ..Limits::default() };
     let (mut state, start) = (State::default(), Instant::now());
     let opened = Writer::open(volume, limits, Record::is_checkpoint, |number, record| {
-        state.take(number, &record);
+        state.apply(number, &record);
     });
     let opened = opened.map_err(|source| RecoveryError::Ledger { folder, source })?;
     if let Some(damage) = opened.report.describe_damage() {
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -187,7 +187,7 @@
     let mut by_hand = Adjustments::new(settlement);
     let changes = by_hand.read()?;
     let (plan, extra) = adjusted(&budgets.plan, changes);
-    allocator.replan(plan, extra);
+    allocator.set_plan(plan, extra);
     Sums::new(settlement).read(&mut allocator);
     let account_summaries = allocator.account_summaries(now());
     match format {
--- a/crates/daemon/src/compact.rs
+++ b/crates/daemon/src/compact.rs
@@ -6,7 +6,7 @@
 
 use chalkyard_budget::bill::{Bill, Biller};
 use chalkyard_budget::{Period, Record, Time};
-use chalkyard_ledger::{last_segments, read, DirectoryVolume, LedgerError};
+use chalkyard_ledger::{read, segments_from_checkpoint, DirectoryVolume, LedgerError};
 use chalkyard_settings::Budgets;
 
 use crate::bill::all_segments;
@@ -75,7 +75,7 @@
     let volume = DirectoryVolume::reader(folder);
     let failed = |error: LedgerError| CommandError::BadInput(format!("{}: {error}", folder.display()));
     let names = all_segments(folder)?;
-    let needed = last_segments(&volume, Record::is_checkpoint).map_err(failed)?;
+    let needed = segments_from_checkpoint(&volume, Record::is_checkpoint).map_err(failed)?;
     let mut old = OldSegments::default();
     for name in names.iter().take_while(|name| needed.first().is_some_and(|first| *name < first)) {
         let mut records: Vec<(u64, Record)> = Vec::new();
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -236,7 +236,7 @@
             let told = follower.poll(Record::is_checkpoint, |item| match item {
                 FollowEvent::Restart => *state = State::default(),
                 FollowEvent::Record(number, record) => {
-                    state.take(number, &record);
+                    state.apply(number, &record);
                 }
             });
             match told {
@@ -319,7 +319,7 @@
         match by_hand.read() {
             Ok(changes) => {
                 let (plan, extra) = adjusted(&budgets.plan, changes);
-                allocator.replan(plan, extra);
+                allocator.set_plan(plan, extra);
             }
             Err(CommandError::BadInput(why) | CommandError::CouldNotRun(why)) => {
                 warn!(target: "settle", "{why}")
--- a/crates/daemon/src/settle_test.rs
+++ b/crates/daemon/src/settle_test.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use super::*;
-use chalkyard_budget::{AtHard, AtSoft, Calendar, Limit, Mode, PeriodKind, Units, Weights};
+use chalkyard_budget::{Calendar, HardLimitAction, Limit, Mode, PeriodKind, SoftLimitAction, Units, Weights};
 use chalkyard_ledger::{encode, read, segment_name};
 
 const STORED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/budgets/adjustments");
@@ -86,8 +86,8 @@
     let limit = |tokens| Limit {
         hard: Units::tokens(tokens),
         soft: 1_000,
-        at_soft: AtSoft::Warn,
-        at_hard: AtHard::Refuse,
+        at_soft: SoftLimitAction::Warn,
+        at_hard: HardLimitAction::Refuse,
         marks: vec![],
     };
     let plan = Plan {
--- a/crates/ledger/src/follow.rs
+++ b/crates/ledger/src/follow.rs
@@ -9,7 +9,7 @@
 use crate::frame::{decode, Frames};
 use crate::reader::segments;
 use crate::volume::DirectoryVolume;
-use crate::{last_segments, read, LedgerError};
+use crate::{read, segments_from_checkpoint, LedgerError};
 
 /// What following gives.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -129,7 +129,7 @@
         mut take: impl FnMut(FollowEvent<T>),
     ) -> Result<Option<String>, LedgerError> {
         let volume = DirectoryVolume::reader(&self.folder);
-        let names = last_segments(&volume, is_checkpoint)?;
+        let names = segments_from_checkpoint(&volume, is_checkpoint)?;
         take(FollowEvent::Restart);
         let report = read(&volume, &names, |n, r| take(FollowEvent::Record(n, r)))?;
         if let Some(segment) = names.last().filter(|_| report.valid_length >= 4) {
--- a/crates/ledger/src/frame.rs
+++ b/crates/ledger/src/frame.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 /// The largest payload.
-pub const FRAME_BYTES: usize = 64 * 1024 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
 const MAGIC: &[u8; 8] = b"CYLEDGR1";
 /// Bytes of a segment's head.
 pub(crate) const HEAD: usize = 20;
@@ -25,7 +25,7 @@
     Truncated,
     /// It begins otherwise.
     #[error("not a ledger's segment, or of another version")]
-    Foreign,
+    UnknownFormat,
     /// The checksum is wrong.
     #[error("its head is damaged")]
     Damaged,
@@ -46,7 +46,7 @@
     let (front, crc) = head.split_at(16);
     let (magic, first) = front.split_at(8);
     if magic != MAGIC {
-        return Err(SegmentHeadError::Foreign);
+        return Err(SegmentHeadError::UnknownFormat);
     }
     if u32_at(crc, 0) != Some(crc32c::crc32c(front)) {
         return Err(SegmentHeadError::Damaged);
@@ -73,7 +73,7 @@
     let taken = std::mem::take(out);
     *out = postcard::to_extend(record, taken).map_err(|_| 0_usize)?;
     let payload = out.len() - start - BEFORE;
-    let Some(length) = u32::try_from(payload).ok().filter(|_| payload <= FRAME_BYTES) else {
+    let Some(length) = u32::try_from(payload).ok().filter(|_| payload <= MAX_PAYLOAD_BYTES) else {
         out.truncate(start);
         return Err(payload);
     };
@@ -133,7 +133,7 @@
     fn frame(&self, at: usize) -> Option<(u64, &'a [u8], usize)> {
         let length = u32_at(self.bytes, at)? as usize;
         let number = u64_at(self.bytes, at.checked_add(4)?)?;
-        if length > FRAME_BYTES || number < self.next || number > self.next.saturating_add(AHEAD) {
+        if length > MAX_PAYLOAD_BYTES || number < self.next || number > self.next.saturating_add(AHEAD) {
             return None;
         }
         let end = at.checked_add(BEFORE)?.checked_add(length)?;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -12,8 +12,8 @@
 mod writer;
 
 pub use follow::{FollowEvent, Follower};
-pub use frame::{decode, encode, Damage, Frames, SegmentHeadError, FRAME_BYTES};
-pub use reader::{last_segments, read, Report, Tail};
+pub use frame::{decode, encode, Damage, Frames, SegmentHeadError, MAX_PAYLOAD_BYTES};
+pub use reader::{read, segments_from_checkpoint, Report, Tail};
 pub use volume::{segment_name, segment_number, DirectoryVolume, Volume};
 pub use writer::{Limits, Opened, Writer};
 
@@ -36,14 +36,14 @@
     },
     /// A segment is of another format, or its head is damaged.
     #[error("{segment}: {source}")]
-    Foreign {
+    InvalidHead {
         /// The segment.
         segment: String,
         /// What is wrong with its head.
         source: SegmentHeadError,
     },
     /// A record is larger than a frame may be.
-    #[error("a record of {bytes} bytes is larger than {FRAME_BYTES}")]
+    #[error("a record of {bytes} bytes is larger than {MAX_PAYLOAD_BYTES}")]
     TooLarge {
         /// The record's length.
         bytes: usize,
--- a/crates/ledger/src/reader.rs
+++ b/crates/ledger/src/reader.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// If the volume can't be read.
-pub fn last_segments<T: DeserializeOwned>(
+pub fn segments_from_checkpoint<T: DeserializeOwned>(
     volume: &impl Volume,
     is_checkpoint: impl Fn(&T) -> bool,
 ) -> Result<Vec<String>, LedgerError> {
@@ -87,7 +87,7 @@
                 report.tail = Tail::Torn(bytes.len());
                 continue;
             }
-            Err(source) => return Err(LedgerError::Foreign { segment: name.clone(), source }),
+            Err(source) => return Err(LedgerError::InvalidHead { segment: name.clone(), source }),
         };
         while let Some((number, payload)) = frames.next() {
             match decode(payload) {
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -8,7 +8,7 @@
 use crate::frame::{encode, head};
 use crate::reader::{read, segments, Report, Tail};
 use crate::volume::{segment_name, segment_number, Volume};
-use crate::{last_segments, LedgerError};
+use crate::{segments_from_checkpoint, LedgerError};
 
 /// Bounds.
 #[derive(Debug, Clone, Copy)]
@@ -70,7 +70,7 @@
         is_checkpoint: impl Fn(&T) -> bool,
         take: impl FnMut(u64, T),
     ) -> Result<Opened<V>, LedgerError> {
-        let names = last_segments(&volume, is_checkpoint)?;
+        let names = segments_from_checkpoint(&volume, is_checkpoint)?;
         let report = read(&volume, &names, take)?;
         let newest = segments(&volume)?.last().cloned();
         let (segment, length) = match &newest {
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -138,7 +138,7 @@
             let mut got = Vec::new();
             let read = read(&flipped, &names, |n, r: Rec| got.push((n, r)));
             if at < 20 {
-                prop_assert!(matches!(read, Err(LedgerError::Foreign { .. })), "a damaged head is refused: {at}");
+                prop_assert!(matches!(read, Err(LedgerError::InvalidHead { .. })), "a damaged head is refused: {at}");
                 continue;
             }
             let report = read.unwrap();
--- a/crates/ledger/tests/stored_data.rs
+++ b/crates/ledger/tests/stored_data.rs
@@ -79,9 +79,9 @@
 #[test]
 fn checkpoint_at_a_segments_head_is_where_recovery_begins() {
     let volume = DirectoryVolume::reader(&data("complete"));
-    assert_eq!(last_segments(&volume, is_checkpoint).unwrap(), ["000000000002.ledger"]);
+    assert_eq!(segments_from_checkpoint(&volume, is_checkpoint).unwrap(), ["000000000002.ledger"]);
     assert_eq!(
-        last_segments(&volume, |_: &Entry| false).unwrap(),
+        segments_from_checkpoint(&volume, |_: &Entry| false).unwrap(),
         ["000000000001.ledger", "000000000002.ledger"]
     );
 }
@@ -181,7 +181,7 @@
     ];
     for (folder, told) in cases {
         let error = read_all(folder, &[1]).unwrap_err();
-        assert!(matches!(error, LedgerError::Foreign { .. }), "{error:?}");
+        assert!(matches!(error, LedgerError::InvalidHead { .. }), "{error:?}");
         assert_eq!(error.to_string(), told);
     }
     // A head that was cut is a crash at the newest segment, and foreign at an older one.
--- a/crates/load/src/budgets.rs
+++ b/crates/load/src/budgets.rs
@@ -6,9 +6,9 @@
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_budget::{
-    AccountKey, AccountPeriod, Allowance, AtHard, AtSoft, BilledAttempts, BudgetEnforcer, Calendar, Ending,
-    Grant, Limit, Mode, PeriodKind, Plan, RateLimit, Record, Reservation, ReservationRequest, Settled, State,
-    Time, Units, Usage, Weights,
+    AccountKey, AccountPeriod, Allowance, BilledAttempts, BudgetEnforcer, Calendar, Ending, Grant,
+    HardLimitAction, Limit, Mode, PeriodKind, Plan, RateLimit, Record, Reservation, ReservationRequest,
+    Settled, SoftLimitAction, State, Time, Units, Usage, Weights,
 };
 use chalkyard_ledger::{read, DirectoryVolume, Limits, Volume, Writer};
 use hdrhistogram::Histogram;
@@ -32,8 +32,8 @@
             let limit = Limit {
                 hard: Units::tokens(1_000_000_000),
                 soft: 800,
-                at_soft: AtSoft::Warn,
-                at_hard: AtHard::Refuse,
+                at_soft: SoftLimitAction::Warn,
+                at_hard: HardLimitAction::Refuse,
                 marks: vec![800, 950],
             };
             limits.insert(key, limit);
@@ -181,7 +181,7 @@
     for n in 0..records / 2 {
         for record in pair(n) {
             let number = writer.append(&record)?;
-            state.take(number, &record);
+            state.apply(number, &record);
         }
         if n % 64 == 0 {
             writer.flush()?;
@@ -199,7 +199,7 @@
         names.iter().filter_map(|n| std::fs::metadata(folder.join(n)).ok()).map(|m| m.len()).sum();
     let (mut whole, start) = (State::default(), Instant::now());
     let report = read(&volume, &names, |n, r| {
-        whole.take(n, &r);
+        whole.apply(n, &r);
     })?;
     println!(
         "recovery from all {} records ({} MiB, {} segments): {:.2} s",
@@ -210,7 +210,7 @@
     );
     let (mut last, start) = (State::default(), Instant::now());
     let opened = Writer::open(DirectoryVolume::writer(folder)?, Limits::default(), is_checkpoint, |n, r| {
-        last.take(n, &r);
+        last.apply(n, &r);
     })?;
     println!(
         "recovery from the last checkpoint ({} records): {:.2} s; sums alike: {}",
--- a/crates/load/src/scale/leases.rs
+++ b/crates/load/src/scale/leases.rs
@@ -18,7 +18,8 @@
 const START: Time = Time(1_796_100_000_000_000);
 /// As the settings' defaults.
 const EPOCH_US: u64 = 1_000_000;
-const TERMS: LeaseTerms = LeaseTerms { epoch: EPOCH_US, lease: 10_000_000, clock_error: 250_000, even: 4 };
+const TERMS: LeaseTerms =
+    LeaseTerms { epoch: EPOCH_US, lease: 10_000_000, clock_error: 250_000, even_share_divisor: 4 };
 /// Rounds after the first, which names everything.
 const ROUNDS: usize = 2;
 
--- a/crates/router/src/core/budgets.rs
+++ b/crates/router/src/core/budgets.rs
@@ -144,7 +144,7 @@
     pub(super) fn settled_by_predecessor(&mut self, settled: &Settled) {
         let now = self.time();
         if let Some(budgets) = &mut self.budgets {
-            budgets.inherit(now, settled);
+            budgets.settle_inherited(now, settled);
             self.write_records();
         }
     }
@@ -152,14 +152,14 @@
     pub(super) fn predecessor_finished(&mut self) {
         let now = self.time();
         if let Some(budgets) = &mut self.budgets {
-            budgets.inherited_all(now);
+            budgets.finish_inheritance(now);
             self.write_records();
         }
     }
 
     pub(super) fn replace_budget_plan(&mut self, plan: Plan) {
         if let Some(budgets) = &mut self.budgets {
-            budgets.replan(plan);
+            budgets.set_plan(plan);
             self.note("budget", "the budget plan was replaced; recorded spending is kept".into());
         }
     }
--- a/crates/router/tests/budgets.rs
+++ b/crates/router/tests/budgets.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use chalkyard_budget::{
-    AccountKey, AtHard, AtSoft, BudgetEnforcer, Calendar, Ending, Limit, Mode, PeriodKind, Plan, Record,
-    State, Time, Units, Weights,
+    AccountKey, BudgetEnforcer, Calendar, Ending, HardLimitAction, Limit, Mode, PeriodKind, Plan, Record,
+    SoftLimitAction, State, Time, Units, Weights,
 };
 use chalkyard_router::*;
 use common::*;
@@ -17,11 +17,16 @@
 /// tokens.
 const WORST_CASE: u64 = 4_457;
 
-fn plan(tokens: u64, at_hard: AtHard) -> Plan {
+fn plan(tokens: u64, at_hard: HardLimitAction) -> Plan {
     // Without tenants, all requests are charged to the unnamed tenant, which has a budget here.
     let key = AccountKey { tenant: "".into(), class: None, kind: PeriodKind::Day };
-    let limit =
-        Limit { hard: Units::tokens(tokens), soft: 1_000, at_soft: AtSoft::Warn, at_hard, marks: vec![] };
+    let limit = Limit {
+        hard: Units::tokens(tokens),
+        soft: 1_000,
+        at_soft: SoftLimitAction::Warn,
+        at_hard,
+        marks: vec![],
+    };
     Plan {
         calendar: Calendar::default(),
         weights: Weights::default(),
@@ -56,14 +61,14 @@
     let mut state = State::default();
     for (n, r) in &harness.records {
         assert_eq!(*n, state.sequence + 1, "sequence numbers have no gaps");
-        state.take(*n, r);
+        state.apply(*n, r);
     }
     state.usage.values().map(|h| h.used()).sum::<Units>().in_tokens()
 }
 
 #[test]
 fn a_request_over_budget_is_rejected_at_once_and_reaches_no_worker() {
-    let mut harness = harness_with(plan(4_000, AtHard::Refuse));
+    let mut harness = harness_with(plan(4_000, HardLimitAction::Refuse));
     let client = harness.send_request("help");
     assert_eq!(harness.error(client), (429, "refused".into(), false));
     let raw = String::from_utf8_lossy(harness.raw(client)).into_owned();
@@ -79,14 +84,14 @@
 
 #[test]
 fn max_tokens_is_clamped_to_the_budget_and_defaults_to_the_limit() {
-    let mut harness = harness_with(plan(WORST_CASE - 20, AtHard::Clamp(8)));
+    let mut harness = harness_with(plan(WORST_CASE - 20, HardLimitAction::Clamp(8)));
     let client = harness.send_request("help");
     let prefill = harness.next_call();
     harness.reply_prefilled(&prefill);
     assert_eq!(harness.next_call().body["max_tokens"], 30, "the budget that is left after the prompt");
     assert!(harness.answers(client).is_empty());
 
-    let mut harness = harness_with(plan(1_000_000, AtHard::Refuse));
+    let mut harness = harness_with(plan(1_000_000, HardLimitAction::Refuse));
     let client = harness.client();
     let body = r#"{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":true}"#;
     harness
@@ -97,7 +102,7 @@
 
 #[test]
 fn a_served_request_costs_the_tokens_that_workers_counted_and_is_recorded_before_its_answer_ends() {
-    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let mut harness = harness_with(plan(100_000, HardLimitAction::Refuse));
     let client = harness.send_request("help");
     let prefill = harness.next_call();
     assert_eq!(prefill.header("x-attempt"), "0");
@@ -129,7 +134,7 @@
 
 #[test]
 fn a_retried_request_reserves_once_and_records_the_answering_attempt() {
-    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let mut harness = harness_with(plan(100_000, HardLimitAction::Refuse));
     let (client, decode) = harness.start_decode("help");
     harness.reply(decode.conn, 500, "{}");
     let second = harness.next_call();
@@ -154,7 +159,7 @@
 #[test]
 fn broken_answers_cost_nothing_and_a_disconnect_during_the_stream_costs_the_received_tokens() {
     // The worker's connection is lost during the stream.
-    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let mut harness = harness_with(plan(100_000, HardLimitAction::Refuse));
     let (client, decode) = harness.start_decode("report");
     harness.begin_stream(decode.conn);
     harness.send_token(decode.conn, "a");
@@ -188,7 +193,7 @@
 
 #[test]
 fn without_a_writable_ledger_new_requests_are_rejected_and_open_ones_complete() {
-    let mut harness = harness_with(plan(100_000, AtHard::Refuse));
+    let mut harness = harness_with(plan(100_000, HardLimitAction::Refuse));
     let client = harness.send_request("help");
     harness.input(Input::LedgerWritable(false));
     let second = harness.send_request("help");
@@ -207,11 +212,11 @@
 
 #[test]
 fn budgets_can_be_reloaded_while_streams_run() {
-    let mut harness = harness_with(plan(4_500, AtHard::Refuse));
+    let mut harness = harness_with(plan(4_500, HardLimitAction::Refuse));
     harness.send_request("help");
     let refused = harness.send_request("help");
     assert_eq!(harness.error(refused).0, 429);
-    harness.input(Input::BudgetPlan(Box::new(plan(9_000, AtHard::Refuse))));
+    harness.input(Input::BudgetPlan(Box::new(plan(9_000, HardLimitAction::Refuse))));
     harness.send_request("help");
     assert_eq!(used(&harness), 2 * WORST_CASE, "reservations are kept");
     let refused = harness.send_request("help");
--- a/crates/settings/src/budgets/limits.rs
+++ b/crates/settings/src/budgets/limits.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use chalkyard_budget::{AccountKey, AtHard, AtSoft, Limit, PeriodKind, Price, RateLimit, Units};
+use chalkyard_budget::{
+    AccountKey, HardLimitAction, Limit, PeriodKind, Price, RateLimit, SoftLimitAction, Units,
+};
 use chalkyard_policy as p;
 
 use super::values::{Currency, Day, Marks, PeriodValue, Thousandths};
@@ -10,7 +12,7 @@
 use crate::xml::{Element, Errors};
 
 /// The largest budget in tokens: thousandths of its units must fit a 64-bit number.
-const MAX_BUDGET_TOKENS: u64 = u64::MAX / Units::A_TOKEN / 1_000;
+const MAX_BUDGET_TOKENS: u64 = u64::MAX / Units::PER_TOKEN / 1_000;
 
 /// Names in other elements that `<budgets>` refers to.
 pub struct KnownNames<'a> {
@@ -32,23 +34,23 @@
     class: Option<&str>,
     known: &KnownNames<'_>,
     errors: &mut Errors,
-) -> AtSoft {
+) -> SoftLimitAction {
     let max_tokens = element.optional::<u64>("soft-answer", errors);
     let lower_class = element.optional::<Name>("soft-class", errors).map(|name| name.0);
     match (max_tokens, lower_class) {
-        (None, None) => AtSoft::Warn,
+        (None, None) => SoftLimitAction::Warn,
         (Some(0), None) => {
             element.report(Some("soft-answer"), "must be at least 1 token", errors);
-            AtSoft::Warn
+            SoftLimitAction::Warn
         }
-        (Some(tokens), None) => AtSoft::Clamp(tokens),
+        (Some(tokens), None) => SoftLimitAction::Clamp(tokens),
         (None, Some(lower_class)) => {
             check_lower_class(element, class, &lower_class, known, errors);
-            AtSoft::Lower(lower_class.into())
+            SoftLimitAction::Lower(lower_class.into())
         }
         (Some(_), Some(_)) => {
             element.report(Some("soft-class"), "one of `soft-answer` and `soft-class`, not both", errors);
-            AtSoft::Warn
+            SoftLimitAction::Warn
         }
     }
 }
@@ -109,7 +111,9 @@
         hard: Units::tokens(tokens),
         soft,
         at_soft: soft_action(element, class.as_deref(), known, errors),
-        at_hard: element.optional::<u64>("least-answer", errors).map_or(AtHard::Refuse, AtHard::Clamp),
+        at_hard: element
+            .optional::<u64>("least-answer", errors)
+            .map_or(HardLimitAction::Refuse, HardLimitAction::Clamp),
         marks: element.with_default("marks", Marks(Vec::new()), errors).0,
     };
     (AccountKey { tenant, class: class.map(Into::into), kind }, limit)
--- a/crates/settings/src/budgets/settlement.rs
+++ b/crates/settings/src/budgets/settlement.rs
@@ -31,7 +31,7 @@
         epoch: micros(element.with_default("epoch", TimeSpan(p::Micros(1_000_000)), errors)),
         lease: micros(element.with_default("lease", TimeSpan(p::Micros(10_000_000)), errors)),
         clock_error: micros(element.with_default("clock-error", TimeSpan(p::Micros(250_000)), errors)),
-        even: element.with_default("even", 4_u64, errors),
+        even_share_divisor: element.with_default("even", 4_u64, errors),
     };
     if terms.epoch < LEAST_EPOCH_US {
         element.report(Some("epoch"), "must be at least 50ms", errors);
--- a/crates/settings/src/budgets/values.rs
+++ b/crates/settings/src/budgets/values.rs
@@ -44,7 +44,7 @@
 
 impl Value for PeriodValue {
     fn parse(text: &str) -> Result<Self, ValueError> {
-        let kind = PeriodKind::ALL.into_iter().find(|k| k.word() == text);
+        let kind = PeriodKind::ALL.into_iter().find(|k| k.name() == text);
         kind.map(Self).ok_or_else(|| "must be one of hour, day, month".into())
     }
 }
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use chalkyard_budget::{AtHard, AtSoft, Calendar, Mode, PeriodKind, Price, Units};
+use chalkyard_budget::{Calendar, HardLimitAction, Mode, PeriodKind, Price, SoftLimitAction, Units};
 use chalkyard_policy::{
     Class, DeduplicationScope, Discovery, LoadReporting, Micros, RetrySafety, Role, Settings as Policy,
     Tenant, ZoneId,
@@ -156,7 +156,7 @@
             (key.to_string(), key.kind, l.hard, l.soft, l.at_soft.clone(), l.at_hard, l.marks.clone())
         })
         .collect();
-    let lower = AtSoft::Lower("later".into());
+    let lower = SoftLimitAction::Lower("later".into());
     assert_eq!(
         limits,
         [
@@ -165,8 +165,8 @@
                 PeriodKind::Day,
                 Units::tokens(2_000),
                 900,
-                AtSoft::Clamp(64),
-                AtHard::Refuse,
+                SoftLimitAction::Clamp(64),
+                HardLimitAction::Refuse,
                 vec![]
             ),
             (
@@ -175,7 +175,7 @@
                 Units::tokens(1_000),
                 800,
                 lower,
-                AtHard::Refuse,
+                HardLimitAction::Refuse,
                 vec![500, 950]
             ),
             (
@@ -183,8 +183,8 @@
                 PeriodKind::Hour,
                 Units::tokens(3_000),
                 1_000,
-                AtSoft::Warn,
-                AtHard::Clamp(32),
+                SoftLimitAction::Warn,
+                HardLimitAction::Clamp(32),
                 vec![]
             ),
         ]
@@ -214,7 +214,7 @@
     let settlement = budgets.settlement.unwrap();
     assert_eq!(settlement.journal, PathBuf::from("state/journal"));
     let t = settlement.terms;
-    assert_eq!((t.epoch, t.lease, t.clock_error, t.even), (500_000, 6_000_000, 100_000, 5));
+    assert_eq!((t.epoch, t.lease, t.clock_error, t.even_share_divisor), (500_000, 6_000_000, 100_000, 5));
     assert_eq!(
         settlement.routers,
         [("r7".to_owned(), PathBuf::from("state/r7")), ("r8".to_owned(), PathBuf::from("state/r8"))]
@@ -258,5 +258,5 @@
     assert_eq!((plan.margin, plan.mode), (100, Mode::Shares(1)));
     assert_eq!((plan.weights.prompt, plan.weights.cached, plan.weights.output), (1_000, 1_000, 1_000));
     let t = budgets.settlement.unwrap().terms;
-    assert_eq!((t.epoch, t.lease, t.clock_error, t.even), (1_000_000, 10_000_000, 250_000, 4));
+    assert_eq!((t.epoch, t.lease, t.clock_error, t.even_share_divisor), (1_000_000, 10_000_000, 250_000, 4));
 }
