--- a/crates/daemon/src/budget_runtime.rs
+++ b/crates/daemon/src/budget_runtime.rs
@@ -94,7 +94,7 @@
     news: &SyncSender<SinkEvent>,
 ) -> Result<Recovered, RecoveryError> {
     let (state, writer) = open_ledger(budgets)?;
-    if let (Some(file), Some(key)) = (&budgets.grants, &budgets.key_file) {
+    if let (Some(file), Some(key)) = (&budgets.grants_file, &budgets.key_file) {
         let (file, key, news) = (file.clone(), grant_files::read_key(key)?, news.clone());
         spawn("grants", move || grant_files::watch(&file, &key, &news))?;
     }
@@ -108,7 +108,7 @@
     };
     let ledger = Ledger {
         writer,
-        sync_interval: budgets.sync,
+        sync_interval: budgets.sync_interval,
         reported_writable: true,
         is_failing: false,
         retry_at: Instant::now(),
@@ -125,7 +125,7 @@
         }
         Err(source) => return Err(RecoveryError::Folder { folder, source }),
     };
-    let limits = Limits { segment_bytes: budgets.segment, ..Limits::default() };
+    let limits = Limits { segment_bytes: budgets.segment_bytes, ..Limits::default() };
     let (mut state, start) = (State::default(), Instant::now());
     let opened = Writer::open(volume, limits, Record::is_checkpoint, |number, record| {
         state.apply(number, &record);
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -93,7 +93,7 @@
     if let Some(file) = decisions {
         record_decisions(&mut core, &file, &started)?;
     }
-    let last_list = match (&settings.list_file, settings.engines) {
+    let last_list = match (&settings.endpoint_list_file, settings.engines) {
         (_, Some(engines)) => Some(engines),
         (Some(file), None) => std::fs::read_to_string(file).ok(),
         (None, None) => None,
@@ -101,7 +101,7 @@
     let reloader = Arc::new(Reloader { file: file.clone(), text: Mutex::new(text), tenants, news: told });
     let sink = RouterSink {
         lines: LineBudget::new(began),
-        log: logs::Log { list_file: settings.list_file },
+        log: logs::Log { list_file: settings.endpoint_list_file },
         ledger,
         successor: None,
         recent: VecDeque::new(),
@@ -112,7 +112,7 @@
         reloader: reloader.clone(),
         news,
     };
-    let drain = settings.drain_for.as_micros() as u64;
+    let drain = settings.drain_timeout.as_micros() as u64;
     let timeouts = LifecycleTimeouts { endpoint_wait: START, lame_duck: 0, drain, flush: FAREWELL };
     let mut shell = Shell::new(core, sink, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
     let handle = shell.handle();
--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -37,11 +37,11 @@
     /// Folder of this router's ledger.
     pub ledger: PathBuf,
     /// How often written records are synced to disk: what a power failure can lose.
-    pub sync: Duration,
+    pub sync_interval: Duration,
     /// Size of a ledger segment in bytes.
-    pub segment: usize,
+    pub segment_bytes: usize,
     /// File in which this router's leases arrive.
-    pub grants: Option<PathBuf>,
+    pub grants_file: Option<PathBuf>,
     /// File with the key that signs leases.
     pub key_file: Option<PathBuf>,
     /// Settings of the settlement job.
@@ -160,9 +160,9 @@
 pub fn read(element: &mut Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) -> Budgets {
     let calendar = calendar(element, errors);
     let children = Children::read(element, known, errors);
-    let grants = path(element, "grants", errors);
+    let grants_file = path(element, "grants", errors);
     let key_file = path(element, "key-file", errors);
-    if grants.is_some() && key_file.is_none() {
+    if grants_file.is_some() && key_file.is_none() {
         element.report(Some("grants"), "leases are signed: `key-file` must name the key", errors);
     }
     let epoch = children.settlement.as_ref().map_or(EPOCH_US, |settlement| settlement.terms.epoch);
@@ -173,13 +173,13 @@
             limits: children.limits,
             rates: children.rates,
             margin: element.with_default("margin", Thousandths(100), errors).0,
-            mode: mode(element, grants.is_some(), epoch, known.routers, errors),
+            mode: mode(element, grants_file.is_some(), epoch, known.routers, errors),
             prices: children.prices,
         },
         ledger: element.required("ledger", Text(String::new()), errors).0.into(),
-        sync: sync_interval(element, errors),
-        segment: segment_bytes(element, errors),
-        grants,
+        sync_interval: sync_interval(element, errors),
+        segment_bytes: segment_bytes(element, errors),
+        grants_file,
         key_file,
         settlement: children.settlement,
     };
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -37,11 +37,11 @@
     /// Whether several routers may listen at this address.
     pub shared_port: bool,
     /// File in which the endpoint list is cached for the next start.
-    pub list_file: Option<PathBuf>,
+    pub endpoint_list_file: Option<PathBuf>,
     /// Engines named in the file itself, as an endpoint list.
     pub engines: Option<String>,
     /// How long a graceful shutdown waits for open requests.
-    pub drain_for: Duration,
+    pub drain_timeout: Duration,
     /// Path of the control socket.
     pub control: Option<PathBuf>,
     /// Token budgets and their ledger.
@@ -113,9 +113,9 @@
     let settings = Settings {
         listen: router.required("listen", SocketAddr::from(([127, 0, 0, 1], 0)), errors),
         shared_port: router.with_default("shared-port", false, errors),
-        list_file: router.optional::<Text>("list-file", errors).map(|t| t.0.into()),
+        endpoint_list_file: router.optional::<Text>("list-file", errors).map(|t| t.0.into()),
         control: router.optional::<Text>("control", errors).map(|t| t.0.into()),
-        drain_for: Duration::from_micros(drain.0),
+        drain_timeout: Duration::from_micros(drain.0),
         engines: shared.engines,
         budgets: shared.budgets,
         config: Config {
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -73,9 +73,9 @@
     let settings = stored();
     assert_eq!(settings.listen, "127.0.0.1:8400".parse().unwrap());
     assert!(settings.shared_port);
-    assert_eq!(settings.list_file, Some(PathBuf::from("list.json")));
+    assert_eq!(settings.endpoint_list_file, Some(PathBuf::from("list.json")));
     assert_eq!(settings.control, Some(PathBuf::from("r7.sock")));
-    assert_eq!(settings.drain_for, Duration::from_millis(1_500));
+    assert_eq!(settings.drain_timeout, Duration::from_millis(1_500));
     let config = settings.config;
     assert_eq!((config.name.as_str(), config.discovery), ("r7", Some("127.0.0.1:9000".parse().unwrap())));
     assert!(config.dialect.is_none());
@@ -208,8 +208,8 @@
 fn the_ledger_and_the_settlement_job_are_read() {
     let budgets = stored().budgets.unwrap();
     assert_eq!(budgets.ledger, PathBuf::from("state/r7"));
-    assert_eq!((budgets.sync, budgets.segment), (Duration::from_millis(20), 65_536));
-    assert_eq!(budgets.grants, Some(PathBuf::from("state/r7.grant")));
+    assert_eq!((budgets.sync_interval, budgets.segment_bytes), (Duration::from_millis(20), 65_536));
+    assert_eq!(budgets.grants_file, Some(PathBuf::from("state/r7.grant")));
     assert_eq!(budgets.key_file, Some(PathBuf::from("lease.key")));
     let settlement = budgets.settlement.unwrap();
     assert_eq!(settlement.journal, PathBuf::from("state/journal"));
@@ -235,8 +235,8 @@
 </chalkyard>"#
     ))
     .unwrap();
-    assert_eq!((settings.shared_port, settings.drain_for), (false, Duration::from_secs(20)));
-    assert_eq!((&settings.list_file, &settings.control, &settings.engines), (&None, &None, &None));
+    assert_eq!((settings.shared_port, settings.drain_timeout), (false, Duration::from_secs(20)));
+    assert_eq!((&settings.endpoint_list_file, &settings.control, &settings.engines), (&None, &None, &None));
     let p = settings.config.policy;
     assert_eq!((p.routers, p.discovery, p.self_prefill, p.resume), (1, Discovery::Push, true, false));
     assert_eq!(
@@ -253,7 +253,7 @@
         [2_000, 10_000, 100, 2].map(ms)
     );
     let budgets = settings.budgets.unwrap();
-    assert_eq!((budgets.sync, budgets.segment), (Duration::from_millis(50), 64 * 1024 * 1024));
+    assert_eq!((budgets.sync_interval, budgets.segment_bytes), (Duration::from_millis(50), 64 * 1024 * 1024));
     let plan = budgets.plan;
     assert_eq!((plan.margin, plan.mode), (100, Mode::Shares(1)));
     assert_eq!((plan.weights.prompt, plan.weights.cached, plan.weights.output), (1_000, 1_000, 1_000));
