--- a/crates/state/src/event.rs
+++ b/crates/state/src/event.rs
@@ -1,57 +1,57 @@
-//! What the shell reports to the lifecycle, and what the lifecycle has it do.
+//! The inputs of the lifecycle state machine and the actions that it requests from the router shell.
 
 use crate::stop::StopReason;
 
-/// What happened.
+/// An event that the router shell reports to the lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LifecycleEvent {
-    /// Time has passed.
+    /// A timer expired; see [`crate::Lifecycle::next_due`].
     Tick,
-    /// An endpoint list is known, possibly one from before the restart.
+    /// An endpoint list is available, either received or loaded from before the restart.
     EndpointsKnown,
-    /// The router listens.
+    /// The listening socket is open.
     Listening,
-    /// The router can't listen.
+    /// The listening socket can't be opened.
     ListenFailed,
-    /// A signal or an operator asks the process to end. A second request ends it without waiting for open requests.
+    /// A signal or an operator requests termination. A second one terminates without waiting for open requests.
     Terminate,
-    /// An operator asks the router to accept no new requests.
+    /// An operator requests that the router stop accepting requests.
     Drain,
-    /// An operator asks the router to accept requests again.
+    /// An operator requests that the router accept requests again.
     Undrain,
-    /// The settings are to be read again.
+    /// A reload of the settings is requested.
     Reload,
     /// Another process has taken over the listening socket.
     ListenerHandedOver,
-    /// No request is open, and all output is written.
+    /// No request is open, and all output has been written.
     Idle,
-    /// The event loop can't go on.
+    /// The event loop failed and can't continue.
     EventLoopFailed,
 }
 
-/// What the shell has to do, in order.
+/// An action for the router shell. The shell performs actions in the order in which they are returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LifecycleAction {
-    /// Start to listen.
+    /// Open the listening socket.
     Listen,
     /// Notify the supervisor that the router is ready.
     NotifyReady,
-    /// Notify the supervisor that the settings are read again; [`LifecycleAction::NotifyReady`] follows.
+    /// Notify the supervisor of a settings reload; [`LifecycleAction::NotifyReady`] follows once it is done.
     NotifyReloading,
-    /// Notify the supervisor that the router stops.
+    /// Notify the supervisor that the router is stopping.
     NotifyStopping,
-    /// Report the router as not ready, so that others stop sending, but accept what still arrives.
+    /// Report the router as not ready, so that clients stop sending, but accept requests that still arrive.
     EnterLameDuck,
-    /// Accept no new connections and requests. Open requests go on.
+    /// Accept no new connections or requests. Open requests continue.
     StopAccepting {
-        /// It will not be undone: the listening socket may be closed.
+        /// Whether accepting never resumes, so that the listening socket may be closed.
         permanent: bool,
     },
     /// Accept connections and requests again.
     ResumeAccepting,
     /// Read the settings and apply them.
     ReloadSettings,
-    /// Give every open request its final answer now, according to what is known of it.
+    /// Give every open request its final answer now, according to its present state.
     AnswerOpenRequests,
     /// End the process.
     Exit(StopReason),
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,7 +1,7 @@
-//! The lifecycle of a router's process: start, ready, reload, drain, stop. Decisions without input or output of their own.
+//! The lifecycle of a router process as a state machine without I/O: start, ready, reload, drain, stop.
 
 #![warn(clippy::pedantic, rustdoc::broken_intra_doc_links, rustdoc::private_intra_doc_links)]
-// Nearly every method of a state machine returns a value; where a dropped one is a mistake, the attribute is set by hand.
+// Nearly every method of a state machine returns a value; `must_use` is set by hand where ignoring the value is an error.
 #![allow(clippy::must_use_candidate)]
 
 mod event;
--- a/crates/state/src/lifecycle.rs
+++ b/crates/state/src/lifecycle.rs
@@ -1,91 +1,91 @@
-//! The phases of the process, and which events lead from one to the next.
+//! The phases of the process and the transitions between them.
 //!
-//! Every request that was accepted gets exactly one final answer before the process ends of its own accord: from its worker
-//! while the router drains, or by [`LifecycleAction::AnswerOpenRequests`]. Times are in µs of any one clock.
+//! Every accepted request gets exactly one final answer before the process exits by itself: from its worker while the router
+//! drains, or by [`LifecycleAction::AnswerOpenRequests`]. Times are in µs; the caller uses one clock for all of them.
 
 use serde::Serialize;
 
 use crate::event::{LifecycleAction, LifecycleEvent};
 use crate::stop::StopReason;
 
-/// How long the phases last, in µs.
+/// The time limits of the phases, in µs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifecycleTimeouts {
-    /// The router waits for an endpoint list for so long, then listens without one.
+    /// How long the router waits for an endpoint list at startup; after that it listens without one.
     pub endpoint_wait: u64,
-    /// After a termination request the router still accepts requests for so long: others notice only by then that it is not
-    /// ready. 0: not at all.
+    /// How long the router still accepts requests after a termination request, since clients need this time to notice that
+    /// it is not ready. 0 skips [`Phase::LameDuck`].
     pub lame_duck: u64,
-    /// A drain waits so long for open requests.
+    /// How long a drain waits for open requests to end.
     pub drain: u64,
-    /// The last answers have so long to be written.
+    /// How long the process waits for the last answers to be written.
     pub flush: u64,
 }
 
-/// Where the process is in its lifecycle. The serialized names are part of `status` and stay as they are.
+/// A phase of the process. The serialized names are part of the `status` output and must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Recovering, and waiting for an endpoint list.
+    /// Recovering and waiting for an endpoint list.
     Starting,
-    /// About to listen.
+    /// Opening the listening socket.
     #[serde(rename = "opening")]
     Binding,
     /// Accepting requests.
     Ready,
-    /// Accepting no requests because an operator asked so; may be undone.
+    /// Accepting no requests after [`LifecycleEvent::Drain`]; [`LifecycleEvent::Undrain`] reverts it.
     #[serde(rename = "drained")]
     Paused,
-    /// Asked to end and reported as not ready, but still accepting requests.
+    /// Termination was requested and the router reports itself as not ready, but it still accepts requests.
     #[serde(rename = "leaving")]
     LameDuck,
-    /// Accepting no requests and waiting for the open ones before the end.
+    /// Accepting no requests and waiting for open requests to end before the process exits.
     #[serde(rename = "ending")]
     Draining,
-    /// Writing the last answers.
+    /// Writing the final answers of requests that were still open.
     #[serde(rename = "farewell")]
     Flushing,
-    /// Ended.
+    /// The process exits, or has exited.
     #[serde(rename = "over")]
     Stopped,
 }
 
-/// The lifecycle of one process.
+/// The lifecycle state machine of one router process.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lifecycle {
     phase: Phase,
-    /// When the present phase times out.
-    until: Option<u64>,
-    /// The settings are to be read again as soon as the router is ready.
+    /// When the current phase times out, if it does.
+    phase_deadline: Option<u64>,
+    /// A reload was requested before the router was ready, and runs once it is.
     reload_when_ready: bool,
-    /// Why the process ends, once it does.
-    stop: StopReason,
+    /// The reason that the process reports when it exits from [`Phase::Flushing`].
+    stop_reason: StopReason,
     timeouts: LifecycleTimeouts,
 }
 
 impl Lifecycle {
-    /// A process that starts now.
+    /// Creates the lifecycle of a process that starts at `now`.
     pub fn new(timeouts: LifecycleTimeouts, now: u64) -> Self {
         Self {
             phase: Phase::Starting,
-            until: Some(now.saturating_add(timeouts.endpoint_wait)),
+            phase_deadline: Some(now.saturating_add(timeouts.endpoint_wait)),
             reload_when_ready: false,
-            stop: StopReason::Drained,
+            stop_reason: StopReason::Drained,
             timeouts,
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When [`LifecycleEvent::Tick`] has to be reported next.
+    /// Returns when [`LifecycleEvent::Tick`] has to be reported next, if at all.
     pub fn next_due(&self) -> Option<u64> {
-        self.until
+        self.phase_deadline
     }
 
-    /// Handles an event. One that means nothing in the present phase is ignored.
+    /// Handles an event and appends the resulting actions. Events without a meaning in the current phase are ignored.
     pub fn handle(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
         if self.phase != Phase::Stopped && event == LifecycleEvent::EventLoopFailed {
             actions.push(LifecycleAction::AnswerOpenRequests);
@@ -171,7 +171,7 @@
     fn handle_lame_duck(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
         match event {
             LifecycleEvent::Tick if self.has_timed_out(now) => self.drain(now, actions),
-            // The services that the router needs may move to other addresses while it still accepts requests.
+            // Services that the router depends on may change their address while it still accepts requests.
             LifecycleEvent::Reload if self.has_lame_duck() => {
                 actions.push(LifecycleAction::ReloadSettings);
             }
@@ -183,7 +183,7 @@
     fn handle_draining(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
         match event {
             LifecycleEvent::Idle => self.exit(StopReason::Drained, actions),
-            // As in the phase before: a router with that phase drains for long.
+            // Reloads are accepted for the same reason as in `LameDuck`: routers with a lame-duck phase have long drains.
             LifecycleEvent::Reload if self.has_lame_duck() => {
                 actions.push(LifecycleAction::ReloadSettings);
             }
@@ -197,23 +197,23 @@
 
     fn handle_flushing(&mut self, now: u64, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
         match event {
-            LifecycleEvent::Idle => self.exit(self.stop, actions),
-            LifecycleEvent::Tick if self.has_timed_out(now) => self.exit(self.stop, actions),
+            LifecycleEvent::Idle => self.exit(self.stop_reason, actions),
+            LifecycleEvent::Tick if self.has_timed_out(now) => self.exit(self.stop_reason, actions),
             _ => {}
         }
     }
 
     fn has_timed_out(&self, now: u64) -> bool {
-        self.until.is_some_and(|until| until <= now)
+        self.phase_deadline.is_some_and(|deadline| deadline <= now)
     }
 
     fn has_lame_duck(&self) -> bool {
         self.timeouts.lame_duck > 0
     }
 
-    fn enter(&mut self, phase: Phase, until: Option<u64>) {
+    fn enter(&mut self, phase: Phase, phase_deadline: Option<u64>) {
         self.phase = phase;
-        self.until = until;
+        self.phase_deadline = phase_deadline;
     }
 
     fn bind(&mut self, actions: &mut Vec<LifecycleAction>) {
@@ -226,15 +226,15 @@
         actions.push(LifecycleAction::StopAccepting { permanent: true });
     }
 
-    fn flush(&mut self, stop: StopReason, now: u64, actions: &mut Vec<LifecycleAction>) {
-        self.stop = stop;
+    fn flush(&mut self, stop_reason: StopReason, now: u64, actions: &mut Vec<LifecycleAction>) {
+        self.stop_reason = stop_reason;
         self.enter(Phase::Flushing, Some(now.saturating_add(self.timeouts.flush)));
         actions.push(LifecycleAction::AnswerOpenRequests);
     }
 
-    fn exit(&mut self, stop: StopReason, actions: &mut Vec<LifecycleAction>) {
+    fn exit(&mut self, stop_reason: StopReason, actions: &mut Vec<LifecycleAction>) {
         self.enter(Phase::Stopped, None);
-        actions.push(LifecycleAction::Exit(stop));
+        actions.push(LifecycleAction::Exit(stop_reason));
     }
 }
 
--- a/crates/state/src/stop.rs
+++ b/crates/state/src/stop.rs
@@ -1,29 +1,29 @@
-//! Why a process ended.
+//! The reasons why a router process stops, with their log names and exit codes.
 
 use serde::Serialize;
 
-/// Why the process ended. The serialized names are part of the router's output and stay as they are.
+/// The reason why the process stopped. The serialized names are part of the router's output and must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopReason {
-    /// All open requests had ended.
+    /// All open requests ended before the process stopped.
     Drained,
-    /// The drain timed out: open requests were answered that the router stops.
+    /// The drain timed out; the requests still open were answered with a notice that the router is stopping.
     #[serde(rename = "drain_time_up")]
     DrainTimedOut,
-    /// Termination was requested twice: open requests were answered that the router stops.
+    /// Termination was requested twice; open requests were answered with a notice that the router is stopping.
     #[serde(rename = "told")]
     TerminatedTwice,
-    /// The router could not listen.
+    /// The listening socket could not be opened.
     #[serde(rename = "no_listening")]
     ListenFailed,
-    /// The event loop could not go on.
+    /// The event loop failed.
     #[serde(rename = "broken")]
     EventLoopFailed,
 }
 
 impl StopReason {
-    /// The reason as the log line at the end of the process prints it.
+    /// The name of the reason in the last log line of the process.
     pub fn log_name(self) -> &'static str {
         match self {
             Self::Drained => "Drained",
--- a/crates/state/tests/lifecycle.rs
+++ b/crates/state/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Every order of events, to a depth at which each phase has been left in every possible way.
+//! Checks the lifecycle's guarantees in every order of events, to a depth at which every phase transition has occurred.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use std::collections::BTreeSet;
@@ -20,102 +20,114 @@
     LifecycleEvent::Tick,
 ];
 
-/// The guarantees that can be checked from the actions alone.
+/// The actions of one path so far, as far as the guarantees depend on them.
 #[derive(Clone, Default)]
-struct Seen {
-    listens: u32,
-    ready: u32,
-    taking: bool,
-    permanent: bool,
-    answered: bool,
-    /// Its timeouts include a lame-duck phase.
-    leaves: bool,
-    exits: u32,
+struct ObservedActions {
+    listen_count: u32,
+    ready_count: u32,
+    is_accepting: bool,
+    stopped_permanently: bool,
+    answered_open: bool,
+    /// The lifecycle under test has a lame-duck phase.
+    has_lame_duck: bool,
+    exit_count: u32,
 }
 
-impl Seen {
-    fn act(&mut self, act: LifecycleAction, path: &[LifecycleEvent]) {
-        assert_eq!(self.exits, 0, "nothing after the end: {path:?}");
-        match act {
+impl ObservedActions {
+    fn record(&mut self, action: LifecycleAction, path: &[LifecycleEvent]) {
+        assert_eq!(self.exit_count, 0, "action after exit: {path:?}");
+        match action {
             LifecycleAction::Listen => {
-                assert!(self.listens == 0 && self.ready == 0, "{path:?}");
-                self.listens += 1;
+                assert!(self.listen_count == 0 && self.ready_count == 0, "{path:?}");
+                self.listen_count += 1;
             }
             LifecycleAction::NotifyReady => {
                 assert!(
-                    self.listens == 1 && path.contains(&LifecycleEvent::Listening),
-                    "ready before it listens: {path:?}"
+                    self.listen_count == 1 && path.contains(&LifecycleEvent::Listening),
+                    "ready before the listening socket is open: {path:?}"
                 );
-                self.taking |= self.ready == 0;
-                self.ready += 1;
+                self.is_accepting |= self.ready_count == 0;
+                self.ready_count += 1;
             }
-            // With a lame-duck phase settings are read until all requests are answered; otherwise only before the stop.
+            // With a lame-duck phase, settings are reloaded until open requests are answered_open; without one, only until accepting stops.
             LifecycleAction::ReloadSettings => {
-                assert!(self.ready > 0 && !self.answered && (self.leaves || !self.permanent), "{path:?}");
+                assert!(
+                    self.ready_count > 0
+                        && !self.answered_open
+                        && (self.has_lame_duck || !self.stopped_permanently),
+                    "{path:?}"
+                );
             }
             LifecycleAction::StopAccepting { permanent } => {
-                assert!(!self.permanent, "twice for good: {path:?}");
-                (self.taking, self.permanent) = (false, permanent);
+                assert!(!self.stopped_permanently, "accepting stopped permanently twice: {path:?}");
+                (self.is_accepting, self.stopped_permanently) = (false, permanent);
             }
             LifecycleAction::ResumeAccepting => {
-                assert!(!self.taking && !self.permanent, "{path:?}");
-                self.taking = true;
+                assert!(!self.is_accepting && !self.stopped_permanently, "{path:?}");
+                self.is_accepting = true;
             }
-            LifecycleAction::AnswerOpenRequests => self.answered = true,
+            LifecycleAction::AnswerOpenRequests => self.answered_open = true,
             LifecycleAction::Exit(stop) => {
-                self.exits += 1;
-                // Every accepted request has its answer: it ended (Idle), or all were answered, or none was accepted.
-                let none_taken = self.ready == 0;
-                let by_itself = path.last() == Some(&LifecycleEvent::Idle);
-                assert!(none_taken || by_itself || self.answered, "left without an answer: {path:?}");
+                self.exit_count += 1;
+                // Every accepted request has its answer: all had ended (Idle), open ones were answered_open, or none was accepted.
+                let none_accepted = self.ready_count == 0;
+                let all_ended = path.last() == Some(&LifecycleEvent::Idle);
+                assert!(
+                    none_accepted || all_ended || self.answered_open,
+                    "exit without answering open requests: {path:?}"
+                );
                 assert_eq!(stop.exit_code() == 0, stop == StopReason::Drained);
             }
-            LifecycleAction::EnterLameDuck => assert!(self.taking && !self.permanent, "{path:?}"),
+            LifecycleAction::EnterLameDuck => {
+                assert!(self.is_accepting && !self.stopped_permanently, "{path:?}")
+            }
             LifecycleAction::NotifyReloading | LifecycleAction::NotifyStopping => {}
         }
     }
 }
 
-fn walk(
-    life: &Lifecycle,
-    seen: &Seen,
+fn explore(
+    lifecycle: &Lifecycle,
+    seen: &ObservedActions,
     now: u64,
     path: &mut Vec<LifecycleEvent>,
     depth: usize,
-    phases: &mut BTreeSet<(Phase, Phase)>,
+    phase_changes: &mut BTreeSet<(Phase, Phase)>,
 ) {
     if depth == 0 {
         return;
     }
     for (i, event) in EVENTS.into_iter().enumerate() {
-        // One tick comes when it is due, the other at once.
-        let later = if i == 0 { life.next_due().unwrap_or(now).max(now) } else { now };
-        let (mut next, mut acts, mut seen) = (life.clone(), Vec::new(), seen.clone());
-        next.handle(later, event, &mut acts);
-        if next == *life && acts.is_empty() {
+        // The first tick is reported when it is due, the last one immediately.
+        let at = if i == 0 { lifecycle.next_due().unwrap_or(now).max(now) } else { now };
+        let (mut next, mut actions, mut seen) = (lifecycle.clone(), Vec::new(), seen.clone());
+        next.handle(at, event, &mut actions);
+        if next == *lifecycle && actions.is_empty() {
             continue;
         }
-        phases.insert((life.phase(), next.phase()));
+        phase_changes.insert((lifecycle.phase(), next.phase()));
         path.push(event);
-        for act in acts {
-            seen.act(act, path);
+        for action in actions {
+            seen.record(action, path);
         }
-        assert_eq!(seen.exits == 1, next.phase() == Phase::Stopped, "{path:?}");
-        walk(&next, &seen, later, path, depth - 1, phases);
+        assert_eq!(seen.exit_count == 1, next.phase() == Phase::Stopped, "{path:?}");
+        explore(&next, &seen, at, path, depth - 1, phase_changes);
         path.pop();
     }
 }
 
 #[test]
-fn every_order_of_events_keeps_the_guarantees() {
+fn guarantees_hold_in_every_order_of_events() {
     use Phase::*;
-    let moves = |leave| {
-        let life =
-            Lifecycle::new(LifecycleTimeouts { endpoint_wait: 5, lame_duck: leave, drain: 10, flush: 2 }, 0);
-        let mut phases = BTreeSet::new();
-        let seen = Seen { leaves: leave > 0, ..Seen::default() };
-        walk(&life, &seen, 0, &mut Vec::new(), 9, &mut phases);
-        phases.into_iter().filter(|(a, b)| a != b).collect::<Vec<(Phase, Phase)>>()
+    let transitions = |lame_duck_time| {
+        let lifecycle = Lifecycle::new(
+            LifecycleTimeouts { endpoint_wait: 5, lame_duck: lame_duck_time, drain: 10, flush: 2 },
+            0,
+        );
+        let mut phase_changes = BTreeSet::new();
+        let seen = ObservedActions { has_lame_duck: lame_duck_time > 0, ..ObservedActions::default() };
+        explore(&lifecycle, &seen, 0, &mut Vec::new(), 9, &mut phase_changes);
+        phase_changes.into_iter().filter(|(a, b)| a != b).collect::<Vec<(Phase, Phase)>>()
     };
     let expected = [
         (Starting, Binding),
@@ -132,33 +144,36 @@
         (Draining, Stopped),
         (Flushing, Stopped),
     ];
-    assert_eq!(moves(0), expected);
-    // With a lame-duck phase there are these in addition.
-    let slowly = moves(3);
-    let more: Vec<_> = slowly.iter().filter(|m| !expected.contains(m)).copied().collect();
-    assert_eq!(more, [(Ready, LameDuck), (LameDuck, Draining), (LameDuck, Flushing), (LameDuck, Stopped)]);
+    assert_eq!(transitions(0), expected);
+    // Transitions that exist only with a lame-duck phase.
+    let with_lame_duck = transitions(3);
+    let additional: Vec<_> = with_lame_duck.iter().filter(|m| !expected.contains(m)).copied().collect();
+    assert_eq!(
+        additional,
+        [(Ready, LameDuck), (LameDuck, Draining), (LameDuck, Flushing), (LameDuck, Stopped)]
+    );
 }
 
 #[test]
 fn second_termination_and_drain_timeout_have_their_own_exit_codes() {
-    let end = |events: &[(u64, LifecycleEvent)]| {
-        let mut life =
+    let actions_after = |events: &[(u64, LifecycleEvent)]| {
+        let mut lifecycle =
             Lifecycle::new(LifecycleTimeouts { endpoint_wait: 5, lame_duck: 0, drain: 10, flush: 2 }, 0);
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         for (now, event) in events {
-            life.handle(*now, *event, &mut acts);
+            lifecycle.handle(*now, *event, &mut actions);
         }
-        acts
+        actions
     };
-    let up =
+    let terminated =
         [(1, LifecycleEvent::EndpointsKnown), (1, LifecycleEvent::Listening), (2, LifecycleEvent::Terminate)];
-    let twice = [&up[..], &[(3, LifecycleEvent::Terminate), (4, LifecycleEvent::Idle)]].concat();
+    let twice = [&terminated[..], &[(3, LifecycleEvent::Terminate), (4, LifecycleEvent::Idle)]].concat();
     assert_eq!(
-        end(&twice)[4..],
+        actions_after(&twice)[4..],
         [LifecycleAction::AnswerOpenRequests, LifecycleAction::Exit(StopReason::TerminatedTwice)]
     );
-    let late = [
-        &up[..],
+    let drain_timed_out = [
+        &terminated[..],
         &[
             (11, LifecycleEvent::Tick),
             (12, LifecycleEvent::Tick),
@@ -168,11 +183,15 @@
     ]
     .concat();
     assert_eq!(
-        end(&late)[4..],
+        actions_after(&drain_timed_out)[4..],
         [LifecycleAction::AnswerOpenRequests, LifecycleAction::Exit(StopReason::DrainTimedOut)]
     );
     assert_eq!(
-        end(&[(1, LifecycleEvent::Reload), (5, LifecycleEvent::Tick), (5, LifecycleEvent::Listening)])[1..]
+        actions_after(&[
+            (1, LifecycleEvent::Reload),
+            (5, LifecycleEvent::Tick),
+            (5, LifecycleEvent::Listening)
+        ])[1..]
             .len(),
         4
     );
--- a/crates/state/tests/transitions.rs
+++ b/crates/state/tests/transitions.rs
@@ -1,5 +1,5 @@
-//! Every step of the lifecycle from every state equals a recorded one, and `status` and logs print phases and stop reasons by
-//! the same names as ever.
+//! Compares every transition from every reachable state with a recorded one, and checks the names that `status` and the logs
+//! print for phases and stop reasons, which operators' tools match.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use std::collections::BTreeSet;
@@ -22,8 +22,8 @@
     (LifecycleEvent::EventLoopFailed, "broken"),
 ];
 
-fn act(act: &LifecycleAction) -> String {
-    match act {
+fn action_label(action: &LifecycleAction) -> String {
+    match action {
         LifecycleAction::Listen => "listen".into(),
         LifecycleAction::NotifyReady => "say-ready".into(),
         LifecycleAction::NotifyReloading => "say-reloading".into(),
@@ -39,33 +39,36 @@
     }
 }
 
-fn phase(life: &Lifecycle) -> String {
-    let due = life.next_due().map_or("never".into(), |at| at.to_string());
-    format!("{} until {due}", serde_json::to_value(life.phase()).unwrap())
+fn phase_label(lifecycle: &Lifecycle) -> String {
+    let due = lifecycle.next_due().map_or("never".into(), |at| at.to_string());
+    format!("{} until {due}", serde_json::to_value(lifecycle.phase()).unwrap())
 }
 
-/// All reachable states, each with the shortest sequence of events to it, and all steps from it: at once, and when it is due.
-fn transitions(leave: u64) -> Vec<String> {
+/// Lists all reachable states, each with the shortest sequence of events to it, and all transitions from it: at the time of the
+/// state, and when its timeout is due.
+fn transitions(lame_duck_time: u64) -> Vec<String> {
     let mut lines = Vec::new();
-    let begun =
-        Lifecycle::new(LifecycleTimeouts { endpoint_wait: 5, lame_duck: leave, drain: 10, flush: 2 }, 0);
-    let mut waiting = vec![(begun.clone(), 0, String::from("begun"))];
-    let mut seen = BTreeSet::from([begun]);
+    let initial = Lifecycle::new(
+        LifecycleTimeouts { endpoint_wait: 5, lame_duck: lame_duck_time, drain: 10, flush: 2 },
+        0,
+    );
+    let mut waiting = vec![(initial.clone(), 0, String::from("begun"))];
+    let mut seen = BTreeSet::from([initial]);
     while !waiting.is_empty() {
-        let (life, now, way) = waiting.remove(0);
-        lines.push(format!("leave {leave} at {now}, {way}: {}", phase(&life)));
+        let (lifecycle, now, path) = waiting.remove(0);
+        lines.push(format!("leave {lame_duck_time} at {now}, {path}: {}", phase_label(&lifecycle)));
         for (event, name) in EVENTS {
-            let times = [Some(now), life.next_due().filter(|due| *due > now)];
+            let times = [Some(now), lifecycle.next_due().filter(|due| *due > now)];
             for at in times.into_iter().flatten() {
-                let (mut next, mut acts) = (life.clone(), Vec::new());
-                next.handle(at, event, &mut acts);
-                if next == life && acts.is_empty() {
+                let (mut next, mut actions) = (lifecycle.clone(), Vec::new());
+                next.handle(at, event, &mut actions);
+                if next == lifecycle && actions.is_empty() {
                     continue;
                 }
-                let acts: Vec<String> = acts.iter().map(act).collect();
-                lines.push(format!("  {name} at {at} -> {}; {}", phase(&next), acts.join(" ")));
+                let actions: Vec<String> = actions.iter().map(action_label).collect();
+                lines.push(format!("  {name} at {at} -> {}; {}", phase_label(&next), actions.join(" ")));
                 if seen.insert(next.clone()) {
-                    waiting.push((next, at, format!("{way} {name}")));
+                    waiting.push((next, at, format!("{path} {name}")));
                 }
             }
         }
@@ -74,21 +77,21 @@
 }
 
 #[test]
-fn every_step_from_every_state_equals_the_recorded_one() {
+fn transitions_from_every_state_match_the_recorded_ones() {
     let lines = [transitions(0), transitions(3)].concat();
     let recorded: Vec<&str> = TRANSITIONS.lines().collect();
     assert!(lines.len() > 100, "{}", lines.len());
     assert_eq!(lines, recorded);
 }
 
-/// `drain_time_up` as the last log line prints it: `DrainTimeUp`.
-fn logged(name: &str) -> String {
+/// Converts a serialized name to the form of the last log line: `drain_time_up` to `DrainTimeUp`.
+fn log_name(name: &str) -> String {
     let word = |word: &str| word[..1].to_uppercase() + &word[1..];
     name.split('_').map(word).collect()
 }
 
 #[test]
-fn phases_and_stop_reasons_are_printed_by_their_names() {
+fn phases_and_stop_reasons_keep_their_printed_names() {
     let printed = |value: serde_json::Value| value.as_str().unwrap().to_owned();
     let phases = [
         (Phase::Starting, "starting"),
@@ -111,7 +114,7 @@
         (StopReason::EventLoopFailed, "broken", 1),
     ];
     for (stop, name, code) in stops {
-        assert_eq!(stop.log_name(), logged(name), "the log's `reason`");
+        assert_eq!(stop.log_name(), log_name(name), "the log's `reason`");
         assert_eq!(printed(serde_json::to_value(stop).unwrap()), name);
         assert_eq!(stop.exit_code(), code, "{name}");
     }
