--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -1,7 +1,7 @@
-//! A replica's votes on the next revision number: the acceptor of single-decree Paxos, one instance for each number.
+//! The acceptor role of single-decree Paxos: a replica's votes on the next revision number, one instance for each number.
 //!
 //! A revision is decided once a quorum has accepted it under one ballot. The acceptor's state has to be on the replica's
-//! disk before its answer is sent.
+//! disk before the acceptor's answer is sent.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,17 +11,17 @@
 /// An acceptor's answer to a proposer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AcceptorReply {
-    /// It takes part in no older ballot. Carries what it has accepted before, if anything.
+    /// The acceptor promises to accept nothing under older ballots. Carries its last accepted vote, if it has one.
     Promised(Option<Vote>),
-    /// It has accepted the revision.
+    /// The acceptor has accepted the revision.
     Accepted,
-    /// It has promised this newer ballot.
+    /// The acceptor has already promised this newer ballot.
     Rejected(Ballot),
-    /// The number is decided already, or is not the next one at this replica.
+    /// The number is already decided, or is not the next number at this replica.
     NotNext,
 }
 
-/// The votes on one revision number. Votes on decided numbers are dropped.
+/// The votes of one replica on one revision number. Votes on decided numbers are discarded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Acceptor {
     number: RevisionNumber,
@@ -30,22 +30,22 @@
 }
 
 impl Acceptor {
-    /// An acceptor without votes for the number after `decided`.
+    /// Creates an acceptor without votes for the number after `decided`.
     pub fn after(decided: RevisionNumber) -> Self {
         Self { number: decided.next(), promised: None, accepted: None }
     }
 
-    /// The number that it votes on.
+    /// Returns the number that the acceptor votes on.
     pub fn number(&self) -> RevisionNumber {
         self.number
     }
 
-    /// The highest round that it has promised.
+    /// Returns the round of the highest promised ballot, or 0 if no ballot was promised.
     pub fn round(&self) -> u64 {
         self.promised.map_or(0, |ballot| ballot.round)
     }
 
-    /// Answers a proposer that wants to open a ballot.
+    /// Handles a prepare request, by which a proposer starts a ballot.
     pub fn prepare(&mut self, number: RevisionNumber, ballot: Ballot) -> AcceptorReply {
         if number != self.number {
             return AcceptorReply::NotNext;
@@ -57,7 +57,7 @@
         AcceptorReply::Promised(self.accepted.clone())
     }
 
-    /// Answers a proposer that wants its revision accepted.
+    /// Handles an accept request for a proposer's revision.
     pub fn accept(&mut self, vote: Vote) -> AcceptorReply {
         if vote.revision.number != self.number {
             return AcceptorReply::NotNext;
--- a/crates/control/src/authentication.rs
+++ b/crates/control/src/authentication.rs
@@ -1,35 +1,36 @@
-//! Authentication of messages and files: a keyed MAC over the bytes and the domain they are meant for.
+//! Authentication of messages and files by HMAC-SHA256 over a domain and the bytes.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Bytes of an authentication tag.
+/// Length of an authentication tag, in bytes.
 pub const TAG_BYTES: usize = 32;
 
-/// The key that all control replicas and routers of a site share.
+/// The secret key that all control replicas and routers of a site share.
 #[derive(Clone)]
 pub struct SiteKey([u8; 32]);
 
-/// Never prints the key.
+/// Hides the key, so that it never appears in logs.
 impl std::fmt::Debug for SiteKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("SiteKey(..)")
     }
 }
 
-/// The authentication tag does not match: the bytes were changed or truncated, or tagged with another site's key or for
-/// another domain.
+/// The authentication tag is missing or does not match: the bytes were changed or truncated, or the tag was made with another
+/// site's key or for another domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the seal does not fit: changed, cut short, or sealed under another site's key")]
+#[error("the authentication tag does not match: data changed, truncated, or tagged with another site's key")]
 pub struct AuthenticationError;
 
 impl SiteKey {
-    /// The key with these bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 
-    /// The domain is part of the input, so that a file can't be passed off as a message. No domain holds a zero byte.
+    /// Computes the MAC. The domain is part of the input, so that a file can't be used as a message. The zero byte ends the domain
+    /// unambiguously, since no domain contains one.
     fn mac(&self, domain: &str, bytes: &[u8]) -> Option<Hmac<Sha256>> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
         mac.update(domain.as_bytes());
@@ -38,7 +39,7 @@
         Some(mac)
     }
 
-    /// The bytes followed by their tag.
+    /// Returns the bytes followed by their tag.
     pub fn append_tag(&self, domain: &str, mut bytes: Vec<u8>) -> Vec<u8> {
         if let Some(mac) = self.mac(domain, &bytes) {
             bytes.extend_from_slice(&mac.finalize().into_bytes());
@@ -46,7 +47,7 @@
         bytes
     }
 
-    /// The bytes without their tag, which is compared in constant time.
+    /// Verifies the tag in constant time and returns the bytes without it.
     ///
     /// # Errors
     /// The tag is missing or does not match.
--- a/crates/control/src/ballot.rs
+++ b/crates/control/src/ballot.rs
@@ -1,27 +1,28 @@
-//! The identities of consensus: a replica, its ballot, and a vote under it.
+//! Consensus types: replica ids, ballots and votes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::revision::Revision;
 
-/// A control replica, by its position in the list of replicas that the whole site is configured with.
+/// A control replica, identified by its index in the list of replicas that all nodes of the site are configured with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u8);
 
-/// An attempt to decide a revision number. The higher ballot wins; no two are equal, since each names its replica.
+/// An attempt to decide a revision number. The higher ballot wins; ballots of different replicas are never equal, since each
+/// contains its replica's id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts attempts to decide the number.
+    /// The count of attempts to decide the number; compared first.
     pub round: u64,
-    /// The replica that proposes.
+    /// The proposing replica.
     pub replica: ReplicaId,
 }
 
-/// A revision that an acceptor has accepted, and the ballot under which it was proposed.
+/// A revision and the ballot under which it is proposed or was accepted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Vote {
-    /// The ballot.
+    /// The ballot of the proposal.
     pub ballot: Ballot,
-    /// The accepted revision.
+    /// The proposed or accepted revision.
     pub revision: Revision,
 }
--- a/crates/control/src/connection.rs
+++ b/crates/control/src/connection.rs
@@ -1,15 +1,15 @@
-//! The state of a router's connection to a control replica, and when it has to be looked at next.
+//! The state of a router's connection to a control replica, and its timeouts.
 
 use crate::time::Micros;
 
-/// A router sends a heartbeat this often, and the replica answers it.
+/// The interval between a router's heartbeats, in µs. The replica answers each.
 pub(crate) const HEARTBEAT_INTERVAL: Micros = 3_000_000;
-/// A replica that has sent nothing for so long after a heartbeat is given up for the next one.
+/// How long a router waits for any message after a heartbeat, in µs, before it fails over to the next replica.
 pub(crate) const HEARTBEAT_TIMEOUT: Micros = 2_000_000;
-/// A connection has to be established within this.
+/// How long a router waits for a connection to be established, in µs.
 pub(crate) const CONNECT_TIMEOUT: Micros = 1_000_000;
 
-/// One connection at a time.
+/// The state of the router's only connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Connection {
     Closed { retry_at: Micros },
@@ -18,7 +18,7 @@
 }
 
 impl Connection {
-    /// When the connection is due: to be attempted, given up, or used for a heartbeat.
+    /// Returns when the connection has to be attempted, closed because of a timeout, or used for a heartbeat.
     pub(crate) fn next_due(self) -> Micros {
         match self {
             Self::Closed { retry_at } => retry_at,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether nothing was received since the last heartbeat.
+    /// Returns whether nothing was received since the last heartbeat.
     pub(crate) fn awaits_answer(self) -> bool {
         match self {
             Self::Open { last_received_at, last_heartbeat_at } => last_received_at < last_heartbeat_at,
--- a/crates/control/src/document.rs
+++ b/crates/control/src/document.rs
@@ -1,4 +1,4 @@
-//! The configuration as a set of entries, and the difference between two states of it.
+//! The configuration as a set of entries, and deltas between two versions of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,19 +6,19 @@
 
 use crate::digest::Digest;
 
-/// Limit of one entry's key and value together.
+/// Maximum length of one entry's key and value together, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 64 * 1024;
-/// Limit of the changes in one revision.
+/// Maximum number of changes in one revision.
 pub const MAX_CHANGES: usize = 10_000;
-/// Limit of a document's keys and values together.
+/// Maximum length of all keys and values of a document together, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 32 * 1024 * 1024;
 
 /// One entry: a part of the settings that changes as a unit, such as a tenant.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its path, such as `tenants/tenant[acme]`.
+    /// The path that identifies the entry, such as `tenants/tenant[acme]`.
     pub key: Box<str>,
-    /// Its text.
+    /// The entry's text.
     pub value: Box<str>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Change {
-    /// The key of the entry that changes.
+    /// Returns the key of the entry that changes.
     pub fn key(&self) -> &str {
         match self {
             Self::Set(entry) => &entry.key,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The difference between two states of the configuration. Names each entry at most once.
+/// The difference between two versions of the configuration. Each key occurs at most once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Delta(pub Vec<Change>);
 
@@ -64,38 +64,38 @@
     }
 }
 
-/// Why a document can't be built, or a delta not applied to it. A delta with an error changes nothing.
+/// Why a document can't be built or a delta can't be applied. A delta that fails leaves the document unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum DocumentError {
     /// The delta has more than [`MAX_CHANGES`] changes.
-    #[error("{count} changes, at most {max}", max = MAX_CHANGES)]
+    #[error("the delta has {count} changes, the maximum is {max}", max = MAX_CHANGES)]
     TooManyChanges {
-        /// How many it has.
+        /// The number of changes in the delta.
         count: usize,
     },
     /// An entry is longer than [`MAX_ENTRY_BYTES`].
-    #[error("{key}: longer than {max} bytes", max = MAX_ENTRY_BYTES)]
+    #[error("entry {key}: key and value are longer than {max} bytes", max = MAX_ENTRY_BYTES)]
     EntryTooLong {
         /// The entry's key.
         key: Box<str>,
     },
     /// The document would be longer than [`MAX_DOCUMENT_BYTES`].
-    #[error("the whole would be longer than {max} bytes", max = MAX_DOCUMENT_BYTES)]
+    #[error("the document would be longer than {max} bytes", max = MAX_DOCUMENT_BYTES)]
     DocumentTooLong,
-    /// The delta names an entry twice.
-    #[error("{key}: named twice")]
+    /// The delta contains two changes of one entry.
+    #[error("entry {key}: changed more than once in the delta")]
     DuplicateKey {
         /// The entry's key.
         key: Box<str>,
     },
     /// The delta removes an entry that does not exist.
-    #[error("{key}: to be removed, and not there")]
+    #[error("entry {key}: can't be removed because it does not exist")]
     MissingKey {
         /// The entry's key.
         key: Box<str>,
     },
-    /// The result does not have the digest that the revision names.
-    #[error("the result has another digest than the revision says")]
+    /// The resulting document does not have the digest that the revision declares.
+    #[error("the resulting document does not have the digest of the revision")]
     DigestMismatch,
 }
 
@@ -108,7 +108,7 @@
 }
 
 impl Document {
-    /// A document of these entries; a later one replaces an earlier one with the same key.
+    /// Creates a document from entries; a later entry replaces an earlier one with the same key.
     ///
     /// # Errors
     /// An entry or the document is longer than its limit.
@@ -126,37 +126,37 @@
         Ok(document)
     }
 
-    /// The digest of all entries.
+    /// Returns the digest of all entries.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Bytes of all keys and values.
+    /// Returns the length of all keys and values, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Returns whether the document has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The value of an entry.
+    /// Returns the value of the entry with this key.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.entries.get(key).map(AsRef::as_ref)
     }
 
-    /// All entries in the order of their keys.
+    /// Returns all entries in the order of their keys.
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         self.entries.iter().map(|(key, value)| Entry { key: key.clone(), value: value.clone() })
     }
 
-    /// The delta that turns this document into `target`.
+    /// Computes the delta that turns this document into `target`.
     pub fn difference(&self, target: &Self) -> Delta {
         let removed = self.entries.keys().filter(|key| !target.entries.contains_key(*key));
         let removals = removed.cloned().map(Change::Remove);
@@ -165,8 +165,8 @@
         Delta(removals.chain(additions).collect())
     }
 
-    /// Checks a delta and returns the digest that the result would have. Costs as much as the delta is long, not the
-    /// document.
+    /// Checks a delta and returns the digest that the result would have. The cost grows with the length of the delta, not of
+    /// the document.
     ///
     /// # Errors
     /// The delta can't be applied.
@@ -207,10 +207,10 @@
         Ok(digest)
     }
 
-    /// Applies a delta whose result has this digest: all of it or nothing.
+    /// Applies a delta atomically. `digest` is the expected digest of the result.
     ///
     /// # Errors
-    /// The delta can't be applied, or its result has another digest.
+    /// The delta can't be applied, or the result does not have the expected digest.
     pub fn apply(&mut self, delta: &Delta, digest: Digest) -> Result<(), DocumentError> {
         if self.preview(delta)? != digest {
             return Err(DocumentError::DigestMismatch);
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -1,4 +1,4 @@
-//! The current configuration, and the last revisions that led to it.
+//! The current configuration and the most recent revisions that produced it.
 
 use std::collections::VecDeque;
 
@@ -6,64 +6,64 @@
 use crate::document::{Document, DocumentError};
 use crate::revision::{Revision, RevisionNumber};
 
-/// How many past revisions are retained. A subscriber further behind gets a snapshot.
+/// How many past revisions are retained. A peer that is further behind gets a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Retention {
-    /// Limit of the revisions.
+    /// Maximum number of retained revisions.
     pub revisions: usize,
-    /// Limit of the bytes that they change.
+    /// Maximum total length of the keys and values that the retained revisions change, in bytes.
     pub bytes: usize,
 }
 
 impl Default for Retention {
-    /// Enough for a few hours of an ordinary day, in at most a megabyte.
+    /// Covers a few hours of typical changes in at most 1 MiB.
     fn default() -> Self {
         Self { revisions: 512, bytes: 1024 * 1024 }
     }
 }
 
-/// What brings a peer up to date.
+/// What has to be sent to bring a peer up to date.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CatchUp {
-    /// Nothing: it has the newest revision.
+    /// Nothing: the peer has the newest revision.
     Current,
     /// These revisions, in order.
     Revisions(Vec<Revision>),
-    /// The complete document: it is further behind than revisions are retained.
+    /// The complete document: the peer is missing revisions that are no longer retained.
     Snapshot,
-    /// Nothing can: its document under its number is not what was decided.
+    /// Nothing: the peer's document differs from the one that was decided under its number.
     Diverged,
 }
 
-/// Why a revision is not appended. The history is unchanged.
+/// Why a revision can't be appended. The history is unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HistoryError {
-    /// Its number is not the next one.
-    #[error("revision {number} does not follow {current}")]
+    /// The revision's number is not the next one.
+    #[error("revision {number} is not the next one after revision {current}")]
     NotNext {
         /// The revision's number.
         number: RevisionNumber,
         /// The newest number of this history.
         current: RevisionNumber,
     },
-    /// It follows a document other than the current one: two histories.
-    #[error("revision {number} follows another configuration than the one before it here")]
+    /// The revision is based on a document other than the current one: the histories have diverged.
+    #[error("revision {number} is based on a configuration other than the current one")]
     Diverged {
         /// The revision's number.
         number: RevisionNumber,
     },
-    /// Its delta can't be applied.
+    /// The revision's delta can't be applied.
     #[error("revision {number} can't be applied")]
     Invalid {
         /// The revision's number.
         number: RevisionNumber,
-        /// What is wrong with the delta.
+        /// The error of the delta.
         #[source]
         cause: DocumentError,
     },
 }
 
-/// The current document with its number, and the past revisions that are retained.
+/// The current document with its number, and the retained past revisions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct History {
     document: Document,
@@ -74,25 +74,25 @@
 }
 
 impl History {
-    /// A history that begins with a document and has no past.
+    /// Creates a history that starts with a document and has no past revisions.
     pub fn new(number: RevisionNumber, document: Document, retention: Retention) -> Self {
         Self { document, number, past: VecDeque::new(), past_bytes: 0, retention }
     }
 
-    /// The number of the newest revision.
+    /// Returns the number of the newest revision.
     pub fn number(&self) -> RevisionNumber {
         self.number
     }
 
-    /// The current document.
+    /// Returns the current document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Appends the next revision: all of it or nothing. Costs as much as the revision is long.
+    /// Appends the next revision atomically. The cost grows with the length of the revision, not of the document.
     ///
     /// # Errors
-    /// The revision does not follow the newest one, or can't be applied.
+    /// The revision is not the next one, is based on another document, or can't be applied.
     pub fn append(&mut self, revision: Revision) -> Result<(), HistoryError> {
         let number = revision.number;
         if number != self.number.next() {
@@ -117,21 +117,21 @@
         }
     }
 
-    /// The revision with this number, if it is retained.
+    /// Returns the revision with this number, if it is retained.
     pub fn revision(&self, number: RevisionNumber) -> Option<&Revision> {
         let oldest = self.past.front()?.number;
         let index = usize::try_from(number.0.checked_sub(oldest.0)?).ok()?;
         self.past.get(index)
     }
 
-    /// What brings a peer up to date whose document has this number and digest.
+    /// Determines what brings a peer up to date whose document has this number and digest.
     pub fn catch_up(&self, number: RevisionNumber, digest: Digest) -> CatchUp {
         if number == self.number && digest == self.document.digest() {
             return CatchUp::Current;
         }
         match self.revision(number.next()) {
             Some(next) if next.before == digest => CatchUp::Revisions(self.revisions_after(number)),
-            // Number 0 is the empty configuration of a new peer, which any history may replace.
+            // Number 0 is the initial configuration of a new peer, which any history may replace.
             Some(_) if number == RevisionNumber::default() => CatchUp::Snapshot,
             Some(_) => CatchUp::Diverged,
             None if number == self.number && number > RevisionNumber::default() => CatchUp::Diverged,
--- a/crates/control/src/known_good.rs
+++ b/crates/control/src/known_good.rs
@@ -1,4 +1,4 @@
-//! The last known good configuration as a file: a router starts from it when no control replica can be reached.
+//! The file with the last known good configuration, from which a router starts when it reaches no control replica.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,56 +7,56 @@
 use crate::document::{Document, DocumentError, Entry};
 use crate::revision::RevisionNumber;
 
-/// The first bytes of the file: its kind, and the version of its format.
+/// The first bytes of the file: the file type and, in the last byte, the format version.
 const FORMAT: &[u8; 8] = b"CHALKCF1";
 const FORMAT_WITHOUT_VERSION: &[u8] = b"CHALKCF";
 const DOMAIN: &str = "chalkyard-known-good-1";
 
-/// The content of the file.
+/// The contents of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownGood {
     /// The configuration's number.
     pub number: RevisionNumber,
     /// The configuration's digest.
     pub digest: Digest,
-    /// When it came into force, in µs since 1970 by the router's clock.
+    /// When the configuration was applied, in µs since the Unix epoch by the router's clock.
     pub since: u64,
     /// All entries of the configuration.
     pub entries: Vec<Entry>,
 }
 
-/// Why a file is not used.
+/// Why a file can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KnownGoodError {
-    /// It is not a file of this kind.
-    #[error("no kept configuration")]
+    /// The file is not a last known good configuration.
+    #[error("not a last known good configuration file")]
     UnknownFormat,
-    /// Its format is of another version.
-    #[error("a kept configuration of a later format")]
+    /// The file has another format version.
+    #[error("the last known good configuration has an unsupported format version")]
     UnsupportedVersion,
-    /// It was changed or truncated, or belongs to another site.
-    #[error("a kept configuration that is damaged, cut short or another site's")]
+    /// The file was changed or truncated, or belongs to another site.
+    #[error("the last known good configuration is corrupt, truncated or from another site")]
     Corrupt {
-        /// How that shows.
+        /// The check that failed.
         #[source]
         cause: CorruptionCause,
     },
 }
 
-/// How a damaged file is recognized.
+/// The check that a corrupt file failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CorruptionCause {
-    /// Its authentication tag does not match.
+    /// The authentication tag does not match.
     #[error(transparent)]
     NotAuthentic(#[from] AuthenticationError),
-    /// Its content can't be decoded.
-    #[error("the content can't be decoded")]
+    /// The contents can't be decoded.
+    #[error("the contents can't be decoded")]
     Undecodable,
-    /// Its entries form no document.
+    /// The entries do not form a valid document.
     #[error(transparent)]
     InvalidDocument(#[from] DocumentError),
-    /// Its entries have another digest than it names.
-    #[error("the entries have another digest than the file says")]
+    /// The entries do not have the digest that the file declares.
+    #[error("the entries do not have the digest that the file declares")]
     DigestMismatch,
 }
 
@@ -67,23 +67,23 @@
 }
 
 impl KnownGood {
-    /// The file's content for a document that came into force at `since`.
+    /// Creates the contents for a document that was applied at `since`, in µs since the Unix epoch.
     pub fn new(number: RevisionNumber, document: &Document, since: u64) -> Self {
         Self { number, digest: document.digest(), since, entries: document.entries().collect() }
     }
 
-    /// The file's bytes.
+    /// Encodes the file and appends its authentication tag.
     pub fn encode(&self, key: &SiteKey) -> Vec<u8> {
         let mut bytes = FORMAT.to_vec();
-        // Serialization can't fail: the content holds no type that postcard rejects.
+        // Serialization can't fail: the contents have no type that postcard rejects.
         bytes.extend(key.append_tag(DOMAIN, postcard::to_stdvec(self).unwrap_or_default()));
         bytes
     }
 
-    /// Reads a file. Nothing is decoded before its tag was verified.
+    /// Decodes a file. The tag is verified before the contents are decoded.
     ///
     /// # Errors
-    /// The file is of another kind or version, or is corrupt.
+    /// The file has another type or version, or is corrupt.
     pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<(Self, Document), KnownGoodError> {
         let Some((format, tagged)) = bytes.split_at_checked(FORMAT.len()) else {
             return Err(KnownGoodError::UnknownFormat);
--- a/crates/control/src/learner.rs
+++ b/crates/control/src/learner.rs
@@ -1,44 +1,44 @@
-//! What a router has learned of the configuration: revisions are applied one after another, and never undone.
+//! The learner role of a router: applies decided revisions in order and never reverts one.
 
 use crate::document::{Document, DocumentError};
 use crate::history::{History, HistoryError, Retention};
 use crate::revision::{Revision, RevisionNumber};
 
-/// What became of a revision or a snapshot.
+/// The result of learning a revision or a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LearnOutcome {
-    /// It is the newest one now.
+    /// It was applied and is now the newest one.
     Applied,
-    /// It is older than the newest one, or the same.
+    /// It is not newer than the current one.
     Stale,
     /// Revisions before it are missing and have to be requested.
     Gap,
-    /// It contradicts a number that is known already, or follows another history. Never applied.
+    /// It has other content than a known revision of the same number, or belongs to another history. It is not applied.
     Diverged,
-    /// It can't be applied. A snapshot is needed to go on.
+    /// It can't be applied. The learner needs a snapshot to continue.
     Invalid(DocumentError),
 }
 
-/// The newest configuration that a router has learned.
+/// The newest configuration that a router has learned, with its number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Learner {
     history: History,
 }
 
 impl Learner {
-    /// A learner that starts with its last known good configuration, or with the empty one at number 0.
+    /// Creates a learner that starts with its last known good configuration, or with the empty one at number 0.
     pub fn new(number: RevisionNumber, document: Document) -> Self {
-        // Routers forward nothing. One revision is retained, to tell a repeated one from one with other content.
+        // Routers never forward revisions. One is retained to distinguish a repeated revision from one with other content.
         let retention = Retention { revisions: 1, bytes: usize::MAX };
         Self { history: History::new(number, document, retention) }
     }
 
-    /// The newest number.
+    /// Returns the newest number.
     pub fn number(&self) -> RevisionNumber {
         self.history.number()
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration.
     pub fn document(&self) -> &Document {
         self.history.document()
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Learns a snapshot. It replaces everything if it is newer, whatever revisions lie between.
+    /// Learns a snapshot. A newer snapshot replaces the document and may skip any number of revisions.
     pub fn learn_snapshot(&mut self, number: RevisionNumber, document: Document) -> LearnOutcome {
         let current = self.history.number();
         if number < current {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -44,7 +44,7 @@
 pub use known_good::{CorruptionCause, KnownGood, KnownGoodError};
 pub use learner::{LearnOutcome, Learner};
 pub use message::{Message, MessageError, MAX_MESSAGE_BYTES};
-pub use proposer::{Progress, Proposer};
+pub use proposer::{ProposalProgress, Proposer};
 pub use publication::{InvalidChangeError, PublishOutcome, ValidationError, Validator};
 pub use quorum::Quorum;
 pub use replica::{Replica, ReplicaAction};
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between control replicas, and between them and routers.
+//! Messages between control replicas, and between control replicas and routers.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,31 +8,31 @@
 use crate::document::{Document, Entry, MAX_DOCUMENT_BYTES};
 use crate::revision::{Revision, RevisionNumber};
 
-/// Limit of an encoded message without its tag: a complete document and the framing of its entries.
+/// Maximum length of an encoded message without its tag, in bytes: a complete document and the framing of its entries.
 pub const MAX_MESSAGE_BYTES: usize = MAX_DOCUMENT_BYTES + MAX_DOCUMENT_BYTES / 4;
 
 const DOMAIN: &str = "chalkyard-control-1";
 
-/// A message. Postcard encodes the position of each variant and field: new ones go to the end.
+/// A message. Postcard encodes variants by index and fields by position, so new ones have to be appended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// The newest revision that the sender has. Answered with what brings it up to date, unless it is.
+    /// Announces the sender's newest revision. A receiver that is ahead answers with what brings the sender up to date.
     Heartbeat {
         /// The sender's newest number.
         number: RevisionNumber,
-        /// The digest of its document.
+        /// The digest of the sender's document.
         digest: Digest,
     },
     /// A decided revision.
     Decided(Revision),
     /// The complete document.
     Snapshot {
-        /// The number under which it was decided.
+        /// The number of the newest revision in the document.
         number: RevisionNumber,
         /// All entries, in the order of their keys.
         entries: Vec<Entry>,
     },
-    /// From a proposer to the acceptors: take part in no older ballot.
+    /// Asks an acceptor to promise a ballot, and so to accept nothing under older ballots. Sent by a proposer.
     Prepare {
         /// The number to be decided.
         number: RevisionNumber,
@@ -43,12 +43,12 @@
     Promise {
         /// The number to be decided.
         number: RevisionNumber,
-        /// The ballot that is promised.
+        /// The promised ballot.
         ballot: Ballot,
-        /// What the acceptor had accepted before.
+        /// The vote that the acceptor had accepted before, if any.
         vote: Option<Vote>,
     },
-    /// From a proposer to the acceptors: accept this revision.
+    /// Asks an acceptor to accept a revision. Sent by a proposer.
     Accept(Vote),
     /// The answer to [`Message::Accept`].
     Accepted {
@@ -61,48 +61,48 @@
     Rejected {
         /// The number to be decided.
         number: RevisionNumber,
-        /// The newer ballot.
+        /// The promised newer ballot.
         newer: Ballot,
     },
-    /// From a router: it can't apply this revision. It skips it and goes on with later ones.
+    /// Reports that a router can't apply a revision. The router skips the revision and continues with later ones.
     CannotApply {
         /// The revision's number.
         number: RevisionNumber,
-        /// What is wrong, for an operator.
+        /// A description of the error for an operator.
         reason: Box<str>,
     },
 }
 
-/// Why bytes are not a message.
+/// Why bytes can't be decoded as a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// They are longer than [`MAX_MESSAGE_BYTES`] and a tag.
-    #[error("longer than a message may be")]
+    /// The bytes are longer than [`MAX_MESSAGE_BYTES`] plus a tag.
+    #[error("the message exceeds the maximum length")]
     TooLong,
-    /// Their authentication tag does not match.
-    #[error("the seal does not fit")]
+    /// The authentication tag is missing or does not match.
+    #[error("the authentication tag of the message does not match")]
     NotAuthentic,
-    /// They are authentic, but can't be decoded: the sender has another version.
-    #[error("sealed, and not understood: of another version?")]
+    /// The bytes are authentic but can't be decoded, as when the sender runs another version.
+    #[error("the message is authentic but can't be decoded; the sender may run another version")]
     Undecodable,
 }
 
 impl Message {
-    /// A snapshot of a document.
+    /// Creates a snapshot message of a document.
     pub fn snapshot(number: RevisionNumber, document: &Document) -> Self {
         Self::Snapshot { number, entries: document.entries().collect() }
     }
 
-    /// The message's bytes with their tag.
+    /// Encodes the message and appends its authentication tag.
     pub fn encode(&self, key: &SiteKey) -> Vec<u8> {
-        // Serialization can't fail: a message holds no type that postcard rejects.
+        // Serialization can't fail: a message contains no type that postcard rejects.
         key.append_tag(DOMAIN, postcard::to_stdvec(self).unwrap_or_default())
     }
 
-    /// Reads a message. Nothing is decoded before its tag was verified.
+    /// Decodes a message. The tag is verified before anything is decoded.
     ///
     /// # Errors
-    /// The bytes are too long, not authentic, or of another version.
+    /// The bytes are too long, not authentic, or can't be decoded.
     pub fn decode(key: &SiteKey, bytes: &[u8]) -> Result<Self, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES + TAG_BYTES {
             return Err(MessageError::TooLong);
--- a/crates/control/src/proposer.rs
+++ b/crates/control/src/proposer.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a revision decided: the proposer of single-decree Paxos, under one ballot.
+//! The proposer role of single-decree Paxos: one attempt to have a revision decided, under one ballot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,18 +6,18 @@
 use crate::quorum::Quorum;
 use crate::revision::{Revision, RevisionNumber};
 
-/// What follows from an answer of an acceptor.
+/// The state of a proposal after an acceptor's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Progress {
+pub enum ProposalProgress {
     /// More answers are needed.
     Waiting,
-    /// All replicas are to be asked to accept this: the proposer's own revision, or one that may be decided already.
+    /// All replicas have to be asked to accept this vote: the proposer's own revision, or one that may already be decided.
     Propose(Vote),
     /// The revision is decided.
     Decided(Revision),
 }
 
-/// A proposal under one ballot.
+/// A proposal of a revision under one ballot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
     ballot: Ballot,
@@ -28,53 +28,53 @@
 }
 
 impl Proposer {
-    /// A proposal of this revision that no replica has answered yet.
+    /// Creates a proposal of this revision without any answers.
     pub fn new(ballot: Ballot, own_revision: Revision) -> Self {
         Self { ballot, own_revision, promises: BTreeMap::new(), proposed: None, accepted_by: BTreeSet::new() }
     }
 
-    /// Its ballot.
+    /// Returns the ballot of the proposal.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// The number that it wants to decide.
+    /// Returns the revision number that the proposal is for.
     pub fn number(&self) -> RevisionNumber {
         self.own_revision.number
     }
 
-    /// A replica has promised the ballot; `vote` is what it had accepted before.
+    /// Handles a replica's promise of the ballot; `vote` is what the replica had accepted before.
     pub fn promised(
         &mut self,
         from: ReplicaId,
         ballot: Ballot,
         vote: Option<Vote>,
         quorum: Quorum,
-    ) -> Progress {
+    ) -> ProposalProgress {
         if ballot != self.ballot || self.proposed.is_some() {
-            return Progress::Waiting;
+            return ProposalProgress::Waiting;
         }
         self.promises.insert(from, vote);
         if self.promises.len() < quorum.size() {
-            return Progress::Waiting;
+            return ProposalProgress::Waiting;
         }
-        // A revision accepted under the newest ballot may be decided already, so it has to be proposed in place of ours.
+        // The revision accepted under the newest ballot may already be decided, so it replaces the proposer's own revision.
         let newest_vote = self.promises.values().flatten().max_by_key(|vote| vote.ballot);
         let revision = newest_vote.map_or(&self.own_revision, |vote| &vote.revision).clone();
         self.proposed = Some(revision.clone());
-        Progress::Propose(Vote { ballot: self.ballot, revision })
+        ProposalProgress::Propose(Vote { ballot: self.ballot, revision })
     }
 
-    /// A replica has accepted the proposal.
-    pub fn accepted(&mut self, from: ReplicaId, ballot: Ballot, quorum: Quorum) -> Progress {
+    /// Handles a replica's acceptance of the proposal.
+    pub fn accepted(&mut self, from: ReplicaId, ballot: Ballot, quorum: Quorum) -> ProposalProgress {
         if ballot != self.ballot {
-            return Progress::Waiting;
+            return ProposalProgress::Waiting;
         }
-        let Some(revision) = &self.proposed else { return Progress::Waiting };
+        let Some(revision) = &self.proposed else { return ProposalProgress::Waiting };
         self.accepted_by.insert(from);
         if self.accepted_by.len() < quorum.size() {
-            return Progress::Waiting;
+            return ProposalProgress::Waiting;
         }
-        Progress::Decided(revision.clone())
+        ProposalProgress::Decided(revision.clone())
     }
 }
--- a/crates/control/src/publication.rs
+++ b/crates/control/src/publication.rs
@@ -1,12 +1,12 @@
-//! The publication of a change: what is checked before, and how it ends.
+//! The publication of a change: validation and outcome.
 
 use crate::document::{Delta, Document, DocumentError};
 use crate::proposer::Proposer;
 use crate::revision::{Revision, RevisionNumber};
 
-/// The check that a configuration has to pass before its revision gets a number.
+/// Validates a configuration before its revision gets a number.
 pub trait Validator {
-    /// Checks a complete configuration.
+    /// Validates a complete configuration.
     ///
     /// # Errors
     /// Routers could not apply the configuration.
@@ -17,24 +17,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 #[error("{message}")]
 pub struct ValidationError {
-    /// What is wrong, with its place and remedy, for an operator.
+    /// A description for an operator: the error, its location and how to fix it.
     pub message: String,
 }
 
 impl ValidationError {
-    /// An error with this message.
+    /// Creates an error with this message.
     pub fn new(message: impl Into<String>) -> Self {
         Self { message: message.into() }
     }
 }
 
-/// Why a change gets no number.
+/// Why a change is rejected without a revision number.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum InvalidChangeError {
-    /// It can't be applied to the current configuration.
+    /// The change can't be applied to the current configuration.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// Its result does not pass the [`Validator`].
+    /// The resulting configuration does not pass the [`Validator`].
     #[error(transparent)]
     Validation(#[from] ValidationError),
 }
@@ -44,17 +44,17 @@
 pub enum PublishOutcome {
     /// The change was decided under this number.
     Published(RevisionNumber),
-    /// The change leaves the configuration as it is.
+    /// The change would not alter the configuration.
     NoChange,
-    /// The change was rejected and has no number.
+    /// The change was rejected and got no number.
     Invalid(InvalidChangeError),
-    /// Another publication is in progress at this replica; to be retried.
+    /// Another publication is in progress at this replica; the caller may retry later.
     Busy,
-    /// No quorum answered in time. Another replica may still complete it.
+    /// No quorum answered in time. Another replica may still complete the publication.
     NoQuorum,
 }
 
-/// A publication in progress.
+/// A publication in progress: the requested changes and the proposal of the current attempt.
 #[derive(Debug, Clone)]
 pub(crate) struct Publication {
     pub(crate) changes: Delta,
@@ -63,7 +63,7 @@
 }
 
 impl Publication {
-    /// Whether a decided revision is the one that is being published, and not another under the same number.
+    /// Returns whether a decided revision is the one that is being published, not another one under the same number.
     pub(crate) fn is_decided_by(&self, decided: &Revision) -> bool {
         self.proposer.number() == decided.number
             && self.changes == decided.delta
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -6,7 +6,7 @@
 use crate::document::{Delta, Document, Entry};
 use crate::history::{CatchUp, History, HistoryError, Retention};
 use crate::message::Message;
-use crate::proposer::{Progress, Proposer};
+use crate::proposer::{ProposalProgress, Proposer};
 use crate::publication::{InvalidChangeError, Publication, PublishOutcome, Validator};
 use crate::quorum::Quorum;
 use crate::revision::{Revision, RevisionNumber};
@@ -253,15 +253,15 @@
         actions.push(ReplicaAction::Send { to, message });
     }
 
-    fn advance_proposal(&mut self, progress: Progress, actions: &mut Vec<ReplicaAction>) {
+    fn advance_proposal(&mut self, progress: ProposalProgress, actions: &mut Vec<ReplicaAction>) {
         match progress {
-            Progress::Waiting => {}
-            Progress::Propose(vote) => {
+            ProposalProgress::Waiting => {}
+            ProposalProgress::Propose(vote) => {
                 let accept = Message::Accept(vote);
                 self.send_to_others(&accept, actions);
                 self.receive(self.id, accept, actions);
             }
-            Progress::Decided(revision) => {
+            ProposalProgress::Decided(revision) => {
                 self.send_to_others(&Message::Decided(revision.clone()), actions);
                 self.learn(self.id, &revision, actions);
             }
--- a/crates/control/src/revision.rs
+++ b/crates/control/src/revision.rs
@@ -1,16 +1,16 @@
-//! A revision: one change of the configuration under its number.
+//! Revisions: numbered changes of the configuration.
 
 use serde::{Deserialize, Serialize};
 
 use crate::digest::Digest;
 use crate::document::Delta;
 
-/// A revision's number. The empty configuration has number 0, and each revision is one more than the one before.
+/// A revision's number. The initial configuration has number 0, and numbers increase by one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RevisionNumber(pub u64);
 
 impl RevisionNumber {
-    /// The number after this one.
+    /// Returns the number after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -23,32 +23,32 @@
     }
 }
 
-/// Tells two revisions under one number apart.
+/// The digest of a revision's content, which distinguishes two revisions with the same number.
 pub type RevisionId = Digest;
 
-/// One change of the configuration.
+/// One numbered change of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    /// One more than the number of the revision before.
+    /// The revision's number, one more than that of the previous revision.
     pub number: RevisionNumber,
     /// The digest of the document before the change.
     pub before: Digest,
     /// The digest of the document after the change.
     pub after: Digest,
-    /// What changes.
+    /// The changes of the entries.
     pub delta: Delta,
-    /// Who published it, by the name they gave.
+    /// The name that the publisher gave; it is not verified.
     pub author: Box<str>,
 }
 
 impl Revision {
-    /// The digest of its content.
+    /// Computes the digest of the revision's content.
     pub fn id(&self) -> RevisionId {
-        // Serialization can't fail: a revision holds no type that postcard rejects.
+        // Serialization can't fail: a revision contains no type that postcard rejects.
         Digest::of_bytes(&postcard::to_stdvec(self).unwrap_or_default())
     }
 
-    /// Bytes of the keys and values that it changes.
+    /// Returns the length of the keys and values in the delta, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.delta.bytes()
     }
--- a/crates/control/src/time.rs
+++ b/crates/control/src/time.rs
@@ -1,4 +1,5 @@
-//! Time as the state machines of this package see it.
+//! The time unit of the state machines in this crate.
 
-/// Microseconds of a monotonic clock. The caller reads the clock; nothing in this package does.
+/// Microseconds of a monotonic clock. The caller reads the clock; code in this crate never does, except the simulation, which
+/// measures its own run time.
 pub type Micros = u64;
--- a/crates/control/tests/stored_data.rs
+++ b/crates/control/tests/stored_data.rs
@@ -1,18 +1,18 @@
-//! Bytes that are stored or sent keep their form: the data files are read with the values below, and the same values are
-//! written with the same bytes. A renamed type must not change them, and neither must a reordered field.
+//! Checks that the encoding of stored and sent data stays compatible: the data files decode to the values below, and these
+//! values encode to the same bytes. Renaming a type must not change the bytes. Reordering fields would, and fails here.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
 
 use chalkyard_control::*;
 use common::entry;
-use common::stored::{hex, lines, stored};
+use common::stored::{hex, line_count, stored_bytes};
 
 const MESSAGES: &str = include_str!("data/messages.txt");
 const VOTES: &str = include_str!("data/votes.txt");
 const REVISIONS: &str = include_str!("data/revisions.txt");
 const KNOWN_GOOD: &str = include_str!("data/known_good.txt");
-const SEALED: &str = include_str!("data/sealed.txt");
+const TAGGED: &str = include_str!("data/sealed.txt");
 const DIGESTS: &str = include_str!("data/digests.txt");
 
 const MESSAGE_DOMAIN: &str = "chalkyard-control-1";
@@ -39,7 +39,7 @@
     .unwrap()
 }
 
-/// Both kinds of a change, on the configuration above.
+/// A revision with both kinds of change, based on `document`.
 fn revision() -> Revision {
     let delta = Delta(vec![
         Change::Remove("routing".into()),
@@ -102,34 +102,34 @@
 }
 
 #[test]
-fn stored_messages_have_their_values_and_bytes() {
+fn stored_messages_decode_and_encode_unchanged() {
     let messages = messages();
-    assert_eq!(lines(MESSAGES), messages.len());
+    assert_eq!(line_count(MESSAGES), messages.len());
     for (name, message) in messages {
-        let bytes = stored(MESSAGES, name);
+        let bytes = stored_bytes(MESSAGES, name);
         assert_eq!(Message::decode(&key(), &bytes), Ok(message.clone()), "{name}");
         assert_eq!(hex(&message.encode(&key())), hex(&bytes), "{name}");
     }
 }
 
 #[test]
-fn stored_votes_have_their_values_and_bytes() {
+fn stored_votes_decode_and_encode_unchanged() {
     let votes = votes();
-    assert_eq!(lines(VOTES), votes.len());
+    assert_eq!(line_count(VOTES), votes.len());
     for (name, acceptor) in votes {
-        let bytes = stored(VOTES, name);
-        let read: Acceptor = postcard::from_bytes(&bytes).unwrap();
-        assert_eq!(read, acceptor, "{name}");
+        let bytes = stored_bytes(VOTES, name);
+        let decoded: Acceptor = postcard::from_bytes(&bytes).unwrap();
+        assert_eq!(decoded, acceptor, "{name}");
         assert_eq!(hex(&postcard::to_stdvec(&acceptor).unwrap()), hex(&bytes), "{name}");
-        assert_eq!(read.number(), RevisionNumber(300), "{name}");
+        assert_eq!(decoded.number(), RevisionNumber(300), "{name}");
     }
-    let round = |name| postcard::from_bytes::<Acceptor>(&stored(VOTES, name)).unwrap().round();
+    let round = |name| postcard::from_bytes::<Acceptor>(&stored_bytes(VOTES, name)).unwrap().round();
     assert_eq!((round("untouched"), round("accepted"), round("promised-since")), (0, 5, 6));
 }
 
 #[test]
-fn stored_revisions_have_their_values_and_bytes() {
-    assert_eq!(lines(REVISIONS), 2);
+fn stored_revisions_decode_and_encode_unchanged() {
+    assert_eq!(line_count(REVISIONS), 2);
     let empty = Revision {
         number: RevisionNumber(1),
         before: Digest::default(),
@@ -138,78 +138,86 @@
         author: "".into(),
     };
     for (name, revision) in [("both-kinds-of-change", revision()), ("no-change", empty)] {
-        let bytes = stored(REVISIONS, name);
+        let bytes = stored_bytes(REVISIONS, name);
         assert_eq!(postcard::from_bytes::<Revision>(&bytes).unwrap(), revision, "{name}");
         assert_eq!(hex(&postcard::to_stdvec(&revision).unwrap()), hex(&bytes), "{name}");
     }
 }
 
 #[test]
-fn stored_known_good_has_its_values_and_bytes() {
-    let bytes = stored(KNOWN_GOOD, "known-good");
-    let (read, read_document) = KnownGood::decode(&key(), &bytes).unwrap();
-    assert_eq!(read, known_good());
-    assert_eq!(read.number, RevisionNumber(299));
-    assert_eq!(read.since, 1_764_687_600_000_000);
-    assert_eq!(read.digest, document().digest());
-    assert_eq!(read.entries.len(), 3);
-    assert_eq!(read.entries[2], entry("tenants/tenant[größe]", ""));
-    assert_eq!(read_document, document());
+fn stored_known_good_decodes_and_encodes_unchanged() {
+    let bytes = stored_bytes(KNOWN_GOOD, "known-good");
+    let (decoded, decoded_document) = KnownGood::decode(&key(), &bytes).unwrap();
+    assert_eq!(decoded, known_good());
+    assert_eq!(decoded.number, RevisionNumber(299));
+    assert_eq!(decoded.since, 1_764_687_600_000_000);
+    assert_eq!(decoded.digest, document().digest());
+    assert_eq!(decoded.entries.len(), 3);
+    assert_eq!(decoded.entries[2], entry("tenants/tenant[größe]", ""));
+    assert_eq!(decoded_document, document());
     assert_eq!(hex(&known_good().encode(&key())), hex(&bytes));
     assert_eq!(&bytes[..8], b"CHALKCF1");
 }
 
 #[test]
-fn corrupt_known_good_is_rejected_with_its_cause() {
-    let bytes = stored(KNOWN_GOOD, "known-good");
-    let refusal = |bytes: &[u8]| KnownGood::decode(&key(), bytes).unwrap_err();
-    assert_eq!(refusal(b""), KnownGoodError::UnknownFormat);
-    assert_eq!(refusal(&bytes[..7]), KnownGoodError::UnknownFormat);
-    assert_eq!(refusal(b"<?xml version=\"1.0\"?>"), KnownGoodError::UnknownFormat);
-    let mut later = bytes.clone();
-    later[7] = b'9';
-    assert_eq!(refusal(&later), KnownGoodError::UnsupportedVersion);
-    assert_eq!(refusal(&bytes[..8]), NOT_AUTHENTIC);
-    assert_eq!(refusal(&bytes[..bytes.len() - 1]), NOT_AUTHENTIC);
+fn corrupt_known_good_is_rejected_with_the_cause() {
+    let bytes = stored_bytes(KNOWN_GOOD, "known-good");
+    let decode_error = |bytes: &[u8]| KnownGood::decode(&key(), bytes).unwrap_err();
+    assert_eq!(decode_error(b""), KnownGoodError::UnknownFormat);
+    assert_eq!(decode_error(&bytes[..7]), KnownGoodError::UnknownFormat);
+    assert_eq!(decode_error(b"<?xml version=\"1.0\"?>"), KnownGoodError::UnknownFormat);
+    let mut later_version = bytes.clone();
+    later_version[7] = b'9';
+    assert_eq!(decode_error(&later_version), KnownGoodError::UnsupportedVersion);
+    assert_eq!(decode_error(&bytes[..8]), NOT_AUTHENTIC);
+    assert_eq!(decode_error(&bytes[..bytes.len() - 1]), NOT_AUTHENTIC);
     let mut flipped = bytes.clone();
     flipped[20] ^= 1;
-    assert_eq!(refusal(&flipped), NOT_AUTHENTIC);
+    assert_eq!(decode_error(&flipped), NOT_AUTHENTIC);
     assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(NOT_AUTHENTIC));
-    // Authentic, but with a digest other than that of its entries, undecodable, or with an entry past its limit.
-    let sealed = |body: Vec<u8>| [&b"CHALKCF1"[..], &key().append_tag(KNOWN_GOOD_DOMAIN, body)].concat();
+    // Authentic files with a wrong digest, undecodable contents, or an entry that is too long.
+    let tagged_file = |body: Vec<u8>| [&b"CHALKCF1"[..], &key().append_tag(KNOWN_GOOD_DOMAIN, body)].concat();
     let other_digest = KnownGood { digest: Digest::default(), ..known_good() };
-    assert_eq!(refusal(&other_digest.encode(&key())), corrupt(CorruptionCause::DigestMismatch));
-    assert_eq!(refusal(&sealed(vec![0xff; 40])), corrupt(CorruptionCause::Undecodable));
-    let long = Entry { key: "a".into(), value: "x".repeat(MAX_ENTRY_BYTES).into() };
-    let past_bound = KnownGood { entries: vec![long], ..known_good() };
+    assert_eq!(decode_error(&other_digest.encode(&key())), corrupt(CorruptionCause::DigestMismatch));
+    assert_eq!(decode_error(&tagged_file(vec![0xff; 40])), corrupt(CorruptionCause::Undecodable));
+    let long_entry = Entry { key: "a".into(), value: "x".repeat(MAX_ENTRY_BYTES).into() };
+    let entry_too_long = KnownGood { entries: vec![long_entry], ..known_good() };
     assert_eq!(
-        refusal(&past_bound.encode(&key())),
+        decode_error(&entry_too_long.encode(&key())),
         corrupt(DocumentError::EntryTooLong { key: "a".into() }.into())
     );
-    let another_purpose = key().append_tag(MESSAGE_DOMAIN, postcard::to_stdvec(&known_good()).unwrap());
-    assert_eq!(refusal(&[&b"CHALKCF1"[..], &another_purpose].concat()), NOT_AUTHENTIC);
+    let other_domain = key().append_tag(MESSAGE_DOMAIN, postcard::to_stdvec(&known_good()).unwrap());
+    assert_eq!(decode_error(&[&b"CHALKCF1"[..], &other_domain].concat()), NOT_AUTHENTIC);
 }
 
 #[test]
-fn corrupt_message_is_rejected_with_its_cause() {
-    let refusal = |bytes: &[u8]| Message::decode(&key(), bytes).unwrap_err();
+fn corrupt_message_is_rejected_with_the_cause() {
+    let decode_error = |bytes: &[u8]| Message::decode(&key(), bytes).unwrap_err();
     for (name, _) in messages() {
-        let bytes = stored(MESSAGES, name);
-        assert_eq!(refusal(&bytes[1..]), MessageError::NotAuthentic, "{name}");
-        assert_eq!(refusal(&bytes[..bytes.len() - 1]), MessageError::NotAuthentic, "{name}");
-        let unsealed = key().verify_tag(MESSAGE_DOMAIN, &bytes).unwrap();
-        let longer = [unsealed, &[0]].concat();
-        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, longer)), MessageError::Undecodable, "{name}");
-        let shorter = unsealed[..unsealed.len() - 1].to_vec();
-        assert_eq!(refusal(&key().append_tag(MESSAGE_DOMAIN, shorter)), MessageError::Undecodable, "{name}");
-        let another_purpose = key().append_tag(KNOWN_GOOD_DOMAIN, unsealed.to_vec());
-        assert_eq!(refusal(&another_purpose), MessageError::NotAuthentic, "{name}");
+        let bytes = stored_bytes(MESSAGES, name);
+        assert_eq!(decode_error(&bytes[1..]), MessageError::NotAuthentic, "{name}");
+        assert_eq!(decode_error(&bytes[..bytes.len() - 1]), MessageError::NotAuthentic, "{name}");
+        let untagged = key().verify_tag(MESSAGE_DOMAIN, &bytes).unwrap();
+        let with_extra_byte = [untagged, &[0]].concat();
+        assert_eq!(
+            decode_error(&key().append_tag(MESSAGE_DOMAIN, with_extra_byte)),
+            MessageError::Undecodable,
+            "{name}"
+        );
+        let truncated = untagged[..untagged.len() - 1].to_vec();
+        assert_eq!(
+            decode_error(&key().append_tag(MESSAGE_DOMAIN, truncated)),
+            MessageError::Undecodable,
+            "{name}"
+        );
+        let other_domain = key().append_tag(KNOWN_GOOD_DOMAIN, untagged.to_vec());
+        assert_eq!(decode_error(&other_domain), MessageError::NotAuthentic, "{name}");
     }
-    assert_eq!(refusal(b""), MessageError::NotAuthentic);
+    assert_eq!(decode_error(b""), MessageError::NotAuthentic);
     let unknown_variant = key().append_tag(MESSAGE_DOMAIN, vec![9, 0, 0]);
-    assert_eq!(refusal(&unknown_variant), MessageError::Undecodable);
-    assert_eq!(refusal(&vec![0; MAX_MESSAGE_BYTES + 33]), MessageError::TooLong);
-    assert_eq!(refusal(&vec![0; MAX_MESSAGE_BYTES + 32]), MessageError::NotAuthentic);
+    assert_eq!(decode_error(&unknown_variant), MessageError::Undecodable);
+    assert_eq!(decode_error(&vec![0; MAX_MESSAGE_BYTES + 33]), MessageError::TooLong);
+    assert_eq!(decode_error(&vec![0; MAX_MESSAGE_BYTES + 32]), MessageError::NotAuthentic);
 }
 
 #[test]
@@ -220,62 +228,62 @@
         ("known-good-content", [7; 32], KNOWN_GOOD_DOMAIN, &b"content"[..]),
         ("another-key", [8; 32], MESSAGE_DOMAIN, &b"content"[..]),
     ];
-    assert_eq!(lines(SEALED), cases.len());
+    assert_eq!(line_count(TAGGED), cases.len());
     for (name, key, domain, content) in cases {
-        let sealed = SiteKey::new(key).append_tag(domain, content.to_vec());
-        assert_eq!(hex(&sealed), hex(&stored(SEALED, name)), "{name}");
-        assert_eq!(SiteKey::new(key).verify_tag(domain, &sealed), Ok(content), "{name}");
+        let tagged = SiteKey::new(key).append_tag(domain, content.to_vec());
+        assert_eq!(hex(&tagged), hex(&stored_bytes(TAGGED, name)), "{name}");
+        assert_eq!(SiteKey::new(key).verify_tag(domain, &tagged), Ok(content), "{name}");
     }
-    let sealed = stored(SEALED, "messages-content");
-    assert_eq!(key().verify_tag(KNOWN_GOOD_DOMAIN, &sealed), Err(AuthenticationError));
-    assert_eq!(key().verify_tag(MESSAGE_DOMAIN, &sealed[..31]), Err(AuthenticationError));
-    assert_eq!(SiteKey::new([8; 32]).verify_tag(MESSAGE_DOMAIN, &sealed), Err(AuthenticationError));
+    let tagged = stored_bytes(TAGGED, "messages-content");
+    assert_eq!(key().verify_tag(KNOWN_GOOD_DOMAIN, &tagged), Err(AuthenticationError));
+    assert_eq!(key().verify_tag(MESSAGE_DOMAIN, &tagged[..31]), Err(AuthenticationError));
+    assert_eq!(SiteKey::new([8; 32]).verify_tag(MESSAGE_DOMAIN, &tagged), Err(AuthenticationError));
     assert_eq!(format!("{:?}", key()), "SiteKey(..)");
 }
 
 #[test]
-fn stored_digests_are_computed_and_printed() {
-    let one = Digest::of_entry("routing", "<routing/>");
+fn stored_digests_are_computed_and_printed_unchanged() {
+    let routing = Digest::of_entry("routing", "<routing/>");
     let cases = [
         ("nothing", Digest::default()),
         ("bytes", Digest::of_bytes(b"some bytes")),
-        ("entry", one),
-        ("two-entries", one.with(Digest::of_entry("a", ""))),
+        ("entry", routing),
+        ("two-entries", routing.with(Digest::of_entry("a", ""))),
         ("document", document().digest()),
         ("revision-id", revision().id()),
         ("revision-after", revision().after),
     ];
-    assert_eq!(lines(DIGESTS), cases.len());
+    assert_eq!(line_count(DIGESTS), cases.len());
     for (name, digest) in cases {
-        let bytes = stored(DIGESTS, name);
+        let bytes = stored_bytes(DIGESTS, name);
         assert_eq!(digest.to_string(), hex(&bytes), "{name}");
-        let written = postcard::to_stdvec(&digest).unwrap();
-        assert_eq!(postcard::from_bytes::<Digest>(&written).unwrap(), digest, "{name}");
+        let encoded = postcard::to_stdvec(&digest).unwrap();
+        assert_eq!(postcard::from_bytes::<Digest>(&encoded).unwrap(), digest, "{name}");
     }
-    assert_eq!(one.with(Digest::of_entry("a", "")).without(one), Digest::of_entry("a", ""));
+    assert_eq!(routing.with(Digest::of_entry("a", "")).without(routing), Digest::of_entry("a", ""));
 }
 
 #[test]
-fn errors_have_their_texts() {
-    let worded = [
-        (DocumentError::TooManyChanges { count: 10_001 }.to_string(), "10001 changes, at most 10000"),
-        (DocumentError::EntryTooLong { key: "a".into() }.to_string(), "a: longer than 65536 bytes"),
-        (DocumentError::DocumentTooLong.to_string(), "the whole would be longer than 33554432 bytes"),
-        (DocumentError::DuplicateKey { key: "a".into() }.to_string(), "a: named twice"),
-        (DocumentError::MissingKey { key: "a".into() }.to_string(), "a: to be removed, and not there"),
-        (DocumentError::DigestMismatch.to_string(), "the result has another digest than the revision says"),
-        (MessageError::TooLong.to_string(), "longer than a message may be"),
-        (MessageError::NotAuthentic.to_string(), "the seal does not fit"),
-        (MessageError::Undecodable.to_string(), "sealed, and not understood: of another version?"),
-        (KnownGoodError::UnknownFormat.to_string(), "no kept configuration"),
-        (KnownGoodError::UnsupportedVersion.to_string(), "a kept configuration of a later format"),
-        (NOT_AUTHENTIC.to_string(), "a kept configuration that is damaged, cut short or another site's"),
+fn errors_have_the_expected_messages() {
+    let messages = [
+        (DocumentError::TooManyChanges { count: 10_001 }.to_string(), "the delta has 10001 changes, the maximum is 10000"),
+        (DocumentError::EntryTooLong { key: "a".into() }.to_string(), "entry a: key and value are longer than 65536 bytes"),
+        (DocumentError::DocumentTooLong.to_string(), "the document would be longer than 33554432 bytes"),
+        (DocumentError::DuplicateKey { key: "a".into() }.to_string(), "entry a: changed more than once in the delta"),
+        (DocumentError::MissingKey { key: "a".into() }.to_string(), "entry a: can't be removed because it does not exist"),
+        (DocumentError::DigestMismatch.to_string(), "the resulting document does not have the digest of the revision"),
+        (MessageError::TooLong.to_string(), "the message exceeds the maximum length"),
+        (MessageError::NotAuthentic.to_string(), "the authentication tag of the message does not match"),
+        (MessageError::Undecodable.to_string(), "the message is authentic but can't be decoded; the sender may run another version"),
+        (KnownGoodError::UnknownFormat.to_string(), "not a last known good configuration file"),
+        (KnownGoodError::UnsupportedVersion.to_string(), "the last known good configuration has an unsupported format version"),
+        (NOT_AUTHENTIC.to_string(), "the last known good configuration is corrupt, truncated or from another site"),
         (
             AuthenticationError.to_string(),
-            "the seal does not fit: changed, cut short, or sealed under another site's key",
+            "the authentication tag does not match: data changed, truncated, or tagged with another site's key",
         ),
     ];
-    for (text, expected) in worded {
+    for (text, expected) in messages {
         assert_eq!(text, expected);
     }
 }
