--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,15 @@
 //! Replication of the configuration: numbered revisions, decided by a quorum of control replicas and followed by routers.
 //!
-//! All parts are state machines without input or output of their own: they are given messages and the time, and return what
-//! the caller has to send and store. Nothing here depends on sockets, on the meaning of the settings or on routing.
+//! All components are state machines without I/O: they take messages and the time, and return what the caller has to send and
+//! store. The crate does not depend on sockets, on the meaning of the settings or on routing.
 //! `docs/configuration.md` explains the design.
 //!
-//! From the bottom up: a [`Document`] of entries and its [`Digest`]; a [`Revision`] that changes it and a [`History`] of
-//! them; consensus on the next revision by [`Proposer`] and [`Acceptor`] under a [`Ballot`]; the [`Message`]s that carry all
-//! of these; a [`Replica`] that decides, its [`SubscriberSessions`] with routers, and a router's [`Subscriber`].
+//! The layers, from the bottom up: a [`Document`] of entries and its [`Digest`]; a [`Revision`] that changes a document and a
+//! [`History`] of revisions; consensus on the next revision by [`Proposer`] and [`Acceptor`] under a [`Ballot`]; the
+//! [`Message`]s between the nodes; a [`Replica`], its [`SubscriberSessions`] with routers, and a router's [`Subscriber`].
 
 #![warn(clippy::pedantic, rustdoc::broken_intra_doc_links, rustdoc::private_intra_doc_links)]
-// Nearly every method of a state machine returns a value; where a dropped one is a mistake, the attribute is set by hand.
+// Nearly every method of a state machine returns a value; `must_use` is set by hand where ignoring the value is an error.
 #![allow(clippy::must_use_candidate)]
 
 mod acceptor;
@@ -52,5 +52,7 @@
 pub use sessions::{
     RejectedRevision, Session, SessionId, SessionLimitError, SessionMessage, SubscriberSessions, MAX_SESSIONS,
 };
-pub use subscriber::{Action, Apply, ApplyError, Input, RejectedRevisionError, Subscriber};
+pub use subscriber::{
+    Apply, ApplyError, RejectedRevisionError, Subscriber, SubscriberAction, SubscriberInput,
+};
 pub use time::Micros;
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! A control replica: votes on the next revision, publishes changes, and stores what was decided.
+//! A control replica: votes on the next revision, publishes changes, and stores decided revisions.
 
 use crate::acceptor::{Acceptor, AcceptorReply};
 use crate::ballot::{Ballot, ReplicaId, Vote};
@@ -11,35 +11,35 @@
 use crate::quorum::Quorum;
 use crate::revision::{Revision, RevisionNumber};
 
-/// What the caller has to do, in order. Nothing that follows a [`ReplicaAction::PersistVotes`] may leave the replica before
-/// the votes are on its disk: a vote that is forgotten could let a number be decided twice.
+/// An action for the caller. The caller performs actions in the order in which they are returned. No message that follows
+/// [`ReplicaAction::PersistVotes`] may be sent before the votes are on disk: a lost vote could let a number be decided twice.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaAction {
     /// Send a message to another replica.
     Send {
-        /// The receiver.
+        /// The receiving replica.
         to: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// Store the votes.
+    /// Store the votes, replacing the stored ones.
     PersistVotes(Acceptor),
     /// Store a decided revision.
     PersistRevision(Revision),
-    /// Store the current document, which replaces all that was stored before.
+    /// Store the current document under this number, replacing all stored revisions.
     PersistSnapshot(RevisionNumber),
-    /// The publication has ended.
+    /// Report the outcome of a publication.
     PublicationEnded(PublishOutcome),
-    /// Another replica has other content under a number: an operator has to look.
+    /// Alert an operator: another replica has other content under a number.
     Diverged {
         /// The other replica.
         replica: ReplicaId,
-        /// The number.
+        /// The number with different content.
         number: RevisionNumber,
     },
 }
 
-/// One control replica, without input or output of its own.
+/// The state machine of one control replica, without I/O.
 #[derive(Debug, Clone)]
 pub struct Replica {
     id: ReplicaId,
@@ -47,14 +47,14 @@
     acceptor: Acceptor,
     history: History,
     publication: Option<Publication>,
-    /// The highest round seen for the next number.
+    /// The highest ballot round seen for the next number.
     round: u64,
 }
 
 impl Replica {
-    /// The replica `id` of `replicas`, with what its disk holds.
+    /// Creates replica `id` of `replicas` from the history and votes on its disk.
     pub fn new(id: ReplicaId, replicas: u8, history: History, votes: Option<Acceptor>) -> Self {
-        // Votes on a number that was decided since are obsolete. Votes on a later number can't exist.
+        // Stored votes on a number that has since been decided are obsolete. Votes on a later number can't exist.
         let votes = votes.filter(|votes| votes.number() == history.number().next());
         let acceptor = votes.unwrap_or_else(|| Acceptor::after(history.number()));
         let round = acceptor.round();
@@ -62,33 +62,33 @@
         Self { id, replicas, acceptor, history, publication: None, round }
     }
 
-    /// A replica with an empty disk.
+    /// Creates a replica whose disk is empty.
     pub fn fresh(id: ReplicaId, replicas: u8) -> Self {
         let history = History::new(RevisionNumber::default(), Document::default(), Retention::default());
         Self::new(id, replicas, history, None)
     }
 
-    /// The newest number that this replica knows to be decided.
+    /// Returns the newest number that this replica knows to be decided.
     pub fn number(&self) -> RevisionNumber {
         self.history.number()
     }
 
-    /// The decided configuration and its past.
+    /// Returns the decided configuration and its retained revisions.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The message that a replica sends to each other one when they connect, and periodically.
+    /// Creates the message that a replica sends to every other replica on connecting, and periodically.
     pub fn heartbeat(&self) -> Message {
         Message::Heartbeat { number: self.history.number(), digest: self.history.document().digest() }
     }
 
-    /// Whether a publication is in progress.
+    /// Returns whether a publication is in progress.
     pub fn is_publishing(&self) -> bool {
         self.publication.is_some()
     }
 
-    /// Publishes changes. They are validated before any other replica is asked.
+    /// Starts the publication of changes. The changes are validated before any other replica is contacted.
     pub fn publish(
         &mut self,
         changes: Delta,
@@ -102,14 +102,14 @@
         self.start_publication(changes, author.into(), validator, actions);
     }
 
-    /// Attempts the publication in progress once more, under a new ballot: a rejection or a timeout decides nothing. The
-    /// changes are validated again, since another revision may have been decided meanwhile.
+    /// Retries the publication in progress under a new ballot, after a rejection or a timeout, neither of which decides
+    /// anything. The changes are validated again, since another revision may have been decided meanwhile.
     pub fn retry(&mut self, validator: &dyn Validator, actions: &mut Vec<ReplicaAction>) {
         let Some(Publication { changes, author, .. }) = self.publication.take() else { return };
         self.start_publication(changes, author, validator, actions);
     }
 
-    /// Stops waiting for the publication in progress.
+    /// Abandons the publication in progress. Other replicas may still complete it.
     pub fn abandon(&mut self, actions: &mut Vec<ReplicaAction>) {
         if self.publication.take().is_some() {
             actions.push(ReplicaAction::PublicationEnded(PublishOutcome::NoQuorum));
@@ -130,7 +130,8 @@
         }
     }
 
-    /// The revision that the changes make of the current configuration, or none if they leave it as it is.
+    /// Builds and validates the revision that applies the changes to the current configuration. Returns none if the changes
+    /// would not alter it.
     fn next_revision(
         &self,
         changes: &Delta,
@@ -170,8 +171,8 @@
         self.receive(self.id, prepare, actions);
     }
 
-    /// Handles a message of another replica, or of this one to itself. A replica that is not part of the site has no vote
-    /// and gets no answer.
+    /// Handles a message from another replica, or from this replica to itself. Messages from a replica that is not part of the
+    /// site are ignored, so that such a replica has no vote.
     pub fn receive(&mut self, from: ReplicaId, message: Message, actions: &mut Vec<ReplicaAction>) {
         if !self.replicas.contains(&from) {
             return;
@@ -199,7 +200,7 @@
             Message::Heartbeat { number, digest } => self.bring_up_to_date(from, number, digest, actions),
             Message::Decided(revision) => self.learn(from, &revision, actions),
             Message::Snapshot { number, entries } => self.learn_snapshot(from, number, entries, actions),
-            // Only routers send it, and only to their session.
+            // Sent only by routers, and handled by their session.
             Message::CannotApply { .. } => {}
         }
     }
@@ -241,7 +242,8 @@
         }
     }
 
-    /// One of two replicas is behind. Each announces its newest revision, and the one ahead brings the other up to date.
+    /// Answers a replica that votes on another number than this replica, so one of the two is behind. Sends the decided revision
+    /// if it is retained, otherwise a heartbeat, so that the replica that is ahead brings the other up to date.
     fn announce_newest(&self, to: ReplicaId, number: RevisionNumber, actions: &mut Vec<ReplicaAction>) {
         if to == self.id {
             return;
@@ -332,14 +334,14 @@
         self.start_next_number(actions);
     }
 
-    /// A number was decided: from now on, votes are on the next one.
+    /// Resets the votes for the next number after a number was decided.
     fn start_next_number(&mut self, actions: &mut Vec<ReplicaAction>) {
         self.acceptor = Acceptor::after(self.history.number());
         self.round = 0;
         actions.push(ReplicaAction::PersistVotes(self.acceptor.clone()));
     }
 
-    /// Ends the publication in progress if the decided revision is its own; otherwise it waits for its next attempt.
+    /// Ends the publication in progress if the decided revision is its own. Otherwise the publication waits for its next retry.
     fn end_publication_of(&mut self, decided: &Revision, actions: &mut Vec<ReplicaAction>) {
         if self.publication.as_ref().is_some_and(|publication| publication.is_decided_by(decided)) {
             self.publication = None;
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The routers that are connected to a control replica: what each has applied, and what is sent to it.
+//! The sessions of routers that are connected to a control replica: what each router has applied, and what it is sent.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,29 +8,30 @@
 use crate::revision::{Revision, RevisionNumber};
 use crate::time::Micros;
 
-/// One connection of a router. A value is never used twice.
+/// Identifies one connection of a router. Ids are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// Limit of the routers that are connected to one replica.
+/// Maximum number of routers that are connected to one replica.
 pub const MAX_SESSIONS: usize = 4_096;
-/// Snapshots are sent a few at a time, so that routers that all restart without a configuration don't fill the network.
+/// Rate limit for snapshots, so that the network is not saturated when all routers restart without a configuration.
 const SNAPSHOTS_PER_WINDOW: usize = 4;
+/// Length of the rate limit's sliding window, in µs.
 const SNAPSHOT_WINDOW: Micros = 250_000;
 
-/// No session is opened: the replica has [`MAX_SESSIONS`] of them.
+/// A session was refused because the replica has [`MAX_SESSIONS`] open sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{max} routers are connected, and no more are admitted", max = MAX_SESSIONS)]
+#[error("session limit reached: {max} routers are connected", max = MAX_SESSIONS)]
 pub struct SessionLimitError;
 
-/// What a router has reported in its session.
+/// What a router has reported in a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Session {
-    /// The newest number that it has.
+    /// The newest number that the router has applied.
     pub number: RevisionNumber,
-    /// Since when it has reported this number.
+    /// When the router first reported this number.
     pub since: Micros,
-    /// The last revision that it could not apply.
+    /// The last revision that the router could not apply.
     pub rejected: Option<RejectedRevision>,
 }
 
@@ -39,25 +40,25 @@
 pub struct RejectedRevision {
     /// The revision's number.
     pub number: RevisionNumber,
-    /// What the router says is wrong.
+    /// The error that the router reported.
     pub reason: Box<str>,
 }
 
-/// A message to be sent in a session.
+/// An outgoing message of a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SessionMessage {
-    /// The receiver.
+    /// The session to send the message in.
     pub session: SessionId,
     /// The message.
     pub message: Message,
 }
 
-/// The sessions of one replica.
+/// The open sessions of one replica, and the queue of routers that wait for a snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct SubscriberSessions {
     sessions: BTreeMap<SessionId, Session>,
     awaiting_snapshot: VecDeque<SessionId>,
-    /// When the snapshots of the current window were sent.
+    /// When each snapshot of the current window was sent, oldest first.
     snapshots_sent_at: VecDeque<Micros>,
 }
 
@@ -65,7 +66,7 @@
     /// Opens a session for a router that has connected.
     ///
     /// # Errors
-    /// There are [`MAX_SESSIONS`] sessions already.
+    /// The replica already has [`MAX_SESSIONS`] open sessions.
     pub fn open(&mut self, session: SessionId, now: Micros) -> Result<(), SessionLimitError> {
         if self.sessions.len() >= MAX_SESSIONS {
             return Err(SessionLimitError);
@@ -81,33 +82,33 @@
         self.awaiting_snapshot.retain(|waiting| *waiting != session);
     }
 
-    /// All open sessions.
+    /// Iterates over all open sessions.
     pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Session)> {
         self.sessions.iter().map(|(id, session)| (*id, session))
     }
 
-    /// Handles a message of a router: what it has, or that it can't apply a revision.
+    /// Handles a message from a router: a heartbeat, or a report of a revision that it can't apply.
     pub fn receive(
         &mut self,
         session: SessionId,
         now: Micros,
         message: Message,
         history: &History,
-        out: &mut Vec<SessionMessage>,
+        messages: &mut Vec<SessionMessage>,
     ) {
-        let Some(state) = self.sessions.get_mut(&session) else { return };
+        let Some(reported) = self.sessions.get_mut(&session) else { return };
         match message {
             Message::Heartbeat { number, digest } => {
-                if state.number != number {
-                    state.number = number;
-                    state.since = now;
+                if reported.number != number {
+                    reported.number = number;
+                    reported.since = now;
                 }
-                self.bring_up_to_date(session, number, digest, history, out);
+                self.bring_up_to_date(session, number, digest, history, messages);
             }
             Message::CannotApply { number, reason } => {
-                state.rejected = Some(RejectedRevision { number, reason });
+                reported.rejected = Some(RejectedRevision { number, reason });
             }
-            // Routers send nothing else; a router has no vote.
+            // Routers send no other messages, and have no vote.
             _ => {}
         }
     }
@@ -118,36 +119,37 @@
         number: RevisionNumber,
         digest: Digest,
         history: &History,
-        out: &mut Vec<SessionMessage>,
+        messages: &mut Vec<SessionMessage>,
     ) {
         match history.catch_up(number, digest) {
             CatchUp::Revisions(revisions) => {
                 let send = |revision| SessionMessage { session, message: Message::Decided(revision) };
-                out.extend(revisions.into_iter().map(send));
+                messages.extend(revisions.into_iter().map(send));
             }
-            // A router that is ahead of this replica gets no snapshot, which would take it back.
-            CatchUp::Snapshot if number < history.number() => self.request_snapshot(session),
+            // A router that is ahead of this replica gets no snapshot, since an older snapshot would revert it.
+            CatchUp::Snapshot if number < history.number() => self.queue_snapshot(session),
             CatchUp::Snapshot | CatchUp::Current | CatchUp::Diverged => {}
         }
         let message = Message::Heartbeat { number: history.number(), digest: history.document().digest() };
-        out.push(SessionMessage { session, message });
+        messages.push(SessionMessage { session, message });
     }
 
-    fn request_snapshot(&mut self, session: SessionId) {
+    fn queue_snapshot(&mut self, session: SessionId) {
         if !self.awaiting_snapshot.contains(&session) {
             self.awaiting_snapshot.push_back(session);
         }
     }
 
-    /// Sends a decided revision to all routers. One that is further behind then requests what it lacks.
-    pub fn broadcast(&self, revision: &Revision, out: &mut Vec<SessionMessage>) {
+    /// Sends a decided revision to all routers. A router that misses earlier revisions then requests them.
+    pub fn broadcast(&self, revision: &Revision, messages: &mut Vec<SessionMessage>) {
         let message = Message::Decided(revision.clone());
         let sessions = self.sessions.keys();
-        out.extend(sessions.map(|session| SessionMessage { session: *session, message: message.clone() }));
+        messages
+            .extend(sessions.map(|session| SessionMessage { session: *session, message: message.clone() }));
     }
 
-    /// Sends snapshots to routers that wait for one, up to the limit of the current window.
-    pub fn tick(&mut self, now: Micros, history: &History, out: &mut Vec<SessionMessage>) {
+    /// Sends snapshots to waiting routers, up to the limit of the current window.
+    pub fn tick(&mut self, now: Micros, history: &History, messages: &mut Vec<SessionMessage>) {
         while self.snapshots_sent_at.front().is_some_and(|sent_at| sent_at + SNAPSHOT_WINDOW <= now) {
             self.snapshots_sent_at.pop_front();
         }
@@ -155,11 +157,11 @@
             let Some(session) = self.awaiting_snapshot.pop_front() else { return };
             self.snapshots_sent_at.push_back(now);
             let message = Message::snapshot(history.number(), history.document());
-            out.push(SessionMessage { session, message });
+            messages.push(SessionMessage { session, message });
         }
     }
 
-    /// When [`Self::tick`] has to be called next, if at all.
+    /// Returns when [`Self::tick`] has to be called next, if at all.
     pub fn next_due(&self) -> Option<Micros> {
         if self.awaiting_snapshot.is_empty() {
             return None;
--- a/crates/control/src/simulation/control.rs
+++ b/crates/control/src/simulation/control.rs
@@ -1,4 +1,4 @@
-//! What happens at the simulated control replicas.
+//! Event handling of the simulated control replicas.
 
 use super::network::Event;
 use super::nodes::{ControlNode, Disk};
@@ -10,17 +10,17 @@
 use crate::replica::{Replica, ReplicaAction};
 use crate::revision::Revision;
 use crate::sessions::{SessionId, SubscriberSessions};
-use crate::subscriber::Input;
+use crate::subscriber::SubscriberInput;
 use crate::time::Micros;
 
-/// A publication that is not decided is retried after at least this, and a random time more.
+/// Minimum delay before an undecided publication is retried, in µs. A random time below `RETRY_JITTER` is added.
 const MIN_RETRY_DELAY: Micros = 200_000;
 const RETRY_JITTER: Micros = 300_000;
-/// It is abandoned after this.
+/// How long after its request a publication is abandoned, in µs.
 const PUBLICATION_TIMEOUT: Micros = 10 * SECOND;
 
 impl Simulation<'_> {
-    /// A replica's process ends, and its connections with it.
+    /// Stops a replica's process, which closes its connections.
     pub fn kill(&mut self, replica: ReplicaId) {
         if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
             control.is_running = false;
@@ -29,12 +29,12 @@
         }
         for index in 0..self.routers.len() {
             if self.routers.get(index).is_some_and(|router| router.is_connected_to(replica)) {
-                self.router_input(index, Input::Disconnected);
+                self.router_input(index, SubscriberInput::Disconnected);
             }
         }
     }
 
-    /// A replica's process starts again from its disk, or from an older copy of it.
+    /// Restarts a replica's process from its disk, or from an older copy of the disk.
     pub fn start(&mut self, replica: ReplicaId, old_disk: Option<Disk>) {
         let replicas = self.replica_count;
         let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
@@ -47,17 +47,17 @@
         self.schedule(0, Event::Heartbeat { replica });
     }
 
-    /// A copy of a replica's disk.
+    /// Returns a copy of a replica's disk.
     pub fn disk(&self, replica: ReplicaId) -> Option<Disk> {
         self.controls.get(usize::from(replica.0)).map(|control| control.disk.clone())
     }
 
-    fn running(&mut self, replica: ReplicaId) -> Option<&mut ControlNode> {
+    fn running_replica(&mut self, replica: ReplicaId) -> Option<&mut ControlNode> {
         self.controls.get_mut(usize::from(replica.0)).filter(|control| control.is_running)
     }
 
     pub(super) fn send_heartbeat(&mut self, replica: ReplicaId) {
-        let Some(control) = self.running(replica) else { return };
+        let Some(control) = self.running_replica(replica) else { return };
         let heartbeat = control.replica.heartbeat();
         for other in self.replica_ids() {
             if other != replica {
@@ -70,7 +70,7 @@
     pub(super) fn start_publication(&mut self, replica: ReplicaId, changes: Delta) {
         let requested_at = self.now;
         let validator = self.validator;
-        let Some(control) = self.running(replica) else {
+        let Some(control) = self.running_replica(replica) else {
             return self.outcomes.push(PublishOutcome::NoQuorum);
         };
         if control.requested_at.is_some() {
@@ -80,19 +80,20 @@
         let mut actions = Vec::new();
         let author = format!("operator at {}", replica.0);
         control.replica.publish(changes, &author, validator, &mut actions);
-        self.carry_out(replica, actions);
+        self.perform_actions(replica, actions);
         self.schedule_retry(replica);
         self.schedule(PUBLICATION_TIMEOUT, Event::Abandon { replica, requested_at });
     }
 
     pub(super) fn retry_publication(&mut self, replica: ReplicaId) {
         let validator = self.validator;
-        let Some(control) = self.running(replica).filter(|control| control.replica.is_publishing()) else {
+        let Some(control) = self.running_replica(replica).filter(|control| control.replica.is_publishing())
+        else {
             return;
         };
         let mut actions = Vec::new();
         control.replica.retry(validator, &mut actions);
-        self.carry_out(replica, actions);
+        self.perform_actions(replica, actions);
         self.schedule_retry(replica);
     }
 
@@ -107,18 +108,18 @@
         let Some(control) = control else { return };
         let mut actions = Vec::new();
         control.replica.abandon(&mut actions);
-        self.carry_out(replica, actions);
+        self.perform_actions(replica, actions);
     }
 
     pub(super) fn replica_receives(&mut self, from: ReplicaId, to: ReplicaId, bytes: &[u8]) {
         let Ok(message) = Message::decode(&self.key, bytes) else { return };
-        let Some(control) = self.running(to) else { return };
+        let Some(control) = self.running_replica(to) else { return };
         let mut actions = Vec::new();
         control.replica.receive(from, message, &mut actions);
-        self.carry_out(to, actions);
+        self.perform_actions(to, actions);
     }
 
-    fn carry_out(&mut self, replica: ReplicaId, actions: Vec<ReplicaAction>) {
+    fn perform_actions(&mut self, replica: ReplicaId, actions: Vec<ReplicaAction>) {
         for action in actions {
             let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
             match action {
@@ -134,7 +135,7 @@
 
     fn persist_revision(&mut self, replica: ReplicaId, revision: &Revision) {
         let Some(control) = self.controls.get_mut(usize::from(replica.0)) else { return };
-        // Can't fail where the replica itself has appended it.
+        // Can't fail, since the replica itself has appended the revision.
         let _ = control.disk.history.append(revision.clone());
         let mut messages = Vec::new();
         control.sessions.broadcast(revision, &mut messages);
@@ -156,7 +157,7 @@
     pub(super) fn tick_sessions(&mut self) {
         let now = self.now;
         for replica in self.replica_ids() {
-            let Some(control) = self.running(replica) else { continue };
+            let Some(control) = self.running_replica(replica) else { continue };
             let mut messages = Vec::new();
             control.sessions.tick(now, control.replica.history(), &mut messages);
             self.send_to_routers(replica, messages);
@@ -166,7 +167,7 @@
     pub(super) fn session_receives(&mut self, replica: ReplicaId, session: SessionId, bytes: &[u8]) {
         let Ok(message) = Message::decode(&self.key, bytes) else { return };
         let now = self.now;
-        let Some(control) = self.running(replica) else { return };
+        let Some(control) = self.running_replica(replica) else { return };
         let mut messages = Vec::new();
         control.sessions.receive(session, now, message, control.replica.history(), &mut messages);
         self.send_to_routers(replica, messages);
--- a/crates/control/src/simulation/mod.rs
+++ b/crates/control/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic simulation of control replicas and routers: time is fed, the network can be partitioned, and the same seed
-//! gives the same run. The code is the same that sockets would drive; messages are encoded, tagged and decoded as on a wire.
+//! A deterministic simulation of control replicas and routers: time is simulated, the network can be partitioned, and the same
+//! seed gives the same run. It drives the production state machines; messages are encoded, tagged and decoded as on a socket.
 
 mod control;
 mod network;
@@ -20,15 +20,15 @@
 use crate::random::Xorshift64;
 use crate::revision::{RevisionId, RevisionNumber};
 use crate::sessions::SessionId;
-use crate::subscriber::Input;
+use crate::subscriber::SubscriberInput;
 use crate::time::Micros;
 
-/// A second of simulated time.
+/// One second of simulated time, in µs.
 pub const SECOND: Micros = 1_000_000;
-/// Replicas send heartbeats to each other this often.
+/// The interval between heartbeats of replicas, in µs.
 const HEARTBEAT_INTERVAL: Micros = SECOND;
 
-/// An event with its time. Events of the same time happen in the order in which they were scheduled.
+/// An event with its time. Events with the same time occur in the order in which they were scheduled.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: Micros,
@@ -50,25 +50,25 @@
     key: SiteKey,
     validator: &'a dyn Validator,
     random: Xorshift64,
-    /// Whether the two regions are cut off from each other.
+    /// Whether the network between the two regions is partitioned.
     pub partitioned: bool,
-    /// When each revision was requested.
+    /// When the publication of each revision was requested.
     pub requested_at: BTreeMap<RevisionNumber, Micros>,
-    /// For each revision and router, the time from the request until the router applied it.
+    /// For each revision and router, the time from the request until the router applied the revision, in µs.
     pub apply_delays: Vec<Micros>,
-    /// How each publication ended.
+    /// The outcomes of all publications, in order.
     pub outcomes: Vec<PublishOutcome>,
-    /// How often a replica or a router reported other content under a number.
+    /// Number of reports by replicas and routers of different content under a number.
     pub diverged: u64,
     decided: BTreeMap<RevisionNumber, RevisionId>,
-    /// How often a number was decided with other content than before: has to stay 0.
+    /// Number of decisions that contradict an earlier decision on the same number; any value but 0 is a violation.
     pub conflicts: u64,
-    /// Bytes that control replicas received and sent.
+    /// Total bytes that control replicas received and sent.
     pub control_bytes: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// So many replicas and routers, all of which have this document.
+    /// Creates a simulation of this many replicas and routers, all of which start with this document.
     pub fn new(
         replicas: u8,
         routers: usize,
@@ -107,22 +107,22 @@
         simulation
     }
 
-    /// The simulated time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// An operator requests a change of a replica, `after` from now.
+    /// Schedules an operator's publication of changes at a replica, `after` µs from now.
     pub fn publish(&mut self, replica: ReplicaId, changes: Delta, after: Micros) {
         self.schedule(after, Event::Publish { replica, changes });
     }
 
-    /// The newest number that a replica knows.
+    /// Returns the newest number that a replica knows to be decided.
     pub fn number(&self, replica: ReplicaId) -> Option<RevisionNumber> {
         self.controls.get(usize::from(replica.0)).map(|control| control.replica.number())
     }
 
-    /// The different states of all running replicas and of all routers: one if all agree.
+    /// Returns the distinct states of all running replicas and all routers: a single one if all agree.
     pub fn heads(&self) -> BTreeSet<Head> {
         let running = self.controls.iter().filter(|control| control.is_running);
         let replicas = running.map(|control| Head::of_history(control.replica.history()));
@@ -130,7 +130,7 @@
         replicas.chain(routers).collect()
     }
 
-    /// Runs for a span of simulated time.
+    /// Runs the simulation for a span of simulated time, in µs.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
@@ -146,7 +146,7 @@
                     self.handle(scheduled.event);
                 }
             } else if let Some(due) = router_due.filter(|due| due.at == next) {
-                self.router_input(due.router, Input::Tick);
+                self.router_input(due.router, SubscriberInput::Tick);
             } else {
                 self.tick_sessions();
             }
@@ -175,7 +175,7 @@
     }
 }
 
-/// The router that is due first; the one with the lower index if two are due at the same time.
+/// A router and when it is due. Ordered by time, then by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueRouter {
     at: Micros,
--- a/crates/control/src/simulation/network.rs
+++ b/crates/control/src/simulation/network.rs
@@ -1,17 +1,18 @@
-//! The simulated network: two regions, delays, and the events that arrive after them.
+//! The simulated network: two regions, message delays, and scheduled events.
 
 use super::Simulation;
 use crate::ballot::ReplicaId;
 use crate::document::Delta;
 use crate::message::Message;
 use crate::sessions::{SessionId, SessionMessage};
-use crate::subscriber::Input;
+use crate::subscriber::SubscriberInput;
 use crate::time::Micros;
 
-/// The delay within a region and between regions is at least this, and up to twice as long.
+/// Minimum delay within a region, in µs. A random time of up to the same length is added.
 const LOCAL_DELAY: Micros = 1_000;
+/// Minimum delay between regions, in µs. A random time of up to the same length is added.
 const REMOTE_DELAY: Micros = 10_000;
-/// Bytes of the length that precedes a message on a connection.
+/// Length of the prefix that precedes each message on a connection, in bytes.
 pub(super) const FRAME_BYTES: u64 = 4;
 
 /// One of the two regions.
@@ -21,7 +22,7 @@
     Second,
 }
 
-/// Routers alternate between the regions.
+/// Returns a router's region: routers with an even index are in the first region.
 pub(super) fn region_of_router(router: usize) -> Region {
     if router.is_multiple_of(2) {
         Region::First
@@ -30,26 +31,26 @@
     }
 }
 
-/// What happens at a scheduled time.
+/// A scheduled event.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
-    /// A message arrives at a replica.
+    /// A message from another replica arrives at a replica.
     ReplicaReceives { from: ReplicaId, to: ReplicaId, bytes: Vec<u8> },
-    /// A message of a router arrives at a replica.
+    /// A message from a router arrives at a replica.
     SessionReceives { replica: ReplicaId, session: SessionId, bytes: Vec<u8> },
     /// A message arrives at a router.
     RouterReceives { session: SessionId, bytes: Vec<u8> },
     /// A router's connection is established.
     Connected { router: usize, replica: ReplicaId },
-    /// A router's connection is refused.
+    /// A router's connection attempt is refused.
     ConnectFailed { router: usize, replica: ReplicaId },
-    /// A replica sends its heartbeat.
+    /// A replica sends its periodic heartbeat.
     Heartbeat { replica: ReplicaId },
     /// An operator publishes changes.
     Publish { replica: ReplicaId, changes: Delta },
     /// A replica retries its publication.
     Retry { replica: ReplicaId },
-    /// A replica abandons the publication that was requested at this time.
+    /// A replica abandons the publication that was requested at this time, if it is still in progress.
     Abandon { replica: ReplicaId, requested_at: Micros },
 }
 
@@ -68,7 +69,7 @@
             Event::Connected { router, replica } => self.router_connected(router, replica),
             Event::ConnectFailed { router, replica } => {
                 if self.is_connecting(router, replica) {
-                    self.router_input(router, Input::Disconnected);
+                    self.router_input(router, SubscriberInput::Disconnected);
                 }
             }
             Event::Heartbeat { replica } => self.send_heartbeat(replica),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The first half of the replicas is in the first region.
+    /// Returns a replica's region: the first half of the replicas is in the first region.
     pub(super) fn region_of_replica(&self, replica: ReplicaId) -> Region {
         if usize::from(replica.0) < self.controls.len().div_ceil(2) {
             Region::First
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The delay between two regions, or none if they are cut off from each other.
+    /// Returns a random delay between two regions, in µs, or none if they are partitioned from each other.
     pub(super) fn delay(&mut self, from: Region, to: Region) -> Option<Micros> {
         let is_remote = from != to;
         if is_remote && self.partitioned {
@@ -102,7 +103,7 @@
             return;
         };
         let bytes = message.encode(&self.key);
-        // Counted at the sender and at the receiver.
+        // Bytes are counted at the sender and at the receiver.
         self.control_bytes += 2 * (bytes.len() as u64 + FRAME_BYTES);
         self.schedule(delay, Event::ReplicaReceives { from, to, bytes });
     }
@@ -110,7 +111,7 @@
     pub(super) fn send_to_routers(&mut self, replica: ReplicaId, messages: Vec<SessionMessage>) {
         let mut last_encoded: Option<(Message, Vec<u8>)> = None;
         for SessionMessage { session, message } in messages {
-            // A broadcast message is encoded once.
+            // Consecutive equal messages, such as a broadcast, are encoded once.
             let bytes = match last_encoded.take().filter(|(last, _)| *last == message) {
                 Some((_, bytes)) => bytes,
                 None => message.encode(&self.key),
--- a/crates/control/src/simulation/nodes.rs
+++ b/crates/control/src/simulation/nodes.rs
@@ -13,10 +13,10 @@
 use crate::subscriber::{Apply, ApplyError, Subscriber};
 use crate::time::Micros;
 
-/// A router's configuration, which accepts every revision except chosen ones.
+/// A simulated router's applier, which accepts every revision except the configured ones.
 #[derive(Debug, Clone, Default)]
 pub struct RecordingApplier {
-    /// The revisions that this router can't apply.
+    /// The revisions that the router rejects.
     pub rejects: BTreeSet<RevisionNumber>,
 }
 
@@ -33,12 +33,12 @@
     }
 }
 
-/// What a replica has stored.
+/// The data on a replica's disk.
 #[derive(Debug, Clone)]
 pub struct Disk {
     /// The decided revisions.
     pub history: History,
-    /// The votes on the next one.
+    /// The votes on the next revision number.
     pub votes: Option<Acceptor>,
 }
 
@@ -94,18 +94,18 @@
 /// A simulated router.
 #[derive(Debug)]
 pub struct RouterNode {
-    /// Its subscription.
+    /// The router's subscription.
     pub subscriber: Subscriber,
-    /// Its configuration.
+    /// The router's applier.
     pub applier: RecordingApplier,
     pub(super) connection: Option<RouterConnection>,
-    /// Bytes that it received and sent.
+    /// Bytes that the router received and sent.
     pub bytes: u64,
-    /// Real time that its own work took, in ns.
+    /// Real time that the router's own processing took, in ns.
     pub work_ns: u64,
-    /// The newest revision that it applied.
+    /// The newest revision that the router applied.
     pub newest: RevisionNumber,
-    /// How often it applied a revision that was not newer: has to stay 0.
+    /// Number of applied revisions that were not newer than the previous one; any value but 0 is a violation.
     pub regressions: u64,
 }
 
--- a/crates/control/src/simulation/routers.rs
+++ b/crates/control/src/simulation/routers.rs
@@ -1,4 +1,4 @@
-//! What happens at the simulated routers.
+//! Event handling of the simulated routers.
 
 use std::time::Instant;
 
@@ -10,10 +10,10 @@
 use crate::message::Message;
 use crate::revision::RevisionNumber;
 use crate::sessions::SessionId;
-use crate::subscriber::{Action, Input, Subscriber};
+use crate::subscriber::{Subscriber, SubscriberAction, SubscriberInput};
 
 impl Simulation<'_> {
-    /// A router's process restarts with the configuration that it has stored, or with none.
+    /// Restarts a router's process with its stored configuration, or without one.
     pub fn restart_router(&mut self, index: usize, has_stored: bool, seed: u64) {
         let replicas = self.replica_count;
         self.close_session(index);
@@ -27,7 +27,7 @@
         router.newest = number;
     }
 
-    /// Ends the connection of a router at both sides, without reporting it to the router.
+    /// Closes a router's connection on both sides without reporting the disconnection to the router.
     fn close_session(&mut self, index: usize) {
         let Some(router) = self.routers.get_mut(index) else { return };
         let Some(RouterConnection { replica, session }) = router.connection.take() else { return };
@@ -44,11 +44,11 @@
         let message = Message::decode(&self.key, bytes);
         router.work_ns += elapsed_ns(started);
         if let Ok(message) = message {
-            self.router_input(index, Input::Message(Box::new(message)));
+            self.router_input(index, SubscriberInput::Message(Box::new(message)));
         }
     }
 
-    /// Whether a router still waits for a connection to this replica.
+    /// Returns whether a router still waits for a connection to this replica.
     pub(super) fn is_connecting(&self, index: usize, replica: ReplicaId) -> bool {
         let Some(router) = self.routers.get(index) else { return false };
         router.subscriber.replica() == replica && !router.subscriber.is_connected()
@@ -64,18 +64,18 @@
         let control = self.controls.get_mut(usize::from(replica.0)).filter(|control| control.is_running);
         let is_open = control.is_some_and(|control| control.sessions.open(session, now).is_ok());
         if !is_open {
-            return self.router_input(index, Input::Disconnected);
+            return self.router_input(index, SubscriberInput::Disconnected);
         }
         if let Some(router) = self.routers.get_mut(index) {
             router.connection = Some(RouterConnection { replica, session });
         }
         self.router_by_session.insert(session, index);
-        self.router_input(index, Input::Connected);
+        self.router_input(index, SubscriberInput::Connected);
     }
 
-    pub(super) fn router_input(&mut self, index: usize, input: Input) {
+    pub(super) fn router_input(&mut self, index: usize, input: SubscriberInput) {
         let now = self.now;
-        if input == Input::Disconnected {
+        if input == SubscriberInput::Disconnected {
             self.close_session(index);
         }
         let Some(router) = self.routers.get_mut(index) else { return };
@@ -84,22 +84,23 @@
         router.subscriber.handle(now, input, &mut router.applier, &mut actions);
         router.work_ns += elapsed_ns(started);
         for action in actions {
-            self.carry_out_for_router(index, action);
+            self.perform_router_action(index, action);
         }
     }
 
-    fn carry_out_for_router(&mut self, index: usize, action: Action) {
+    fn perform_router_action(&mut self, index: usize, action: SubscriberAction) {
         match action {
-            Action::Connect(replica) => self.connect(index, replica),
-            Action::Send(message) => self.send_from_router(index, &message),
-            Action::Close => self.close_session(index),
-            Action::Applied(number) => self.record_applied(index, number),
-            Action::Rejected { .. } => {}
-            Action::Diverged { .. } => self.diverged += 1,
+            SubscriberAction::Connect(replica) => self.connect(index, replica),
+            SubscriberAction::Send(message) => self.send_from_router(index, &message),
+            SubscriberAction::Close => self.close_session(index),
+            SubscriberAction::Applied(number) => self.record_applied(index, number),
+            SubscriberAction::Rejected { .. } => {}
+            SubscriberAction::Diverged { .. } => self.diverged += 1,
         }
     }
 
-    /// A connection takes a round trip. Within a partition nothing arrives, and the router runs into its timeout.
+    /// Schedules a router's connection, which takes one round trip. Across a partition no event follows, and the router's
+    /// connect timeout expires.
     fn connect(&mut self, index: usize, replica: ReplicaId) {
         let control = self.controls.get(usize::from(replica.0));
         let is_running = control.is_some_and(|control| control.is_running);
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! A router's subscription to the configuration: it follows one control replica at a time and fails over to the next.
+//! A router's subscription to the configuration: the router follows one control replica at a time and fails over to the next.
 
 use crate::ballot::ReplicaId;
 use crate::connection::{Connection, CONNECT_TIMEOUT, HEARTBEAT_INTERVAL};
@@ -9,24 +9,26 @@
 use crate::revision::{Revision, RevisionNumber};
 use crate::time::Micros;
 
-/// The backoff before a reconnection: at least this long, and a random part that doubles with each failed attempt.
+/// Minimum backoff before a reconnection, in µs. A random part is added whose limit starts at the same value and doubles with
+/// each failed attempt.
 const MIN_BACKOFF: Micros = 250_000;
+/// How often the limit of the random part doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// How many rejected revisions are remembered; the oldest are dropped first.
+/// Maximum number of remembered rejected revisions; the oldest are dropped first.
 const MAX_REJECTED: usize = 64;
 
 /// Applies a configuration to the router.
 pub trait Apply {
-    /// Applies the changes of a revision: all of them or none. Should cost as much as the changes, not the configuration.
+    /// Applies the changes of a revision atomically. The cost should grow with the changes, not with the configuration.
     ///
     /// # Errors
-    /// This router can't apply them.
+    /// The router can't apply the changes.
     fn apply(&mut self, number: RevisionNumber, delta: &Delta) -> Result<(), ApplyError>;
 
-    /// Replaces the configuration by a complete one.
+    /// Replaces the complete configuration.
     ///
     /// # Errors
-    /// This router can't apply it.
+    /// The router can't apply the configuration.
     fn apply_snapshot(&mut self, number: RevisionNumber, document: &Document) -> Result<(), ApplyError>;
 }
 
@@ -34,88 +36,88 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct ApplyError {
-    /// What is wrong, for an operator.
+    /// A description of the error for an operator.
     pub message: String,
 }
 
 impl ApplyError {
-    /// An error with this message.
+    /// Creates an error with this message.
     pub fn new(message: impl Into<String>) -> Self {
         Self { message: message.into() }
     }
 }
 
-/// Why a revision or a snapshot is skipped.
+/// Why a revision or a snapshot is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RejectedRevisionError {
-    /// It does not fit the configuration before it, or exceeds a limit.
+    /// It can't be applied to the current document, or exceeds a limit.
     #[error(transparent)]
     Invalid(#[from] DocumentError),
-    /// The router can't apply it.
+    /// The router can't apply the resulting configuration.
     #[error(transparent)]
     NotApplicable(#[from] ApplyError),
 }
 
-/// What the caller reports.
+/// An input that the caller reports to the subscription.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Input {
+pub enum SubscriberInput {
     /// The requested connection is established.
     Connected,
     /// The connection failed or was closed by the other side.
     Disconnected,
     /// A message was received.
     Message(Box<Message>),
-    /// Time has passed.
+    /// A timer expired; see [`Subscriber::next_due`].
     Tick,
 }
 
-/// What the caller has to do, in order.
+/// An action for the caller. The caller performs actions in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Action {
-    /// Connect to this replica; there is no other connection.
+pub enum SubscriberAction {
+    /// Connect to this replica. No other connection is open.
     Connect(ReplicaId),
     /// Send a message on the connection.
     Send(Message),
     /// Close the connection.
     Close,
-    /// This revision was applied: store the configuration as the last known good one.
+    /// Store the configuration of this revision, which was applied, as the last known good one.
     Applied(RevisionNumber),
-    /// This revision is skipped: notify an operator.
+    /// Alert an operator: this revision is skipped.
     Rejected {
         /// The revision's number.
         number: RevisionNumber,
-        /// What is wrong with it.
+        /// The error of the revision.
         error: RejectedRevisionError,
     },
-    /// The replica has another history than this router: notify an operator. Another replica is tried.
+    /// Alert an operator: the replica's history differs from that of this router, which fails over to another replica.
     Diverged {
-        /// The replica.
+        /// The replica with the other history.
         replica: ReplicaId,
-        /// The number with other content.
+        /// The number with different content.
         number: RevisionNumber,
     },
 }
 
-/// One router's subscription, without input or output of its own.
+/// The state machine of one router's subscription, without I/O.
 #[derive(Debug, Clone)]
 pub struct Subscriber {
     learner: Learner,
     replica_count: u8,
     replica: ReplicaId,
     connection: Connection,
-    /// Connections that failed in a row.
+    /// Number of consecutive failed connections.
     failed_attempts: u32,
     random: Xorshift64,
     rejected: Vec<RevisionNumber>,
 }
 
 impl Subscriber {
-    /// A subscription that starts from the configuration that the router has. The seed spreads routers over replicas and
-    /// over time.
+    /// Creates a subscription that starts from the router's stored configuration. Different seeds distribute routers over
+    /// replicas and over time.
     pub fn new(number: RevisionNumber, document: Document, replica_count: u8, seed: u64) -> Self {
         let replica_count = replica_count.max(1);
         let mut random = Xorshift64::new(seed);
-        // Below the count, and so never out of range.
+        // The random number is below `replica_count`, so the conversion can't fail.
         let first = u8::try_from(random.below(u64::from(replica_count))).unwrap_or(0);
         Self {
             learner: Learner::new(number, document),
@@ -128,78 +130,84 @@
         }
     }
 
-    /// The newest number that was learned.
+    /// Returns the newest learned number.
     pub fn number(&self) -> RevisionNumber {
         self.learner.number()
     }
 
-    /// The newest configuration that was learned.
+    /// Returns the newest learned configuration.
     pub fn document(&self) -> &Document {
         self.learner.document()
     }
 
-    /// The revisions that were skipped.
+    /// Returns the last rejected revisions, oldest first.
     pub fn rejected(&self) -> &[RevisionNumber] {
         &self.rejected
     }
 
-    /// The replica that is followed, or that is to be tried next.
+    /// Returns the replica that the router follows or connects to next.
     pub fn replica(&self) -> ReplicaId {
         self.replica
     }
 
-    /// Whether the connection to [`Self::replica`] is established.
+    /// Returns whether the connection to [`Self::replica`] is established.
     pub fn is_connected(&self) -> bool {
         matches!(self.connection, Connection::Open { .. })
     }
 
-    /// When [`Input::Tick`] has to be reported next.
+    /// Returns when [`SubscriberInput::Tick`] has to be reported next.
     pub fn next_due(&self) -> Micros {
         self.connection.next_due()
     }
 
-    /// Handles an input.
-    pub fn handle(&mut self, now: Micros, input: Input, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
+    /// Handles an input and appends the resulting actions.
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        input: SubscriberInput,
+        apply: &mut dyn Apply,
+        actions: &mut Vec<SubscriberAction>,
+    ) {
         match input {
-            Input::Connected => self.send_heartbeat(now, now, actions),
-            Input::Disconnected => self.fail_over(now),
-            Input::Message(message) => self.receive(now, *message, apply, actions),
-            Input::Tick => self.tick(now, actions),
+            SubscriberInput::Connected => self.send_heartbeat(now, now, actions),
+            SubscriberInput::Disconnected => self.fail_over(now),
+            SubscriberInput::Message(message) => self.receive(now, *message, apply, actions),
+            SubscriberInput::Tick => self.tick(now, actions),
         }
     }
 
-    fn send_heartbeat(&mut self, now: Micros, last_received_at: Micros, actions: &mut Vec<Action>) {
-        // Recorded earlier than it is by a random time: routers that started together do not stay in step.
+    fn send_heartbeat(&mut self, now: Micros, last_received_at: Micros, actions: &mut Vec<SubscriberAction>) {
+        // The recorded time is earlier by random jitter, so that routers that started together do not stay synchronized.
         let jitter = self.random.below(HEARTBEAT_INTERVAL / 10);
         let last_heartbeat_at = now.saturating_sub(jitter).max(1);
         self.connection = Connection::Open { last_received_at, last_heartbeat_at };
         let number = self.learner.number();
         let digest = self.learner.document().digest();
-        actions.push(Action::Send(Message::Heartbeat { number, digest }));
+        actions.push(SubscriberAction::Send(Message::Heartbeat { number, digest }));
     }
 
-    /// Moves on to the next replica after a backoff.
+    /// Selects the next replica and schedules a connection after a backoff.
     fn fail_over(&mut self, now: Micros) {
         self.replica = ReplicaId((self.replica.0 + 1) % self.replica_count);
-        let jitter_limit = MIN_BACKOFF << self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS);
+        let max_jitter = MIN_BACKOFF << self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS);
         self.failed_attempts = self.failed_attempts.saturating_add(1);
-        let retry_at = now + MIN_BACKOFF + self.random.below(jitter_limit);
+        let retry_at = now + MIN_BACKOFF + self.random.below(max_jitter);
         self.connection = Connection::Closed { retry_at };
     }
 
-    fn close_and_fail_over(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        actions.push(Action::Close);
+    fn close_and_fail_over(&mut self, now: Micros, actions: &mut Vec<SubscriberAction>) {
+        actions.push(SubscriberAction::Close);
         self.fail_over(now);
     }
 
-    fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn tick(&mut self, now: Micros, actions: &mut Vec<SubscriberAction>) {
         if now < self.next_due() {
             return;
         }
         match self.connection {
             Connection::Closed { .. } => {
                 self.connection = Connection::Connecting { deadline: now + CONNECT_TIMEOUT };
-                actions.push(Action::Connect(self.replica));
+                actions.push(SubscriberAction::Connect(self.replica));
             }
             Connection::Open { last_received_at, .. } if !self.connection.awaits_answer() => {
                 self.send_heartbeat(now, last_received_at, actions);
@@ -208,7 +216,13 @@
         }
     }
 
-    fn receive(&mut self, now: Micros, message: Message, apply: &mut dyn Apply, actions: &mut Vec<Action>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        message: Message,
+        apply: &mut dyn Apply,
+        actions: &mut Vec<SubscriberAction>,
+    ) {
         let Connection::Open { last_heartbeat_at, .. } = self.connection else { return };
         let last_received_at = now.max(last_heartbeat_at);
         self.connection = Connection::Open { last_received_at, last_heartbeat_at };
@@ -218,8 +232,8 @@
             Message::Snapshot { number, entries } => {
                 self.learn_snapshot(now, number, entries, apply, actions);
             }
-            // A heartbeat says where the replica is: if this router lacks anything, that follows as a message of its own.
-            // Replicas exchange the others among themselves.
+            // A heartbeat needs no reaction: missing revisions follow as separate messages. All other messages are exchanged
+            // between replicas only.
             _ => {}
         }
     }
@@ -229,7 +243,7 @@
         now: Micros,
         revision: Revision,
         apply: &mut dyn Apply,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<SubscriberAction>,
     ) {
         let number = revision.number;
         let delta = revision.delta.clone();
@@ -245,7 +259,7 @@
         number: RevisionNumber,
         entries: Vec<Entry>,
         apply: &mut dyn Apply,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<SubscriberAction>,
     ) {
         let outcome = match Document::new(entries) {
             Ok(document) => self.learner.learn_snapshot(number, document),
@@ -264,28 +278,28 @@
         &mut self,
         number: RevisionNumber,
         result: Result<(), ApplyError>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<SubscriberAction>,
     ) {
         match result {
-            Ok(()) => actions.push(Action::Applied(number)),
+            Ok(()) => actions.push(SubscriberAction::Applied(number)),
             Err(error) => self.reject(number, error.into(), actions),
         }
     }
 
-    /// Reacts to a revision or snapshot that was not learned.
+    /// Handles a revision or snapshot that was not learned.
     fn recover(
         &mut self,
         now: Micros,
         number: RevisionNumber,
         outcome: LearnOutcome,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<SubscriberAction>,
     ) {
         match outcome {
             LearnOutcome::Applied | LearnOutcome::Stale => {}
-            // The answer to a heartbeat is what is missing.
+            // The replica answers a heartbeat with the missing revisions.
             LearnOutcome::Gap => self.send_heartbeat(now, now, actions),
             LearnOutcome::Diverged => {
-                actions.push(Action::Diverged { replica: self.replica, number });
+                actions.push(SubscriberAction::Diverged { replica: self.replica, number });
                 self.close_and_fail_over(now, actions);
             }
             LearnOutcome::Invalid(error) => {
@@ -295,13 +309,18 @@
         }
     }
 
-    fn reject(&mut self, number: RevisionNumber, error: RejectedRevisionError, actions: &mut Vec<Action>) {
+    fn reject(
+        &mut self,
+        number: RevisionNumber,
+        error: RejectedRevisionError,
+        actions: &mut Vec<SubscriberAction>,
+    ) {
         if self.rejected.len() >= MAX_REJECTED {
             self.rejected.remove(0);
         }
         self.rejected.push(number);
         let reason = error.to_string().into();
-        actions.push(Action::Send(Message::CannotApply { number, reason }));
-        actions.push(Action::Rejected { number, error });
+        actions.push(SubscriberAction::Send(Message::CannotApply { number, reason }));
+        actions.push(SubscriberAction::Rejected { number, error });
     }
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster of control replicas whose messages the test delivers, loses and repeats itself.
+//! A cluster of control replicas whose messages are delivered, lost and repeated by the test.
 #![allow(
     dead_code,
     clippy::unwrap_used,
@@ -21,7 +21,7 @@
     Entry { key: key.into(), value: value.into() }
 }
 
-/// Rejects every configuration with an entry `bad`.
+/// A validator that rejects every configuration with an entry `bad`.
 #[derive(Debug, Clone, Copy)]
 pub struct RejectsBadEntries;
 
@@ -34,14 +34,14 @@
     }
 }
 
-/// What a replica has on its disk.
+/// The data on a replica's disk.
 #[derive(Debug, Clone)]
 pub struct Disk {
     pub history: History,
     pub votes: Option<Acceptor>,
 }
 
-/// A message that was sent and not delivered yet.
+/// A message that was sent but not yet delivered.
 #[derive(Debug, Clone)]
 struct InTransit {
     from: ReplicaId,
@@ -54,16 +54,16 @@
 pub struct Cluster {
     pub replicas: Vec<Replica>,
     pub disks: Vec<Disk>,
-    /// As each disk was a while ago.
+    /// A copy of each disk before its last stored votes.
     old_disks: Vec<Disk>,
     in_transit: Vec<InTransit>,
-    /// The first half of the replicas and the second are cut off from each other.
+    /// Whether the first half of the replicas is partitioned from the second.
     pub partitioned: bool,
-    /// A replica that is cut off from all others.
+    /// A replica that can't reach any other.
     pub unreachable: Option<usize>,
     pub outcomes: Vec<PublishOutcome>,
     pub diverged: u64,
-    /// What any replica reported as decided.
+    /// The content of every number that any replica reported as decided.
     decided: BTreeMap<RevisionNumber, RevisionId>,
     conflict: Option<RevisionNumber>,
     published: u64,
@@ -97,7 +97,7 @@
         self.replicas.iter().map(|m| m.number().0).max().unwrap_or(0)
     }
 
-    /// Publishes a change of one of the replica's own entries, with another value each time.
+    /// Publishes a change of one of five entries of the replica, with a new value each time.
     pub fn publish(&mut self, replica: usize) {
         let n = self.published;
         self.published += 1;
@@ -108,32 +108,32 @@
     }
 
     pub fn publish_change(&mut self, replica: usize, change: Change) {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         self.replicas[replica].publish(
             Delta(vec![change]),
             &format!("operator {replica}"),
             &RejectsBadEntries,
-            &mut out,
+            &mut actions,
         );
-        self.carry_out(replica, out);
+        self.perform_actions(replica, actions);
     }
 
     pub fn retry(&mut self, replica: usize) {
-        let mut out = Vec::new();
-        self.replicas[replica].retry(&RejectsBadEntries, &mut out);
-        self.carry_out(replica, out);
+        let mut actions = Vec::new();
+        self.replicas[replica].retry(&RejectsBadEntries, &mut actions);
+        self.perform_actions(replica, actions);
     }
 
     pub fn send_heartbeat(&mut self, from: usize, to: usize) {
         let message = self.replicas[from].heartbeat();
-        self.in_transit.push(InTransit { from: id(from), to: id(to), message });
+        self.in_transit.push(InTransit { from: replica_id(from), to: replica_id(to), message });
     }
 
-    fn carry_out(&mut self, replica: usize, out: Vec<ReplicaAction>) {
-        for output in out {
-            match output {
+    fn perform_actions(&mut self, replica: usize, actions: Vec<ReplicaAction>) {
+        for action in actions {
+            match action {
                 ReplicaAction::Send { to, message } => {
-                    self.in_transit.push(InTransit { from: id(replica), to, message });
+                    self.in_transit.push(InTransit { from: replica_id(replica), to, message });
                 }
                 ReplicaAction::PersistVotes(votes) => {
                     self.old_disks[replica] = self.disks[replica].clone();
@@ -145,8 +145,11 @@
                         self.conflict = Some(revision.number);
                     }
                     let number = revision.number;
-                    let kept = self.disks[replica].history.append(revision);
-                    assert!(kept.is_ok(), "replica {replica} keeps {number}: {kept:?}");
+                    let appended = self.disks[replica].history.append(revision);
+                    assert!(
+                        appended.is_ok(),
+                        "replica {replica} could not store revision {number}: {appended:?}"
+                    );
                 }
                 ReplicaAction::PersistSnapshot(_) => {
                     self.disks[replica].history = self.replicas[replica].history().clone()
@@ -157,7 +160,7 @@
         }
     }
 
-    fn reaches(&self, from: ReplicaId, to: ReplicaId) -> bool {
+    fn can_reach(&self, from: ReplicaId, to: ReplicaId) -> bool {
         let half = self.replicas.len() / 2;
         let side = |m: ReplicaId| usize::from(m.0) < half;
         let is_unreachable = |m: ReplicaId| self.unreachable == Some(usize::from(m.0));
@@ -165,50 +168,50 @@
         !(is_partitioned || is_unreachable(from) || is_unreachable(to))
     }
 
-    pub fn deliver(&mut self, place: usize) {
-        if place >= self.in_transit.len() {
+    pub fn deliver(&mut self, index: usize) {
+        if index >= self.in_transit.len() {
             return;
         }
-        let InTransit { from, to, message } = self.in_transit.remove(place);
-        if !self.reaches(from, to) {
+        let InTransit { from, to, message } = self.in_transit.remove(index);
+        if !self.can_reach(from, to) {
             return;
         }
-        let mut out = Vec::new();
-        self.replicas[usize::from(to.0)].receive(from, message, &mut out);
-        self.carry_out(usize::from(to.0), out);
+        let mut actions = Vec::new();
+        self.replicas[usize::from(to.0)].receive(from, message, &mut actions);
+        self.perform_actions(usize::from(to.0), actions);
     }
 
     pub fn deliver_all(&mut self) {
-        let mut most = 1_000_000;
-        while !self.in_transit.is_empty() && most > 0 {
+        let mut deliveries_left = 1_000_000;
+        while !self.in_transit.is_empty() && deliveries_left > 0 {
             self.deliver(0);
-            most -= 1;
+            deliveries_left -= 1;
         }
-        assert!(most > 0, "messages cause each other without end");
+        assert!(deliveries_left > 0, "messages did not stop after 1,000,000 deliveries");
     }
 
-    pub fn lose(&mut self, place: usize) {
-        if place < self.in_transit.len() {
-            self.in_transit.remove(place);
+    pub fn lose(&mut self, index: usize) {
+        if index < self.in_transit.len() {
+            self.in_transit.remove(index);
         }
     }
 
-    pub fn repeat(&mut self, place: usize) {
-        if let Some(message) = self.in_transit.get(place).cloned() {
+    pub fn repeat(&mut self, index: usize) {
+        if let Some(message) = self.in_transit.get(index).cloned() {
             self.in_transit.push(message);
         }
     }
 
-    /// The process restarts from its disk, or from a copy of it that is one vote older.
+    /// Restarts a replica's process from its disk, or from a copy of the disk that is one vote older.
     pub fn restart(&mut self, replica: usize, old_disk: bool) {
         let disk = if old_disk { self.old_disks[replica].clone() } else { self.disks[replica].clone() };
         let replicas = self.replicas.len() as u8;
         self.replicas[replica] =
-            Replica::new(id(replica), replicas, disk.history.clone(), disk.votes.clone());
+            Replica::new(replica_id(replica), replicas, disk.history.clone(), disk.votes.clone());
         self.disks[replica] = disk;
     }
 
-    /// A digest of all messages in transit, of each replica's configuration, and of its votes.
+    /// Computes a digest of all messages in transit and of each replica's configuration and votes.
     pub fn fingerprint(&self) -> Vec<u8> {
         let key = SiteKey::new([7; 32]);
         let mut bytes = Vec::new();
@@ -231,12 +234,12 @@
         for replica in &self.replicas {
             let digest = replica.history().document().digest();
             let known = *digests.entry(replica.number()).or_insert(digest);
-            assert_eq!(known, digest, "two contents under {}", replica.number());
+            assert_eq!(known, digest, "different content under number {}", replica.number());
         }
         assert_eq!(self.diverged, 0);
     }
 }
 
-pub fn id(replica: usize) -> ReplicaId {
+pub fn replica_id(replica: usize) -> ReplicaId {
     ReplicaId(replica as u8)
 }
--- a/crates/control/tests/common/revisions.rs
+++ b/crates/control/tests/common/revisions.rs
@@ -1,4 +1,4 @@
-//! Revisions and a learner that has applied some.
+//! Builders of revisions, and a learner that has applied some.
 
 use chalkyard_control::*;
 
@@ -15,7 +15,7 @@
     Revision { number: number.next(), before: document.digest(), after, delta, author: "operator".into() }
 }
 
-/// A learner with three revisions, and these revisions.
+/// Returns a learner that has applied three revisions, and these revisions.
 pub fn learned() -> (Learner, Vec<Revision>) {
     let mut learner = Learner::new(RevisionNumber(0), Document::default());
     let mut revisions = Vec::new();
--- a/crates/control/tests/encoding.rs
+++ b/crates/control/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Messages and files are read as they were written, and any other bytes are rejected without a panic.
+//! Checks that messages and files decode to what was encoded, and that any other bytes are rejected without a panic.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -12,24 +12,24 @@
     KnownGoodError::Corrupt { cause: CorruptionCause::NotAuthentic(AuthenticationError) };
 
 #[test]
-fn known_good_is_read_again_and_a_corrupt_unknown_or_later_file_is_rejected() {
+fn known_good_round_trips_and_a_corrupt_unknown_or_later_file_is_rejected() {
     let key = SiteKey::new([7; 32]);
     let (learner, _) = learned();
-    let kept = KnownGood::new(learner.number(), learner.document(), 123);
-    let bytes = kept.encode(&key);
-    let (read, document) = KnownGood::decode(&key, &bytes).unwrap();
-    assert_eq!((read, &document), (kept, learner.document()));
+    let known_good = KnownGood::new(learner.number(), learner.document(), 123);
+    let bytes = known_good.encode(&key);
+    let (decoded, document) = KnownGood::decode(&key, &bytes).unwrap();
+    assert_eq!((decoded, &document), (known_good, learner.document()));
     for at in 8..bytes.len() {
-        let mut damaged = bytes.clone();
-        damaged[at] ^= 1;
-        assert_eq!(KnownGood::decode(&key, &damaged), Err(NOT_AUTHENTIC), "byte {at}");
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 1;
+        assert_eq!(KnownGood::decode(&key, &corrupted), Err(NOT_AUTHENTIC), "byte {at}");
     }
     for length in 0..bytes.len() {
         assert!(KnownGood::decode(&key, &bytes[..length]).is_err(), "cut at {length}");
     }
-    let mut later = bytes.clone();
-    later[7] = b'2';
-    assert_eq!(KnownGood::decode(&key, &later), Err(KnownGoodError::UnsupportedVersion));
+    let mut later_version = bytes.clone();
+    later_version[7] = b'2';
+    assert_eq!(KnownGood::decode(&key, &later_version), Err(KnownGoodError::UnsupportedVersion));
     assert_eq!(KnownGood::decode(&key, b"<chalkyard/>"), Err(KnownGoodError::UnknownFormat));
     assert_eq!(KnownGood::decode(&SiteKey::new([8; 32]), &bytes), Err(NOT_AUTHENTIC));
 }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn message_is_read_again_and_a_flipped_or_truncated_one_is_rejected() {
+fn message_round_trips_and_a_flipped_or_truncated_one_is_rejected() {
     let key = SiteKey::new([7; 32]);
     let bytes = message().encode(&key);
     assert_eq!(Message::decode(&key, &bytes), Ok(message()));
@@ -51,8 +51,8 @@
         assert_eq!(Message::decode(&key, &bytes[..at]), Err(MessageError::NotAuthentic), "cut at {at}");
     }
     assert_eq!(Message::decode(&SiteKey::new([8; 32]), &bytes), Err(MessageError::NotAuthentic));
-    let huge = vec![0; MAX_MESSAGE_BYTES + 64];
-    assert_eq!(Message::decode(&key, &huge), Err(MessageError::TooLong));
+    let too_long = vec![0; MAX_MESSAGE_BYTES + 64];
+    assert_eq!(Message::decode(&key, &too_long), Err(MessageError::TooLong));
 }
 
 proptest! {
@@ -65,13 +65,13 @@
         prop_assert!(KnownGood::decode(&key, &bytes).is_err());
     }
 
-    /// Sealed under the right key, and garbage all the same: of a version that is not this one.
+    /// Bytes with a valid tag can still be undecodable, as when the sender runs another version.
     #[test]
     fn authentic_garbage_is_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let key = SiteKey::new([7; 32]);
-        let sealed = key.append_tag("chalkyard-control-1", bytes);
-        if let Ok(read) = Message::decode(&key, &sealed) {
-            prop_assert_eq!(Message::decode(&key, &read.encode(&key)), Ok(read));
+        let tagged = key.append_tag("chalkyard-control-1", bytes);
+        if let Ok(decoded) = Message::decode(&key, &tagged) {
+            prop_assert_eq!(Message::decode(&key, &decoded.encode(&key)), Ok(decoded));
         }
     }
 }
--- a/crates/control/tests/learner.rs
+++ b/crates/control/tests/learner.rs
@@ -1,4 +1,5 @@
-//! A router applies revisions in order and rejects those of another history or with errors; documents and deltas are bounded.
+//! Checks that a learner applies revisions in order and rejects invalid ones and those of another history, and that documents
+//! and deltas are bounded.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -30,8 +31,8 @@
     let mut other = revisions[2].clone();
     other.author = "another".into();
     assert_eq!(learner.learn(other), LearnOutcome::Diverged);
-    let elsewhere = next(RevisionNumber(3), &Document::new([entry(1, "other")]).unwrap(), set(4, "x"));
-    assert_eq!(learner.learn(elsewhere), LearnOutcome::Diverged);
+    let other_history = next(RevisionNumber(3), &Document::new([entry(1, "other")]).unwrap(), set(4, "x"));
+    assert_eq!(learner.learn(other_history), LearnOutcome::Diverged);
     assert_eq!(learner.learn_snapshot(RevisionNumber(3), Document::default()), LearnOutcome::Diverged);
     assert_eq!(learner.number(), RevisionNumber(3));
 }
@@ -58,23 +59,24 @@
 
 #[test]
 fn documents_and_deltas_past_their_limits_are_rejected() {
-    let long = "x".repeat(64 * 1024);
-    assert!(matches!(Document::new([entry(1, &long)]), Err(DocumentError::EntryTooLong { .. })));
+    let long_value = "x".repeat(64 * 1024);
+    assert!(matches!(Document::new([entry(1, &long_value)]), Err(DocumentError::EntryTooLong { .. })));
     let document = Document::default();
-    assert!(matches!(document.preview(&set(1, &long)), Err(DocumentError::EntryTooLong { .. })));
-    let many = Delta((0..10_001).map(|n| Change::Set(entry(n, "x"))).collect());
-    assert_eq!(document.preview(&many), Err(DocumentError::TooManyChanges { count: 10_001 }));
-    let twice = Delta(vec![Change::Set(entry(1, "x")), Change::Set(entry(1, "y"))]);
-    assert!(matches!(document.preview(&twice), Err(DocumentError::DuplicateKey { .. })));
-    let big = "x".repeat(60 * 1024);
-    let too_long = (0..600).map(|n| entry(n, &big));
+    assert!(matches!(document.preview(&set(1, &long_value)), Err(DocumentError::EntryTooLong { .. })));
+    let too_many = Delta((0..10_001).map(|n| Change::Set(entry(n, "x"))).collect());
+    assert_eq!(document.preview(&too_many), Err(DocumentError::TooManyChanges { count: 10_001 }));
+    let duplicate = Delta(vec![Change::Set(entry(1, "x")), Change::Set(entry(1, "y"))]);
+    assert!(matches!(document.preview(&duplicate), Err(DocumentError::DuplicateKey { .. })));
+    let near_limit = "x".repeat(60 * 1024);
+    let too_long = (0..600).map(|n| entry(n, &near_limit));
     assert_eq!(Document::new(too_long), Err(DocumentError::DocumentTooLong));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// A delta is what differs, and its cost is its own: the digest is the same as that of the whole built anew.
+    /// Applying the difference of two documents to the old one gives the new one, with the digest of a document that is built
+    /// from all entries.
     #[test]
     fn applied_difference_gives_the_other_document(
         old in proptest::collection::btree_map(0..40_usize, "[a-c]{0,3}", 0..30),
--- a/crates/control/tests/recorded_runs.rs
+++ b/crates/control/tests/recorded_runs.rs
@@ -1,5 +1,5 @@
-//! Complete runs with a seed equal recorded ones, to the last message, delay and vote: nothing else would show that a change
-//! of the code alters the protocol's behaviour or its random choices.
+//! Compares complete seeded runs with recorded ones, including every message, delay and vote. No other test detects a code
+//! change that alters the protocol's behaviour or its random choices.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -17,7 +17,7 @@
     Delta(vec![Change::Set(entry(&key, &format!("<tenant n='{n}'/>")))])
 }
 
-fn outcome(outcome: &PublishOutcome) -> String {
+fn outcome_label(outcome: &PublishOutcome) -> String {
     match outcome {
         PublishOutcome::Published(number) => format!("published-{number}"),
         PublishOutcome::NoChange => "no-change".into(),
@@ -29,12 +29,12 @@
     }
 }
 
-fn outcomes(outcomes: &[PublishOutcome]) -> String {
-    outcomes.iter().map(outcome).collect::<Vec<_>>().join(",")
+fn outcome_labels(outcomes: &[PublishOutcome]) -> String {
+    outcomes.iter().map(outcome_label).collect::<Vec<_>>().join(",")
 }
 
-/// Publications at every replica, an invalid one, one that a router can't apply, a replica that restarts from an old disk, a
-/// partition, and routers that restart with and without their stored configuration.
+/// Runs a simulation with publications at every replica, an invalid one, one that a router can't apply, a replica that restarts
+/// from an old disk, a partition, and routers that restart with and without their stored configuration.
 fn simulated_run(seed: u64) -> String {
     let document =
         Document::new((0..40).map(|n| entry(&format!("tenants/tenant[t{n:05}]"), "<tenant/>"))).unwrap();
@@ -65,14 +65,14 @@
         simulation.restart_router(n, n % 2 == 0, 1_000 + seed * 100 + n as u64);
     }
     simulation.run(20 * SECOND);
-    let spread: Vec<u8> = simulation.apply_delays.iter().flat_map(|took| took.to_le_bytes()).collect();
+    let delay_bytes: Vec<u8> = simulation.apply_delays.iter().flat_map(|delay| delay.to_le_bytes()).collect();
     let router_bytes: u64 = simulation.routers.iter().map(|r| r.bytes).sum();
     let digests: Vec<String> =
         simulation.heads().iter().map(|head| format!("{}:{}", head.number, head.digest)).collect();
     format!(
         "model-{seed} {} {} {} {} {} {}",
-        outcomes(&simulation.outcomes),
-        Digest::of_bytes(&spread),
+        outcome_labels(&simulation.outcomes),
+        Digest::of_bytes(&delay_bytes),
         simulation.apply_delays.len(),
         simulation.control_bytes,
         router_bytes,
@@ -80,20 +80,20 @@
     )
 }
 
-/// Publications and retries, and messages that are delivered, lost and repeated in any order; crashes and partitions.
+/// Runs a random walk of publications, retries, crashes and partitions, with messages delivered, lost and repeated in any order.
 fn recorded_walk(seed: u64) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::new(REPLICAS);
     let mut trace = Vec::new();
     for _ in 0..600 {
         let replica = random.random_range(0..usize::from(REPLICAS));
-        let place = random.random_range(0..8);
+        let index = random.random_range(0..8);
         match random.random_range(0..100) {
             0..8 => cluster.publish(replica),
             8..14 => cluster.retry(replica),
-            14..80 => cluster.deliver(place),
-            80..88 => cluster.lose(place),
-            88..91 => cluster.repeat(place),
+            14..80 => cluster.deliver(index),
+            80..88 => cluster.lose(index),
+            88..91 => cluster.repeat(index),
             91..94 => cluster.restart(replica, false),
             94..96 => cluster.send_heartbeat(replica, (replica + 1) % 4),
             96..97 => cluster.partitioned = true,
@@ -102,18 +102,18 @@
         trace.extend(cluster.fingerprint());
     }
     cluster.check();
-    format!("walk-{seed} {} {}", outcomes(&cluster.outcomes), Digest::of_bytes(&trace))
+    format!("walk-{seed} {} {}", outcome_labels(&cluster.outcomes), Digest::of_bytes(&trace))
 }
 
 #[test]
-fn simulated_runs_equal_the_recorded_ones() {
+fn simulated_runs_match_the_recorded_ones() {
     let recorded: Vec<&str> = RECORDED.lines().filter(|line| line.starts_with("model-")).collect();
     let runs: Vec<String> = (1..=6).map(simulated_run).collect();
     assert_eq!(runs, recorded);
 }
 
 #[test]
-fn random_walks_equal_the_recorded_ones() {
+fn random_walks_match_the_recorded_ones() {
     let recorded: Vec<&str> = RECORDED.lines().filter(|line| line.starts_with("walk-")).collect();
     let runs: Vec<String> = (1..=12).map(recorded_walk).collect();
     assert_eq!(runs, recorded);
--- a/crates/control/tests/simulation.rs
+++ b/crates/control/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Every revision is applied within 12 s by every router that is reachable, whatever fails meanwhile, and no router ever
-//! returns to an older one. Simulated time, on the code that sockets would drive.
+//! Checks in simulated time that every reachable router applies every revision within 12 s despite faults, and that no router
+//! returns to an older revision. The simulation drives the production state machines.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -8,10 +8,10 @@
 use chalkyard_control::*;
 use common::{entry, RejectsBadEntries};
 
-const CONTROL: u8 = 4;
+const REPLICAS: u8 = 4;
 const ROUTERS: usize = 24;
 const SEEDS: u64 = 10;
-/// Every router has applied a change within this.
+/// Maximum time from a change's request until every router has applied the change, in µs.
 const APPLIED_WITHIN: Micros = 12 * SECOND;
 
 fn document() -> Document {
@@ -25,16 +25,19 @@
     ))])
 }
 
-/// What has to hold at the end of every case: no number is decided twice, no router has regressed, and all agree.
+/// Checks the state at the end of a case: no number is decided twice, no router has regressed, and all nodes agree.
 fn assert_consistent(simulation: &Simulation<'_>, seed: u64) {
     assert_eq!((simulation.conflicts, simulation.diverged), (0, 0), "seed {seed}");
-    assert!(simulation.routers.iter().all(|r| r.regressions == 0), "seed {seed}: a router went back");
+    assert!(
+        simulation.routers.iter().all(|r| r.regressions == 0),
+        "seed {seed}: a router returned to an older revision"
+    );
     assert_eq!(simulation.heads().len(), 1, "seed {seed}: {:?}", simulation.heads());
 }
 
-fn assert_applied_within(simulation: &Simulation<'_>, most: Micros, seed: u64) {
+fn assert_applied_within(simulation: &Simulation<'_>, limit: Micros, seed: u64) {
     let slowest = simulation.apply_delays.iter().max().copied().unwrap_or(0);
-    assert!(slowest <= most, "seed {seed}: {slowest} us");
+    assert!(slowest <= limit, "seed {seed}: {slowest} us");
 }
 
 fn published(simulation: &Simulation<'_>) -> usize {
@@ -45,7 +48,7 @@
 fn without_faults_every_change_is_applied_by_every_router_in_time() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
+        let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(5 * SECOND);
         for n in 0..20 {
             simulation.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND);
@@ -58,15 +61,15 @@
     }
 }
 
-/// `two-publishers`: one at every replica, at the same moment, several times.
+/// `two-publishers`: one publication at every replica at the same time, repeated five times.
 #[test]
-fn simultaneous_publishers_get_a_number_each() {
+fn simultaneous_publications_get_one_number_each() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
+        let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(5 * SECOND);
         for round in 0..5 {
-            for replica in 0..CONTROL {
+            for replica in 0..REPLICAS {
                 simulation.publish(
                     ReplicaId(replica),
                     change(round * 4 + u64::from(replica)),
@@ -81,16 +84,16 @@
     }
 }
 
-/// `leader-killed`, or its equivalent here: the replica that publishes, and that half of a region's routers follow,
-/// is killed.
+/// `leader-killed`, or its equivalent without a leader: the publishing replica, which half of a region's routers follow, is
+/// killed.
 #[test]
-fn publisher_killed_in_between_leaves_one_content_and_its_routers_fail_over() {
+fn publisher_killed_midway_causes_no_conflict_and_its_routers_fail_over() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
+        let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(5 * SECOND);
         simulation.publish(ReplicaId(0), change(1), 0);
-        // Between its first message and its last.
+        // The replica is killed between its first and its last message.
         simulation.run(SECOND / 100 + seed * SECOND / 500);
         simulation.kill(ReplicaId(0));
         simulation.publish(ReplicaId(1), change(2), SECOND / 10);
@@ -109,17 +112,17 @@
 fn replica_with_an_old_disk_is_brought_up_to_date_and_reuses_no_number() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
+        let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.run(3 * SECOND);
-        let old = simulation.disk(ReplicaId(2));
+        let old_disk = simulation.disk(ReplicaId(2));
         for n in 0..10 {
             simulation.publish(ReplicaId(1), change(n), n * SECOND);
         }
         simulation.run(20 * SECOND);
         simulation.kill(ReplicaId(2));
         simulation.run(SECOND);
-        simulation.start(ReplicaId(2), old);
-        // At once, before it has received_at of what it lost.
+        simulation.start(ReplicaId(2), old_disk);
+        // Published immediately, before the replica has received the revisions that it lost.
         simulation.publish(ReplicaId(2), change(100), 0);
         simulation.publish(ReplicaId(0), change(101), 0);
         simulation.run(30 * SECOND);
@@ -130,14 +133,14 @@
     }
 }
 
-/// `regions-apart`: a partition of one hour between two replicas and the other two. Neither side decides anything, routers
-/// keep their configuration, and afterwards all agree again.
+/// `regions-apart`: a partition of one hour between two replicas and the other two. Neither side decides a number, routers
+/// keep their configuration, and after the partition all nodes agree again.
 #[test]
 fn partitioned_regions_keep_their_configuration_and_converge_afterwards() {
-    // An hour is long: three seeds.
+    // Only three seeds, since an hour takes long to simulate.
     for seed in 0..3 {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
+        let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, seed);
         simulation.publish(ReplicaId(0), change(0), 5 * SECOND);
         simulation.run(10 * SECOND);
         simulation.partitioned = true;
@@ -162,13 +165,13 @@
     }
 }
 
-/// `join-storm`: all routers restart at once, half of them without a stored configuration; snapshots are sent a few at a
-/// time.
+/// `join-storm`: all routers restart at the same time, half of them without a stored configuration. The rate limit of
+/// snapshots must not keep them from converging in time.
 #[test]
 fn routers_that_all_restart_at_once_converge() {
     for seed in 0..SEEDS {
         let document = document();
-        let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, seed);
+        let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, seed);
         for n in 0..3 {
             simulation.publish(ReplicaId(0), change(n), 5 * SECOND + n * SECOND);
         }
@@ -182,12 +185,12 @@
     }
 }
 
-/// `bad-change`: an invalid change gets no number. One that a single router can't apply delays no later one, there or
-/// elsewhere.
+/// `bad-change`: an invalid change gets no number. A change that one router can't apply delays no later change, on that router
+/// or any other.
 #[test]
-fn invalid_change_or_one_that_a_router_cannot_apply_stops_nothing() {
+fn invalid_or_inapplicable_change_does_not_delay_later_ones() {
     let document = document();
-    let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, 1);
+    let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, 1);
     simulation.routers[5].applier.rejects.insert(RevisionNumber(1));
     simulation.run(5 * SECOND);
     simulation.publish(ReplicaId(0), Delta(vec![Change::Set(entry("bad", "x"))]), 0);
@@ -202,12 +205,12 @@
     assert_consistent(&simulation, 1);
 }
 
-/// A router's traffic, idle and while changes come as often as in a burst.
+/// Bounds a router's traffic while changes are published at the rate of a burst, two per second.
 #[test]
 fn traffic_of_a_router_is_within_its_budget() {
     const BYTES_PER_S: u64 = 7_000;
     let document = document();
-    let mut simulation = Simulation::new(CONTROL, ROUTERS, &document, &RejectsBadEntries, 1);
+    let mut simulation = Simulation::new(REPLICAS, ROUTERS, &document, &RejectsBadEntries, 1);
     for n in 0..100 {
         simulation.publish(ReplicaId((n % 4) as u8), change(n), n * SECOND / 2);
     }
--- a/crates/control/tests/subscriber.rs
+++ b/crates/control/tests/subscriber.rs
@@ -1,4 +1,5 @@
-//! The times at which a subscriber connects, sends heartbeats and fails over equal recorded ones: timeouts, backoff and jitter.
+//! Compares the times at which a subscriber connects, sends heartbeats and fails over with recorded ones, to detect changes of
+//! timeouts, backoff and jitter.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_control::*;
@@ -17,45 +18,46 @@
     }
 }
 
-fn label(action: &Action) -> String {
+fn action_label(action: &SubscriberAction) -> String {
     match action {
-        Action::Connect(replica) => format!("connect-{}", replica.0),
-        Action::Send(Message::Heartbeat { number, .. }) => format!("heartbeat-{number}"),
-        Action::Close => "close".into(),
+        SubscriberAction::Connect(replica) => format!("connect-{}", replica.0),
+        SubscriberAction::Send(Message::Heartbeat { number, .. }) => format!("heartbeat-{number}"),
+        SubscriberAction::Close => "close".into(),
         _ => "other".into(),
     }
 }
 
-/// Of the connections one in four is established, refused, unanswered, or answers three heartbeats and falls silent.
-fn times(seed: u64) -> Vec<String> {
+/// Returns the actions of a subscriber with their times, in µs. Of four connections one is established, one refused, one
+/// unanswered, and one answers three heartbeats and then stops responding.
+fn timed_actions(seed: u64) -> Vec<String> {
     let mut subscriber = Subscriber::new(RevisionNumber(0), Document::default(), 4, seed);
     let mut lines = Vec::new();
     let mut connects = 0;
-    let mut answers = 0;
+    let mut answers_left = 0;
     let mut now = 0;
     for _ in 0..60 {
         now = subscriber.next_due().max(now);
-        let mut inputs = vec![Input::Tick];
+        let mut inputs = vec![SubscriberInput::Tick];
         while let Some(input) = inputs.pop() {
             let mut actions = Vec::new();
             subscriber.handle(now, input, &mut AppliesAll, &mut actions);
             for action in actions {
-                lines.push(format!("{seed} {now} {}", label(&action)));
+                lines.push(format!("{seed} {now} {}", action_label(&action)));
                 match action {
-                    Action::Connect(_) => {
+                    SubscriberAction::Connect(_) => {
                         connects += 1;
-                        answers = if connects % 4 == 3 { 3 } else { 0 };
+                        answers_left = if connects % 4 == 3 { 3 } else { 0 };
                         match connects % 4 {
-                            0 | 3 => inputs.push(Input::Connected),
-                            1 => inputs.push(Input::Disconnected),
+                            0 | 3 => inputs.push(SubscriberInput::Connected),
+                            1 => inputs.push(SubscriberInput::Disconnected),
                             _ => {}
                         }
                     }
-                    Action::Send(_) if answers > 0 => {
-                        answers -= 1;
+                    SubscriberAction::Send(_) if answers_left > 0 => {
+                        answers_left -= 1;
                         let digest = Digest::default();
                         let answer = Message::Heartbeat { number: RevisionNumber(0), digest };
-                        inputs.push(Input::Message(Box::new(answer)));
+                        inputs.push(SubscriberInput::Message(Box::new(answer)));
                     }
                     _ => {}
                 }
@@ -67,9 +69,9 @@
 }
 
 #[test]
-fn connection_attempts_and_heartbeats_come_at_the_recorded_times() {
+fn connection_attempts_and_heartbeats_match_the_recorded_times() {
     let recorded: Vec<&str> = RECORDED.lines().collect();
-    let lines: Vec<String> = (1..=3).flat_map(times).collect();
+    let lines: Vec<String> = (1..=3).flat_map(timed_actions).collect();
     assert!(lines.len() > 180, "{}", lines.len());
     assert_eq!(lines, recorded);
 }
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -1,5 +1,5 @@
-//! No number is decided twice: every order of a few events on four control replicas, and long random walks in which replicas
-//! crash, restart from an old disk and are partitioned, with several publishers at once.
+//! Checks that no number is decided twice: in every order of a few events on four control replicas, and in long random walks in
+//! which replicas crash, restart from an old disk and are partitioned, with concurrent publishers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A step of a walk.
+/// One step of a random walk.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Step {
     Publish(usize),
@@ -19,9 +19,9 @@
     Lose(usize),
     Repeat(usize),
     Crash(usize),
-    OldDisk(usize),
-    Cut,
-    Heal,
+    RestartFromOldDisk(usize),
+    Partition,
+    EndPartition,
 }
 
 fn random_walk(seed: u64, steps: usize, may_lose_disks: bool) -> Cluster {
@@ -30,39 +30,39 @@
     let mut old_disks = 0;
     for _ in 0..steps {
         let replica = random.random_range(0..usize::from(REPLICAS));
-        let place = random.random_range(0..8);
+        let index = random.random_range(0..8);
         let step = match random.random_range(0..100) {
             0..8 => Step::Publish(replica),
             8..14 => Step::Retry(replica),
-            14..80 => Step::Deliver(place),
-            80..88 => Step::Lose(place),
-            88..92 => Step::Repeat(place),
+            14..80 => Step::Deliver(index),
+            80..88 => Step::Lose(index),
+            88..92 => Step::Repeat(index),
             92..96 => Step::Crash(replica),
-            // One at a time: the next one waits until another number was decided.
+            // Quorums tolerate one old disk at a time, so the next one waits until another number was decided.
             96..97 if may_lose_disks && cluster.newest() >= old_disks => {
                 old_disks = cluster.newest() + 1;
-                Step::OldDisk(replica)
+                Step::RestartFromOldDisk(replica)
             }
-            97..98 => Step::Cut,
-            _ => Step::Heal,
+            97..98 => Step::Partition,
+            _ => Step::EndPartition,
         };
-        perform(&mut cluster, step);
+        perform_step(&mut cluster, step);
         cluster.check();
     }
     cluster
 }
 
-fn perform(cluster: &mut Cluster, step: Step) {
+fn perform_step(cluster: &mut Cluster, step: Step) {
     match step {
         Step::Publish(replica) => cluster.publish(replica),
         Step::Retry(replica) => cluster.retry(replica),
-        Step::Deliver(place) => cluster.deliver(place),
-        Step::Lose(place) => cluster.lose(place),
-        Step::Repeat(place) => cluster.repeat(place),
+        Step::Deliver(index) => cluster.deliver(index),
+        Step::Lose(index) => cluster.lose(index),
+        Step::Repeat(index) => cluster.repeat(index),
         Step::Crash(replica) => cluster.restart(replica, false),
-        Step::OldDisk(replica) => cluster.restart(replica, true),
-        Step::Cut => cluster.partitioned = true,
-        Step::Heal => cluster.partitioned = false,
+        Step::RestartFromOldDisk(replica) => cluster.restart(replica, true),
+        Step::Partition => cluster.partitioned = true,
+        Step::EndPartition => cluster.partitioned = false,
     }
 }
 
@@ -72,7 +72,7 @@
     for seed in 0..400 {
         decided += random_walk(seed, 400, false).newest();
     }
-    assert!(decided > 400, "walks do decide numbers: {decided}");
+    assert!(decided > 400, "random walks decided too few numbers: {decided}");
 }
 
 #[test]
@@ -82,14 +82,14 @@
     }
 }
 
-/// Every order of the deliveries and losses of two publications at once, to this depth.
+/// Explores every order of deliveries and losses of two concurrent publications, to a depth of nine steps.
 #[test]
-fn every_order_of_two_publications_decides_one_content() {
-    let mut begun = Cluster::new(REPLICAS);
-    begun.publish(0);
-    begun.publish(3);
+fn every_order_of_two_publications_decides_without_conflict() {
+    let mut initial = Cluster::new(REPLICAS);
+    initial.publish(0);
+    initial.publish(3);
     let mut explored = 0;
-    explore(&begun, 9, &mut explored);
+    explore(&initial, 9, &mut explored);
     assert!(explored > 10_000, "{explored}");
 }
 
@@ -99,9 +99,9 @@
     if depth == 0 {
         return;
     }
-    for place in 0..cluster.in_transit().min(3) {
+    for index in 0..cluster.in_transit().min(3) {
         let mut next = cluster.clone();
-        next.deliver(place);
+        next.deliver(index);
         explore(&next, depth - 1, explored);
     }
     if cluster.in_transit() > 0 {
@@ -130,7 +130,7 @@
     assert!(digests.iter().all(|d| *d == digests[0]));
 }
 
-/// Neither side has a quorum, and once the partition ends both go on.
+/// Neither side has a quorum during the partition; after it, both publications are decided.
 #[test]
 fn partition_of_two_and_two_decides_nothing_and_converges_afterwards() {
     let mut cluster = Cluster::new(REPLICAS);
@@ -145,7 +145,7 @@
         cluster.retry(0);
         cluster.retry(3);
     }
-    assert_eq!(cluster.newest(), 1, "no quorum on either side");
+    assert_eq!(cluster.newest(), 1, "a side without a quorum decided a number");
     cluster.partitioned = false;
     for _ in 0..20 {
         cluster.deliver_all();
@@ -198,7 +198,8 @@
     assert_eq!(cluster.outcomes.last(), Some(&PublishOutcome::NoChange));
 }
 
-/// Replicas whose histories differ, which no fault above brings about: it is reported, and neither adopts the other's.
+/// Replicas with different histories, which none of the faults above causes: the difference is reported, and neither replica
+/// adopts the other's history.
 #[test]
 fn other_content_under_a_number_is_reported_and_not_applied() {
     let mut cluster = Cluster::new(REPLICAS);
@@ -214,29 +215,29 @@
     cluster.send_heartbeat(0, 2);
     cluster.deliver_all();
     assert!(cluster.diverged > 0);
-    assert_eq!(cluster.replicas[2].number(), RevisionNumber(1), "it keeps what it had");
+    assert_eq!(cluster.replicas[2].number(), RevisionNumber(1), "the replica must keep its own history");
 }
 
-/// If its answers counted, two replicas and an unlisted one would be a quorum.
+/// If answers of an unlisted replica counted, two listed replicas and an unlisted one would form a quorum.
 #[test]
 fn unlisted_replica_has_no_vote() {
     let mut replica = Replica::fresh(ReplicaId(0), REPLICAS);
-    let mut out = Vec::new();
-    replica.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &RejectsBadEntries, &mut out);
-    let prepared = out.iter().find_map(|o| match o {
+    let mut actions = Vec::new();
+    replica.publish(Delta(vec![Change::Set(entry("a", "b"))]), "operator", &RejectsBadEntries, &mut actions);
+    let prepare = actions.iter().find_map(|o| match o {
         ReplicaAction::Send { message: Message::Prepare { number, ballot }, .. } => Some((*number, *ballot)),
         _ => None,
     });
-    let (number, ballot) = prepared.expect("the others are asked");
+    let (number, ballot) = prepare.expect("no prepare message was sent");
     let promise = Message::Promise { number, ballot, vote: None };
-    out.clear();
-    replica.receive(ReplicaId(1), promise.clone(), &mut out);
-    replica.receive(ReplicaId(9), promise.clone(), &mut out);
-    assert_eq!(out, [], "two of four and a stranger");
-    replica.receive(ReplicaId(2), promise, &mut out);
+    actions.clear();
+    replica.receive(ReplicaId(1), promise.clone(), &mut actions);
+    replica.receive(ReplicaId(9), promise.clone(), &mut actions);
+    assert_eq!(actions, [], "two of four replicas and an unlisted one are no quorum");
+    replica.receive(ReplicaId(2), promise, &mut actions);
     assert!(
-        out.iter().any(|o| matches!(o, ReplicaAction::Send { message: Message::Accept(_), .. })),
-        "three of four"
+        actions.iter().any(|o| matches!(o, ReplicaAction::Send { message: Message::Accept(_), .. })),
+        "three of four replicas are a quorum"
     );
 }
 
