--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -131,7 +131,7 @@
         }
         match self.revision(number.next()) {
             Some(next) if next.before == digest => CatchUp::Revisions(self.revisions_after(number)),
-            // Number 0 is the initial configuration of a new peer, which any history may replace.
+            // Number 0 is the empty configuration of a new peer, which any history may replace.
             Some(_) if number == RevisionNumber::default() => CatchUp::Snapshot,
             Some(_) => CatchUp::Diverged,
             None if number == self.number && number > RevisionNumber::default() => CatchUp::Diverged,
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -242,8 +242,8 @@
         }
     }
 
-    /// Answers a replica that votes on another number than this replica, so one of the two is behind. Sends the decided revision
-    /// if it is retained, otherwise a heartbeat, so that the replica that is ahead brings the other up to date.
+    /// Answers a proposal whose number is not the next one at this replica, so one of the two replicas is behind. Sends the
+    /// decided revision if it is retained, otherwise a heartbeat, so that the replica that is ahead brings the other up to date.
     fn announce_newest(&self, to: ReplicaId, number: RevisionNumber, actions: &mut Vec<ReplicaAction>) {
         if to == self.id {
             return;
--- a/crates/control/src/revision.rs
+++ b/crates/control/src/revision.rs
@@ -5,7 +5,7 @@
 use crate::digest::Digest;
 use crate::document::Delta;
 
-/// A revision's number. The initial configuration has number 0, and numbers increase by one.
+/// A revision's number. The empty configuration has number 0, and numbers increase by one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RevisionNumber(pub u64);
 
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of routers that are connected to a control replica: what each router has applied, and what it is sent.
+//! The sessions of routers that are connected to a control replica: what each router has learned, and what it is sent.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -27,7 +27,7 @@
 /// What a router has reported in a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Session {
-    /// The newest number that the router has applied.
+    /// The newest number that the router has learned, including one that it could not apply.
     pub number: RevisionNumber,
     /// When the router first reported this number.
     pub since: Micros,
--- a/crates/control/src/simulation/mod.rs
+++ b/crates/control/src/simulation/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use self::network::Event;
-use self::nodes::ControlNode;
+use self::nodes::ReplicaNode;
 pub use self::nodes::{Disk, Head, RecordingApplier, RouterNode};
 use crate::authentication::SiteKey;
 use crate::ballot::ReplicaId;
@@ -42,7 +42,7 @@
     scheduled: u64,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     replica_count: u8,
-    controls: Vec<ControlNode>,
+    replica_nodes: Vec<ReplicaNode>,
     /// All routers; those with an even index are in the first region.
     pub routers: Vec<RouterNode>,
     router_by_session: BTreeMap<SessionId, usize>,
@@ -77,14 +77,14 @@
         seed: u64,
     ) -> Self {
         let history = History::new(RevisionNumber(0), document.clone(), Retention::default());
-        let control = |index: u8| ControlNode::new(ReplicaId(index), replicas, &history);
+        let node = |index: u8| ReplicaNode::new(ReplicaId(index), replicas, &history);
         let router = |index: usize| RouterNode::new(document, replicas, seed + index as u64);
         let mut simulation = Self {
             now: SECOND,
             scheduled: 0,
             events: BinaryHeap::new(),
             replica_count: replicas,
-            controls: (0..replicas).map(control).collect(),
+            replica_nodes: (0..replicas).map(node).collect(),
             routers: (0..routers).map(router).collect(),
             router_by_session: BTreeMap::new(),
             next_session: 0,
@@ -119,13 +119,13 @@
 
     /// Returns the newest number that a replica knows to be decided.
     pub fn number(&self, replica: ReplicaId) -> Option<RevisionNumber> {
-        self.controls.get(usize::from(replica.0)).map(|control| control.replica.number())
+        self.replica_nodes.get(usize::from(replica.0)).map(|node| node.replica.number())
     }
 
     /// Returns the distinct states of all running replicas and all routers: a single one if all agree.
     pub fn heads(&self) -> BTreeSet<Head> {
-        let running = self.controls.iter().filter(|control| control.is_running);
-        let replicas = running.map(|control| Head::of_history(control.replica.history()));
+        let running = self.replica_nodes.iter().filter(|node| node.is_running);
+        let replicas = running.map(|node| Head::of_history(node.replica.history()));
         let routers = self.routers.iter().map(|router| Head::of_subscriber(&router.subscriber));
         replicas.chain(routers).collect()
     }
@@ -164,8 +164,8 @@
     }
 
     fn next_due_sessions(&self) -> Option<Micros> {
-        let running = self.controls.iter().filter(|control| control.is_running);
-        running.filter_map(|control| control.sessions.next_due()).min()
+        let running = self.replica_nodes.iter().filter(|node| node.is_running);
+        running.filter_map(|node| node.sessions.next_due()).min()
     }
 
     fn schedule(&mut self, after: Micros, event: Event) {
--- a/crates/control/src/simulation/network.rs
+++ b/crates/control/src/simulation/network.rs
@@ -81,7 +81,7 @@
 
     /// Returns a replica's region: the first half of the replicas is in the first region.
     pub(super) fn region_of_replica(&self, replica: ReplicaId) -> Region {
-        if usize::from(replica.0) < self.controls.len().div_ceil(2) {
+        if usize::from(replica.0) < self.replica_nodes.len().div_ceil(2) {
             Region::First
         } else {
             Region::Second
--- a/crates/control/src/simulation/nodes.rs
+++ b/crates/control/src/simulation/nodes.rs
@@ -63,7 +63,7 @@
 
 /// A simulated control replica.
 #[derive(Debug)]
-pub(super) struct ControlNode {
+pub(super) struct ReplicaNode {
     pub(super) replica: Replica,
     pub(super) sessions: SubscriberSessions,
     pub(super) disk: Disk,
@@ -72,7 +72,7 @@
     pub(super) requested_at: Option<Micros>,
 }
 
-impl ControlNode {
+impl ReplicaNode {
     pub(super) fn new(id: ReplicaId, replicas: u8, history: &History) -> Self {
         Self {
             replica: Replica::new(id, replicas, history.clone(), None),
--- a/crates/control/src/simulation/routers.rs
+++ b/crates/control/src/simulation/routers.rs
@@ -32,8 +32,8 @@
         let Some(router) = self.routers.get_mut(index) else { return };
         let Some(RouterConnection { replica, session }) = router.connection.take() else { return };
         self.router_by_session.remove(&session);
-        if let Some(control) = self.controls.get_mut(usize::from(replica.0)) {
-            control.sessions.close(session);
+        if let Some(node) = self.replica_nodes.get_mut(usize::from(replica.0)) {
+            node.sessions.close(session);
         }
     }
 
@@ -61,8 +61,8 @@
         let now = self.now;
         let session = SessionId(self.next_session);
         self.next_session += 1;
-        let control = self.controls.get_mut(usize::from(replica.0)).filter(|control| control.is_running);
-        let is_open = control.is_some_and(|control| control.sessions.open(session, now).is_ok());
+        let node = self.replica_nodes.get_mut(usize::from(replica.0)).filter(|node| node.is_running);
+        let is_open = node.is_some_and(|node| node.sessions.open(session, now).is_ok());
         if !is_open {
             return self.router_input(index, SubscriberInput::Disconnected);
         }
@@ -102,8 +102,8 @@
     /// Schedules a router's connection, which takes one round trip. Across a partition no event follows, and the router's
     /// connect timeout expires.
     fn connect(&mut self, index: usize, replica: ReplicaId) {
-        let control = self.controls.get(usize::from(replica.0));
-        let is_running = control.is_some_and(|control| control.is_running);
+        let node = self.replica_nodes.get(usize::from(replica.0));
+        let is_running = node.is_some_and(|node| node.is_running);
         let delay = self.delay(region_of_router(index), self.region_of_replica(replica));
         let Some(delay) = delay else { return };
         let event = if is_running {
--- a/crates/control/tests/simulation.rs
+++ b/crates/control/tests/simulation.rs
@@ -205,7 +205,7 @@
     assert_consistent(&simulation, 1);
 }
 
-/// Bounds a router's traffic while changes are published at the rate of a burst, two per second.
+/// Bounds a router's traffic, idle and while changes are published at the rate of a burst, two per second.
 #[test]
 fn traffic_of_a_router_is_within_its_budget() {
     const BYTES_PER_S: u64 = 7_000;
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -24,10 +24,10 @@
     EndPartition,
 }
 
-fn random_walk(seed: u64, steps: usize, may_lose_disks: bool) -> Cluster {
+fn random_walk(seed: u64, steps: usize, allow_old_disks: bool) -> Cluster {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::new(REPLICAS);
-    let mut old_disks = 0;
+    let mut min_newest = 0;
     for _ in 0..steps {
         let replica = random.random_range(0..usize::from(REPLICAS));
         let index = random.random_range(0..8);
@@ -39,8 +39,8 @@
             88..92 => Step::Repeat(index),
             92..96 => Step::Crash(replica),
             // Quorums tolerate one old disk at a time, so the next one waits until another number was decided.
-            96..97 if may_lose_disks && cluster.newest() >= old_disks => {
-                old_disks = cluster.newest() + 1;
+            96..97 if allow_old_disks && cluster.newest() >= min_newest => {
+                min_newest = cluster.newest() + 1;
                 Step::RestartFromOldDisk(replica)
             }
             97..98 => Step::Partition,
--- a/crates/state/src/lifecycle.rs
+++ b/crates/state/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The phases of the process and the transitions between them.
 //!
-//! Every accepted request gets exactly one final answer before the process exits by itself: from its worker while the router
+//! Every accepted request gets exactly one final answer before a regular exit: from its worker while the router
 //! drains, or by [`LifecycleAction::AnswerOpenRequests`]. Times are in µs; the caller uses one clock for all of them.
 
 use serde::Serialize;
