--- a/crates/router/src/core/active_request.rs
+++ b/crates/router/src/core/active_request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival until it is answered and no worker holds anything of it.
+//! A request from its arrival until it is answered and no attempt or reservation of it is left.
 
 use chalkyard_api::client::{MessagesRequest, Usage};
 use chalkyard_budget::{BilledAttempts, Usage as BilledTokens};
@@ -65,8 +65,8 @@
 }
 
 /// A request that is open, or that still has an open attempt or a reservation. `Core::requests` owns it: only the
-/// core writes it, and views read it. [`crate::Bounds::open`] bounds the number of requests. After a crash only the
-/// ledger knows of them.
+/// core writes it, and views read it. [`crate::Bounds::open_requests`] bounds the number of requests. After a crash
+/// only the ledger knows of them.
 #[derive(Debug)]
 pub(super) struct ActiveRequest {
     pub(super) client: ConnId,
