--- a/crates/daemon/src/soak.rs
+++ b/crates/daemon/src/soak.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use chalkyard_rehearsal::soak::{play, shrink, SoakOptions, SoakReport};
+use chalkyard_rehearsal::soak::{minimize_faults, run_seed, SoakOptions, SoakReport};
 use chalkyard_rehearsal::Plan;
 
 use crate::rehearse::RULE_BROKEN;
@@ -35,7 +35,7 @@
     let mut failed: Option<SoakReport> = None;
     for seed in plan.seed..plan.seed + arguments.seeds.unwrap_or(1) {
         let report =
-            play(seed, &options).map_err(|e| CommandError::CouldNotRun(format!("seed {seed}: {e}")))?;
+            run_seed(seed, &options).map_err(|e| CommandError::CouldNotRun(format!("seed {seed}: {e}")))?;
         match format {
             Format::Text => print!("{}", report.text()),
             Format::Json => println!("{}", serde_json::to_string(&report).unwrap_or_default()),
@@ -47,7 +47,7 @@
     let Some(report) = failed else { return Ok(ExitCode::SUCCESS) };
     if arguments.seeds.unwrap_or(1) == 1 && matches!(format, Format::Text) {
         let options = SoakOptions { record: None, ..options };
-        let least = shrink(&report, &options, SHRINKING_PLAYS);
+        let least = minimize_faults(&report, &options, SHRINKING_PLAYS);
         let least = least.map_err(|e| CommandError::CouldNotRun(format!("shrinking: {e}")))?;
         println!("what is left of its faults when those that do not matter are left out:");
         for fault in &least.faults {
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -4,7 +4,7 @@
 
 use chalkyard_rehearsal::record::Line;
 use chalkyard_rehearsal::scenario::Scenario;
-use chalkyard_rehearsal::{judge, Rules};
+use chalkyard_rehearsal::{evaluate, Rules};
 use serde::Serialize;
 
 use crate::cases::bounds;
@@ -27,7 +27,7 @@
 impl Played {
     /// Judges a record of the scenario.
     pub fn judge(scenario: &Scenario, lines: &[Line]) -> Self {
-        let report = judge(lines);
+        let report = evaluate(lines);
         Self {
             rules: report.rules,
             broken: report.broken,
--- a/crates/fleet/src/sums.rs
+++ b/crates/fleet/src/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chalkyard_rehearsal::by_second;
+use chalkyard_rehearsal::goodput_by_second;
 use chalkyard_rehearsal::record::{Answer, Event, Line, Stage};
 use chalkyard_rehearsal::scenario::{Kind, LinkScope, Scenario};
 use serde::Serialize;
@@ -115,7 +115,7 @@
 
 /// Measures a record of this scenario.
 pub fn sums(scenario: &Scenario, lines: &[Line]) -> Sums {
-    let seconds = by_second(lines);
+    let seconds = goodput_by_second(lines);
     let second = |t: u64| (t / 1_000_000) as usize;
     let first = scenario.faults.iter().map(|f| f.at).min().unwrap_or(scenario.length);
     let last = scenario.faults.iter().map(|f| f.at + f.len).max().unwrap_or(0).min(scenario.length);
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use chalkyard_fleet::*;
-use chalkyard_rehearsal::judge;
+use chalkyard_rehearsal::evaluate;
 use chalkyard_rehearsal::record::text;
 use chalkyard_rehearsal::scenario::{Kind, Scenario};
 
@@ -25,7 +25,7 @@
 fn broken(name: &str, seed: u64) -> Vec<String> {
     let scenario = scenario(name, seed);
     let played = emulate(&scenario).unwrap();
-    let report = judge(&played.lines);
+    let report = evaluate(&played.lines);
     assert!(report.requests > 10, "{name}: {} requests", report.requests);
     let sums = sums(&scenario, &played.lines);
     let past = bounds(&scenario, &sums).into_iter().filter(|b| b.value > b.most);
--- a/crates/rehearsal/src/audit/goodput.rs
+++ b/crates/rehearsal/src/audit/goodput.rs
@@ -61,7 +61,7 @@
 }
 
 /// For each second of the scenario, the weight of the requests first sent in it, and the part answered in time.
-pub fn by_second(lines: &[Line]) -> Vec<(f64, f64)> {
+pub fn goodput_by_second(lines: &[Line]) -> Vec<(f64, f64)> {
     let mut seconds: Vec<(f64, f64)> = Vec::new();
     let Some((trace, ..)) = Trace::read(lines) else { return seconds };
     for request in trace.weighted_requests() {
--- a/crates/rehearsal/src/audit/mod.rs
+++ b/crates/rehearsal/src/audit/mod.rs
@@ -8,7 +8,7 @@
 
 use hdrhistogram::Histogram;
 
-pub use self::goodput::by_second;
+pub use self::goodput::goodput_by_second;
 use self::trace::Trace;
 use crate::record::{parse, Answer, Event, Line};
 use crate::report::{Answers, Report, Rule, Times};
@@ -22,7 +22,7 @@
 pub fn audit(text: &str) -> Result<Report, String> {
     let lines = parse(text)?;
     check_references(&lines)?;
-    Ok(judge(&lines))
+    Ok(evaluate(&lines))
 }
 
 /// Checks that lines refer to what there is: a record with gaps would be judged too well.
@@ -107,7 +107,7 @@
 }
 
 /// Judges a record whose first line is the scenario.
-pub fn judge(lines: &[Line]) -> Report {
+pub fn evaluate(lines: &[Line]) -> Report {
     let Some((trace, name, seed)) = Trace::read(lines) else { return Report::default() };
     let mut report =
         Report { scenario: name.into(), seed, seconds: trace.end as f64 / 1e6, ..Report::default() };
--- a/crates/rehearsal/src/budgets.rs
+++ b/crates/rehearsal/src/budgets.rs
@@ -159,7 +159,7 @@
     if let Some(file) = &plan.record {
         crate::record::write(file, &lines)?;
     }
-    let mut audit = audit::judge(&lines);
+    let mut audit = audit::evaluate(&lines);
     let leases = figures(&scenario, &lines);
     let baseline = |sharing| play(sharing).map(|(scenario, lines, _)| figures(&scenario, &lines));
     let (equal_shares, unreserved) = (baseline(Sharing::Equal)?, baseline(Sharing::Unreserved)?);
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -34,7 +34,7 @@
 
 use std::path::PathBuf;
 
-pub use audit::{audit, by_second, judge};
+pub use audit::{audit, evaluate, goodput_by_second};
 pub use budgets::{rehearse as rehearse_budgets, BudgetReport};
 pub use report::{Report, Rule, Rules};
 pub use restart_scenario::{rehearse as rehearse_restarts, RestartReport};
@@ -75,7 +75,7 @@
     if let Some(file) = &plan.record {
         record::write(file, &lines)?;
     }
-    let report = audit::judge(&lines);
+    let report = audit::evaluate(&lines);
     if report.requests == 0 {
         return Err(Error::CouldNotRun("the day had no requests".into()));
     }
--- a/crates/rehearsal/src/restart_scenario.rs
+++ b/crates/rehearsal/src/restart_scenario.rs
@@ -90,7 +90,7 @@
         if let (Some(file), Restarts::HandOvers) = (&plan.record, restarts) {
             crate::record::write(file, &lines)?;
         }
-        let report = audit::judge(&lines);
+        let report = audit::evaluate(&lines);
         broken.extend(report.broken);
         Ok(RestartRun {
             restarts: count_faults(&lines, "hand_over") + count_faults(&lines, "balancer_roll"),
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -58,7 +58,7 @@
 const BEAT_LATE: Duration = Duration::from_millis(25);
 
 /// Plays a seed.
-pub fn play(seed: u64, options: &SoakOptions) -> io::Result<SoakReport> {
+pub fn run_seed(seed: u64, options: &SoakOptions) -> io::Result<SoakReport> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let drawn = rand::Rng::random_range(&mut rng, 10..=16);
     let plan = SoakPlan::draw(seed, &mut rng, options.routers.unwrap_or(drawn), options.seconds);
@@ -106,7 +106,7 @@
 }
 
 /// Leaves out faults one by one while the seed still fails in the same way; gives the plan that is left.
-pub fn shrink(report: &SoakReport, options: &SoakOptions, plays: usize) -> io::Result<SoakPlan> {
+pub fn minimize_faults(report: &SoakReport, options: &SoakOptions, plays: usize) -> io::Result<SoakPlan> {
     let wanted: Vec<Check> = report.findings.iter().map(|f| f.check).collect();
     let mut plan = report.plan.clone();
     let mut at = 0;
--- a/crates/rehearsal/tests/forms.rs
+++ b/crates/rehearsal/tests/forms.rs
@@ -7,7 +7,7 @@
     parse, text, Answer, AttemptEnd, Class, Event, Line, ReleaseCause, RetrySafety, RuleLimits, Stage,
 };
 use chalkyard_rehearsal::scenario::{self, LinkScope, Restarts, Scenario, Sharing};
-use chalkyard_rehearsal::{audit, by_second};
+use chalkyard_rehearsal::{audit, goodput_by_second};
 
 const SOUND: &str = include_str!("sound.jsonl");
 
@@ -193,7 +193,7 @@
 
 #[test]
 fn the_worth_of_each_second_stays() {
-    let seconds = by_second(&parse(SOUND).unwrap());
+    let seconds = goodput_by_second(&parse(SOUND).unwrap());
     assert_eq!(format!("{seconds:?}\n"), stored("sound_by_second.txt"));
 }
 
