--- a/crates/policy/tests/audit.rs
+++ b/crates/policy/tests/audit.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone)]
 enum Op {
     Wait(u16),
-    Ask { class: u8, session: u8, tokens: u16 },
+    Submit { class: u8, session: u8, tokens: u16 },
     End { pick: u8, how: u8, over: bool },
     Stream { pick: u8 },
     Leave { pick: u8 },
@@ -29,10 +29,10 @@
 impl Play for Audit {
     fn pick_open(&self, pick: u8, streaming: Option<bool>) -> Option<(RequestId, usize)> {
         let open: Vec<_> = self
-            .asked
+            .requests
             .iter()
-            .flat_map(|(id, j)| j.tries.iter().enumerate().map(move |(n, t)| (id, n, t)))
-            .filter(|(_, _, t)| t.ran.is_none() && streaming.is_none_or(|s| t.streaming == s))
+            .flat_map(|(id, j)| j.attempts.iter().enumerate().map(move |(n, t)| (id, n, t)))
+            .filter(|(_, _, t)| t.may_have_run.is_none() && streaming.is_none_or(|s| t.streaming == s))
             .collect();
         let (id, n, _) = open.get(pick as usize % open.len().max(1))?;
         Some(((*id).clone(), *n))
@@ -40,20 +40,20 @@
 
     fn step(&mut self, op: &Op) {
         match op {
-            Op::Wait(ms) => self.pass(Micros(u64::from(*ms) * 1_000)),
-            Op::Ask { class, session, tokens } => {
-                let class = ClassId(*class as usize % self.set.classes.len());
-                self.ask(&format!("s{}", session % 8), class, u64::from(*tokens));
+            Op::Wait(ms) => self.advance(Micros(u64::from(*ms) * 1_000)),
+            Op::Submit { class, session, tokens } => {
+                let class = ClassId(*class as usize % self.settings.classes.len());
+                self.submit(&format!("s{}", session % 8), class, u64::from(*tokens));
             }
             Op::Stream { pick } => {
                 let Some((id, n)) = self.pick_open(*pick, Some(false)) else { return };
-                if self.workers[&self.asked[&id].tries[n].worker].role != Role::Prefill {
-                    self.stream(&id, n);
+                if self.workers[&self.requests[&id].attempts[n].worker].role != Role::Prefill {
+                    self.start_stream(&id, n);
                 }
             }
             Op::End { pick, how, over } => {
                 let Some((id, n)) = self.pick_open(*pick, None) else { return };
-                let t = &self.asked[&id].tries[n];
+                let t = &self.requests[&id].attempts[n];
                 let reader = self.workers[&t.worker].role == Role::Prefill;
                 let outcome = match how % 8 {
                     0..=2 if reader => Outcome::Prefilled,
@@ -66,14 +66,14 @@
                     6 if !t.streaming => Outcome::Cancelled,
                     _ => Outcome::ConnectionLost,
                 };
-                let over = *over && self.asked[&id].over;
-                self.verdict(&id, n, outcome, over);
+                let over = *over && self.requests[&id].ended;
+                self.end_attempt(&id, n, outcome, over);
             }
             Op::Leave { pick } => {
                 let living: Vec<_> =
-                    self.asked.iter().filter(|(_, j)| !j.over).map(|(id, _)| id.clone()).collect();
+                    self.requests.iter().filter(|(_, j)| !j.ended).map(|(id, _)| id.clone()).collect();
                 let Some(id) = living.get(*pick as usize % living.len().max(1)) else { return };
-                self.leave(id);
+                self.client_gone(id);
             }
             Op::Change { worker, to } => {
                 let all: Vec<WorkerId> = self.workers.keys().cloned().collect();
@@ -82,7 +82,7 @@
                     1 => Lifecycle::Removed,
                     _ => Lifecycle::Active,
                 };
-                self.change(&all[*worker as usize % all.len()], to);
+                self.set_lifecycle(&all[*worker as usize % all.len()], to);
             }
         }
     }
@@ -90,12 +90,12 @@
     /// Ends what still streams and waits until nothing can be owed any more.
     fn finish(&mut self) {
         while let Some((id, n)) = self.pick_open(0, Some(true)) {
-            self.verdict(&id, n, Outcome::Served, true);
+            self.end_attempt(&id, n, Outcome::Served, true);
         }
-        self.pass(secs(7.0));
-        for (id, j) in &self.asked {
-            assert!(j.over, "rule 1: {id:?} never answered");
-            assert!(!j.held, "rule 5: {id:?} pinned at the end");
+        self.advance(secs(7.0));
+        for (id, j) in &self.requests {
+            assert!(j.ended, "rule 1: {id:?} never answered");
+            assert!(!j.reserved, "rule 5: {id:?} pinned at the end");
         }
     }
 }
@@ -104,7 +104,7 @@
     prop_oneof![
         3 => (1u16..400).prop_map(Op::Wait),
         6 => (any::<u8>(), any::<u8>(), 1u16..20_000)
-            .prop_map(|(class, session, tokens)| Op::Ask { class, session, tokens }),
+            .prop_map(|(class, session, tokens)| Op::Submit { class, session, tokens }),
         8 => (any::<u8>(), any::<u8>(), any::<bool>()).prop_map(|(pick, how, over)| Op::End { pick, how, over }),
         4 => any::<u8>().prop_map(|pick| Op::Stream { pick }),
         1 => any::<u8>().prop_map(|pick| Op::Leave { pick }),
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,6 @@
-//! A hand-fed router: settings of an invented site, events in, actions out.
+//! Test harness for the decision module: one router with the settings of an invented site, driven by events at a clock
+//! that the test sets. Worker ids tell the role: `r` for prefill workers, `w` for decode workers, `m` for combined
+//! ones.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic, missing_docs)]
 
 pub mod audit;
@@ -44,9 +46,10 @@
     }
 }
 
-pub const FREE: ClassId = ClassId(0);
-pub const SINGLE: ClassId = ClassId(1);
-pub const GUARDED: ClassId = ClassId(2);
+/// Positions of the classes in [`settings`], named for their retry safety.
+pub const IDEMPOTENT: ClassId = ClassId(0);
+pub const NON_IDEMPOTENT: ClassId = ClassId(1);
+pub const DEDUPLICATED: ClassId = ClassId(2);
 
 pub fn worker(id: &str, role: Role, cell: u64) -> Worker {
     Worker {
@@ -61,31 +64,32 @@
     }
 }
 
-/// Three readers r0..r2 and three writers w0..w2 in two cells.
+/// Three prefill workers r0..r2 and three decode workers w0..w2 in two cells.
 pub fn fleet() -> Vec<Worker> {
-    let mut all = Vec::new();
+    let mut workers = Vec::new();
     for i in 0..3 {
-        all.push(worker(&format!("r{i}"), Role::Prefill, i % 2));
-        all.push(worker(&format!("w{i}"), Role::Decode, i % 2));
+        workers.push(worker(&format!("r{i}"), Role::Prefill, i % 2));
+        workers.push(worker(&format!("w{i}"), Role::Decode, i % 2));
     }
-    all
+    workers
 }
 
-/// One writer w0 and `n` readers r0.. beside it.
-pub fn readers(n: usize) -> Vec<Worker> {
-    let mut all = vec![worker("w0", Role::Decode, 0)];
-    all.extend((0..n).map(|i| worker(&format!("r{i}"), Role::Prefill, 0)));
-    all
+/// One decode worker w0 and `n` prefill workers r0.., all in one cell.
+pub fn fleet_with_prefill(n: usize) -> Vec<Worker> {
+    let mut workers = vec![worker("w0", Role::Decode, 0)];
+    workers.extend((0..n).map(|i| worker(&format!("r{i}"), Role::Prefill, 0)));
+    workers
 }
 
+/// A router and the time at which it is fed its next event.
 #[derive(Debug, Clone)]
 pub struct Rig {
     pub router: Router,
     pub now: Micros,
 }
 
-/// Where something was sent, with its time-out.
-pub type Sent = (String, Option<Micros>);
+/// The worker that an attempt was sent to, and its timeout.
+pub type SentTo = (String, Option<Micros>);
 
 impl Rig {
     pub fn new(settings: Settings, workers: Vec<Worker>) -> Self {
@@ -94,13 +98,14 @@
         rig
     }
 
+    /// Feeds an event at the present time.
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn wait(&mut self, s: f64) {
+    pub fn advance(&mut self, s: f64) {
         self.now = self.now + secs(s);
     }
 
@@ -118,38 +123,40 @@
         }
     }
 
-    pub fn ask(&mut self, id: &str, session: &str, class: ClassId, tokens: u64) -> Vec<Action> {
+    /// Feeds a new request without a prefix or a tenant.
+    pub fn submit(&mut self, id: &str, session: &str, class: ClassId, tokens: u64) -> Vec<Action> {
         let request = self.request(id, session, class, tokens);
         self.feed(Event::Request(request))
     }
 
-    pub fn end(&mut self, id: &str, attempt: u32, outcome: Outcome, kept: u64) -> Vec<Action> {
-        self.end_with(id, attempt, outcome, kept, None)
+    /// Ends an attempt after 0.1 s, without a load report. `Served` ends its request too.
+    pub fn end_attempt(&mut self, id: &str, attempt: u32, outcome: Outcome, cached: u64) -> Vec<Action> {
+        self.end_attempt_with_report(id, attempt, outcome, cached, None)
     }
 
-    pub fn end_with(
+    pub fn end_attempt_with_report(
         &mut self,
         id: &str,
         attempt: u32,
         outcome: Outcome,
-        kept: u64,
+        cached: u64,
         report: Option<LoadReport>,
     ) -> Vec<Action> {
         let (id, attempt, elapsed) = (id.into(), AttemptNo(attempt), secs(0.1));
-        let over = outcome == Outcome::Served;
+        let ended = outcome == Outcome::Served;
         self.feed(Event::AttemptOutcome {
             id,
             attempt,
             outcome,
             elapsed,
-            request_ended: over,
-            cached_tokens: kept,
+            request_ended: ended,
+            cached_tokens: cached,
             report,
         })
     }
 
-    /// The end of a first attempt that was a read of `s` seconds.
-    pub fn parsed_after(&mut self, id: &str, s: f64) -> Vec<Action> {
+    /// Ends the first attempt of a request as a prefill that took `s` seconds.
+    pub fn end_prefill_after(&mut self, id: &str, s: f64) -> Vec<Action> {
         let (id, attempt, elapsed) = (id.into(), AttemptNo(0), secs(s));
         let outcome = Outcome::Prefilled;
         self.feed(Event::AttemptOutcome {
@@ -163,64 +170,72 @@
         })
     }
 
-    /// Plays a free request through its attempts, four at most, 20 ms each: reads end well, answers stream to their end,
-    /// and the first attempt is turned away where that is told. `sent_to` hears of each as it is sent.
-    pub fn play(
+    /// Runs an idempotent request through at most four attempts of 20 ms each: prefills succeed, responses stream to
+    /// their end, and the first attempt is rejected if `reject_first` is set. `on_send` is called with the time and
+    /// the worker of each attempt.
+    pub fn run_request(
         &mut self,
         id: &str,
         tokens: u64,
-        first_is_turned_away: bool,
-        mut sent_to: impl FnMut(Micros, &str),
+        reject_first: bool,
+        mut on_send: impl FnMut(Micros, &str),
     ) {
-        let mut next = sent(&self.ask(id, id, FREE, tokens));
+        let mut next_send = sent_to(&self.submit(id, id, IDEMPOTENT, tokens));
         let mut attempt = 0;
-        while let Some((to, _)) = next.take().filter(|_| attempt < 4) {
-            sent_to(self.now, &to);
-            self.wait(0.02);
-            if first_is_turned_away && attempt == 0 {
-                next = sent(&self.end(id, attempt, Outcome::Rejected { no_state: false }, 0));
+        while let Some((to, _)) = next_send.take().filter(|_| attempt < 4) {
+            on_send(self.now, &to);
+            self.advance(0.02);
+            if reject_first && attempt == 0 {
+                next_send = sent_to(&self.end_attempt(id, attempt, Outcome::Rejected { no_state: false }, 0));
             } else if to.starts_with('r') {
-                next = sent(&self.end(id, attempt, Outcome::Prefilled, 0));
+                next_send = sent_to(&self.end_attempt(id, attempt, Outcome::Prefilled, 0));
             } else {
-                self.stream(id, attempt);
-                self.end(id, attempt, Outcome::Served, 0);
+                self.start_stream(id, attempt);
+                self.end_attempt(id, attempt, Outcome::Served, 0);
             }
             attempt += 1;
         }
     }
 
-    /// Fires timers, those set on the way too, until the actions are as wanted, `most` times at most.
-    pub fn fire_until(&mut self, mut actions: Vec<Action>, most: u32, wanted: impl Fn(&[Action]) -> bool) {
-        for _ in 0..most {
-            if wanted(&actions) {
+    /// Fires the timers that the actions set, and those set in turn, until `is_done` holds of the actions. Panics after
+    /// `max_rounds` rounds.
+    pub fn fire_timers_until(
+        &mut self,
+        mut actions: Vec<Action>,
+        max_rounds: u32,
+        is_done: impl Fn(&[Action]) -> bool,
+    ) {
+        for _ in 0..max_rounds {
+            if is_done(&actions) {
                 return;
             }
-            actions = self.fire(&actions);
+            actions = self.fire_timers(&actions);
         }
-        unreachable!("never happened");
+        unreachable!("condition not met after {max_rounds} rounds of timers");
     }
 
-    pub fn stream(&mut self, id: &str, attempt: u32) -> Vec<Action> {
+    /// Starts the response of an attempt, 0.1 s after it was sent.
+    pub fn start_stream(&mut self, id: &str, attempt: u32) -> Vec<Action> {
         self.feed(Event::Streaming { id: id.into(), attempt: AttemptNo(attempt), elapsed: secs(0.1) })
     }
 
-    /// Runs one request through reader and writer to its end; gives both workers.
-    pub fn whole(&mut self, id: &str, session: &str, tokens: u64) -> (String, String) {
-        let reader = sent(&self.ask(id, session, FREE, tokens)).unwrap().0;
-        self.wait(0.1);
-        let writer = sent(&self.end(id, 0, Outcome::Prefilled, 0)).unwrap().0;
-        self.wait(0.1);
-        self.stream(id, 1);
-        self.wait(1.0);
-        self.end(id, 1, Outcome::Served, 0);
-        (reader, writer)
+    /// Runs one request through a prefill and a decode worker to its end; returns both workers.
+    pub fn serve_request(&mut self, id: &str, session: &str, tokens: u64) -> (String, String) {
+        let prefill_worker = sent_to(&self.submit(id, session, IDEMPOTENT, tokens)).unwrap().0;
+        self.advance(0.1);
+        let decode_worker = sent_to(&self.end_attempt(id, 0, Outcome::Prefilled, 0)).unwrap().0;
+        self.advance(0.1);
+        self.start_stream(id, 1);
+        self.advance(1.0);
+        self.end_attempt(id, 1, Outcome::Served, 0);
+        (prefill_worker, decode_worker)
     }
 
-    /// Fires the timers that the actions set, at their time; gives the actions of all of them.
-    pub fn fire(&mut self, actions: &[Action]) -> Vec<Action> {
+    /// Fires the timers that the actions set, each at its time; returns the actions that follow.
+    pub fn fire_timers(&mut self, actions: &[Action]) -> Vec<Action> {
         let mut out = Vec::new();
-        for a in actions {
-            if let Action::SetTimer { timer, after } = a {
+        for action in actions {
+            if let Action::SetTimer { timer, after } = action {
                 self.now = self.now + *after;
                 out.extend(self.feed(Event::Timer(*timer)));
             }
@@ -229,24 +244,25 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<Sent> {
-    let mut all = actions.iter().filter_map(|a| match a {
+/// The attempt that the actions send, if there is one; panics if there are several.
+pub fn sent_to(actions: &[Action]) -> Option<SentTo> {
+    let mut workers = actions.iter().filter_map(|action| match action {
         Action::Send { worker, timeout, .. } => Some((worker.0.to_string(), *timeout)),
         _ => None,
     });
-    let first = all.next();
-    assert!(all.next().is_none(), "more than one send: {actions:?}");
+    let first = workers.next();
+    assert!(workers.next().is_none(), "more than one attempt sent: {actions:?}");
     first
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-pub fn let_go(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::ReleaseReservation(_)))
+pub fn released(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::ReleaseReservation(_)))
 }
--- a/crates/policy/tests/joiner.rs
+++ b/crates/policy/tests/joiner.rs
@@ -63,8 +63,8 @@
         self.due.insert(place, (at, r, id.into(), attempt, w.into(), what));
     }
 
-    fn sent(&mut self, r: usize, id: &str, actions: &[Action]) {
-        let Some((to, _)) = sent(actions) else { return };
+    fn record_send(&mut self, r: usize, id: &str, actions: &[Action]) {
+        let Some((to, _)) = sent_to(actions) else { return };
         let count = self.tries.entry(id.into()).or_default();
         let attempt = *count;
         *count += 1;
@@ -94,7 +94,7 @@
             self.now = at;
             self.rigs[r].now = at;
             if what == Due::First {
-                self.rigs[r].stream(&id, attempt);
+                self.rigs[r].start_stream(&id, attempt);
                 continue;
             }
             let report = (self.case.reports == LoadReporting::InResponses).then(|| LoadReport {
@@ -105,8 +105,8 @@
             if what == Due::End {
                 *self.held.entry(w).or_default() -= LONG as f64;
             }
-            let actions = self.rigs[r].end_with(&id, attempt, outcome, 0, report);
-            self.sent(r, &id, &actions);
+            let actions = self.rigs[r].end_attempt_with_report(&id, attempt, outcome, 0, report);
+            self.record_send(r, &id, &actions);
         }
         self.now = end;
     }
@@ -158,8 +158,8 @@
         let name = format!("{r}/{session}/{}", turn / 3);
         let id = format!("{n}");
         yard.rigs[r].now = now;
-        let actions = yard.rigs[r].ask(&id, &name, FREE, LONG + u64::from(turn % 3) * 40);
-        yard.sent(r, &id, &actions);
+        let actions = yard.rigs[r].submit(&id, &name, IDEMPOTENT, LONG + u64::from(turn % 3) * 40);
+        yard.record_send(r, &id, &actions);
     }
     yard.seen
 }
--- a/crates/policy/tests/many_routers.rs
+++ b/crates/policy/tests/many_routers.rs
@@ -38,7 +38,7 @@
 /// A request a second through reader and writer to its end.
 fn quiet_run(rig: &mut Rig, name: &str, requests: usize) {
     for i in 0..requests {
-        rig.whole(&format!("{name}{i}"), &format!("{name}{i}"), LONG);
+        rig.serve_request(&format!("{name}{i}"), &format!("{name}{i}"), LONG);
     }
 }
 
@@ -56,9 +56,9 @@
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold] });
         for i in 0..4 {
             let id = format!("c{i}");
-            total += u32::from(sent(&rig.ask(&id, &id, FREE, LONG)).is_some_and(|s| s.0 == "r0"));
-            rig.end(&id, 0, Outcome::NotSent, 0);
-            rig.wait(0.4);
+            total += u32::from(sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).is_some_and(|s| s.0 == "r0"));
+            rig.end_attempt(&id, 0, Outcome::NotSent, 0);
+            rig.advance(0.4);
         }
     }
     total
@@ -68,7 +68,7 @@
 
 #[test]
 fn all_routers_together_stay_within_a_cold_workers_budget() {
-    let total = sent_to_cold(&readers(3), &[]);
+    let total = sent_to_cold(&fleet_with_prefill(3), &[]);
     // Each router has 1 read in 1.2 s: a warm reader does 150 / 1.2 / 3 of them a second.
     let full = f64::from(ROUTERS) / 1.2 / 3.0;
     assert!(total > 0, "a returned worker gets some work");
@@ -77,7 +77,7 @@
 
 #[test]
 fn the_first_of_a_lost_role_to_come_back_does_not_get_the_work_of_all() {
-    let total = sent_to_cold(&readers(3), &["r0", "r1", "r2"]);
+    let total = sent_to_cold(&fleet_with_prefill(3), &["r0", "r1", "r2"]);
     let full = f64::from(ROUTERS) / 1.2 / 3.0;
     assert!(f64::from(total) < full * 2.0 * 3.0 * 0.4, "{total} against {full} a second");
 }
@@ -90,14 +90,14 @@
     let (mut sends, mut before) = (Vec::new(), 0.0);
     for n in 0..24 {
         let per_s = if n % 4 == 0 { 8.0 } else { 1.0 };
-        let mut rig = one(start * 1_000 + n, set.clone(), readers(3));
+        let mut rig = one(start * 1_000 + n, set.clone(), fleet_with_prefill(3));
         let begun = rig.now;
         let back = begun + secs(20.0);
         let mut cold = worker("r0", Role::Prefill, 0);
         cold.started = Some(back);
         let (mut known, mut anew, mut i) = (false, n % 2 == 1, 0);
         // Out of step with each other.
-        rig.wait((n as f64 * 0.618).fract() / per_s);
+        rig.advance((n as f64 * 0.618).fract() / per_s);
         while rig.now < back + secs(6.0) {
             if !known && rig.now >= back {
                 known = true;
@@ -114,7 +114,7 @@
                 rig.now = at;
             }
             let (id, asked) = (format!("{n}-{i}"), rig.now);
-            rig.play(&id, LONG, i % 4 == 3, |now, to| {
+            rig.run_request(&id, LONG, i % 4 == 3, |now, to| {
                 let age = if now >= back { (now - back).as_secs_f64() } else { -1.0 };
                 if age >= 0.0 && to == "r0" {
                     sends.push(age);
@@ -153,11 +153,11 @@
 fn part_of_cold(took: f64, ends: Outcome) -> (f64, f64) {
     let (mut to_cold, mut reads, mut finished) = (0.0, 0.0, 0.0);
     for seed in 0..u64::from(ROUTERS) {
-        let mut rig = one(seed, many(), readers(10));
+        let mut rig = one(seed, many(), fleet_with_prefill(10));
         for i in 0..12 {
             let id = format!("{seed}a{i}");
-            rig.ask(&id, &id, FREE, LONG);
-            rig.wait(took);
+            rig.submit(&id, &id, IDEMPOTENT, LONG);
+            rig.advance(took);
             // Every third comes back in any case.
             let ends = if i % 3 == 0 { Outcome::Prefilled } else { ends };
             finished += f64::from(u8::from(ends == Outcome::Prefilled));
@@ -170,22 +170,22 @@
                 cached_tokens: 0,
                 report: None,
             });
-            rig.stream(&id, 1);
-            rig.end(&id, 1, Outcome::Served, 0);
-            rig.wait(1.2 - took);
+            rig.start_stream(&id, 1);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
+            rig.advance(1.2 - took);
         }
         let cold =
             (0..5).map(|i| Worker { started: Some(rig.now), ..worker(&format!("r{i}"), Role::Prefill, 0) });
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: cold.collect() });
         for i in 0..2 {
             let id = format!("{seed}c{i}");
-            if let Some((to, _)) = sent(&rig.ask(&id, &id, FREE, LONG)) {
+            if let Some((to, _)) = sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)) {
                 reads += 1.0;
                 to_cold += f64::from(u8::from(to.as_str() < "r5"));
             }
-            rig.end(&id, 0, Outcome::Prefilled, 0);
-            rig.end(&id, 1, Outcome::Served, 0);
-            rig.wait(1.0);
+            rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
+            rig.advance(1.0);
         }
     }
     // Twelve requests took 14.4 s, over ten readers.
@@ -219,7 +219,7 @@
         let workers = readers.chain([worker("w0", Role::Decode, 0)]).collect();
         rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers });
         let id = format!("first{seed}");
-        sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0
+        sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).unwrap().0
     };
     let cold = (0..400).map(first).filter(|to| to == "r0" || to == "r1").count();
     // At a quarter of their capacity they are due a fifth of all; the coin of the budget alone gives them one in a hundred.
@@ -233,7 +233,7 @@
     for seed in 0..u64::from(ROUTERS) {
         let set = Settings { self_prefill: false, ..many() };
         let cold_for = set.slow_start_duration.as_secs_f64();
-        let mut rig = one(seed, set, readers(4));
+        let mut rig = one(seed, set, fleet_with_prefill(4));
         quiet_run(&mut rig, "a", 20);
         let at = rig.now;
         let cold = (0..4).map(|i| Worker { started: Some(at), ..worker(&format!("r{i}"), Role::Prefill, 0) });
@@ -241,14 +241,14 @@
         let mut n = 0;
         while rig.now < at + secs(cold_for) {
             let id = format!("c{n}");
-            if sent(&rig.ask(&id, &id, FREE, LONG)).is_some() {
+            if sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).is_some() {
                 begun += u32::from(rig.now > at + secs(cold_for / 2.0));
-                rig.parsed_after(&id, 0.05);
-                rig.end(&id, 1, Outcome::Served, 0);
+                rig.end_prefill_after(&id, 0.05);
+                rig.end_attempt(&id, 1, Outcome::Served, 0);
             } else {
                 rig.feed(Event::ClientGone(id.as_str().into()));
             }
-            (n, _) = (n + 1, rig.wait(0.5));
+            (n, _) = (n + 1, rig.advance(0.5));
         }
     }
     // Of ten for each router. By what warm ones finish alone a third: none is warm, and what they had finished fades.
@@ -261,7 +261,7 @@
         let mut rig = one(seed, Settings { discovery: Discovery::Poll, ..many() }, fleet());
         let failed = rig.feed(Event::Endpoints { update: EndpointUpdate::Failed, workers: vec![] });
         let before = rig.now;
-        assert_eq!(rig.fire(&failed), [Action::Subscribe]);
+        assert_eq!(rig.fire_timers(&failed), [Action::Subscribe]);
         (rig.now - before).0
     };
     let mut pauses: Vec<u64> = (0..u64::from(ROUTERS)).map(pause).collect();
@@ -281,7 +281,7 @@
     let whole = (0..400)
         .filter(|seed| {
             let mut rig = one(*seed, many(), workers.clone());
-            sent(&rig.ask("a", "s", FREE, LONG)).unwrap().0.starts_with('m')
+            sent_to(&rig.submit("a", "s", IDEMPOTENT, LONG)).unwrap().0.starts_with('m')
         })
         .count();
     assert!((20..80).contains(&whole), "two of eight servers, and nothing known: {whole} of 400");
@@ -294,20 +294,20 @@
         .filter(|seed| {
             let mut rig = one(*seed, many(), workers.clone());
             for i in 0..12 {
-                rig.wait(0.9);
+                rig.advance(0.9);
                 let id = format!("{i}");
-                let to = sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0;
-                rig.wait(0.05);
+                let to = sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).unwrap().0;
+                rig.advance(0.05);
                 let whole = to.starts_with('m');
                 if !whole {
-                    rig.parsed_after(&id, 0.05);
+                    rig.end_prefill_after(&id, 0.05);
                 }
                 let attempt = AttemptNo(u32::from(!whole));
                 let elapsed = secs(if whole { 1.0 } else { 0.05 });
                 rig.feed(Event::Streaming { id: id.as_str().into(), attempt, elapsed });
-                rig.end(&id, attempt.0, Outcome::Served, 0);
+                rig.end_attempt(&id, attempt.0, Outcome::Served, 0);
             }
-            sent(&rig.ask("z", "z", FREE, LONG)).unwrap().0.starts_with('m')
+            sent_to(&rig.submit("z", "z", IDEMPOTENT, LONG)).unwrap().0.starts_with('m')
         })
         .count();
     assert!(whole < 60, "a quarter of the servers, far slower: {whole} of 400");
@@ -319,21 +319,21 @@
     for earlier in [0, 1, 10] {
         let mut used = std::collections::BTreeSet::new();
         for seed in 0..u64::from(ROUTERS) {
-            let mut rig = one(seed, many(), readers(20));
+            let mut rig = one(seed, many(), fleet_with_prefill(20));
             for i in 0..=earlier {
                 let id = format!("{seed}-{i}");
-                let mut request = rig.request(&id, &id, FREE, LONG);
+                let mut request = rig.request(&id, &id, IDEMPOTENT, LONG);
                 let rare = i == earlier;
                 request.prefix = Some(if rare { "rare".into() } else { id.as_str().into() });
-                let reader = sent(&rig.feed(Event::Request(request))).unwrap().0;
+                let reader = sent_to(&rig.feed(Event::Request(request))).unwrap().0;
                 if rare {
                     used.insert(reader);
                 }
-                rig.wait(0.1);
-                rig.end(&id, 0, Outcome::Prefilled, 0);
-                rig.stream(&id, 1);
-                rig.end(&id, 1, Outcome::Served, 0);
-                rig.wait(1.0);
+                rig.advance(0.1);
+                rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+                rig.start_stream(&id, 1);
+                rig.end_attempt(&id, 1, Outcome::Served, 0);
+                rig.advance(1.0);
             }
         }
         assert_eq!(used.len(), 2, "after {earlier} other requests: {used:?}");
@@ -342,22 +342,22 @@
 
 #[test]
 fn a_hot_beginning_is_as_wide_as_its_part_of_what_is_asked() {
-    let workers = readers(12);
+    let workers = fleet_with_prefill(12);
     let used = |part: usize| {
         let mut rig = one(1, many(), workers.clone());
         let mut seen = std::collections::BTreeSet::new();
         for i in 0..200 {
-            rig.wait(0.2);
+            rig.advance(0.2);
             let id = format!("{i}");
             let hot = i % 10 < part;
-            let mut request = rig.request(&id, &id, FREE, LONG);
+            let mut request = rig.request(&id, &id, IDEMPOTENT, LONG);
             request.prefix = Some(if hot { "hot".into() } else { id.as_str().into() });
-            let to = sent(&rig.feed(Event::Request(request))).unwrap().0;
+            let to = sent_to(&rig.feed(Event::Request(request))).unwrap().0;
             if hot {
                 seen.insert(to);
             }
-            rig.end(&id, 0, Outcome::Prefilled, 0);
-            rig.end(&id, 1, Outcome::Served, 0);
+            rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
         }
         seen.len()
     };
@@ -367,13 +367,13 @@
 
 #[test]
 fn a_session_comes_back_to_its_reader_on_another_router() {
-    let workers = readers(12);
+    let workers = fleet_with_prefill(12);
     for session in 0..40 {
         let to = |seed: u64| {
             let mut rig = one(seed, many(), workers.clone());
-            let mut request = rig.request("a", &format!("s{session}"), FREE, LONG);
+            let mut request = rig.request("a", &format!("s{session}"), IDEMPOTENT, LONG);
             request.prefix = Some("shared".into());
-            sent(&rig.feed(Event::Request(request))).unwrap().0
+            sent_to(&rig.feed(Event::Request(request))).unwrap().0
         };
         assert_eq!(to(1), to(2));
     }
@@ -387,8 +387,8 @@
         for seed in 0..400 {
             let mut rig = one(seed, Settings { load_reporting: reports, ..many() }, skewed());
             let id = format!("s{seed}");
-            let reader = sent(&rig.ask("a", &id, FREE, LONG)).unwrap().0;
-            let writer = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
+            let reader = sent_to(&rig.submit("a", &id, IDEMPOTENT, LONG)).unwrap().0;
+            let writer = sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, 0)).unwrap().0;
             if reader != "r3" {
                 reads += 1;
                 near += u32::from(writer == "w0");
@@ -404,31 +404,31 @@
 #[test]
 fn one_failure_is_enough_where_nothing_good_was_heard_lately() {
     let mut rig = one(1, many(), fleet());
-    let bad = sent(&rig.ask("a", "s", FREE, LONG)).unwrap().0;
-    rig.end("a", 0, Outcome::NoConnection, 0);
-    rig.end("a", 1, Outcome::Prefilled, 0);
-    rig.stream("a", 2);
-    rig.end("a", 2, Outcome::Served, 0);
+    let bad = sent_to(&rig.submit("a", "s", IDEMPOTENT, LONG)).unwrap().0;
+    rig.end_attempt("a", 0, Outcome::NoConnection, 0);
+    rig.end_attempt("a", 1, Outcome::Prefilled, 0);
+    rig.start_stream("a", 2);
+    rig.end_attempt("a", 2, Outcome::Served, 0);
     for i in 0..8 {
-        rig.wait(0.9);
+        rig.advance(0.9);
         let id = format!("{i}");
         assert_ne!(
-            sent(&rig.ask(&id, "s", FREE, LONG)).unwrap().0,
+            sent_to(&rig.submit(&id, "s", IDEMPOTENT, LONG)).unwrap().0,
             bad,
             "{} s later",
             0.9 * f64::from(i + 1)
         );
-        rig.end(&id, 0, Outcome::Prefilled, 0);
-        rig.stream(&id, 1);
-        rig.end(&id, 1, Outcome::Served, 0);
+        rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+        rig.start_stream(&id, 1);
+        rig.end_attempt(&id, 1, Outcome::Served, 0);
     }
 }
 
 #[test]
 fn silence_says_nothing_to_a_router_that_is_asked_seldom() {
     let mut rig = one(1, many(), fleet());
-    let asked = rig.ask("a", "s", FREE, LONG);
-    let late = rig.fire(&asked);
+    let asked = rig.submit("a", "s", IDEMPOTENT, LONG);
+    let late = rig.fire_timers(&asked);
     assert!(!late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
 }
 
@@ -439,18 +439,18 @@
             let mut rig = one(*seed, many(), fleet());
             for i in 0..10 {
                 let id = format!("{i}");
-                rig.ask(&id, &id, FREE, LONG);
-                rig.wait(wait);
+                rig.submit(&id, &id, IDEMPOTENT, LONG);
+                rig.advance(wait);
                 end(&mut rig, &id);
             }
-            let actions = rig.ask("z", "z", FREE, LONG);
+            let actions = rig.submit("z", "z", IDEMPOTENT, LONG);
             for a in &actions {
                 if let Action::Reject { retry_after, reason, .. } = a {
                     assert!(retry_after.is_some_and(|t| t.0 > 0), "a time to come back is named");
                     assert_eq!(*reason, RejectionReason::ObservedLatency);
                 }
             }
-            refused(&actions)
+            rejected(&actions)
         })
         .count()
 }
@@ -459,8 +459,8 @@
 fn begins(queued: Option<f64>) -> impl Fn(&mut Rig, &str) {
     move |rig, id| {
         let report = queued.map(|q| LoadReport { queued_requests: Some(q), ..LoadReport::default() });
-        rig.end_with(id, 0, Outcome::Prefilled, 0, report);
-        rig.stream(id, 1);
+        rig.end_attempt_with_report(id, 0, Outcome::Prefilled, 0, report);
+        rig.start_stream(id, 1);
     }
 }
 
@@ -502,18 +502,18 @@
         let mut rig = one(1, many(), fleet());
         for i in 0..10 {
             let id = format!("{i}");
-            rig.ask(&id, &id, FREE, LONG);
-            rig.wait(wait);
-            rig.end(&id, 0, Outcome::Prefilled, 0);
-            rig.stream(&id, 1);
-            rig.end(&id, 1, Outcome::Served, 0);
-            rig.wait(0.4);
+            rig.submit(&id, &id, IDEMPOTENT, LONG);
+            rig.advance(wait);
+            rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+            rig.start_stream(&id, 1);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
+            rig.advance(0.4);
         }
-        rig.ask("z", "z", FREE, LONG);
-        rig.end("z", 0, Outcome::Prefilled, 0);
-        let actions = rig.end("z", 1, Outcome::ConnectionLost, 0);
-        assert!(sent(&actions).is_some() || refused(&actions), "one or the other, at once");
-        sent(&actions).is_some()
+        rig.submit("z", "z", IDEMPOTENT, LONG);
+        rig.end_attempt("z", 0, Outcome::Prefilled, 0);
+        let actions = rig.end_attempt("z", 1, Outcome::ConnectionLost, 0);
+        assert!(sent_to(&actions).is_some() || rejected(&actions), "one or the other, at once");
+        sent_to(&actions).is_some()
     };
     assert!(repeated(0.1), "a lost connection alone is no jam");
     assert!(!repeated(0.75), "first tokens take three quarters of the aim");
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_long_prompt_is_read_at_a_reader_and_then_pulled_by_a_writer() {
     let mut rig = Rig::new(settings(), fleet());
-    let (reader, writer) = rig.whole("a", "s", LONG);
+    let (reader, writer) = rig.serve_request("a", "s", LONG);
     assert!(reader.starts_with('r'));
     assert!(writer.starts_with('w'));
 }
@@ -18,68 +18,72 @@
 #[test]
 fn a_short_remainder_goes_straight_to_the_home() {
     let mut rig = Rig::new(settings(), fleet());
-    let (_, writer) = rig.whole("a", "s", LONG);
-    let again = sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0;
+    let (_, writer) = rig.serve_request("a", "s", LONG);
+    let again = sent_to(&rig.submit("b", "s", IDEMPOTENT, LONG + 100)).unwrap().0;
     assert_eq!(again, writer);
 }
 
 #[test]
 fn a_long_remainder_goes_to_a_reader_although_a_home_is_known() {
     let mut rig = Rig::new(settings(), fleet());
-    rig.whole("a", "s", LONG);
-    let again = sent(&rig.ask("b", "s", FREE, 2 * LONG)).unwrap().0;
+    rig.serve_request("a", "s", LONG);
+    let again = sent_to(&rig.submit("b", "s", IDEMPOTENT, 2 * LONG)).unwrap().0;
     assert!(again.starts_with('r'));
 }
 
 #[test]
 fn a_short_prompt_of_a_new_session_is_read_where_it_is_written() {
     let mut rig = Rig::new(settings(), fleet());
-    assert!(sent(&rig.ask("a", "s", FREE, 80)).unwrap().0.starts_with('w'));
+    assert!(sent_to(&rig.submit("a", "s", IDEMPOTENT, 80)).unwrap().0.starts_with('w'));
 }
 
 #[test]
 fn writers_that_cannot_read_get_no_prompt_unread() {
     let mut rig = Rig::new(Settings { self_prefill: false, ..settings() }, fleet());
-    assert!(sent(&rig.ask("a", "s", FREE, 80)).unwrap().0.starts_with('r'));
-    let (_, _) = rig.whole("b", "t", LONG);
-    assert!(sent(&rig.ask("c", "t", FREE, LONG + 10)).unwrap().0.starts_with('r'));
+    assert!(sent_to(&rig.submit("a", "s", IDEMPOTENT, 80)).unwrap().0.starts_with('r'));
+    let (_, _) = rig.serve_request("b", "t", LONG);
+    assert!(sent_to(&rig.submit("c", "t", IDEMPOTENT, LONG + 10)).unwrap().0.starts_with('r'));
 }
 
 #[test]
 fn a_home_that_is_gone_is_forgotten() {
     let mut rig = Rig::new(settings(), fleet());
-    let (_, writer) = rig.whole("a", "s", LONG);
+    let (_, writer) = rig.serve_request("a", "s", LONG);
     let left = fleet().into_iter().filter(|w| *w.id.0 != *writer).collect();
     rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: left });
-    assert!(sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0.starts_with('r'));
+    assert!(sent_to(&rig.submit("b", "s", IDEMPOTENT, LONG + 100)).unwrap().0.starts_with('r'));
 }
 
 #[test]
 fn a_restarted_home_keeps_nothing() {
     let mut rig = Rig::new(settings(), fleet());
-    let (_, writer) = rig.whole("a", "s", LONG);
+    let (_, writer) = rig.serve_request("a", "s", LONG);
     let mut w = worker(&writer, Role::Decode, 0);
     w.started = Some(rig.now);
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w] });
-    assert!(sent(&rig.ask("b", "s", FREE, LONG + 100)).unwrap().0.starts_with('r'));
+    assert!(sent_to(&rig.submit("b", "s", IDEMPOTENT, LONG + 100)).unwrap().0.starts_with('r'));
 }
 
 #[test]
 fn a_kept_count_far_under_the_note_voids_older_notes_of_that_writer() {
     let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
-    rig.whole("a", "s", LONG);
-    rig.whole("b", "t", LONG);
-    assert_eq!(sent(&rig.ask("c", "s", FREE, LONG + 100)).unwrap().0, "w0");
-    rig.stream("c", 0);
-    rig.wait(0.5);
-    rig.end("c", 0, Outcome::Served, 0);
-    assert_eq!(sent(&rig.ask("d", "t", FREE, LONG + 100)).unwrap().0, "r0", "the older note is void");
-    assert_eq!(sent(&rig.ask("e", "s", FREE, LONG + 150)).unwrap().0, "w0", "the new note holds");
+    rig.serve_request("a", "s", LONG);
+    rig.serve_request("b", "t", LONG);
+    assert_eq!(sent_to(&rig.submit("c", "s", IDEMPOTENT, LONG + 100)).unwrap().0, "w0");
+    rig.start_stream("c", 0);
+    rig.advance(0.5);
+    rig.end_attempt("c", 0, Outcome::Served, 0);
+    assert_eq!(
+        sent_to(&rig.submit("d", "t", IDEMPOTENT, LONG + 100)).unwrap().0,
+        "r0",
+        "the older note is void"
+    );
+    assert_eq!(sent_to(&rig.submit("e", "s", IDEMPOTENT, LONG + 150)).unwrap().0, "w0", "the new note holds");
 }
 
 #[test]
 fn requests_of_one_beginning_share_two_readers_on_every_router() {
-    let workers = readers(8);
+    let workers = fleet_with_prefill(8);
     let mut seen = std::collections::BTreeSet::new();
     for seed in 0..4 {
         let mut rig = Rig::new(settings(), workers.clone());
@@ -89,18 +93,18 @@
             let id = format!("{i}");
             for k in 0..10 {
                 let other = format!("{i}/{k}");
-                let mut request = rig.request(&other, &other, FREE, LONG);
+                let mut request = rig.request(&other, &other, IDEMPOTENT, LONG);
                 request.prefix = Some(other.as_str().into());
                 rig.feed(Event::Request(request));
-                rig.end(&other, 0, Outcome::Prefilled, 0);
-                rig.end(&other, 1, Outcome::Served, 0);
+                rig.end_attempt(&other, 0, Outcome::Prefilled, 0);
+                rig.end_attempt(&other, 1, Outcome::Served, 0);
             }
-            let mut request = rig.request(&id, &format!("s{i}"), FREE, LONG);
+            let mut request = rig.request(&id, &format!("s{i}"), IDEMPOTENT, LONG);
             request.prefix = Some("shared".into());
-            seen.insert(sent(&rig.feed(Event::Request(request))).unwrap().0);
+            seen.insert(sent_to(&rig.feed(Event::Request(request))).unwrap().0);
             if i % 2 == 1 {
-                rig.end(&id, 0, Outcome::Prefilled, 0);
-                rig.end(&format!("{}", i - 1), 0, Outcome::Prefilled, 0);
+                rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+                rig.end_attempt(&format!("{}", i - 1), 0, Outcome::Prefilled, 0);
             }
         }
     }
@@ -112,8 +116,8 @@
     let workers =
         vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0), worker("w0", Role::Decode, 0)];
     let mut rig = Rig::new(settings(), workers);
-    let first = sent(&rig.ask("a", "s", FREE, LONG)).unwrap().0;
-    let second = sent(&rig.ask("b", "s", FREE, LONG)).unwrap().0;
+    let first = sent_to(&rig.submit("a", "s", IDEMPOTENT, LONG)).unwrap().0;
+    let second = sent_to(&rig.submit("b", "s", IDEMPOTENT, LONG)).unwrap().0;
     assert_ne!(first, second);
 }
 
@@ -124,17 +128,17 @@
     // Learn one report from each writer: w1 has most room.
     for i in 0..30 {
         let id = format!("l{i}");
-        rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
-        rig.stream(&id, 1);
-        rig.wait(0.5);
+        rig.submit(&id, &id, IDEMPOTENT, LONG);
+        let writer = sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
+        rig.start_stream(&id, 1);
+        rig.advance(0.5);
         let used = if writer == "w1" { 0.1 } else { 0.8 };
         let report = LoadReport { slot_utilization: Some(used), ..LoadReport::default() };
-        rig.end_with(&id, 1, Outcome::Served, 0, Some(report));
+        rig.end_attempt_with_report(&id, 1, Outcome::Served, 0, Some(report));
         writers.insert(writer);
     }
-    rig.ask("a", "new", FREE, LONG);
-    assert_eq!(sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0, "w1");
+    rig.submit("a", "new", IDEMPOTENT, LONG);
+    assert_eq!(sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, 0)).unwrap().0, "w1");
     assert!(writers.contains("w1"));
 }
 
@@ -146,19 +150,19 @@
     let mut pulled = std::collections::BTreeSet::new();
     for i in 0..60 {
         let id = format!("{i}");
-        let mut at = sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0;
+        let mut at = sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).unwrap().0;
         let reads = at.starts_with('r');
         if reads {
-            at = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
+            at = sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         }
         if reads && i >= 40 {
             pulled.insert(at.clone());
         }
         let held = if at.starts_with('m') { mixed_held } else { writers_held };
         let report = LoadReport { kv_utilization: Some(held), ..LoadReport::default() };
-        rig.stream(&id, u32::from(reads));
-        rig.end_with(&id, u32::from(reads), Outcome::Served, 0, Some(report));
-        rig.wait(0.5);
+        rig.start_stream(&id, u32::from(reads));
+        rig.end_attempt_with_report(&id, u32::from(reads), Outcome::Served, 0, Some(report));
+        rig.advance(0.5);
     }
     pulled
 }
@@ -181,9 +185,9 @@
     let mut count = std::collections::BTreeMap::new();
     for i in 0..9 {
         let id = format!("{i}");
-        rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
-        rig.stream(&id, 1);
+        rig.submit(&id, &id, IDEMPOTENT, LONG);
+        let writer = sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
+        rig.start_stream(&id, 1);
         *count.entry(writer).or_insert(0) += 1;
     }
     assert!(count.values().all(|n| (2..=4).contains(n)), "{count:?}");
@@ -195,20 +199,25 @@
     workers.extend((0..2).map(|i| worker(&format!("m{i}"), Role::Combined, i)));
     let mut rig = Rig::new(settings(), workers);
     let mixed = (0..16)
-        .filter(|i| sent(&rig.ask(&format!("{i}"), &format!("s{i}"), FREE, LONG)).unwrap().0.starts_with('m'))
+        .filter(|i| {
+            sent_to(&rig.submit(&format!("{i}"), &format!("s{i}"), IDEMPOTENT, LONG))
+                .unwrap()
+                .0
+                .starts_with('m')
+        })
         .count();
     assert_eq!(mixed, 4, "two of eight servers");
 }
 
 #[test]
 fn a_beginning_too_hot_for_two_readers_widens_to_more() {
-    let workers = readers(8);
+    let workers = fleet_with_prefill(8);
     let mut rig = Rig::new(settings(), workers);
     let mut seen = std::collections::BTreeMap::new();
     for i in 0..12 {
-        let mut request = rig.request(&format!("{i}"), &format!("s{i}"), FREE, LONG);
+        let mut request = rig.request(&format!("{i}"), &format!("s{i}"), IDEMPOTENT, LONG);
         request.prefix = Some("hot".into());
-        *seen.entry(sent(&rig.feed(Event::Request(request))).unwrap().0).or_insert(0) += 1;
+        *seen.entry(sent_to(&rig.feed(Event::Request(request))).unwrap().0).or_insert(0) += 1;
     }
     assert!(seen.len() > 2, "{seen:?}");
     assert!(seen.values().all(|n| *n <= 4), "{seen:?}");
@@ -220,11 +229,11 @@
         vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0), worker("w0", Role::Decode, 0)];
     let mut rig = Rig::new(settings(), workers);
     for i in 0..20 {
-        rig.whole(&format!("l{i}"), &format!("l{i}"), LONG);
+        rig.serve_request(&format!("l{i}"), &format!("l{i}"), LONG);
     }
-    let long = sent(&rig.ask("long", "long", FREE, 10 * LONG)).unwrap().0;
+    let long = sent_to(&rig.submit("long", "long", IDEMPOTENT, 10 * LONG)).unwrap().0;
     for i in 0..3 {
-        let next = sent(&rig.ask(&format!("n{i}"), &format!("n{i}"), FREE, LONG)).unwrap().0;
+        let next = sent_to(&rig.submit(&format!("n{i}"), &format!("n{i}"), IDEMPOTENT, LONG)).unwrap().0;
         assert_ne!(next, long, "read {i} queues behind a prompt ten times as long");
     }
 }
@@ -239,20 +248,24 @@
         // everything else a tenth of a second.
         for i in 0..20 {
             let ids = [format!("l{i}"), format!("k{i}")];
-            let firsts: Vec<_> = ids.iter().map(|id| sent(&rig.ask(id, id, FREE, LONG)).unwrap().0).collect();
+            let firsts: Vec<_> =
+                ids.iter().map(|id| sent_to(&rig.submit(id, id, IDEMPOTENT, LONG)).unwrap().0).collect();
             for (id, first) in ids.iter().zip(firsts) {
                 let mut attempt = 0;
                 if first.starts_with('r') {
-                    rig.parsed_after(id, read_s);
+                    rig.end_prefill_after(id, read_s);
                     attempt = 1;
                 }
-                rig.stream(id, attempt);
-                rig.end(id, attempt, Outcome::Served, 0);
+                rig.start_stream(id, attempt);
+                rig.end_attempt(id, attempt, Outcome::Served, 0);
             }
         }
         (0..32)
             .filter(|i| {
-                sent(&rig.ask(&format!("{i}"), &format!("s{i}"), FREE, LONG)).unwrap().0.starts_with('m')
+                sent_to(&rig.submit(&format!("{i}"), &format!("s{i}"), IDEMPOTENT, LONG))
+                    .unwrap()
+                    .0
+                    .starts_with('m')
             })
             .count()
     };
--- a/crates/policy/tests/obligations.rs
+++ b/crates/policy/tests/obligations.rs
@@ -99,19 +99,19 @@
 /// Whatever the effect, an open pull stops no clock: its bytes may never arrive.
 #[test]
 fn state_is_released_in_time_beside_a_pull_that_stays_open() {
-    for class in [FREE, SINGLE, GUARDED] {
+    for class in [IDEMPOTENT, NON_IDEMPOTENT, DEDUPLICATED] {
         for release in [0.1, 0.3, 1.0, 2.0] {
             let set = Settings { reservation_timeout: secs(release), may_cancel: false, ..settings() };
             let mut rig = Rig::new(set, fleet());
-            rig.ask("a", "s", class, 40_000);
-            rig.wait(0.1);
-            let pull = rig.end("a", 0, Outcome::Prefilled, 0);
-            assert!(sent(&pull).is_some_and(|(to, _)| to.starts_with('w')));
+            rig.submit("a", "s", class, 40_000);
+            rig.advance(0.1);
+            let pull = rig.end_attempt("a", 0, Outcome::Prefilled, 0);
+            assert!(sent_to(&pull).is_some_and(|(to, _)| to.starts_with('w')));
             let (parsed, mut actions) = (rig.now, pull);
-            while !let_go(&actions) {
+            while !released(&actions) {
                 assert!(rig.now <= parsed + secs(release), "class {}, {release} s", class.0);
-                actions = rig.fire(&actions);
-                assert!(sent(&actions).is_none(), "the pull is open");
+                actions = rig.fire_timers(&actions);
+                assert!(sent_to(&actions).is_none(), "the pull is open");
             }
             assert!(rig.now >= parsed + secs(release * 0.7), "it has its time to be pulled");
         }
@@ -129,14 +129,14 @@
         (Outcome::Rejected { no_state: false }, true),
     ] {
         let mut rig = Rig::new(Settings { reservation_timeout: secs(1.0), ..settings() }, fleet());
-        rig.ask("a", "s", FREE, 40_000);
-        rig.wait(0.1);
-        rig.end("a", 0, Outcome::Prefilled, 0);
+        rig.submit("a", "s", IDEMPOTENT, 40_000);
+        rig.advance(0.1);
+        rig.end_attempt("a", 0, Outcome::Prefilled, 0);
         let parsed = rig.now;
-        rig.wait(0.5);
-        let mut actions = rig.end("a", 1, outcome, 0);
-        while !let_go(&actions) && rig.now < parsed + secs(3.0) {
-            actions = rig.fire(&actions);
+        rig.advance(0.5);
+        let mut actions = rig.end_attempt("a", 1, outcome, 0);
+        while !released(&actions) && rig.now < parsed + secs(3.0) {
+            actions = rig.fire_timers(&actions);
         }
         let held = (rig.now - parsed).as_secs_f64();
         let least = if proven { 1.25 } else { 0.75 };
@@ -150,12 +150,12 @@
 fn a_guarded_repeat_is_over_before_its_window_ends() {
     let window = 2.0;
     let mut set = settings();
-    set.classes[GUARDED.0].dedup_window = secs(window);
+    set.classes[DEDUPLICATED.0].dedup_window = secs(window);
     let mut rig = Rig::new(set.clone(), fleet());
-    rig.ask("a", "s", GUARDED, 10);
+    rig.submit("a", "s", DEDUPLICATED, 10);
     let sent_first = rig.now;
-    rig.wait(0.5);
-    let actions = rig.end("a", 0, Outcome::ServerError, 0);
+    rig.advance(0.5);
+    let actions = rig.end_attempt("a", 0, Outcome::ServerError, 0);
     let give_up = actions.iter().find_map(|a| match a {
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
@@ -165,9 +165,9 @@
     assert!(over <= window - 0.15, "{over} s after the first was sent");
     // Close to the window's end nothing is repeated.
     let mut rig = Rig::new(set, fleet());
-    rig.ask("a", "s", GUARDED, 10);
-    rig.wait(window - 0.1);
-    assert!(sent(&rig.end("a", 0, Outcome::ServerError, 0)).is_none());
+    rig.submit("a", "s", DEDUPLICATED, 10);
+    rig.advance(window - 0.1);
+    assert!(sent_to(&rig.end_attempt("a", 0, Outcome::ServerError, 0)).is_none());
 }
 
 /// A release frees nothing that an attempt waits for: what a pull that had arrived was waiting for is released as it ends.
@@ -183,13 +183,13 @@
     ] {
         let set = Settings { reservation_timeout: secs(0.3), may_cancel: false, ..settings() };
         let mut rig = Rig::new(set, fleet());
-        rig.ask("a", "s", SINGLE, 40_000);
-        rig.wait(0.1);
-        let mut actions = rig.end("a", 0, Outcome::Prefilled, 0);
-        while !let_go(&actions) {
-            actions = rig.fire(&actions);
+        rig.submit("a", "s", NON_IDEMPOTENT, 40_000);
+        rig.advance(0.1);
+        let mut actions = rig.end_attempt("a", 0, Outcome::Prefilled, 0);
+        while !released(&actions) {
+            actions = rig.fire_timers(&actions);
         }
-        rig.wait(0.2);
-        assert_eq!(let_go(&rig.end("a", 1, outcome, 0)), again, "{outcome:?}");
+        rig.advance(0.2);
+        assert_eq!(released(&rig.end_attempt("a", 1, outcome, 0)), again, "{outcome:?}");
     }
 }
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -18,7 +18,7 @@
 /// What can happen next.
 #[derive(Debug, Clone)]
 enum Step {
-    Ask(ClassId, u64),
+    Submit(ClassId, u64),
     End(RequestId, usize, Outcome),
     Stream(RequestId, usize),
     Leave(RequestId),
@@ -60,18 +60,18 @@
 /// All of a state: the router, what its onlooker has seen, and how much may still happen.
 fn key(a: &Audit, news: usize, left: usize) -> u64 {
     let mut text = Text(DefaultHasher::new());
-    let seen = (&a.rig, &a.workers, &a.stopped, &a.asked, &a.timers, &a.sends, &a.done);
+    let seen = (&a.rig, &a.workers, &a.unavailable, &a.requests, &a.timers, &a.sends, &a.completions);
     write!(text, "{seen:?} {news} {left}").unwrap();
     text.0.finish()
 }
 
 fn steps(a: &Audit, scope: &Scope, news: usize) -> Vec<Step> {
     let mut out = Vec::new();
-    if a.next < scope.requests {
-        out.extend(scope.asks.iter().map(|(class, tokens)| Step::Ask(*class, *tokens)));
+    if a.last_id < scope.requests {
+        out.extend(scope.asks.iter().map(|(class, tokens)| Step::Submit(*class, *tokens)));
     }
-    for (id, job) in &a.asked {
-        for (n, t) in job.tries.iter().enumerate().filter(|(_, t)| t.ran.is_none()) {
+    for (id, job) in &a.requests {
+        for (n, t) in job.attempts.iter().enumerate().filter(|(_, t)| t.may_have_run.is_none()) {
             let reader = a.workers[&t.worker].role == Role::Prefill;
             let mut end = |outcome| out.push(Step::End(id.clone(), n, outcome));
             if t.streaming {
@@ -83,14 +83,14 @@
                 end(Outcome::Prefilled);
             }
             scope.ends.iter().for_each(|o| end(*o));
-            if a.called_back.contains(&(id.clone(), n)) {
+            if a.cancelled.contains(&(id.clone(), n)) {
                 end(Outcome::Cancelled);
             }
             if !reader {
                 out.push(Step::Stream(id.clone(), n));
             }
         }
-        if !job.over {
+        if !job.ended {
             out.push(Step::Leave(id.clone()));
         }
     }
@@ -113,17 +113,17 @@
 
 fn take(a: &mut Audit, step: &Step) {
     match step {
-        Step::Ask(class, tokens) => a.ask("s", *class, *tokens),
+        Step::Submit(class, tokens) => a.submit("s", *class, *tokens),
         Step::End(id, n, outcome) => {
-            let over = a.asked[id].tries[*n].streaming;
-            a.verdict(id, *n, *outcome, over);
+            let over = a.requests[id].attempts[*n].streaming;
+            a.end_attempt(id, *n, *outcome, over);
         }
-        Step::Stream(id, n) => a.stream(id, *n),
-        Step::Leave(id) => a.leave(id),
-        Step::List(id, to) => a.change(id, *to),
+        Step::Stream(id, n) => a.start_stream(id, *n),
+        Step::Leave(id) => a.client_gone(id),
+        Step::List(id, to) => a.set_lifecycle(id, *to),
         Step::Next => {
             let at = a.next_due().expect("something is due");
-            a.pass(at - a.rig.now);
+            a.advance(at - a.rig.now);
         }
     }
 }
@@ -156,18 +156,18 @@
         seen.ends += 1;
         let mut last = a.clone();
         let _path = Path(path);
-        let streaming: Vec<(RequestId, usize)> = (last.asked.iter())
-            .flat_map(|(id, j)| j.tries.iter().enumerate().map(move |(n, t)| (id, n, t)))
-            .filter(|(_, _, t)| t.streaming && t.ran.is_none())
+        let streaming: Vec<(RequestId, usize)> = (last.requests.iter())
+            .flat_map(|(id, j)| j.attempts.iter().enumerate().map(move |(n, t)| (id, n, t)))
+            .filter(|(_, _, t)| t.streaming && t.may_have_run.is_none())
             .map(|(id, n, _)| (id.clone(), n))
             .collect();
         for (id, n) in streaming {
-            last.verdict(&id, n, Outcome::Served, true);
+            last.end_attempt(&id, n, Outcome::Served, true);
         }
-        last.pass(secs(8.0));
-        for (id, j) in &last.asked {
-            assert!(j.over, "rule 1: {id:?} never answered");
-            assert!(!j.held, "rule 5: {id:?} pinned at the end");
+        last.advance(secs(8.0));
+        for (id, j) in &last.requests {
+            assert!(j.ended, "rule 1: {id:?} never answered");
+            assert!(!j.reserved, "rule 5: {id:?} pinned at the end");
         }
         assert!(
             format!("{:?}", last.rig.router)
@@ -214,7 +214,13 @@
     Scope {
         depth: 9,
         requests: 1,
-        asks: vec![(FREE, LONG), (SINGLE, LONG), (GUARDED, LONG), (FREE, SHORT), (SINGLE, SHORT)],
+        asks: vec![
+            (IDEMPOTENT, LONG),
+            (NON_IDEMPOTENT, LONG),
+            (DEDUPLICATED, LONG),
+            (IDEMPOTENT, SHORT),
+            (NON_IDEMPOTENT, SHORT),
+        ],
         ends: all_ends(),
         listed: vec![],
         news: 0,
@@ -225,7 +231,7 @@
 fn with_news() -> Scope {
     Scope {
         depth: 7,
-        asks: vec![(FREE, LONG), (SINGLE, LONG), (GUARDED, LONG)],
+        asks: vec![(IDEMPOTENT, LONG), (NON_IDEMPOTENT, LONG), (DEDUPLICATED, LONG)],
         ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: false }],
         listed: vec!["r0", "r1", "w0", "w1"],
         news: 3,
@@ -238,7 +244,7 @@
     Scope {
         depth: 6,
         requests: 2,
-        asks: vec![(FREE, LONG), (SINGLE, LONG), (GUARDED, SHORT)],
+        asks: vec![(IDEMPOTENT, LONG), (NON_IDEMPOTENT, LONG), (DEDUPLICATED, SHORT)],
         ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: true }, Outcome::NoConnection],
         listed: vec!["w0"],
         news: 1,
@@ -250,7 +256,7 @@
     Scope {
         depth: 7,
         requests: 4,
-        asks: vec![(FREE, SHORT)],
+        asks: vec![(IDEMPOTENT, SHORT)],
         ends: vec![Outcome::NoConnection],
         listed: vec!["w0", "w1"],
         news: 3,
@@ -258,7 +264,7 @@
 }
 
 fn start(set: &Settings) -> Audit {
-    Audit::of(set.clone(), set.clone(), tiny())
+    Audit::with_fleet(set.clone(), set.clone(), tiny())
 }
 
 #[test]
@@ -293,8 +299,8 @@
     let set = settings();
     let mut other = set.clone();
     told(&mut other);
-    let mut a = Audit::of(set, other, tiny());
-    a.hears = hears;
+    let mut a = Audit::with_fleet(set, other, tiny());
+    a.filter_event = hears;
     run("lied to", &a, &scope);
 }
 
@@ -312,7 +318,7 @@
 #[should_panic(expected = "rule 2")]
 fn a_single_shot_that_is_sent_again_is_seen() {
     lied(
-        |s| s.classes[SINGLE.0].retry_safety = RetrySafety::Idempotent,
+        |s| s.classes[NON_IDEMPOTENT.0].retry_safety = RetrySafety::Idempotent,
         Some,
         Scope { depth: 4, ..one_request() },
     );
@@ -322,7 +328,7 @@
 #[should_panic(expected = "rule 2")]
 fn a_guarded_request_outside_its_group_is_seen() {
     let wide = |s: &mut Settings| {
-        s.classes[GUARDED.0].retry_safety = RetrySafety::Deduplicated(DeduplicationScope::All)
+        s.classes[DEDUPLICATED.0].retry_safety = RetrySafety::Deduplicated(DeduplicationScope::All)
     };
     lied(wide, Some, Scope { depth: 4, ..one_request() });
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -22,38 +22,38 @@
 fn with_no_worker_the_final_answer_still_comes_in_time() {
     let mut rig = Rig::new(settings(), vec![]);
     let deadline = rig.now + secs(5.0);
-    let actions = rig.ask("a", "s", FREE, LONG);
-    rig.fire_until(actions, 1_000, |a| refused(a) || failed(a));
+    let actions = rig.submit("a", "s", IDEMPOTENT, LONG);
+    rig.fire_timers_until(actions, 1_000, |a| rejected(a) || failed(a));
     assert!(rig.now <= deadline);
 }
 
 #[test]
 fn no_answer_at_the_deadline_is_answered_at_once() {
     let mut rig = Rig::new(settings(), pair());
-    rig.ask("a", "s", FREE, LONG);
-    rig.wait(5.0);
-    let actions = rig.end("a", 0, Outcome::TimedOut, 0);
-    assert!(failed(&actions) || refused(&actions));
-    assert!(sent(&actions).is_none());
+    rig.submit("a", "s", IDEMPOTENT, LONG);
+    rig.advance(5.0);
+    let actions = rig.end_attempt("a", 0, Outcome::TimedOut, 0);
+    assert!(failed(&actions) || rejected(&actions));
+    assert!(sent_to(&actions).is_none());
 }
 
 #[test]
 fn nothing_is_sent_after_the_client_has_gone() {
     let mut rig = Rig::new(settings(), pair());
-    rig.ask("a", "s", FREE, LONG);
+    rig.submit("a", "s", IDEMPOTENT, LONG);
     rig.feed(Event::ClientGone("a".into()));
-    let actions = rig.end("a", 0, Outcome::ServerError, 0);
-    assert!(sent(&actions).is_none() && !failed(&actions) && !refused(&actions));
+    let actions = rig.end_attempt("a", 0, Outcome::ServerError, 0);
+    assert!(sent_to(&actions).is_none() && !failed(&actions) && !rejected(&actions));
 }
 
 #[test]
 fn attempts_stay_within_the_allowed_number() {
     let mut rig = Rig::new(settings(), pair());
-    let mut actions = rig.ask("a", "s", FREE, LONG);
+    let mut actions = rig.submit("a", "s", IDEMPOTENT, LONG);
     let mut sends = 0;
-    while sent(&actions).is_some() {
+    while sent_to(&actions).is_some() {
         sends += 1;
-        actions = rig.end("a", sends - 1, Outcome::NoConnection, 0);
+        actions = rig.end_attempt("a", sends - 1, Outcome::NoConnection, 0);
     }
     assert!(sends <= 4, "{sends}");
 }
@@ -67,42 +67,42 @@
         class.latency_objective_per_1000_tokens = Micros(0);
     }
     let mut rig = Rig::new(set, pair());
-    let (_, give_up) = sent(&rig.ask("a", "s", FREE, 0)).unwrap();
+    let (_, give_up) = sent_to(&rig.submit("a", "s", IDEMPOTENT, 0)).unwrap();
     assert!(give_up.is_none_or(|g| g.0 > 0));
 }
 
 // ---- Rule 2: no effect twice.
 
 fn at_writer(rig: &mut Rig, class: ClassId) {
-    rig.ask("a", "s", class, LONG);
-    assert!(sent(&rig.end("a", 0, Outcome::Prefilled, 0)).is_some());
+    rig.submit("a", "s", class, LONG);
+    assert!(sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, 0)).is_some());
 }
 
 #[test]
 fn a_single_shot_that_may_have_run_is_failed_not_resent_or_refused() {
     for outcome in [Outcome::ServerError, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Cancelled] {
         let mut rig = Rig::new(settings(), pair());
-        at_writer(&mut rig, SINGLE);
-        let actions = rig.end("a", 1, outcome, 0);
-        assert!(sent(&actions).is_none(), "{outcome:?}");
-        assert!(failed(&actions) && !refused(&actions), "{outcome:?}");
-        assert!(let_go(&actions), "the state is still held: {outcome:?}");
+        at_writer(&mut rig, NON_IDEMPOTENT);
+        let actions = rig.end_attempt("a", 1, outcome, 0);
+        assert!(sent_to(&actions).is_none(), "{outcome:?}");
+        assert!(failed(&actions) && !rejected(&actions), "{outcome:?}");
+        assert!(released(&actions), "the state is still held: {outcome:?}");
     }
 }
 
 #[test]
 fn a_single_shot_that_was_turned_away_tries_the_other_writer() {
     let mut rig = Rig::new(settings(), pair());
-    at_writer(&mut rig, SINGLE);
-    let again = sent(&rig.end("a", 1, Outcome::Rejected { no_state: false }, 0)).unwrap().0;
+    at_writer(&mut rig, NON_IDEMPOTENT);
+    let again = sent_to(&rig.end_attempt("a", 1, Outcome::Rejected { no_state: false }, 0)).unwrap().0;
     assert!(again.starts_with('w'));
 }
 
 #[test]
 fn a_read_has_no_effect_and_may_be_repeated() {
     let mut rig = Rig::new(settings(), pair());
-    let first = sent(&rig.ask("a", "s", SINGLE, LONG)).unwrap().0;
-    let second = sent(&rig.end("a", 0, Outcome::ServerError, 0)).unwrap().0;
+    let first = sent_to(&rig.submit("a", "s", NON_IDEMPOTENT, LONG)).unwrap().0;
+    let second = sent_to(&rig.end_attempt("a", 0, Outcome::ServerError, 0)).unwrap().0;
     assert!(second.starts_with('r') && second != first);
 }
 
@@ -112,21 +112,21 @@
     workers.push(worker("w2", Role::Decode, 0));
     workers.push(worker("w3", Role::Decode, 1));
     let mut rig = Rig::new(settings(), workers.clone());
-    rig.ask("a", "s", GUARDED, LONG);
-    let first = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
+    rig.submit("a", "s", DEDUPLICATED, LONG);
+    let first = sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, 0)).unwrap().0;
     let cell = |id: &str| workers.iter().find(|w| *w.id.0 == *id).map(|w| w.cell);
-    let second = sent(&rig.end("a", 1, Outcome::ConnectionLost, 0)).unwrap().0;
+    let second = sent_to(&rig.end_attempt("a", 1, Outcome::ConnectionLost, 0)).unwrap().0;
     assert_eq!(cell(&first), cell(&second));
-    rig.wait(3.1);
-    let actions = rig.end("a", 2, Outcome::ConnectionLost, 0);
-    assert!(sent(&actions).is_none(), "the window has passed");
+    rig.advance(3.1);
+    let actions = rig.end_attempt("a", 2, Outcome::ConnectionLost, 0);
+    assert!(sent_to(&actions).is_none(), "the window has passed");
 }
 
 #[test]
 fn never_two_attempts_at_once() {
     let mut rig = Rig::new(settings(), pair());
-    let actions = rig.ask("a", "s", FREE, LONG);
-    for a in rig.fire(&actions) {
+    let actions = rig.submit("a", "s", IDEMPOTENT, LONG);
+    for a in rig.fire_timers(&actions) {
         assert!(!matches!(a, Action::Send { .. }), "the first is still out");
     }
 }
@@ -137,32 +137,32 @@
 fn a_draining_or_removed_worker_gets_nothing_not_even_a_held_request() {
     for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
         let mut rig = Rig::new(settings(), pair());
-        rig.ask("a", "s", FREE, LONG);
+        rig.submit("a", "s", IDEMPOTENT, LONG);
         let mut w0 = worker("w0", Role::Decode, 0);
         w0.lifecycle = lifecycle;
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w0] });
-        let next = sent(&rig.end("a", 0, Outcome::Prefilled, 0)).unwrap().0;
+        let next = sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, 0)).unwrap().0;
         assert_eq!(next, "w1");
-        let actions = rig.end("a", 1, Outcome::Rejected { no_state: false }, 0);
-        assert!(sent(&actions).is_none_or(|s| s.0 != "w0"));
+        let actions = rig.end_attempt("a", 1, Outcome::Rejected { no_state: false }, 0);
+        assert!(sent_to(&actions).is_none_or(|s| s.0 != "w0"));
     }
 }
 
 #[test]
 fn a_home_that_drains_draws_no_local_read() {
     let mut rig = Rig::new(settings(), pair());
-    let (_, home) = rig.whole("a", "s", LONG);
+    let (_, home) = rig.serve_request("a", "s", LONG);
     let mut w = worker(&home, Role::Decode, 0);
     w.lifecycle = Lifecycle::Draining;
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![w] });
-    assert!(sent(&rig.ask("b", "s", FREE, LONG + 50)).unwrap().0.starts_with('r'));
+    assert!(sent_to(&rig.submit("b", "s", IDEMPOTENT, LONG + 50)).unwrap().0.starts_with('r'));
 }
 
 // ---- Rule 4: cold workers.
 
 /// A warm reader r0, and r1, which has just started.
 fn beside_a_cold_reader() -> Rig {
-    let mut rig = Rig::new(settings(), readers(2));
+    let mut rig = Rig::new(settings(), fleet_with_prefill(2));
     let mut cold = worker("r1", Role::Prefill, 0);
     cold.started = Some(rig.now);
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![cold] });
@@ -172,7 +172,8 @@
 fn sends_to(rig: &mut Rig, target: &str, requests: usize) -> usize {
     (0..requests)
         .filter(|i| {
-            sent(&rig.ask(&format!("c{i}"), &format!("c{i}"), FREE, LONG)).is_some_and(|s| s.0 == target)
+            sent_to(&rig.submit(&format!("c{i}"), &format!("c{i}"), IDEMPOTENT, LONG))
+                .is_some_and(|s| s.0 == target)
         })
         .count()
 }
@@ -212,12 +213,12 @@
     let (mut warm_done, mut to_cold) = (0, 0);
     for i in 0..20 {
         let id = format!("{i}");
-        if sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0 == "r1" {
+        if sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).unwrap().0 == "r1" {
             to_cold += 1;
         } else {
             warm_done += 1;
         }
-        rig.end(&id, 0, Outcome::Prefilled, 0);
+        rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
     }
     // A third of the multiple times the cold share at the start, of what the warm peer did.
     assert!(to_cold >= 2, "{to_cold}");
@@ -229,32 +230,32 @@
 #[test]
 fn a_state_that_no_writer_takes_is_let_go_in_time() {
     let mut rig = Rig::new(Settings { self_prefill: false, ..settings() }, pair());
-    rig.ask("a", "s", FREE, LONG);
+    rig.submit("a", "s", IDEMPOTENT, LONG);
     let mut gone = pair();
     gone.retain(|w| w.role == Role::Prefill);
     rig.feed(Event::Endpoints { update: EndpointUpdate::Snapshot, workers: gone });
     let since = rig.now;
-    let actions = rig.end("a", 0, Outcome::Prefilled, 0);
-    rig.fire_until(actions, 100, let_go);
+    let actions = rig.end_attempt("a", 0, Outcome::Prefilled, 0);
+    rig.fire_timers_until(actions, 100, released);
     assert!(rig.now <= since + secs(0.5));
 }
 
 #[test]
 fn a_state_read_for_a_client_that_has_gone_is_let_go_at_once() {
     let mut rig = Rig::new(settings(), pair());
-    rig.ask("a", "s", FREE, LONG);
+    rig.submit("a", "s", IDEMPOTENT, LONG);
     rig.feed(Event::ClientGone("a".into()));
-    let actions = rig.end("a", 0, Outcome::Prefilled, 0);
-    assert!(let_go(&actions) && sent(&actions).is_none());
+    let actions = rig.end_attempt("a", 0, Outcome::Prefilled, 0);
+    assert!(released(&actions) && sent_to(&actions).is_none());
 }
 
 #[test]
 fn a_client_that_leaves_while_its_state_is_fetched_leaves_nothing_behind() {
     let mut rig = Rig::new(settings(), pair());
-    at_writer(&mut rig, FREE);
+    at_writer(&mut rig, IDEMPOTENT);
     rig.feed(Event::ClientGone("a".into()));
-    let actions = rig.end("a", 1, Outcome::Cancelled, 0);
-    assert!(let_go(&actions));
+    let actions = rig.end_attempt("a", 1, Outcome::Cancelled, 0);
+    assert!(released(&actions));
 }
 
 // ---- Health.
@@ -265,12 +266,12 @@
     let mut bad = None;
     for i in 0..40 {
         let id = format!("{i}");
-        let first = sent(&rig.ask(&id, "one", FREE, LONG)).unwrap().0;
+        let first = sent_to(&rig.submit(&id, "one", IDEMPOTENT, LONG)).unwrap().0;
         let bad = bad.get_or_insert(first.clone());
         if first == *bad {
-            rig.end(&id, 0, Outcome::ServerError, 0);
+            rig.end_attempt(&id, 0, Outcome::ServerError, 0);
         } else {
-            rig.end(&id, 0, Outcome::Prefilled, 0);
+            rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
         }
         rig.feed(Event::ClientGone(id.as_str().into()));
     }
@@ -278,18 +279,18 @@
     let late = (40..60)
         .filter(|i| {
             let id = format!("{i}");
-            let to = sent(&rig.ask(&id, "one", FREE, LONG)).unwrap().0;
-            rig.end(&id, 0, Outcome::Prefilled, 0);
+            let to = sent_to(&rig.submit(&id, "one", IDEMPOTENT, LONG)).unwrap().0;
+            rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
             rig.feed(Event::ClientGone(id.as_str().into()));
             to == bad
         })
         .count();
     assert_eq!(late, 0, "benched");
-    rig.wait(60.0);
+    rig.advance(60.0);
     let again = (60..80).any(|i| {
         let id = format!("{i}");
-        let to = sent(&rig.ask(&id, "one", FREE, LONG)).unwrap().0;
-        rig.end(&id, 0, Outcome::Prefilled, 0);
+        let to = sent_to(&rig.submit(&id, "one", IDEMPOTENT, LONG)).unwrap().0;
+        rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
         to == bad
     });
     assert!(again, "a way to recover");
@@ -301,16 +302,16 @@
     let mut failed = 0;
     for i in 0..40 {
         let id = format!("{i}");
-        rig.ask(&id, &id, SINGLE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
+        rig.submit(&id, &id, NON_IDEMPOTENT, LONG);
+        let writer = sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
         if writer == "w0" {
-            rig.end(&id, 1, Outcome::ServerError, 0);
+            rig.end_attempt(&id, 1, Outcome::ServerError, 0);
             failed += 1;
         } else {
-            rig.stream(&id, 1);
-            rig.end(&id, 1, Outcome::Served, 0);
+            rig.start_stream(&id, 1);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
         }
-        rig.wait(0.05);
+        rig.advance(0.05);
     }
     assert!(failed <= 4, "{failed} of 40 single shots were spent on a writer that fails each time");
 }
@@ -320,40 +321,40 @@
     let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
     for i in 0..6 {
         let id = format!("{i}");
-        rig.ask(&id, &id, FREE, LONG);
-        rig.end(&id, 0, Outcome::ServerError, 0);
+        rig.submit(&id, &id, IDEMPOTENT, LONG);
+        rig.end_attempt(&id, 0, Outcome::ServerError, 0);
         rig.feed(Event::ClientGone(id.as_str().into()));
     }
-    rig.wait(0.1);
-    assert!(sent(&rig.ask("z", "z", FREE, LONG)).is_some());
+    rig.advance(0.1);
+    assert!(sent_to(&rig.submit("z", "z", IDEMPOTENT, LONG)).is_some());
 }
 
 #[test]
 fn a_hanging_worker_loses_its_attempts_and_draws_no_more() {
     let mut rig = Rig::new(settings(), fleet());
-    let (_, home) = rig.whole("a", "s", LONG);
+    let (_, home) = rig.serve_request("a", "s", LONG);
     // A local read at the home, which says nothing more.
-    let asked = rig.ask("b", "s", FREE, LONG + 50);
-    assert_eq!(sent(&asked).unwrap().0, home);
-    let late = rig.fire(&asked);
+    let asked = rig.submit("b", "s", IDEMPOTENT, LONG + 50);
+    assert_eq!(sent_to(&asked).unwrap().0, home);
+    let late = rig.fire_timers(&asked);
     assert!(late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
-    let next = sent(&rig.end("b", 0, Outcome::Cancelled, 0)).unwrap().0;
+    let next = sent_to(&rig.end_attempt("b", 0, Outcome::Cancelled, 0)).unwrap().0;
     assert_ne!(next, home);
-    assert_ne!(sent(&rig.ask("c", "s", FREE, LONG + 100)).unwrap().0, home, "nor local reads");
+    assert_ne!(sent_to(&rig.submit("c", "s", IDEMPOTENT, LONG + 100)).unwrap().0, home, "nor local reads");
 }
 
 #[test]
 fn a_busy_worker_that_still_answers_keeps_its_attempts() {
     let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
-    rig.ask("b", "t", FREE, LONG);
-    rig.wait(0.5);
-    let first = rig.ask("a", "s", FREE, LONG);
-    rig.wait(0.5);
-    rig.end("b", 0, Outcome::Prefilled, 0);
-    let mut late = rig.fire(&first);
+    rig.submit("b", "t", IDEMPOTENT, LONG);
+    rig.advance(0.5);
+    let first = rig.submit("a", "s", IDEMPOTENT, LONG);
+    rig.advance(0.5);
+    rig.end_attempt("b", 0, Outcome::Prefilled, 0);
+    let mut late = rig.fire_timers(&first);
     for _ in 0..4 {
         assert!(!late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
-        late = rig.fire(&late);
+        late = rig.fire_timers(&late);
     }
 }
 
@@ -364,14 +365,14 @@
     for release in [0.3, 1.0, 2.0] {
         let set = Settings { reservation_timeout: secs(release), ..settings() };
         let mut rig = Rig::new(set, vec![worker("r0", Role::Prefill, 0), worker("w0", Role::Decode, 0)]);
-        let mut actions = rig.ask("a", "s", SINGLE, LONG);
+        let mut actions = rig.submit("a", "s", NON_IDEMPOTENT, LONG);
         let begun = rig.now;
-        rig.wait(0.01);
-        rig.ask("b", "t", SINGLE, LONG);
-        rig.wait(0.01);
-        rig.end("b", 0, Outcome::Prefilled, 0);
+        rig.advance(0.01);
+        rig.submit("b", "t", NON_IDEMPOTENT, LONG);
+        rig.advance(0.01);
+        rig.end_attempt("b", 0, Outcome::Prefilled, 0);
         while !actions.iter().any(|a| matches!(a, Action::Cancel { .. })) {
-            actions = rig.fire(&actions);
+            actions = rig.fire_timers(&actions);
             assert!(rig.now < begun + secs(3.0), "{release} s");
         }
         let after = (rig.now - begun).as_secs_f64();
@@ -384,18 +385,18 @@
     let mut rig = Rig::new(Settings { load_reporting: LoadReporting::Off, ..settings() }, fleet());
     let mut sends = 0;
     for i in 0..100 {
-        rig.wait(0.05);
+        rig.advance(0.05);
         let id = format!("{i}");
-        rig.ask(&id, &id, FREE, LONG);
-        let mut to = sent(&rig.end(&id, 0, Outcome::Prefilled, 0));
+        rig.submit(&id, &id, IDEMPOTENT, LONG);
+        let mut to = sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0));
         let mut attempt = 1;
         while to.as_ref().is_some_and(|t| t.0 == "w0") {
             sends += 1;
-            to = sent(&rig.end(&id, attempt, Outcome::Rejected { no_state: false }, 0));
+            to = sent_to(&rig.end_attempt(&id, attempt, Outcome::Rejected { no_state: false }, 0));
             attempt += 1;
         }
         assert!(to.is_some(), "another writer is there");
-        rig.stream(&id, attempt);
+        rig.start_stream(&id, attempt);
     }
     // Five seconds of refusals: at growing distances, not once for every request.
     assert!((1..=10).contains(&sends), "{sends}");
@@ -411,20 +412,20 @@
     });
     let busy = idle.map(|r| LoadReport { queued_requests: Some(9.0), slot_utilization: Some(1.0), ..r });
     for (report, most) in [(idle, 5), (busy, 9)] {
-        let mut rig = Rig::new(settings(), readers(1));
+        let mut rig = Rig::new(settings(), fleet_with_prefill(1));
         let (mut free, mut single) = (0, 0);
         for i in 0..100 {
-            rig.wait(0.05);
+            rig.advance(0.05);
             let (id, other) = (format!("f{i}"), format!("s{i}"));
-            if sent(&rig.ask(&id, &id, FREE, LONG)).is_some() {
+            if sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).is_some() {
                 free += 1;
-                rig.end_with(&id, 0, Outcome::Rejected { no_state: false }, 0, report);
+                rig.end_attempt_with_report(&id, 0, Outcome::Rejected { no_state: false }, 0, report);
             }
             rig.feed(Event::ClientGone(id.as_str().into()));
             // The other class is served all the while, and says nothing of the first.
-            if i % 7 == 0 && sent(&rig.ask(&other, &other, SINGLE, LONG)).is_some() {
+            if i % 7 == 0 && sent_to(&rig.submit(&other, &other, NON_IDEMPOTENT, LONG)).is_some() {
                 single += 1;
-                rig.end_with(&other, 0, Outcome::Prefilled, 0, report);
+                rig.end_attempt_with_report(&other, 0, Outcome::Prefilled, 0, report);
                 rig.feed(Event::ClientGone(other.as_str().into()));
             }
         }
@@ -435,23 +436,23 @@
 
 #[test]
 fn what_later_ones_have_overtaken_is_called_back_and_its_worker_is_not_benched() {
-    let mut rig = Rig::new(settings(), readers(1));
-    let hung = rig.ask("hung", "s", FREE, LONG);
-    let at = sent(&hung).unwrap().0;
+    let mut rig = Rig::new(settings(), fleet_with_prefill(1));
+    let hung = rig.submit("hung", "s", IDEMPOTENT, LONG);
+    let at = sent_to(&hung).unwrap().0;
     let cancelled = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
     let mut actions = hung;
     let mut answered = 0;
     // Others are answered in 0.1 s all the while, by the same reader too.
     for i in 0..80 {
         let id = format!("{i}");
-        let to = sent(&rig.ask(&id, &id, FREE, LONG)).unwrap().0;
+        let to = sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).unwrap().0;
         answered += u32::from(to == at);
-        rig.wait(0.1);
-        rig.end(&id, 0, Outcome::Prefilled, 0);
+        rig.advance(0.1);
+        rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
         rig.feed(Event::ClientGone(id.as_str().into()));
         let due = actions.iter().any(|a| matches!(a, Action::SetTimer { .. }));
         if due && i % 10 == 9 {
-            actions = rig.fire(&actions);
+            actions = rig.fire_timers(&actions);
             if cancelled(&actions) {
                 break;
             }
@@ -459,10 +460,10 @@
     }
     assert!(cancelled(&actions), "its client would wait to the end");
     assert!(answered > 0);
-    rig.end("hung", 0, Outcome::Cancelled, 0);
+    rig.end_attempt("hung", 0, Outcome::Cancelled, 0);
     let still = (0..20).filter(|i| {
         let id = format!("after {i}");
-        sent(&rig.ask(&id, &id, FREE, LONG)).is_some_and(|t| t.0 == at)
+        sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG)).is_some_and(|t| t.0 == at)
     });
     assert!(still.count() > 0, "a hung connection is no sick worker");
 }
@@ -470,28 +471,32 @@
 #[test]
 fn clients_that_give_up_early_do_not_bench_the_worker() {
     let mut rig = Rig::new(settings(), vec![worker("r0", Role::Prefill, 0), worker("r1", Role::Prefill, 0)]);
-    let mut request = rig.request("a", "s", FREE, LONG);
+    let mut request = rig.request("a", "s", IDEMPOTENT, LONG);
     request.deadline = rig.now + secs(0.3);
-    let first = sent(&rig.feed(Event::Request(request))).unwrap().0;
-    rig.wait(0.3);
-    rig.end("a", 0, Outcome::TimedOut, 0);
-    assert_eq!(sent(&rig.ask("b", "s", FREE, LONG)).unwrap().0, first, "still the first of its pair");
+    let first = sent_to(&rig.feed(Event::Request(request))).unwrap().0;
+    rig.advance(0.3);
+    rig.end_attempt("a", 0, Outcome::TimedOut, 0);
+    assert_eq!(
+        sent_to(&rig.submit("b", "s", IDEMPOTENT, LONG)).unwrap().0,
+        first,
+        "still the first of its pair"
+    );
 }
 
 #[test]
 fn full_readers_are_waited_for_not_replaced_by_writers() {
     let mut rig = Rig::new(settings(), pair());
-    let mut actions = rig.ask("a", "s", FREE, LONG);
+    let mut actions = rig.submit("a", "s", IDEMPOTENT, LONG);
     let mut attempt = 0;
-    while let Some((to, _)) = sent(&actions) {
+    while let Some((to, _)) = sent_to(&actions) {
         assert!(to.starts_with('r'), "{to}");
-        actions = rig.end("a", attempt, Outcome::Rejected { no_state: false }, 0);
+        actions = rig.end_attempt("a", attempt, Outcome::Rejected { no_state: false }, 0);
         attempt += 1;
     }
     assert!(attempt <= 2, "both are left alone now");
-    let later = rig.fire(&actions);
-    let again = if sent(&later).is_some() { later } else { rig.fire(&later) };
-    assert!(sent(&again).unwrap().0.starts_with('r'));
+    let later = rig.fire_timers(&actions);
+    let again = if sent_to(&later).is_some() { later } else { rig.fire_timers(&later) };
+    assert!(sent_to(&again).unwrap().0.starts_with('r'));
 }
 
 // ---- Overload.
@@ -503,20 +508,20 @@
         let mut refusals = Vec::new();
         // Slow first tokens, far more requests than are answered.
         for i in 0..400 {
-            rig.wait(0.02);
+            rig.advance(0.02);
             let id = format!("{i}");
-            let mut request = rig.request(&id, &id, FREE, LONG);
+            let mut request = rig.request(&id, &id, IDEMPOTENT, LONG);
             request.tenant = Some(TenantId(tenant));
             request.deadline = rig.now + secs(60.0);
             request.resumed = resumed;
             let actions = rig.feed(Event::Request(request));
-            if refused(&actions) {
-                assert!(!let_go(&actions) && sent(&actions).is_none());
+            if rejected(&actions) {
+                assert!(!released(&actions) && sent_to(&actions).is_none());
                 refusals.push(i);
             } else if i % 4 == 0 {
-                rig.end(&id, 0, Outcome::Prefilled, 0);
-                rig.wait(1.0);
-                rig.stream(&id, 1);
+                rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+                rig.advance(1.0);
+                rig.start_stream(&id, 1);
             }
         }
         refusals
@@ -529,23 +534,23 @@
 
 #[test]
 fn what_a_client_will_not_wait_for_is_not_begun_while_first_tokens_are_slow() {
-    let ask_briefly = |wait: f64| {
+    let submit_with_short_deadline = |wait: f64| {
         let mut rig = Rig::new(settings(), fleet());
         for i in 0..30 {
             let id = format!("l{i}");
-            rig.ask(&id, &id, FREE, LONG);
-            rig.wait(wait);
-            rig.parsed_after(&id, wait);
-            rig.stream(&id, 1);
-            rig.wait(1.0);
-            rig.end(&id, 1, Outcome::Served, 0);
+            rig.submit(&id, &id, IDEMPOTENT, LONG);
+            rig.advance(wait);
+            rig.end_prefill_after(&id, wait);
+            rig.start_stream(&id, 1);
+            rig.advance(1.0);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
         }
-        let mut request = rig.request("z", "z", FREE, LONG);
+        let mut request = rig.request("z", "z", IDEMPOTENT, LONG);
         request.deadline = rig.now + secs(0.3);
-        refused(&rig.feed(Event::Request(request)))
+        rejected(&rig.feed(Event::Request(request)))
     };
-    assert!(ask_briefly(0.6), "0.6 s a read, 0.3 s of patience");
-    assert!(!ask_briefly(0.1), "0.1 s a read");
+    assert!(submit_with_short_deadline(0.6), "0.6 s a read, 0.3 s of patience");
+    assert!(!submit_with_short_deadline(0.1), "0.1 s a read");
 }
 
 // ---- The list of workers.
@@ -558,9 +563,9 @@
     let failed = rig.feed(Event::Endpoints { update: EndpointUpdate::Failed, workers: vec![] });
     assert!(!failed.contains(&Action::Subscribe), "not at once: the service is loaded");
     let before = rig.now;
-    assert_eq!(rig.fire(&failed), [Action::Subscribe]);
+    assert_eq!(rig.fire_timers(&failed), [Action::Subscribe]);
     assert!(rig.now < before + secs(10.0));
-    assert!(sent(&rig.ask("a", "s", FREE, LONG)).is_some(), "the previous list stays");
+    assert!(sent_to(&rig.submit("a", "s", IDEMPOTENT, LONG)).is_some(), "the previous list stays");
 }
 
 #[test]
@@ -568,15 +573,15 @@
     let mut rig = Rig::new(settings(), fleet());
     for i in 0..12 {
         let id = format!("{i}");
-        let mut to = sent(&rig.ask(&id, &id, FREE, LONG));
+        let mut to = sent_to(&rig.submit(&id, &id, IDEMPOTENT, LONG));
         let mut attempt = 0;
         while to.as_ref().is_some_and(|t| t.0.starts_with('r')) {
-            to = sent(&rig.end(&id, attempt, Outcome::NoConnection, 0));
+            to = sent_to(&rig.end_attempt(&id, attempt, Outcome::NoConnection, 0));
             attempt += 1;
         }
         rig.feed(Event::ClientGone(id.as_str().into()));
     }
-    assert!(sent(&rig.ask("z", "z", FREE, LONG)).unwrap().0.starts_with('w'));
+    assert!(sent_to(&rig.submit("z", "z", IDEMPOTENT, LONG)).unwrap().0.starts_with('w'));
 }
 
 #[test]
@@ -589,18 +594,18 @@
     while told.len() < 3 {
         n += 1;
         let id = format!("l{n}");
-        rig.ask(&id, &id, FREE, LONG);
-        let writer = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
-        rig.stream(&id, 1);
-        rig.wait(0.4);
-        rig.end_with(&id, 1, Outcome::Served, 0, report(0.2));
+        rig.submit(&id, &id, IDEMPOTENT, LONG);
+        let writer = sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
+        rig.start_stream(&id, 1);
+        rig.advance(0.4);
+        rig.end_attempt_with_report(&id, 1, Outcome::Served, 0, report(0.2));
         told.insert(writer);
     }
     let mut count = std::collections::BTreeMap::new();
     for i in 0..12 {
         let id = format!("{i}");
-        rig.ask(&id, &id, FREE, LONG);
-        *count.entry(sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0).or_insert(0) += 1;
+        rig.submit(&id, &id, IDEMPOTENT, LONG);
+        *count.entry(sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0)).unwrap().0).or_insert(0) += 1;
     }
     assert!(count.values().all(|c| *c <= 6), "no writer gets all until its next report: {count:?}");
 }
@@ -609,14 +614,14 @@
 fn long_prompts_alone_refuse_nobody() {
     let mut rig = Rig::new(settings(), fleet());
     for i in 0..60 {
-        rig.wait(0.1);
-        rig.whole(&format!("l{i}"), &format!("l{i}"), 1_000);
+        rig.advance(0.1);
+        rig.serve_request(&format!("l{i}"), &format!("l{i}"), 1_000);
     }
     for i in 0..8 {
-        rig.ask(&format!("x{i}"), &format!("x{i}"), FREE, 60_000);
-        rig.wait(0.2);
+        rig.submit(&format!("x{i}"), &format!("x{i}"), IDEMPOTENT, 60_000);
+        rig.advance(0.2);
     }
-    assert!(sent(&rig.ask("a", "a", FREE, 1_000)).is_some());
+    assert!(sent_to(&rig.submit("a", "a", IDEMPOTENT, 1_000)).is_some());
 }
 
 // ---- Bounds and determinism.
@@ -625,7 +630,7 @@
 #[test]
 fn an_open_request_is_remembered() {
     let mut rig = Rig::new(settings(), fleet());
-    rig.ask("a", "a", FREE, LONG);
+    rig.submit("a", "a", IDEMPOTENT, LONG);
     assert_eq!(format!("{:?}", rig.router).matches("RequestState {").count(), 1);
 }
 
@@ -636,7 +641,7 @@
     for round in 0..3 {
         for i in 0..20_000 {
             let id = format!("{round}/{i}");
-            rig.whole(&id, &id, LONG);
+            rig.serve_request(&id, &id, LONG);
         }
         // Every timer that was ever set comes due.
         for timer in 0..200_000 {
@@ -658,9 +663,9 @@
         let mut all = Vec::new();
         for i in 0..200 {
             let id = format!("{i}");
-            all.extend(rig.ask(&id, &format!("s{}", i % 17), FREE, 100 + 37 * i));
-            rig.wait(0.01);
-            all.extend(rig.end(&id, 0, Outcome::Prefilled, 0));
+            all.extend(rig.submit(&id, &format!("s{}", i % 17), IDEMPOTENT, 100 + 37 * i));
+            rig.advance(0.01);
+            all.extend(rig.end_attempt(&id, 0, Outcome::Prefilled, 0));
         }
         all
     };
@@ -677,7 +682,7 @@
 
 /// Three readers and eight writers, half of them in another zone.
 fn two_zones() -> Vec<Worker> {
-    let mut all = readers(3);
+    let mut all = fleet_with_prefill(3);
     all.extend((1..8).map(|i| worker(&format!("w{i}"), Role::Decode, i % 2)));
     for w in all.iter_mut().filter(|w| w.role == Role::Decode) {
         w.zone = Some(ZoneId(w.id.0[1..].parse::<usize>().unwrap() % 2));
@@ -689,19 +694,19 @@
 fn the_time_of_held_state_runs_on_while_no_connection_comes_up() {
     for (release, wait) in [(0.1_f64, 0.25_f64), (0.3, 0.25), (0.3, 0.75), (0.3, 0.08), (1.0, 0.25)] {
         let mut rig = Rig::new(Settings { reservation_timeout: secs(release), ..settings() }, two_zones());
-        rig.ask("a", "s", SINGLE, 4_000);
-        rig.wait(0.1);
-        let mut actions = rig.end("a", 0, Outcome::Prefilled, 0);
+        rig.submit("a", "s", NON_IDEMPOTENT, 4_000);
+        rig.advance(0.1);
+        let mut actions = rig.end_attempt("a", 0, Outcome::Prefilled, 0);
         let parsed = rig.now;
         let mut tries = 0;
-        while !let_go(&actions) {
+        while !released(&actions) {
             actions = match sent_within(&actions) {
                 Some((_, connect)) => {
                     tries += 1;
-                    rig.wait(wait.min(connect.unwrap().as_secs_f64()));
-                    rig.end("a", tries, Outcome::NoConnection, 0)
+                    rig.advance(wait.min(connect.unwrap().as_secs_f64()));
+                    rig.end_attempt("a", tries, Outcome::NoConnection, 0)
                 }
-                None => rig.fire(&actions),
+                None => rig.fire_timers(&actions),
             };
             let held = (rig.now - parsed).as_secs_f64();
             assert!(held <= release * 0.8 + 0.01, "{held} s of {release} s, connections wait for {wait} s");
@@ -716,13 +721,13 @@
     let zone = |w: &str| w[1..].parse::<usize>().unwrap() % 2;
     for n in 0..20 {
         let id = format!("a{n}");
-        rig.ask(&id, &id, FREE, 4_000);
-        let first = sent(&rig.end(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
-        let second = sent(&rig.end(&id, 1, Outcome::NoConnection, 0)).unwrap().0;
+        rig.submit(&id, &id, IDEMPOTENT, 4_000);
+        let first = sent_to(&rig.end_attempt(&id, 0, Outcome::Prefilled, 0)).unwrap().0;
+        let second = sent_to(&rig.end_attempt(&id, 1, Outcome::NoConnection, 0)).unwrap().0;
         assert_ne!(zone(&first), zone(&second), "{first}, then {second}");
         rig.feed(Event::ClientGone(id.as_str().into()));
-        rig.end(&id, 2, Outcome::Cancelled, 0);
-        rig.wait(20.0);
+        rig.end_attempt(&id, 2, Outcome::Cancelled, 0);
+        rig.advance(20.0);
     }
 }
 
@@ -733,38 +738,38 @@
     let mut rig = Rig::new(settings(), workers);
     for i in 0..20 {
         let id = format!("l{i}");
-        rig.ask(&id, &id, FREE, 4_000);
-        rig.wait(0.1);
+        rig.submit(&id, &id, IDEMPOTENT, 4_000);
+        rig.advance(0.1);
         let report = Some(LoadReport { queued_requests: queued, ..LoadReport::default() });
-        rig.end_with(&id, 0, Outcome::Prefilled, 0, report);
-        rig.stream(&id, 1);
-        rig.wait(0.05);
-        rig.end(&id, 1, Outcome::Served, 0);
+        rig.end_attempt_with_report(&id, 0, Outcome::Prefilled, 0, report);
+        rig.start_stream(&id, 1);
+        rig.advance(0.05);
+        rig.end_attempt(&id, 1, Outcome::Served, 0);
     }
     rig
 }
 
 /// Requests of a class that is not called back from where it is written wait at a writer that has fallen silent.
 fn stuck_at_a_silent_writer(queued: Option<f64>, other_is_heard: bool) -> (usize, usize) {
-    let mut all = readers(3);
+    let mut all = fleet_with_prefill(3);
     all.push(worker("w1", Role::Decode, 0));
     let mut rig = after_twenty_reads(all, queued);
     let mut stuck = Vec::new();
     for i in 0..30 {
         let id = format!("h{i}");
-        let mut request = rig.request(&id, &id, SINGLE, 4_000);
+        let mut request = rig.request(&id, &id, NON_IDEMPOTENT, 4_000);
         request.deadline = rig.now + secs(60.0);
         rig.feed(Event::Request(request));
-        rig.wait(0.6);
-        let actions = rig.end(&id, 0, Outcome::Prefilled, 0);
-        let Some((at, _)) = sent(&actions) else { continue };
+        rig.advance(0.6);
+        let actions = rig.end_attempt(&id, 0, Outcome::Prefilled, 0);
+        let Some((at, _)) = sent_to(&actions) else { continue };
         if at == "w0" || !other_is_heard {
             stuck.push((id, actions));
         } else {
-            rig.stream(&id, 1);
+            rig.start_stream(&id, 1);
         }
     }
-    rig.wait(3.0);
+    rig.advance(3.0);
     for (_, actions) in &stuck {
         for action in actions {
             if let Action::SetTimer { timer, .. } = action {
@@ -772,36 +777,39 @@
             }
         }
     }
-    let asked: Vec<bool> =
-        (0..20).map(|i| refused(&rig.ask(&format!("n{i}"), &format!("n{i}"), FREE, 4_000))).collect();
+    let asked: Vec<bool> = (0..20)
+        .map(|i| rejected(&rig.submit(&format!("n{i}"), &format!("n{i}"), IDEMPOTENT, 4_000)))
+        .collect();
     (stuck.len(), asked.iter().filter(|r| **r).count())
 }
 
 #[test]
 fn what_is_stuck_at_a_silent_worker_is_no_queue() {
-    let (stuck, refused) = stuck_at_a_silent_writer(Some(2.0), true);
+    let (stuck, rejected) = stuck_at_a_silent_writer(Some(2.0), true);
     assert!(stuck >= 5, "{stuck}");
-    assert_eq!(refused, 0, "{stuck} are stuck at one writer, the other answers");
+    assert_eq!(rejected, 0, "{stuck} are stuck at one writer, the other answers");
 }
 
 #[test]
 fn where_workers_tell_of_no_queue_a_long_forecast_is_no_reason_to_refuse() {
     let run = |queued: f64| {
-        let mut rig = after_twenty_reads(readers(3), Some(queued));
+        let mut rig = after_twenty_reads(fleet_with_prefill(3), Some(queued));
         for i in 0..20 {
             let id = format!("s{i}");
-            rig.ask(&id, &id, FREE, 4_000);
-            rig.wait(0.9);
+            rig.submit(&id, &id, IDEMPOTENT, 4_000);
+            rig.advance(0.9);
             let report = Some(LoadReport { queued_requests: Some(queued), ..LoadReport::default() });
-            rig.end_with(&id, 0, Outcome::Prefilled, 0, report);
-            rig.stream(&id, 1);
-            rig.end(&id, 1, Outcome::Served, 0);
+            rig.end_attempt_with_report(&id, 0, Outcome::Prefilled, 0, report);
+            rig.start_stream(&id, 1);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
         }
         for i in 0..20 {
-            rig.ask(&format!("w{i}"), &format!("w{i}"), FREE, 4_000);
+            rig.submit(&format!("w{i}"), &format!("w{i}"), IDEMPOTENT, 4_000);
         }
-        rig.wait(0.7);
-        (0..20).filter(|i| refused(&rig.ask(&format!("n{i}"), &format!("n{i}"), FREE, 4_000))).count()
+        rig.advance(0.7);
+        (0..20)
+            .filter(|i| rejected(&rig.submit(&format!("n{i}"), &format!("n{i}"), IDEMPOTENT, 4_000)))
+            .count()
     };
     assert_eq!(run(0.0), 0);
     assert_eq!(run(3.0), 20);
@@ -810,20 +818,20 @@
 #[test]
 fn how_long_a_read_took_at_a_reader_that_hung_is_no_sign_of_load() {
     for reads in [0, 1] {
-        let mut rig = Rig::new(settings(), readers(3));
+        let mut rig = Rig::new(settings(), fleet_with_prefill(3));
         // First tokens after half of the aim: what a client will not wait for is not begun.
         for i in 0..20 {
             let id = format!("l{i}");
-            rig.ask(&id, &id, FREE, 4_000);
-            rig.wait(0.5);
-            rig.parsed_after(&id, 0.5);
-            rig.stream(&id, 1);
-            rig.wait(0.1);
-            rig.end(&id, 1, Outcome::Served, 0);
+            rig.submit(&id, &id, IDEMPOTENT, 4_000);
+            rig.advance(0.5);
+            rig.end_prefill_after(&id, 0.5);
+            rig.start_stream(&id, 1);
+            rig.advance(0.1);
+            rig.end_attempt(&id, 1, Outcome::Served, 0);
         }
         for i in 0..reads {
             let id = format!("h{i}");
-            let actions = rig.ask(&id, &id, FREE, 4_000);
+            let actions = rig.submit(&id, &id, IDEMPOTENT, 4_000);
             rig.now = rig.now + secs(20.0);
             for action in &actions {
                 if let Action::SetTimer { timer, .. } = action {
@@ -842,9 +850,9 @@
                 report,
             });
         }
-        let mut request = rig.request("z", "z", FREE, 4_000);
+        let mut request = rig.request("z", "z", IDEMPOTENT, 4_000);
         request.deadline = rig.now + secs(0.8);
-        assert!(!refused(&rig.feed(Event::Request(request))), "{reads} reads at a reader that hung");
+        assert!(!rejected(&rig.feed(Event::Request(request))), "{reads} reads at a reader that hung");
     }
 }
 
@@ -853,20 +861,20 @@
     let patience = |left: usize, routers: u32| {
         // Held state is due later than what is measured here.
         let set = Settings { routers, reservation_timeout: secs(60.0), ..settings() };
-        let mut rig = Rig::new(set, readers(1));
+        let mut rig = Rig::new(set, fleet_with_prefill(1));
         // Reads of 0.6 s: four times as long is silence.
         for i in 0..60 {
             let id = format!("s{i}");
-            rig.ask(&id, &id, FREE, 100);
-            rig.parsed_after(&id, 0.6);
+            rig.submit(&id, &id, IDEMPOTENT, 100);
+            rig.end_prefill_after(&id, 0.6);
             rig.feed(Event::ClientGone(id.as_str().into()));
         }
         // Asked once in a while from now on.
-        rig.wait(200.0);
+        rig.advance(200.0);
         for i in 0..left {
             let id = format!("c{i}");
-            rig.ask(&id, &id, FREE, 4_000);
-            rig.wait(0.7);
+            rig.submit(&id, &id, IDEMPOTENT, 4_000);
+            rig.advance(0.7);
             let (id, attempt, elapsed) = (id.as_str().into(), AttemptNo(0), secs(0.7));
             let (outcome, over, kept, report) = (Outcome::TimedOut, true, 0, None);
             rig.feed(Event::AttemptOutcome {
@@ -879,8 +887,8 @@
                 report,
             });
         }
-        let actions = rig.ask("z", "z", FREE, 4_000);
-        assert_eq!(sent(&actions).unwrap().0, "r0");
+        let actions = rig.submit("z", "z", IDEMPOTENT, 4_000);
+        assert_eq!(sent_to(&actions).unwrap().0, "r0");
         let timer = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, .. } => Some(*after),
             _ => None,
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -115,7 +115,7 @@
     let (mut sends, mut number) = (Sends::default(), 0);
     let pause = 1.0 / fleet.rate(router);
     // Out of step with each other.
-    rig.wait((router as f64 * 0.618 + seed as f64 * 0.37).fract() * pause);
+    rig.advance((router as f64 * 0.618 + seed as f64 * 0.37).fract() * pause);
     while rig.now < back + secs(AFTER_S) {
         if !known && rig.now >= back {
             known = true;
@@ -140,7 +140,7 @@
     let work = tokens as f64 / mean_tokens();
     let id = format!("{router}-{number}");
     let turned = number % TURNED_EVERY == TURNED_EVERY - 1;
-    rig.play(&id, tokens, turned, |now, to| {
+    rig.run_request(&id, tokens, turned, |now, to| {
         if now >= back {
             let age = (now - back).as_secs_f64();
             sends.to_cold.extend((to == fleet.cold_id()).then_some((age, work)));
@@ -240,7 +240,7 @@
 /// How a request's read is sent to the only reader, of as many requests as it takes.
 fn care_of_the_only_reader(rig: &mut Rig, prefix: &str) -> Option<AttemptKind> {
     (0..200).find_map(|n| {
-        let actions = rig.ask(&format!("{prefix}{n}"), &format!("{prefix}{n}"), FREE, 40_000);
+        let actions = rig.submit(&format!("{prefix}{n}"), &format!("{prefix}{n}"), IDEMPOTENT, 40_000);
         actions.iter().find_map(|a| match a {
             Action::Send { worker, kind, .. } if &*worker.0 == "r0" => Some(*kind),
             _ => None,
@@ -253,7 +253,7 @@
 #[test]
 fn a_worker_first_seen_now_is_cold_whatever_its_stamp_says() {
     let only = |started| {
-        let mut all = readers(1);
+        let mut all = fleet_with_prefill(1);
         all[1].started = Some(started);
         all
     };
@@ -265,7 +265,7 @@
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: only(old) });
         assert_eq!(care_of_the_only_reader(&mut rig, "a"), Some(AttemptKind::SlowStart), "{hours} h");
         // It is back after a restart, and its clock has not moved.
-        rig.wait(20.0);
+        rig.advance(20.0);
         assert_eq!(care_of_the_only_reader(&mut rig, "b"), Some(AttemptKind::Normal));
         rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: only(old + secs(1.0)) });
         assert_eq!(care_of_the_only_reader(&mut rig, "c"), Some(AttemptKind::SlowStart), "{hours} h");
