--- a/crates/policy/tests/obligations.rs
+++ b/crates/policy/tests/obligations.rs
@@ -1,5 +1,5 @@
-//! What a router owes for a request: which calls, refusals and answers are allowed, and when held state is released,
-//! whatever is open.
+//! The obligations of a router for one request: which attempts, rejections and answers are allowed, and when reserved
+//! state is released.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -13,7 +13,7 @@
     Target { role, zone: Some(ZoneId(0)), cell: CellId(1), lifecycle: Lifecycle::Active }
 }
 
-fn owed(retry_safety: RetrySafety, attempts: Vec<AttemptFacts>) -> Obligations {
+fn obligations(retry_safety: RetrySafety, attempts: Vec<AttemptFacts>) -> Obligations {
     Obligations {
         retry_safety,
         dedup_window: secs(2.0),
@@ -31,8 +31,8 @@
     facts
 }
 
-fn denied(owed: &Obligations, to: &Target) -> Option<Denied> {
-    owed.may_send(NOW, to).err()
+fn denied(obligations: &Obligations, to: &Target) -> Option<Denied> {
+    obligations.may_send(NOW, to).err()
 }
 
 #[test]
@@ -45,82 +45,107 @@
         Outcome::Served,
     ];
     let proven = [Outcome::Rejected { no_state: true }, Outcome::NoConnection, Outcome::NotSent];
-    let writer = target(Role::Decode);
+    let decode_target = target(Role::Decode);
     for outcome in unproven {
         let earlier = vec![ended(Stage::Decode, outcome)];
-        let single = owed(RetrySafety::NonIdempotent, earlier.clone());
-        assert_eq!(denied(&single, &writer), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(single.may_reject().err(), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(single.permanent_denial(NOW), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(denied(&owed(RetrySafety::Idempotent, earlier.clone()), &writer), None);
-        // A guarded one goes again within its group and window alone.
-        let guarded = owed(RetrySafety::Deduplicated(DeduplicationScope::Cell), earlier);
-        assert_eq!(denied(&guarded, &writer), None);
-        let elsewhere = Target { cell: CellId(2), ..writer };
-        assert_eq!(denied(&guarded, &elsewhere), Some(Denied::MayHaveRun));
-        assert_eq!(guarded.may_send(NOW + secs(1.0), &writer).err(), Some(Denied::MayHaveRun), "{outcome:?}");
-        assert_eq!(guarded.permanent_denial(NOW + secs(1.0)), Some(Denied::MayHaveRun));
+        let non_idempotent = obligations(RetrySafety::NonIdempotent, earlier.clone());
+        assert_eq!(denied(&non_idempotent, &decode_target), Some(Denied::MayHaveRun), "{outcome:?}");
+        assert_eq!(non_idempotent.may_reject().err(), Some(Denied::MayHaveRun), "{outcome:?}");
+        assert_eq!(non_idempotent.permanent_denial(NOW), Some(Denied::MayHaveRun), "{outcome:?}");
+        assert_eq!(denied(&obligations(RetrySafety::Idempotent, earlier.clone()), &decode_target), None);
+        // A deduplicated request may be repeated only within its scope and window.
+        let deduplicated = obligations(RetrySafety::Deduplicated(DeduplicationScope::Cell), earlier);
+        assert_eq!(denied(&deduplicated, &decode_target), None);
+        let other_cell = Target { cell: CellId(2), ..decode_target };
+        assert_eq!(denied(&deduplicated, &other_cell), Some(Denied::MayHaveRun));
+        assert_eq!(
+            deduplicated.may_send(NOW + secs(1.0), &decode_target).err(),
+            Some(Denied::MayHaveRun),
+            "{outcome:?}"
+        );
+        assert_eq!(deduplicated.permanent_denial(NOW + secs(1.0)), Some(Denied::MayHaveRun));
     }
     for outcome in proven {
-        let single = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Decode, outcome)]);
-        assert_eq!(denied(&single, &writer), None, "{outcome:?}");
-        assert!(single.may_reject().is_ok() && single.permanent_denial(NOW).is_none(), "{outcome:?}");
+        let non_idempotent = obligations(RetrySafety::NonIdempotent, vec![ended(Stage::Decode, outcome)]);
+        assert_eq!(denied(&non_idempotent, &decode_target), None, "{outcome:?}");
+        assert!(
+            non_idempotent.may_reject().is_ok() && non_idempotent.permanent_denial(NOW).is_none(),
+            "{outcome:?}"
+        );
     }
     for outcome in unproven {
-        let read = owed(RetrySafety::NonIdempotent, vec![ended(Stage::Prefill, outcome)]);
-        assert_eq!(denied(&read, &target(Role::Prefill)), None, "a read has no effect");
+        let prefill = obligations(RetrySafety::NonIdempotent, vec![ended(Stage::Prefill, outcome)]);
+        assert_eq!(
+            denied(&prefill, &target(Role::Prefill)),
+            None,
+            "a prefill has no effect and may be repeated"
+        );
     }
 }
 
 #[test]
 fn each_denial_names_its_reason() {
-    let writer = target(Role::Decode);
-    let fresh = owed(RetrySafety::Idempotent, Vec::new());
-    assert_eq!(denied(&fresh, &writer), None);
+    let decode_target = target(Role::Decode);
+    let fresh = obligations(RetrySafety::Idempotent, Vec::new());
+    assert_eq!(denied(&fresh, &decode_target), None);
     for lifecycle in [Lifecycle::Draining, Lifecycle::Removed] {
-        assert_eq!(denied(&fresh, &Target { lifecycle, ..writer }), Some(Denied::NotInService));
+        assert_eq!(denied(&fresh, &Target { lifecycle, ..decode_target }), Some(Denied::NotInService));
     }
     let open = AttemptFacts::new(Stage::Prefill, NOW, target(Role::Prefill));
-    assert_eq!(denied(&owed(RetrySafety::Idempotent, vec![open]), &writer), Some(Denied::AttemptOpen));
+    assert_eq!(
+        denied(&obligations(RetrySafety::Idempotent, vec![open]), &decode_target),
+        Some(Denied::AttemptOpen)
+    );
     let used = vec![ended(Stage::Decode, Outcome::NoConnection); 4];
-    assert_eq!(denied(&owed(RetrySafety::Idempotent, used.clone()), &writer), Some(Denied::AttemptsUsed));
-    assert_eq!(owed(RetrySafety::Idempotent, used).permanent_denial(NOW), Some(Denied::AttemptsUsed));
-    assert_eq!(fresh.may_send(NOW + secs(5.0), &writer).err(), Some(Denied::PastDeadline));
-    for (answer, why) in [(AnswerState::Given, Denied::Answered), (AnswerState::Begun, Denied::Begun)] {
-        let owed = Obligations { answer, ..fresh.clone() };
-        assert_eq!(denied(&owed, &writer), Some(why));
-        assert_eq!(owed.may_answer().is_ok(), answer == AnswerState::Begun);
+    assert_eq!(
+        denied(&obligations(RetrySafety::Idempotent, used.clone()), &decode_target),
+        Some(Denied::AttemptsUsed)
+    );
+    assert_eq!(obligations(RetrySafety::Idempotent, used).permanent_denial(NOW), Some(Denied::AttemptsUsed));
+    assert_eq!(fresh.may_send(NOW + secs(5.0), &decode_target).err(), Some(Denied::PastDeadline));
+    for (answer, reason) in [(AnswerState::Given, Denied::Answered), (AnswerState::Begun, Denied::Begun)] {
+        let obligations = Obligations { answer, ..fresh.clone() };
+        assert_eq!(denied(&obligations, &decode_target), Some(reason));
+        assert_eq!(obligations.may_answer().is_ok(), answer == AnswerState::Begun);
     }
-    // While an attempt is open nothing is known of its effect: no promise that trying again is harmless.
-    let open = AttemptFacts::new(Stage::Decode, NOW, writer);
-    assert_eq!(owed(RetrySafety::NonIdempotent, vec![open]).may_reject().err(), Some(Denied::MayHaveRun));
+    // An open attempt may still run, so a rejection must not promise that trying again is harmless.
+    let open = AttemptFacts::new(Stage::Decode, NOW, decode_target);
+    assert_eq!(
+        obligations(RetrySafety::NonIdempotent, vec![open]).may_reject().err(),
+        Some(Denied::MayHaveRun)
+    );
 }
 
-/// Whatever the effect, an open pull stops no clock: its bytes may never arrive.
+/// An open pull does not stop the reservation timeout of any class, because its request may never arrive.
 #[test]
-fn state_is_released_in_time_beside_a_pull_that_stays_open() {
+fn reserved_state_is_released_in_time_while_a_pull_stays_open() {
     for class in [IDEMPOTENT, NON_IDEMPOTENT, DEDUPLICATED] {
-        for release in [0.1, 0.3, 1.0, 2.0] {
-            let set = Settings { reservation_timeout: secs(release), may_cancel: false, ..settings() };
+        for timeout_s in [0.1, 0.3, 1.0, 2.0] {
+            let set = Settings { reservation_timeout: secs(timeout_s), may_cancel: false, ..settings() };
             let mut rig = Rig::new(set, fleet());
             rig.submit("a", "s", class, 40_000);
             rig.advance(0.1);
             let pull = rig.end_attempt("a", 0, Outcome::Prefilled, 0);
             assert!(sent_to(&pull).is_some_and(|(to, _)| to.starts_with('w')));
-            let (parsed, mut actions) = (rig.now, pull);
+            let (prefilled_at, mut actions) = (rig.now, pull);
             while !released(&actions) {
-                assert!(rig.now <= parsed + secs(release), "class {}, {release} s", class.0);
+                assert!(
+                    rig.now <= prefilled_at + secs(timeout_s),
+                    "class {}, reservation timeout {timeout_s} s",
+                    class.0
+                );
                 actions = rig.fire_timers(&actions);
-                assert!(sent_to(&actions).is_none(), "the pull is open");
+                assert!(sent_to(&actions).is_none(), "sent while the pull is open");
             }
-            assert!(rig.now >= parsed + secs(release * 0.7), "it has its time to be pulled");
+            assert!(rig.now >= prefilled_at + secs(timeout_s * 0.7), "released before the pull had its time");
         }
     }
 }
 
-/// A pull that ended without any word of its worker never was out: the time runs from the read's end.
+/// A pull that ended without a response of its worker may never have arrived: the reservation timeout then runs from
+/// the end of the prefill. A pull that arrived restarts it.
 #[test]
-fn the_clock_of_held_state_is_not_set_back_by_a_pull_that_nobody_is_proven_to_have_got() {
+fn a_pull_without_proof_of_arrival_does_not_restart_the_reservation_timeout() {
     for (outcome, proven) in [
         (Outcome::TimedOut, false),
         (Outcome::Cancelled, false),
@@ -132,37 +157,37 @@
         rig.submit("a", "s", IDEMPOTENT, 40_000);
         rig.advance(0.1);
         rig.end_attempt("a", 0, Outcome::Prefilled, 0);
-        let parsed = rig.now;
+        let prefilled_at = rig.now;
         rig.advance(0.5);
         let mut actions = rig.end_attempt("a", 1, outcome, 0);
-        while !released(&actions) && rig.now < parsed + secs(3.0) {
+        while !released(&actions) && rig.now < prefilled_at + secs(3.0) {
             actions = rig.fire_timers(&actions);
         }
-        let held = (rig.now - parsed).as_secs_f64();
-        let least = if proven { 1.25 } else { 0.75 };
-        assert!(held >= least && held <= least + 0.2, "{outcome:?}: {held} s");
+        let reserved_s = (rig.now - prefilled_at).as_secs_f64();
+        let shortest = if proven { 1.25 } else { 0.75 };
+        assert!(reserved_s >= shortest && reserved_s <= shortest + 0.2, "{outcome:?}: {reserved_s} s");
     }
 }
 
-/// A repeat that lies at a silent worker arrives when that wakes: it has to be over before repeats are discarded no more,
-/// and is not sent so late that a router that stands still for 0.15 s would write it past that.
+/// A repeat that waits at an unresponsive worker runs when that worker resumes. It must therefore time out before the
+/// deduplication window ends, with a margin of 0.15 s for a router that stalls before it writes.
 #[test]
-fn a_guarded_repeat_is_over_before_its_window_ends() {
+fn a_deduplicated_repeat_ends_before_its_window() {
     let window = 2.0;
     let mut set = settings();
     set.classes[DEDUPLICATED.0].dedup_window = secs(window);
     let mut rig = Rig::new(set.clone(), fleet());
     rig.submit("a", "s", DEDUPLICATED, 10);
-    let sent_first = rig.now;
+    let first_sent_at = rig.now;
     rig.advance(0.5);
     let actions = rig.end_attempt("a", 0, Outcome::ServerError, 0);
-    let give_up = actions.iter().find_map(|a| match a {
+    let timeout = actions.iter().find_map(|a| match a {
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
-    let give_up = give_up.expect("a repeat within the window").expect("a time at which it is over");
-    let over = (rig.now + give_up - sent_first).as_secs_f64();
-    assert!(over <= window - 0.15, "{over} s after the first was sent");
+    let timeout = timeout.expect("no repeat within the window").expect("the repeat has no timeout");
+    let latest_end = (rig.now + timeout - first_sent_at).as_secs_f64();
+    assert!(latest_end <= window - 0.15, "ends {latest_end} s after the first attempt was sent");
     // Close to the window's end nothing is repeated.
     let mut rig = Rig::new(set, fleet());
     rig.submit("a", "s", DEDUPLICATED, 10);
@@ -170,10 +195,11 @@
     assert!(sent_to(&rig.end_attempt("a", 0, Outcome::ServerError, 0)).is_none());
 }
 
-/// A release frees nothing that an attempt waits for: what a pull that had arrived was waiting for is released as it ends.
+/// A release does not free state that an arrived pull is waiting for, so the state is released again when that pull
+/// ends.
 #[test]
-fn state_that_was_released_beside_a_pull_is_released_again_as_the_pull_ends() {
-    for (outcome, again) in [
+fn state_released_during_a_pull_is_released_again_when_the_pull_ends() {
+    for (outcome, expect_second_release) in [
         (Outcome::TimedOut, true),
         (Outcome::Cancelled, true),
         (Outcome::ConnectionLost, true),
@@ -190,6 +216,6 @@
             actions = rig.fire_timers(&actions);
         }
         rig.advance(0.2);
-        assert_eq!(released(&rig.end_attempt("a", 1, outcome, 0)), again, "{outcome:?}");
+        assert_eq!(released(&rig.end_attempt("a", 1, outcome, 0)), expect_second_release, "{outcome:?}");
     }
 }
