--- a/crates/policy/tests/bounds.rs
+++ b/crates/policy/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Tables at their bounds, counters after failures and restarts, clocks that disagree; days in fed time.
+//! Tables at their capacity, in-flight counters after failures and restarts, clock skew, and days of simulated time.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -6,21 +6,22 @@
 use common::*;
 
 const LONG: u64 = 6_000;
-/// More sessions than the table of homes holds, and more beginnings than that of rates.
+/// More sessions than the affinity table holds (32,768), and more prefixes than the table of prefix rates holds
+/// (4,096).
 const SESSIONS: usize = 40_000;
-const BEGINNINGS: usize = 6_000;
+const PREFIXES: usize = 6_000;
 
-/// Where a session's next turn goes: straight to its home, or to a reader.
+/// The worker that a session's next turn is sent to: the decode worker that caches the session, or a prefill worker.
 fn next_turn(rig: &mut Rig, session: &str) -> String {
     sent_to(&rig.submit(&format!("{session}/next"), session, IDEMPOTENT, LONG + 50)).unwrap().0
 }
 
-// ---- Homes.
+// ---- Session affinity.
 
 #[test]
-fn a_full_table_of_fresh_homes_still_learns_new_ones_and_forgets_the_oldest() {
+fn a_full_session_table_still_records_new_sessions_and_evicts_the_oldest() {
     let mut rig = Rig::new(settings(), fleet());
-    // All within a few seconds, so that age tells nothing.
+    // All sessions are recorded within a few seconds, so that their age does not distinguish them.
     for i in 0..SESSIONS {
         let id = format!("{i}");
         rig.submit(&id, &id, IDEMPOTENT, LONG);
@@ -29,15 +30,15 @@
         rig.end_attempt(&id, 1, Outcome::Served, 0);
         rig.now = rig.now + Micros(100);
     }
-    let homes = format!("{:?}", rig.router).matches("CachedSession {").count();
-    assert!((1..=32_768).contains(&homes), "{homes}");
-    // What others pour would void the notes; a new session asks on at once.
-    let (_, home) = rig.serve_request("new", "new", LONG);
-    assert_eq!(next_turn(&mut rig, "new"), home);
+    let cached_sessions = format!("{:?}", rig.router).matches("CachedSession {").count();
+    assert!((1..=32_768).contains(&cached_sessions), "{cached_sessions}");
+    // Enough other traffic would expire the entry, so the new session's next turn follows at once.
+    let (_, affinity_worker) = rig.serve_request("new", "new", LONG);
+    assert_eq!(next_turn(&mut rig, "new"), affinity_worker);
 }
 
 #[test]
-fn a_session_that_moves_while_the_table_is_full_is_found_at_its_new_home() {
+fn a_session_that_moves_while_the_table_is_full_is_found_at_its_new_worker() {
     let mut rig = Rig::new(Settings { routers: 1, ..settings() }, fleet());
     let (_, first) = rig.serve_request("a", "moving", LONG);
     for i in 0..SESSIONS {
@@ -53,10 +54,10 @@
     assert_eq!(next_turn(&mut rig, "moving"), second);
 }
 
-// ---- Beginnings.
+// ---- Prefixes.
 
 #[test]
-fn a_flood_of_beginnings_does_not_narrow_a_hot_one() {
+fn a_flood_of_prefixes_does_not_narrow_a_hot_prefix() {
     let mut rig = Rig::new(Settings { routers: 20, ..settings() }, fleet_with_prefill(12));
     let submit = |rig: &mut Rig, id: &str, prefix: &str| {
         let mut request = rig.request(id, id, IDEMPOTENT, LONG);
@@ -68,24 +69,24 @@
         to
     };
     let mut used = std::collections::BTreeSet::new();
-    for i in 0..BEGINNINGS {
+    for i in 0..PREFIXES {
         rig.advance(0.3);
         submit(&mut rig, &format!("h{i}"), "hot");
         submit(&mut rig, &format!("o{i}"), &format!("{i}"));
-        // Just after the flood has filled the table, the hot one is as hot as before.
-        if i + 1 >= BEGINNINGS - 40 {
+        // Just after the flood has filled the table, the hot prefix is still spread over as many workers as before.
+        if i + 1 >= PREFIXES - 40 {
             used.insert(submit(&mut rig, &format!("l{i}"), "hot"));
         }
     }
-    assert!(used.len() >= 6, "two thirds of the traffic at {} of 12 readers", used.len());
+    assert!(used.len() >= 6, "two thirds of the traffic on {} of 12 prefill workers", used.len());
 }
 
 #[test]
-fn a_table_of_beginnings_that_is_full_forgets_none_that_is_asked_for() {
+fn a_full_prefix_table_keeps_a_prefix_that_is_in_use() {
     let mut rig = Rig::new(Settings { routers: 20, ..settings() }, fleet_with_prefill(12));
-    let mut width = Vec::new();
+    let mut workers_used = Vec::new();
     for i in 0..9_000 {
-        // The hot one keeps half of the traffic throughout.
+        // The hot prefix has half of the traffic throughout.
         for prefix in ["hot".to_owned(), format!("{i}")] {
             rig.now = rig.now + Micros(200_000);
             let id = format!("{i}/{prefix}");
@@ -96,21 +97,21 @@
             rig.start_stream(&id, 1);
             rig.end_attempt(&id, 1, Outcome::Served, 0);
             if prefix == "hot" {
-                width.push(to);
+                workers_used.push(to);
             }
         }
     }
-    // In any twenty-five in a row, once it has been seen to be hot.
-    let narrowest =
-        width[100..].windows(25).map(|w| w.iter().collect::<std::collections::BTreeSet<_>>().len());
-    let narrowest = narrowest.min().unwrap();
-    assert!(narrowest >= 5, "at one time it was held to {narrowest} readers");
+    // The fewest workers in any 25 consecutive requests, once the prefix has been seen to be hot.
+    let fewest_workers =
+        workers_used[100..].windows(25).map(|w| w.iter().collect::<std::collections::BTreeSet<_>>().len());
+    let fewest_workers = fewest_workers.min().unwrap();
+    assert!(fewest_workers >= 5, "25 requests in a row used only {fewest_workers} prefill workers");
 }
 
-// ---- Counters.
+// ---- In-flight counters.
 
-/// Without reports, two writers alike.
-fn unreported() -> Rig {
+/// One router and two equal decode workers that report no load, so that only the in-flight counts decide.
+fn rig_without_reports() -> Rig {
     let workers = ["w0", "w1"].map(|w| worker(w, Role::Decode, 0));
     let set = Settings {
         load_reporting: LoadReporting::Off,
@@ -122,17 +123,17 @@
 }
 
 #[test]
-fn an_answer_that_broke_and_was_tried_again_leaves_no_count_behind() {
-    let mut rig = unreported();
+fn retries_after_a_broken_stream_leave_no_in_flight_count() {
+    let mut rig = rig_without_reports();
     let mut counts = std::collections::BTreeMap::<String, usize>::new();
     for i in 0..40 {
-        // A whole answer: it began, broke, and its next attempts did not begin.
+        // The stream of the first attempt begins and breaks; the attempts after it do not begin a stream.
         let id = format!("{i}");
         let mut actions = rig.submit(&id, &id, IDEMPOTENT, 10);
         rig.start_stream(&id, 0);
         for attempt in 0..4 {
             let Some((to, _)) = sent_to(&actions) else { break };
-            // Only one of the two fails so.
+            // Only w0 fails the later attempts.
             let how = if to == "w0" { Outcome::NotSent } else { Outcome::Served };
             actions = rig.end_attempt(&id, attempt, if attempt == 0 { Outcome::ServerError } else { how }, 0);
         }
@@ -147,12 +148,12 @@
         *counts.entry(to).or_default() += 1;
     }
     let of = |w: &str| counts.get(w).copied().unwrap_or(0);
-    assert!(of("w0").abs_diff(of("w1")) <= 2, "none is out at either, yet {counts:?}");
+    assert!(of("w0").abs_diff(of("w1")) <= 2, "no attempt is in flight at either worker, yet {counts:?}");
 }
 
 #[test]
-fn what_an_earlier_life_of_a_worker_had_is_not_counted_for_the_next() {
-    let mut rig = unreported();
+fn attempts_from_before_a_restart_are_not_counted_after_it() {
+    let mut rig = rig_without_reports();
     let submit = |rig: &mut Rig, name: &str, n: usize| -> Vec<(String, String)> {
         let ids = (0..n).map(|i| format!("{name}{i}"));
         let one = |id: String| {
@@ -168,7 +169,7 @@
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.advance(0.1);
     let new = submit(&mut rig, "new", 12);
-    // The old life's streams break only now: its new life has all of its own still.
+    // The streams from before the restart break only now; the attempts of the restarted process are all still open.
     for (_, id) in old.iter().filter(|(w, _)| w == "w0") {
         rig.feed(Event::AttemptOutcome {
             id: id.as_str().into(),
@@ -183,12 +184,12 @@
     let last = submit(&mut rig, "last", 8);
     let at = |all: &[(String, String)]| all.iter().filter(|(w, _)| w == "w0").count();
     let out = (at(&new) + at(&last), new.len() + last.len() - at(&new) - at(&last) + old.len() - at(&old));
-    assert!(out.0.abs_diff(out.1) <= 1, "as many out at each, by what it has itself: {out:?}");
+    assert!(out.0.abs_diff(out.1) <= 1, "in-flight attempts should be equal: {out:?}");
 }
 
 #[test]
-fn what_was_sent_between_a_start_and_its_news_is_counted() {
-    let mut rig = unreported();
+fn attempts_sent_between_a_restart_and_its_notification_are_counted() {
+    let mut rig = rig_without_reports();
     let started = rig.now;
     rig.advance(0.1);
     let one = |rig: &mut Rig, id: &str| {
@@ -197,47 +198,47 @@
         to
     };
     let early = (0..20).filter(|i| one(&mut rig, &format!("e{i}")) == "w0").count();
-    // The list tells of the start only now, and all of these are out at the new life.
+    // The list announces the restart only now; all of these attempts are in flight at the restarted process.
     let restarted = Worker { started: Some(started), ..worker("w0", Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
-    // It is cold from the news on, for 10 ms here.
+    // Slow start runs from the announcement, here for 10 ms.
     rig.advance(0.02);
     let late = (0..20).filter(|i| one(&mut rig, &format!("l{i}")) == "w0").count();
     assert!((early + late).abs_diff(20) <= 1, "{early} and {late} of 20 each");
 }
 
 #[test]
-fn what_an_earlier_life_served_is_no_home_in_the_next() {
+fn a_session_served_before_a_restart_is_not_cached_after_it() {
     let mut rig = Rig::new(settings(), fleet());
     rig.submit("a", "s", IDEMPOTENT, LONG);
-    let home = sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, 0)).unwrap().0;
+    let affinity_worker = sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, 0)).unwrap().0;
     rig.start_stream("a", 1);
     rig.advance(0.5);
-    let restarted = Worker { started: Some(rig.now), ..worker(&home, Role::Decode, 0) };
+    let restarted = Worker { started: Some(rig.now), ..worker(&affinity_worker, Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![restarted] });
     rig.advance(0.5);
     rig.end_attempt("a", 1, Outcome::Served, 0);
-    assert!(next_turn(&mut rig, "s").starts_with('r'), "its text went with the old life");
+    assert!(next_turn(&mut rig, "s").starts_with('r'), "sent to the restarted worker, whose cache is empty");
 }
 
 #[test]
-fn what_is_out_at_a_worker_off_the_list_is_called_back_when_silent() {
-    // Its first timer is that of its silence: held state is due later.
+fn an_overdue_attempt_at_a_removed_worker_is_cancelled() {
+    // The reservation timeout is long, so that the first timer is the one for the overdue attempt.
     let mut rig = Rig::new(Settings { reservation_timeout: secs(60.0), ..settings() }, fleet());
-    let asked = rig.submit("a", "s", IDEMPOTENT, LONG);
-    let reader = sent_to(&asked).unwrap().0;
-    let gone = Worker { lifecycle: Lifecycle::Removed, ..worker(&reader, Role::Prefill, 0) };
+    let actions = rig.submit("a", "s", IDEMPOTENT, LONG);
+    let prefill_worker = sent_to(&actions).unwrap().0;
+    let gone = Worker { lifecycle: Lifecycle::Removed, ..worker(&prefill_worker, Role::Prefill, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![gone] });
-    let late = rig.fire_timers(&asked);
+    let late = rig.fire_timers(&actions);
     assert!(late.iter().any(|a| matches!(a, Action::Cancel { .. })), "{late:?}");
 }
 
 #[test]
-fn a_whole_list_costs_about_what_as_many_changes_cost() {
-    // Of ten rounds the fastest, so that a busy machine changes nothing; when each known worker was looked for in the
-    // list, it cost over eighty times as much.
-    let named = |i: u64| worker(&format!("w{i:05}"), Role::Decode, i % 50);
-    let all: Vec<Worker> = (0..10_000).map(named).collect();
+fn a_snapshot_costs_about_as_much_as_a_delta_of_equal_size() {
+    // The fastest of ten rounds, so that a busy machine changes nothing. Searching the list for each known worker cost
+    // over eighty times as much.
+    let nth_worker = |i: u64| worker(&format!("w{i:05}"), Role::Decode, i % 50);
+    let all: Vec<Worker> = (0..10_000).map(nth_worker).collect();
     let mut rig = Rig::new(settings(), all.clone());
     let mut cost = |kind| {
         let (workers, start) = (all.clone(), std::time::Instant::now());
@@ -248,12 +249,16 @@
         (0..10).map(|_| (cost(EndpointUpdate::Delta), cost(EndpointUpdate::Snapshot))).collect();
     let changes = rounds.iter().map(|r| r.0).min().unwrap();
     let whole = rounds.iter().map(|r| r.1).min().unwrap();
-    assert!(whole < changes * 20, "{changes:?} for 10,000 changes, {whole:?} for a list of as many");
+    assert!(
+        whole < changes * 20,
+        "{changes:?} for a delta of 10,000 workers, {whole:?} for a snapshot of as many"
+    );
 }
 
 #[test]
-fn in_a_jam_a_request_costs_no_more_with_many_streams_open() {
-    // Of five rounds the fastest, so that a busy machine changes nothing; the walk cost several hundred times as much.
+fn under_congestion_a_request_costs_no_more_with_many_streams_open() {
+    // The fastest of five rounds, so that a busy machine changes nothing. Iterating over all open requests cost several
+    // hundred times as much.
     let cost = |open: usize| {
         let mut rig = Rig::new(Settings { routers: 1, ..settings() }, fleet());
         for i in 0..open {
@@ -272,25 +277,25 @@
         for i in 0..20 {
             rig.submit(&format!("w{i}"), &format!("w{i}"), IDEMPOTENT, 10);
         }
-        // These have waited: a rise alone is no jam.
+        // These requests have waited for 0.6 s: rising latency alone does not count as congestion.
         rig.advance(0.6);
         let round = |n: usize| {
             let start = std::time::Instant::now();
             for i in 0..200 {
-                assert!(rejected(&rig.submit(&format!("x{n}/{i}"), "x", IDEMPOTENT, 10)), "a jam");
+                assert!(rejected(&rig.submit(&format!("x{n}/{i}"), "x", IDEMPOTENT, 10)), "not congested");
             }
             start.elapsed()
         };
         (0..5).map(round).min().unwrap()
     };
     let (few, many) = (cost(0), cost(20_000));
-    assert!(many < few * 20, "{few:?} with none, {many:?} with 20,000");
+    assert!(many < few * 20, "{few:?} with no stream open, {many:?} with 20,000");
 }
 
-// ---- Clocks and days.
+// ---- Clock skew and long runs.
 
 #[test]
-fn a_start_that_the_list_puts_into_the_future_keeps_nobody_cold_for_longer() {
+fn a_start_time_in_the_future_does_not_prolong_slow_start() {
     let mut rig = Rig::new(settings(), fleet());
     let ahead = Worker { started: Some(rig.now + secs(3_600.0)), ..worker("w9", Role::Decode, 0) };
     rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![ahead] });
@@ -304,15 +309,15 @@
         to
     };
     let at = (0..40).filter(|i| to(&mut rig, *i) == "w9").count();
-    assert!(at >= 5, "warm ten seconds after it was told of, but it got {at} of 40");
+    assert!(at >= 5, "warm ten seconds after it was listed, but it got {at} of 40");
 }
 
 #[test]
-fn days_of_churn_leave_nothing_behind_and_the_mechanism_as_it_was() {
+fn days_of_churn_neither_grow_the_state_nor_break_affinity() {
     let mut rig = Rig::new(settings(), fleet());
     let mut sizes = Vec::new();
     for day in 0..6_u64 {
-        // A day of 1,440 minutes, in each a worker that was never seen before comes and another goes.
+        // A day of 1,440 minutes; in each, a new worker joins and another is removed.
         for minute in 0..1_440_u64 {
             let n = day * 1_440 + minute;
             let fresh = worker(&format!("w{}", n + 10), Role::Decode, n % 2);
@@ -322,12 +327,12 @@
             rig.feed(Event::Endpoints { update: EndpointUpdate::Delta, workers: vec![fresh, gone] });
             let id = format!("{n}");
             let mut actions = rig.submit(&id, &format!("s{}", n % 7), IDEMPOTENT, LONG);
-            let reads = sent_to(&actions).unwrap().0.starts_with('r');
-            if reads {
+            let prefilled = sent_to(&actions).unwrap().0.starts_with('r');
+            if prefilled {
                 actions.extend(rig.end_attempt(&id, 0, Outcome::Prefilled, 0));
             }
-            rig.start_stream(&id, u32::from(reads));
-            actions.extend(rig.end_attempt(&id, u32::from(reads), Outcome::Served, 0));
+            rig.start_stream(&id, u32::from(prefilled));
+            actions.extend(rig.end_attempt(&id, u32::from(prefilled), Outcome::Served, 0));
             let next = rig.now + secs(60.0);
             rig.fire_timers(&actions);
             rig.now = next;
@@ -335,37 +340,41 @@
         sizes.push(format!("{:?}", rig.router).len());
     }
     assert!(sizes[5] <= sizes[1] + sizes[1] / 10, "{sizes:?}");
-    let (_, home) = rig.serve_request("z", "z", LONG);
-    assert_eq!(next_turn(&mut rig, "z"), home);
+    let (_, affinity_worker) = rig.serve_request("z", "z", LONG);
+    assert_eq!(next_turn(&mut rig, "z"), affinity_worker);
 }
 
 #[test]
-fn the_end_of_the_clock_is_no_panic() {
+fn the_end_of_the_clock_does_not_panic() {
     let mut rig = Rig::new(settings(), fleet());
     rig.now = Micros(u64::MAX - 3_000_000);
     for i in 0..40 {
         let id = format!("{i}");
-        let asked = rig.submit(&id, &id, IDEMPOTENT, if i % 2 == 0 { LONG } else { u64::MAX });
+        let actions = rig.submit(&id, &id, IDEMPOTENT, if i % 2 == 0 { LONG } else { u64::MAX });
         rig.end_attempt(&id, 0, if i % 3 == 0 { Outcome::TimedOut } else { Outcome::Prefilled }, u64::MAX);
-        rig.fire_timers(&asked);
+        rig.fire_timers(&actions);
     }
 }
 
-/// Counts that no worker can mean: more kept than the prompt has, and more than can be doubled.
+/// Impossible reports: more cached tokens than the prompt has, and counts that overflow when doubled.
 #[test]
-fn kept_counts_beyond_the_prompt_are_taken_for_the_whole_prompt() {
-    for kept in [LONG + 1, u64::MAX / 2 + 1, u64::MAX] {
+fn cached_counts_beyond_the_prompt_are_capped_at_the_prompt() {
+    for cached_tokens in [LONG + 1, u64::MAX / 2 + 1, u64::MAX] {
         let mut rig = Rig::new(settings(), fleet());
         rig.advance(0.1);
         rig.submit("a", "s", IDEMPOTENT, LONG);
-        let writer = sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, kept)).unwrap().0;
+        let decode_worker = sent_to(&rig.end_attempt("a", 0, Outcome::Prefilled, cached_tokens)).unwrap().0;
         rig.start_stream("a", 1);
-        rig.end_attempt("a", 1, Outcome::Served, kept);
-        // The next turn adds little, and is read at home, whose count is again beyond the prompt.
+        rig.end_attempt("a", 1, Outcome::Served, cached_tokens);
+        // The next turn adds little and is prefilled where the session is cached; its count is again beyond the prompt.
         let next = LONG + 100;
-        assert_eq!(sent_to(&rig.submit("b", "s", IDEMPOTENT, next)).unwrap().0, writer);
+        assert_eq!(sent_to(&rig.submit("b", "s", IDEMPOTENT, next)).unwrap().0, decode_worker);
         rig.start_stream("b", 0);
-        rig.end_attempt("b", 0, Outcome::Served, kept);
-        assert_eq!(sent_to(&rig.submit("c", "s", IDEMPOTENT, next + 100)).unwrap().0, writer, "{kept}");
+        rig.end_attempt("b", 0, Outcome::Served, cached_tokens);
+        assert_eq!(
+            sent_to(&rig.submit("c", "s", IDEMPOTENT, next + 100)).unwrap().0,
+            decode_worker,
+            "{cached_tokens}"
+        );
     }
 }
