--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Speaks the simulator's wire on standard input and output and hands each event to the decision
-//! module's instance that it names. Decides nothing.
+//! Reads batches of events in the simulator's wire protocol from standard input, passes each event to the router
+//! instance that it names, and writes the resulting actions to standard output. The decision module makes all
+//! decisions.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -8,7 +9,7 @@
 
 fn run() -> Result<(), String> {
     if std::env::args().len() > 1 {
-        return Err("takes no arguments; batches come on standard input".into());
+        return Err("this program takes no arguments; it reads batches from standard input".into());
     }
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
@@ -23,8 +24,9 @@
         if line.trim().is_empty() {
             continue;
         }
-        let reply = session.line(&line).map_err(|e| format!("line {number}: {e}"))?;
-        // Made whole before any of it is written: there is never half a reply.
+        let reply = session.handle_line(&line).map_err(|e| format!("line {number}: {e}"))?;
+        // The reply is serialized completely before any of it is written, so that an error never leaves part of a
+        // reply.
         let mut text = serde_json::to_vec(&reply).map_err(|e| format!("line {number}: {e}"))?;
         text.push(b'\n');
         let written = output.write_all(&text).and_then(|()| output.flush());
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! Between the words of the wire and the types of the decision module, both ways.
+//! Translation between the messages of the wire and the types of the decision module, in both directions.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::wire;
 
-/// The names that the settings give to positions, needed to read later messages.
+/// The ids of the names in the settings, by which later messages refer to classes, tenants, zones and kinds of workers.
 #[derive(Debug, Default, Clone)]
 pub struct NameIndex {
     classes: BTreeMap<String, p::ClassId>,
@@ -16,27 +16,28 @@
 }
 
 impl NameIndex {
-    /// The class of this name.
+    /// The class with this name.
     pub fn class(&self, name: &str) -> Option<p::ClassId> {
         self.classes.get(name).copied()
     }
 
-    /// The tenant of this name.
+    /// The tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<p::TenantId> {
         self.tenants.get(name).copied()
     }
 
-    /// Whether there are tenants at all.
+    /// Whether the settings list any tenant.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// The zone of this name.
+    /// The zone with this name.
     pub fn zone(&self, name: &str) -> Option<p::ZoneId> {
         self.zones.get(name).copied()
     }
 
-    /// What a machine of this kind does, and its memory; one of an unknown kind does both.
+    /// The role of a worker of this kind and its KV cache capacity in tokens. A worker of an unknown kind is combined,
+    /// with unknown capacity.
     pub fn worker_kind(&self, name: Option<&str>) -> (p::Role, Option<u64>) {
         name.and_then(|n| self.kinds.get(n)).copied().unwrap_or((p::Role::Combined, None))
     }
@@ -50,13 +51,13 @@
     t as u64
 }
 
-/// Reads the settings. A word that the wire page does not know is an error naming its field.
+/// Translates the settings. An unknown role or repeat value is an error that names its field.
 pub fn settings(w: &wire::Params) -> Result<(p::Settings, NameIndex), String> {
     let names = NameIndex {
-        classes: positions(w.categories.iter().map(|c| c.name.as_str()), p::ClassId),
-        tenants: positions(w.tenants.iter().map(|t| t.name.as_str()), p::TenantId),
-        zones: positions(w.dcs.iter().map(String::as_str), p::ZoneId),
-        kinds: kinds(w)?,
+        classes: ids_by_name(w.categories.iter().map(|c| c.name.as_str()), p::ClassId),
+        tenants: ids_by_name(w.tenants.iter().map(|t| t.name.as_str()), p::TenantId),
+        zones: ids_by_name(w.dcs.iter().map(String::as_str), p::ZoneId),
+        kinds: worker_kinds(w)?,
     };
     let classes = w.categories.iter().enumerate().map(|(i, c)| class(w, i, c)).collect::<Result<_, _>>()?;
     let settings = p::Settings {
@@ -80,20 +81,20 @@
         weighted: !w.weights.is_empty() && w.weights != "off",
         load_reporting: match w.reporting.how.as_str() {
             "inline" => p::LoadReporting::InResponses,
-            // With answers to probes only, which are never sent: none.
+            // Other modes report only in responses to probes, which this module never sends.
             _ => p::LoadReporting::Off,
         },
     };
     Ok((settings, names))
 }
 
-/// The position of each name in its list.
-fn positions<'a, T>(names: impl Iterator<Item = &'a str>, id: impl Fn(usize) -> T) -> BTreeMap<String, T> {
+/// The id of each name, made from its position in the list.
+fn ids_by_name<'a, T>(names: impl Iterator<Item = &'a str>, id: impl Fn(usize) -> T) -> BTreeMap<String, T> {
     names.enumerate().map(|(i, name)| (name.to_owned(), id(i))).collect()
 }
 
-/// What the machines of each kind do, and their memory.
-fn kinds(w: &wire::Params) -> Result<BTreeMap<String, (p::Role, Option<u64>)>, String> {
+/// The role of each kind of worker and its KV cache capacity in tokens.
+fn worker_kinds(w: &wire::Params) -> Result<BTreeMap<String, (p::Role, Option<u64>)>, String> {
     let mut kinds = BTreeMap::new();
     for (i, kind) in w.kinds.iter().enumerate() {
         let role = match w.family_info.role_by_kind.get(i).map(String::as_str) {
@@ -108,7 +109,7 @@
     Ok(kinds)
 }
 
-/// The class at position `i`.
+/// Translates the class at position `i`.
 fn class(w: &wire::Params, i: usize, c: &wire::Category) -> Result<p::Class, String> {
     let scope = match c.group.as_str() {
         "zone" => p::DeduplicationScope::Zone,
@@ -121,18 +122,18 @@
         "single_shot" => p::RetrySafety::NonIdempotent,
         other => return Err(format!("field `repeat`: unknown value `{other}`")),
     };
-    let per_1000_us = w.family_info.aim_us_per_1000_prompt_tokens.get(i).copied().unwrap_or(0.0);
+    let objective_per_1000_us = w.family_info.aim_us_per_1000_prompt_tokens.get(i).copied().unwrap_or(0.0);
     Ok(p::Class {
         latency_objective: secs(c.goal_time_s),
-        latency_objective_per_1000_tokens: secs(per_1000_us / 1e6),
+        latency_objective_per_1000_tokens: secs(objective_per_1000_us / 1e6),
         deadline: secs(c.deadline_s),
         retry_safety,
         dedup_window: secs(c.dedup_window_s),
     })
 }
 
-/// Reads a list of workers.
-pub fn registry(names: &NameIndex, w: &wire::Registry) -> Result<p::Event, String> {
+/// Translates an update of the endpoint list.
+pub fn endpoints(names: &NameIndex, w: &wire::Registry) -> Result<p::Event, String> {
     let update = match w.mode.as_str() {
         "snapshot" => p::EndpointUpdate::Snapshot,
         "disk" => p::EndpointUpdate::LastKnown,
@@ -162,7 +163,7 @@
     Ok(p::Event::Endpoints { update, workers })
 }
 
-/// Reads a request.
+/// Translates a new request.
 pub fn request(names: &NameIndex, w: &wire::JobIn) -> Result<p::Event, String> {
     let class = names.classes.get(&w.qos).copied();
     let tenant = w.realm.as_ref().and_then(wire::Key::text);
@@ -179,7 +180,7 @@
     }))
 }
 
-/// Reads a load report.
+/// Translates a load report.
 pub fn load_report(s: &wire::LoadStats) -> p::LoadReport {
     p::LoadReport {
         queued_requests: s.queued_requests,
@@ -189,7 +190,7 @@
     }
 }
 
-/// Reads the beginning of an answer.
+/// Translates the start of a response stream.
 pub fn streaming(w: &wire::Streaming) -> p::Event {
     p::Event::Streaming {
         id: w.call.as_str().into(),
@@ -198,8 +199,8 @@
     }
 }
 
-/// Reads the end of an attempt.
-pub fn verdict(w: &wire::Verdict) -> Result<p::Event, String> {
+/// Translates the end of an attempt.
+pub fn attempt_outcome(w: &wire::Verdict) -> Result<p::Event, String> {
     let outcome = match w.status.as_str() {
         "served" => p::Outcome::Served,
         "parsed" => p::Outcome::Prefilled,
@@ -227,26 +228,26 @@
     })
 }
 
-/// Writes an action.
-pub fn deed(action: p::Action) -> wire::Deed {
+/// Translates an action to its message.
+pub fn action(action: p::Action) -> wire::Action {
     let call = |id: p::RequestId| id.0.to_string();
     let name = |w: p::WorkerId| w.0.to_string();
     match action {
-        p::Action::Send { id, worker, timeout, .. } => wire::Deed::Send {
+        p::Action::Send { id, worker, timeout, .. } => wire::Action::Send {
             call: call(id),
             worker: name(worker),
             give_up_after_s: timeout.map(p::Micros::as_secs_f64),
         },
-        p::Action::Cancel { id, attempt } => wire::Deed::Cancel { call: call(id), send_no: attempt.0 },
+        p::Action::Cancel { id, attempt } => wire::Action::Cancel { call: call(id), send_no: attempt.0 },
         p::Action::Reject { id, retry_after, .. } => {
-            wire::Deed::Decline { call: call(id), cool_down_s: retry_after.map(p::Micros::as_secs_f64) }
+            wire::Action::Decline { call: call(id), cool_down_s: retry_after.map(p::Micros::as_secs_f64) }
         }
-        p::Action::Fail { id, .. } => wire::Deed::DropRequest { call: call(id) },
-        p::Action::Migrate(id) => wire::Deed::Transfer { call: call(id) },
-        p::Action::ReleaseReservation(id) => wire::Deed::Unhold { call: call(id) },
+        p::Action::Fail { id, .. } => wire::Action::DropRequest { call: call(id) },
+        p::Action::Migrate(id) => wire::Action::Transfer { call: call(id) },
+        p::Action::ReleaseReservation(id) => wire::Action::Unhold { call: call(id) },
         p::Action::SetTimer { timer, after } => {
-            wire::Deed::SetTimer { name: timer.0, in_s: after.as_secs_f64() }
+            wire::Action::SetTimer { name: timer.0, in_s: after.as_secs_f64() }
         }
-        p::Action::Subscribe => wire::Deed::Tail { enable: true },
+        p::Action::Subscribe => wire::Action::Tail { enable: true },
     }
 }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: lines in, lines out, and what bad input gets.
+//! The adapter as a process: batches in, replies out, and error messages for invalid input.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing, missing_docs)]
 
 use std::io::Write;
@@ -6,21 +6,21 @@
 
 use serde_json::{json, Value};
 
-fn run_args(args: &[&str], input: &str) -> Output {
+fn run_with_args(args: &[&str], input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_chalkyard-adapter"))
         .args(args)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // A child that ends early closes its input; that is for the assertions to judge.
+        .expect("the adapter should start");
+    // A child that exits early closes its input; the assertions check its exit status.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter should exit")
 }
 
 fn run(input: &str) -> Output {
-    run_args(&[], input)
+    run_with_args(&[], input)
 }
 
 fn batch(turn: u64, at: f64, happened: &[Value]) -> String {
@@ -48,13 +48,13 @@
         "tick_s": 0.002, "weights": "off", "zone": "east"}})
 }
 
-fn list(who: u64) -> Value {
+fn endpoint_list(who: u64) -> Value {
     json!({"kind": "Registry", "who": who, "mode": "disk", "stamp": 1, "nodes_list": [
         {"worker": "10.0.0.1:80", "az": "east", "model": "p", "block": 0, "lifecycle": "IN", "heft": 1},
         {"worker": "10.0.0.2:80", "az": "east", "model": "d", "block": 0, "lifecycle": "IN", "heft": 1}]})
 }
 
-fn job(who: u64, call: &str, tokens: u64) -> Value {
+fn request(who: u64, call: &str, tokens: u64) -> Value {
     json!({"kind": "JobIn", "who": who, "call": call, "prompt_tokens": tokens, "output_cap": 100,
         "qos": "chat", "n_prefix": 0, "client_deadline_s": 15.0, "session_id": "chat/1", "realm": 0})
 }
@@ -64,7 +64,7 @@
     text.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect()
 }
 
-fn message(out: &Output) -> String {
+fn stderr_text(out: &Output) -> String {
     String::from_utf8(out.stderr.clone()).expect("UTF-8")
 }
 
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn a_request_goes_to_a_reader_and_then_to_a_writer() {
-    let parsed = json!({"kind": "Verdict", "who": 3, "call": "00000000000000Af", "worker": "10.0.0.1:80",
+fn a_request_goes_to_a_prefill_worker_and_then_to_a_decode_worker() {
+    let prefilled = json!({"kind": "Verdict", "who": 3, "call": "00000000000000Af", "worker": "10.0.0.1:80",
         "status": "parsed", "elapsed_s": 0.2, "detail": 12, "send_no": 0});
-    let input = batch(1, 10.0, &[init(3), list(3)])
-        + &batch(2, 10.1, &[job(3, "00000000000000Af", 6000)])
-        + &batch(3, 10.3, &[parsed]);
+    let input = batch(1, 10.0, &[init(3), endpoint_list(3)])
+        + &batch(2, 10.1, &[request(3, "00000000000000Af", 6000)])
+        + &batch(3, 10.3, &[prefilled]);
     let out = run(&input);
-    assert!(out.status.success(), "{}", message(&out));
+    assert!(out.status.success(), "{}", stderr_text(&out));
     let replies = replies(&out);
     assert_eq!(replies[0]["orders"], json!([{"who": 3, "kind": "Tail", "enable": true}]));
     let send = &replies[1]["orders"][0];
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn all_other_messages_are_read() {
+fn all_other_messages_are_accepted() {
     let events = [
         json!({"kind": "Streaming", "who": 1, "call": "0000000000000001", "send_no": 0, "worker": "a:1",
             "elapsed_s": 0.1}),
@@ -110,31 +110,31 @@
         json!({"kind": "Destroy", "who": 1}),
         json!({"kind": "TimeoutFired", "who": 1, "name": 78}),
     ];
-    let out = run(&(batch(1, 10.0, &[init(1), list(1)]) + &batch(2, 10.2, &events)));
-    assert!(out.status.success(), "{}", message(&out));
-    assert_eq!(message(&out), "");
+    let out = run(&(batch(1, 10.0, &[init(1), endpoint_list(1)]) + &batch(2, 10.2, &events)));
+    assert!(out.status.success(), "{}", stderr_text(&out));
+    assert_eq!(stderr_text(&out), "");
     assert_eq!(replies(&out).len(), 2);
 }
 
 #[test]
 fn instances_share_nothing() {
-    let alone =
-        run(&(batch(1, 10.0, &[init(1), list(1)]) + &batch(2, 10.1, &[job(1, "000000000000000a", 900)])));
-    let both = run(&(batch(1, 10.0, &[init(1), list(1), init(2), list(2)])
-        + &batch(2, 10.1, &[job(2, "000000000000000b", 900), job(1, "000000000000000a", 900)])));
-    let of = |out: &Output, who: u64| -> Vec<Value> {
+    let alone = run(&(batch(1, 10.0, &[init(1), endpoint_list(1)])
+        + &batch(2, 10.1, &[request(1, "000000000000000a", 900)])));
+    let both = run(&(batch(1, 10.0, &[init(1), endpoint_list(1), init(2), endpoint_list(2)])
+        + &batch(2, 10.1, &[request(2, "000000000000000b", 900), request(1, "000000000000000a", 900)])));
+    let orders_of = |out: &Output, who: u64| -> Vec<Value> {
         let all = replies(out).into_iter().flat_map(|r| r["orders"].as_array().expect("orders").clone());
         all.filter(|o| o["who"] == who).collect()
     };
-    assert!(!of(&alone, 1).is_empty());
-    assert_eq!(of(&alone, 1), of(&both, 1));
+    assert!(!orders_of(&alone, 1).is_empty());
+    assert_eq!(orders_of(&alone, 1), orders_of(&both, 1));
 }
 
 #[test]
-fn a_new_start_of_a_living_instance_forgets() {
-    let input = batch(1, 10.0, &[init(1), list(1)])
-        + &batch(2, 10.1, &[job(1, "000000000000000a", 6000)])
-        + &batch(3, 10.2, &[init(1), list(1)])
+fn init_of_an_existing_instance_replaces_it() {
+    let input = batch(1, 10.0, &[init(1), endpoint_list(1)])
+        + &batch(2, 10.1, &[request(1, "000000000000000a", 6000)])
+        + &batch(3, 10.2, &[init(1), endpoint_list(1)])
         + &batch(
             4,
             10.3,
@@ -147,45 +147,45 @@
 }
 
 #[test]
-fn what_is_unknown_is_passed_over_and_said_once() {
-    let odd = json!({"kind": "Comet", "who": 1, "tail": 3});
-    let input = batch(1, 10.0, &[odd.clone(), odd.clone()]) + &batch(2, 10.0, &[odd]);
+fn unknown_kinds_are_ignored_and_reported_once() {
+    let unknown = json!({"kind": "Comet", "who": 1, "tail": 3});
+    let input = batch(1, 10.0, &[unknown.clone(), unknown.clone()]) + &batch(2, 10.0, &[unknown]);
     let out = run(&input);
     assert!(out.status.success());
     assert_eq!(replies(&out).len(), 2);
-    assert_eq!(message(&out).matches("Comet").count(), 1);
+    assert_eq!(stderr_text(&out).matches("Comet").count(), 1);
 }
 
 #[test]
 fn bad_input_names_line_and_field_and_writes_no_reply() {
-    let mut no_call = job(1, "000000000000000a", 10);
+    let mut no_call = request(1, "000000000000000a", 10);
     no_call.as_object_mut().expect("object").remove("call");
     let mut no_rules = init(1);
     no_rules["params"].as_object_mut().expect("object").remove("rules");
-    let mut odd_status = list(1);
-    odd_status["nodes_list"][0]["lifecycle"] = json!("ASLEEP");
+    let mut unknown_lifecycle = endpoint_list(1);
+    unknown_lifecycle["nodes_list"][0]["lifecycle"] = json!("ASLEEP");
     for (line, field) in [
         ("{\"at_time_s\":1,\n".to_owned(), ""),
         ("{\"at_time_s\":1,\"happened\":[]}\n".to_owned(), "turn"),
         (batch(2, 1.0, &[no_call]), "call"),
         (batch(2, 1.0, &[no_rules]), "rules"),
-        (batch(2, 1.0, &[odd_status]), "lifecycle"),
+        (batch(2, 1.0, &[unknown_lifecycle]), "lifecycle"),
         (batch(2, 1.0, &[json!({"kind": "TimeoutFired", "name": 1})]), "who"),
         (batch(2, 1.0, &[json!({"kind": "Verdict", "who": 1, "call": "a", "status": "perhaps"})]), "status"),
     ] {
         let out = run(&(batch(1, 1.0, &[init(1)]) + &line));
         assert!(!out.status.success(), "{line}");
         assert_eq!(replies(&out).len(), 1, "{line}");
-        let said = message(&out);
-        assert!(said.contains("line 2") && said.contains(field), "{line}: {said}");
-        assert!(!said.contains("panicked"), "{said}");
+        let message = stderr_text(&out);
+        assert!(message.contains("line 2") && message.contains(field), "{line}: {message}");
+        assert!(!message.contains("panicked"), "{message}");
     }
 }
 
 #[test]
-fn empty_input_ends_well_and_arguments_are_refused() {
+fn empty_input_succeeds_and_arguments_are_rejected() {
     assert!(run("").status.success());
-    let out = run_args(&["--help"], "");
+    let out = run_with_args(&["--help"], "");
     assert!(!out.status.success());
-    assert!(message(&out).contains("no arguments"));
+    assert!(stderr_text(&out).contains("no arguments"));
 }
