--- a/crates/policy/tests/audit.rs
+++ b/crates/policy/tests/audit.rs
@@ -1,5 +1,5 @@
-//! Randomly generated legal runs, audited for the five rules from outside the module. The driver
-//! knows what a wire may legally say, nothing of how a server behaves. Fixed seed.
+//! Random sequences of legal events, with the five rules of `common/audit.rs` checked after each event. The events
+//! model no worker's behaviour. The seed is fixed.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -13,26 +13,30 @@
 enum Op {
     Wait(u16),
     Submit { class: u8, session: u8, tokens: u16 },
-    End { pick: u8, how: u8, over: bool },
+    End { pick: u8, choice: u8, ended: bool },
     Stream { pick: u8 },
-    Leave { pick: u8 },
-    Change { worker: u8, to: u8 },
+    Disconnect { pick: u8 },
+    SetLifecycle { worker: u8, to: u8 },
 }
 
-/// A random run.
-trait Play {
+/// Applies random operations to an audited router.
+trait RandomRun {
     fn pick_open(&self, pick: u8, streaming: Option<bool>) -> Option<(RequestId, usize)>;
     fn step(&mut self, op: &Op);
     fn finish(&mut self);
 }
 
-impl Play for Audit {
+impl RandomRun for Audit {
     fn pick_open(&self, pick: u8, streaming: Option<bool>) -> Option<(RequestId, usize)> {
         let open: Vec<_> = self
             .requests
             .iter()
-            .flat_map(|(id, j)| j.attempts.iter().enumerate().map(move |(n, t)| (id, n, t)))
-            .filter(|(_, _, t)| t.may_have_run.is_none() && streaming.is_none_or(|s| t.streaming == s))
+            .flat_map(|(id, request)| {
+                request.attempts.iter().enumerate().map(move |(n, attempt)| (id, n, attempt))
+            })
+            .filter(|(_, _, attempt)| {
+                attempt.may_have_run.is_none() && streaming.is_none_or(|s| attempt.streaming == s)
+            })
             .collect();
         let (id, n, _) = open.get(pick as usize % open.len().max(1))?;
         Some(((*id).clone(), *n))
@@ -51,31 +55,35 @@
                     self.start_stream(&id, n);
                 }
             }
-            Op::End { pick, how, over } => {
+            Op::End { pick, choice, ended } => {
                 let Some((id, n)) = self.pick_open(*pick, None) else { return };
-                let t = &self.requests[&id].attempts[n];
-                let reader = self.workers[&t.worker].role == Role::Prefill;
-                let outcome = match how % 8 {
-                    0..=2 if reader => Outcome::Prefilled,
-                    0..=2 if t.streaming => Outcome::Served,
+                let attempt = &self.requests[&id].attempts[n];
+                let is_prefill = self.workers[&attempt.worker].role == Role::Prefill;
+                let outcome = match choice % 8 {
+                    0..=2 if is_prefill => Outcome::Prefilled,
+                    0..=2 if attempt.streaming => Outcome::Served,
                     0 => Outcome::Rejected { no_state: true },
                     1 => Outcome::Rejected { no_state: false },
                     2 | 3 => Outcome::ServerError,
-                    4 if !t.streaming => Outcome::NoConnection,
-                    5 if !t.streaming => Outcome::TimedOut,
-                    6 if !t.streaming => Outcome::Cancelled,
+                    4 if !attempt.streaming => Outcome::NoConnection,
+                    5 if !attempt.streaming => Outcome::TimedOut,
+                    6 if !attempt.streaming => Outcome::Cancelled,
                     _ => Outcome::ConnectionLost,
                 };
-                let over = *over && self.requests[&id].ended;
-                self.end_attempt(&id, n, outcome, over);
+                let ended = *ended && self.requests[&id].ended;
+                self.end_attempt(&id, n, outcome, ended);
             }
-            Op::Leave { pick } => {
-                let living: Vec<_> =
-                    self.requests.iter().filter(|(_, j)| !j.ended).map(|(id, _)| id.clone()).collect();
-                let Some(id) = living.get(*pick as usize % living.len().max(1)) else { return };
+            Op::Disconnect { pick } => {
+                let open: Vec<_> = self
+                    .requests
+                    .iter()
+                    .filter(|(_, request)| !request.ended)
+                    .map(|(id, _)| id.clone())
+                    .collect();
+                let Some(id) = open.get(*pick as usize % open.len().max(1)) else { return };
                 self.client_gone(id);
             }
-            Op::Change { worker, to } => {
+            Op::SetLifecycle { worker, to } => {
                 let all: Vec<WorkerId> = self.workers.keys().cloned().collect();
                 let to = match to % 4 {
                     0 => Lifecycle::Draining,
@@ -87,15 +95,15 @@
         }
     }
 
-    /// Ends what still streams and waits until nothing can be owed any more.
+    /// Ends open streams, then advances past every deadline and reservation timeout.
     fn finish(&mut self) {
         while let Some((id, n)) = self.pick_open(0, Some(true)) {
             self.end_attempt(&id, n, Outcome::Served, true);
         }
         self.advance(secs(7.0));
-        for (id, j) in &self.requests {
-            assert!(j.ended, "rule 1: {id:?} never answered");
-            assert!(!j.reserved, "rule 5: {id:?} pinned at the end");
+        for (id, request) in &self.requests {
+            assert!(request.ended, "rule 1: {id:?} never got a final answer");
+            assert!(!request.reserved, "rule 5: {id:?} still holds reserved state at the end");
         }
     }
 }
@@ -105,14 +113,15 @@
         3 => (1u16..400).prop_map(Op::Wait),
         6 => (any::<u8>(), any::<u8>(), 1u16..20_000)
             .prop_map(|(class, session, tokens)| Op::Submit { class, session, tokens }),
-        8 => (any::<u8>(), any::<u8>(), any::<bool>()).prop_map(|(pick, how, over)| Op::End { pick, how, over }),
+        8 => (any::<u8>(), any::<u8>(), any::<bool>())
+            .prop_map(|(pick, choice, ended)| Op::End { pick, choice, ended }),
         4 => any::<u8>().prop_map(|pick| Op::Stream { pick }),
-        1 => any::<u8>().prop_map(|pick| Op::Leave { pick }),
-        1 => (any::<u8>(), any::<u8>()).prop_map(|(worker, to)| Op::Change { worker, to }),
+        1 => any::<u8>().prop_map(|pick| Op::Disconnect { pick }),
+        1 => (any::<u8>(), any::<u8>()).prop_map(|(worker, to)| Op::SetLifecycle { worker, to }),
     ]
 }
 
-fn audited(set: Settings, cases: u32) {
+fn run_audited(set: Settings, cases: u32) {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -130,10 +139,10 @@
 
 #[test]
 fn random_runs_keep_the_rules() {
-    audited(settings(), 200);
+    run_audited(settings(), 200);
 }
 
 #[test]
-fn random_runs_keep_the_rules_where_nothing_can_be_cancelled_and_writers_cannot_read() {
-    audited(Settings { may_cancel: false, self_prefill: false, ..settings() }, 200);
+fn random_runs_keep_the_rules_without_cancellation_and_without_local_prefill() {
+    run_audited(Settings { may_cancel: false, self_prefill: false, ..settings() }, 200);
 }
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Every order of a few events on a tiny fleet, with the five rules checked after each of them by the onlooker of
-//! `common/audit.rs`: exhaustive to the depths stated here. No randomness, no wall clock.
+//! Exhaustive exploration: every order of a few events on a fleet of four workers, to the depths stated here, with the
+//! five rules of `common/audit.rs` checked after each event. No randomness, no wall clock.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 mod common;
@@ -15,115 +15,126 @@
 const LONG: u64 = 6_000;
 const SHORT: u64 = 20;
 
-/// What can happen next.
+/// One step of an exploration.
 #[derive(Debug, Clone)]
 enum Step {
     Submit(ClassId, u64),
     End(RequestId, usize, Outcome),
     Stream(RequestId, usize),
-    Leave(RequestId),
-    List(WorkerId, Lifecycle),
-    /// Time passes until something falls due.
-    Next,
+    Disconnect(RequestId),
+    SetLifecycle(WorkerId, Lifecycle),
+    /// Advances the clock to the next time at which something is due.
+    AdvanceToNextDue,
 }
 
-/// What is explored.
+/// The bounds of an exploration.
 #[derive(Debug, Clone)]
 struct Scope {
     depth: usize,
     requests: u32,
-    /// Classes and prompt lengths that are asked.
-    asks: Vec<(ClassId, u64)>,
-    /// How attempts may end, beside well.
-    ends: Vec<Outcome>,
-    /// Workers that the list has news of, at most so many times.
-    listed: Vec<&'static str>,
-    news: usize,
+    /// Classes and prompt lengths of the requests.
+    submissions: Vec<(ClassId, u64)>,
+    /// Outcomes that attempts may end with besides success.
+    outcomes: Vec<Outcome>,
+    /// Workers whose lifecycle changes, `list_updates` times in all at most.
+    listed_workers: Vec<&'static str>,
+    list_updates: usize,
 }
 
-/// Two readers and two writers, a pair in each of two cells.
-fn tiny() -> Vec<Worker> {
+/// Two prefill and two decode workers, one of each in each of two cells.
+fn two_cell_fleet() -> Vec<Worker> {
     let pair =
         |i: u64| [worker(&format!("r{i}"), Role::Prefill, i), worker(&format!("w{i}"), Role::Decode, i)];
     (0..2).flat_map(pair).collect()
 }
 
-struct Text(DefaultHasher);
+/// Hashes the text that is written to it.
+struct HashWriter(DefaultHasher);
 
-impl Write for Text {
+impl Write for HashWriter {
     fn write_str(&mut self, s: &str) -> std::fmt::Result {
         self.0.write(s.as_bytes());
         Ok(())
     }
 }
 
-/// All of a state: the router, what its onlooker has seen, and how much may still happen.
-fn key(a: &Audit, news: usize, left: usize) -> u64 {
-    let mut text = Text(DefaultHasher::new());
-    let seen = (&a.rig, &a.workers, &a.unavailable, &a.requests, &a.timers, &a.sends, &a.completions);
-    write!(text, "{seen:?} {news} {left}").unwrap();
+/// The hash of a state: the router, what the audit has recorded, and how much may still happen.
+fn state_hash(audit: &Audit, list_updates: usize, steps_left: usize) -> u64 {
+    let mut text = HashWriter(DefaultHasher::new());
+    let seen = (
+        &audit.rig,
+        &audit.workers,
+        &audit.unavailable,
+        &audit.requests,
+        &audit.timers,
+        &audit.sends,
+        &audit.completions,
+    );
+    write!(text, "{seen:?} {list_updates} {steps_left}").unwrap();
     text.0.finish()
 }
 
-fn steps(a: &Audit, scope: &Scope, news: usize) -> Vec<Step> {
+fn steps(audit: &Audit, scope: &Scope, list_updates: usize) -> Vec<Step> {
     let mut out = Vec::new();
-    if a.last_id < scope.requests {
-        out.extend(scope.asks.iter().map(|(class, tokens)| Step::Submit(*class, *tokens)));
+    if audit.last_id < scope.requests {
+        out.extend(scope.submissions.iter().map(|(class, tokens)| Step::Submit(*class, *tokens)));
     }
-    for (id, job) in &a.requests {
-        for (n, t) in job.attempts.iter().enumerate().filter(|(_, t)| t.may_have_run.is_none()) {
-            let reader = a.workers[&t.worker].role == Role::Prefill;
+    for (id, request) in &audit.requests {
+        for (n, attempt) in
+            request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.may_have_run.is_none())
+        {
+            let is_prefill = audit.workers[&attempt.worker].role == Role::Prefill;
             let mut end = |outcome| out.push(Step::End(id.clone(), n, outcome));
-            if t.streaming {
+            if attempt.streaming {
                 end(Outcome::Served);
                 end(Outcome::ConnectionLost);
                 continue;
             }
-            if reader {
+            if is_prefill {
                 end(Outcome::Prefilled);
             }
-            scope.ends.iter().for_each(|o| end(*o));
-            if a.cancelled.contains(&(id.clone(), n)) {
+            scope.outcomes.iter().for_each(|o| end(*o));
+            if audit.cancelled.contains(&(id.clone(), n)) {
                 end(Outcome::Cancelled);
             }
-            if !reader {
+            if !is_prefill {
                 out.push(Step::Stream(id.clone(), n));
             }
         }
-        if !job.ended {
-            out.push(Step::Leave(id.clone()));
+        if !request.ended {
+            out.push(Step::Disconnect(id.clone()));
         }
     }
-    if news < scope.news {
-        for id in &scope.listed {
+    if list_updates < scope.list_updates {
+        for id in &scope.listed_workers {
             let id: WorkerId = (*id).into();
-            let to: &[Lifecycle] = match a.workers[&id].lifecycle {
+            let to: &[Lifecycle] = match audit.workers[&id].lifecycle {
                 Lifecycle::Active => &[Lifecycle::Draining, Lifecycle::Removed],
                 Lifecycle::Draining => &[Lifecycle::Active, Lifecycle::Removed],
                 Lifecycle::Removed => &[Lifecycle::Active],
             };
-            out.extend(to.iter().map(|to| Step::List(id.clone(), *to)));
+            out.extend(to.iter().map(|to| Step::SetLifecycle(id.clone(), *to)));
         }
     }
-    if a.next_due().is_some() {
-        out.push(Step::Next);
+    if audit.next_due().is_some() {
+        out.push(Step::AdvanceToNextDue);
     }
     out
 }
 
-fn take(a: &mut Audit, step: &Step) {
+fn apply_step(audit: &mut Audit, step: &Step) {
     match step {
-        Step::Submit(class, tokens) => a.submit("s", *class, *tokens),
+        Step::Submit(class, tokens) => audit.submit("s", *class, *tokens),
         Step::End(id, n, outcome) => {
-            let over = a.requests[id].attempts[*n].streaming;
-            a.end_attempt(id, *n, *outcome, over);
+            let ended = audit.requests[id].attempts[*n].streaming;
+            audit.end_attempt(id, *n, *outcome, ended);
         }
-        Step::Stream(id, n) => a.start_stream(id, *n),
-        Step::Leave(id) => a.client_gone(id),
-        Step::List(id, to) => a.set_lifecycle(id, *to),
-        Step::Next => {
-            let at = a.next_due().expect("something is due");
-            a.advance(at - a.rig.now);
+        Step::Stream(id, n) => audit.start_stream(id, *n),
+        Step::Disconnect(id) => audit.client_gone(id),
+        Step::SetLifecycle(id, to) => audit.set_lifecycle(id, *to),
+        Step::AdvanceToNextDue => {
+            let at = audit.next_due().expect("something is due");
+            audit.advance(at - audit.rig.now);
         }
     }
 }
@@ -132,13 +143,13 @@
 struct Explored {
     states: HashSet<u64>,
     steps: u64,
-    ends: u64,
+    complete_runs: u64,
 }
 
-/// The steps that led to a broken rule, said when the assertion unwinds.
-struct Path<'a>(&'a [Step]);
+/// Prints the steps that led to a violation when an assertion unwinds.
+struct FailingPath<'a>(&'a [Step]);
 
-impl Drop for Path<'_> {
+impl Drop for FailingPath<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("after {:?}", self.0);
@@ -146,45 +157,47 @@
     }
 }
 
-fn explore(a: &Audit, scope: &Scope, news: usize, path: &mut Vec<Step>, seen: &mut Explored) {
-    let left = scope.depth - path.len();
-    if !seen.states.insert(key(a, news, left)) {
+fn explore(audit: &Audit, scope: &Scope, list_updates: usize, path: &mut Vec<Step>, seen: &mut Explored) {
+    let steps_left = scope.depth - path.len();
+    if !seen.states.insert(state_hash(audit, list_updates, steps_left)) {
         return;
     }
-    if left == 0 {
-        // Nobody says anything more: what is owed and held must still come to its end.
-        seen.ends += 1;
-        let mut last = a.clone();
-        let _path = Path(path);
-        let streaming: Vec<(RequestId, usize)> = (last.requests.iter())
-            .flat_map(|(id, j)| j.attempts.iter().enumerate().map(move |(n, t)| (id, n, t)))
-            .filter(|(_, _, t)| t.streaming && t.may_have_run.is_none())
+    if steps_left == 0 {
+        // No further event comes: the request must still be answered and its reserved state released.
+        seen.complete_runs += 1;
+        let mut finished = audit.clone();
+        let _report_path = FailingPath(path);
+        let streaming: Vec<(RequestId, usize)> = (finished.requests.iter())
+            .flat_map(|(id, request)| {
+                request.attempts.iter().enumerate().map(move |(n, attempt)| (id, n, attempt))
+            })
+            .filter(|(_, _, attempt)| attempt.streaming && attempt.may_have_run.is_none())
             .map(|(id, n, _)| (id.clone(), n))
             .collect();
         for (id, n) in streaming {
-            last.end_attempt(&id, n, Outcome::Served, true);
+            finished.end_attempt(&id, n, Outcome::Served, true);
         }
-        last.advance(secs(8.0));
-        for (id, j) in &last.requests {
-            assert!(j.ended, "rule 1: {id:?} never answered");
-            assert!(!j.reserved, "rule 5: {id:?} pinned at the end");
+        finished.advance(secs(8.0));
+        for (id, request) in &finished.requests {
+            assert!(request.ended, "rule 1: {id:?} never got a final answer");
+            assert!(!request.reserved, "rule 5: {id:?} still holds reserved state at the end");
         }
         assert!(
-            format!("{:?}", last.rig.router)
+            format!("{:?}", finished.rig.router)
                 .contains(" waiting: WaitingRequests { count: 0, arrival_sum: 0 }"),
-            "nobody waits any more"
+            "requests are still counted as waiting"
         );
         return;
     }
-    for step in steps(a, scope, news) {
-        let mut next = a.clone();
+    for step in steps(audit, scope, list_updates) {
+        let mut next = audit.clone();
         path.push(step.clone());
         {
-            let _path = Path(path);
-            take(&mut next, &step);
+            let _report_path = FailingPath(path);
+            apply_step(&mut next, &step);
         }
         seen.steps += 1;
-        explore(&next, scope, news + usize::from(matches!(step, Step::List(..))), path, seen);
+        explore(&next, scope, list_updates + usize::from(matches!(step, Step::SetLifecycle(..))), path, seen);
         path.pop();
     }
 }
@@ -192,13 +205,13 @@
 fn run(name: &str, start: &Audit, scope: &Scope) -> Explored {
     let mut seen = Explored::default();
     explore(start, scope, 0, &mut Vec::new(), &mut seen);
-    let (states, steps, ends) = (seen.states.len(), seen.steps, seen.ends);
-    println!("{name}: depth {}, {states} states, {steps} steps, {ends} ends", scope.depth);
-    assert!(ends > 0, "the depth was reached");
+    let (states, steps, runs) = (seen.states.len(), seen.steps, seen.complete_runs);
+    println!("{name}: depth {}, {states} states, {steps} steps, {runs} complete runs", scope.depth);
+    assert!(runs > 0, "no run reached the depth");
     seen
 }
 
-fn all_ends() -> Vec<Outcome> {
+fn all_failures() -> Vec<Outcome> {
     vec![
         Outcome::ServerError,
         Outcome::Rejected { no_state: false },
@@ -209,62 +222,62 @@
     ]
 }
 
-/// One request of any effect, every way for an attempt to end, and no news.
+/// One request of any class, every way for an attempt to end, no list updates.
 fn one_request() -> Scope {
     Scope {
         depth: 9,
         requests: 1,
-        asks: vec![
+        submissions: vec![
             (IDEMPOTENT, LONG),
             (NON_IDEMPOTENT, LONG),
             (DEDUPLICATED, LONG),
             (IDEMPOTENT, SHORT),
             (NON_IDEMPOTENT, SHORT),
         ],
-        ends: all_ends(),
-        listed: vec![],
-        news: 0,
+        outcomes: all_failures(),
+        listed_workers: vec![],
+        list_updates: 0,
     }
 }
 
-/// One request while readers and writers drain, go and come back cold.
-fn with_news() -> Scope {
+/// One request while workers drain, are removed and return in slow start.
+fn with_list_updates() -> Scope {
     Scope {
         depth: 7,
-        asks: vec![(IDEMPOTENT, LONG), (NON_IDEMPOTENT, LONG), (DEDUPLICATED, LONG)],
-        ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: false }],
-        listed: vec!["r0", "r1", "w0", "w1"],
-        news: 3,
+        submissions: vec![(IDEMPOTENT, LONG), (NON_IDEMPOTENT, LONG), (DEDUPLICATED, LONG)],
+        outcomes: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: false }],
+        listed_workers: vec!["r0", "r1", "w0", "w1"],
+        list_updates: 3,
         ..one_request()
     }
 }
 
-/// Two requests of all effects that meet.
+/// Two concurrent requests of any class.
 fn two_requests() -> Scope {
     Scope {
         depth: 6,
         requests: 2,
-        asks: vec![(IDEMPOTENT, LONG), (NON_IDEMPOTENT, LONG), (DEDUPLICATED, SHORT)],
-        ends: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: true }, Outcome::NoConnection],
-        listed: vec!["w0"],
-        news: 1,
+        submissions: vec![(IDEMPOTENT, LONG), (NON_IDEMPOTENT, LONG), (DEDUPLICATED, SHORT)],
+        outcomes: vec![Outcome::ConnectionLost, Outcome::Rejected { no_state: true }, Outcome::NoConnection],
+        listed_workers: vec!["w0"],
+        list_updates: 1,
     }
 }
 
-/// Three short requests at a writer that has just come back.
-fn beside_a_cold_one() -> Scope {
+/// Up to four short requests while decode workers restart.
+fn with_slow_start() -> Scope {
     Scope {
         depth: 7,
         requests: 4,
-        asks: vec![(IDEMPOTENT, SHORT)],
-        ends: vec![Outcome::NoConnection],
-        listed: vec!["w0", "w1"],
-        news: 3,
+        submissions: vec![(IDEMPOTENT, SHORT)],
+        outcomes: vec![Outcome::NoConnection],
+        listed_workers: vec!["w0", "w1"],
+        list_updates: 3,
     }
 }
 
 fn start(set: &Settings) -> Audit {
-    Audit::with_fleet(set.clone(), set.clone(), tiny())
+    Audit::with_fleet(set.clone(), set.clone(), two_cell_fleet())
 }
 
 #[test]
@@ -273,8 +286,8 @@
 }
 
 #[test]
-fn every_order_of_events_and_news_keeps_the_rules() {
-    run("with news", &start(&settings()), &with_news());
+fn every_order_of_events_and_list_updates_keeps_the_rules() {
+    run("with list updates", &start(&settings()), &with_list_updates());
 }
 
 #[test]
@@ -284,40 +297,41 @@
 
 #[test]
 fn every_order_beside_cold_workers_keeps_the_rules() {
-    run("cold", &start(&settings()), &beside_a_cold_one());
+    run("slow start", &start(&settings()), &with_slow_start());
 }
 
 #[test]
-fn every_order_where_nothing_is_cancelled_and_writers_cannot_read_keeps_the_rules() {
+fn every_order_without_cancellation_and_without_local_prefill_keeps_the_rules() {
     let set = Settings { may_cancel: false, self_prefill: false, ..settings() };
-    run("no cancels, no local reads", &start(&set), &Scope { depth: 7, ..one_request() });
+    run("no cancellation, no local prefill", &start(&set), &Scope { depth: 7, ..one_request() });
 }
 
-// ---- The onlooker sees a broken guard of each rule. The router is lied to; the onlooker is not.
+// ---- The audit detects a violation of each rule: the router gets other settings or events than the audit checks
+// against.
 
-fn lied(told: impl Fn(&mut Settings), hears: fn(Event) -> Option<Event>, scope: Scope) {
+fn run_diverging(change: impl Fn(&mut Settings), filter_event: fn(Event) -> Option<Event>, scope: Scope) {
     let set = settings();
-    let mut other = set.clone();
-    told(&mut other);
-    let mut a = Audit::with_fleet(set, other, tiny());
-    a.filter_event = hears;
-    run("lied to", &a, &scope);
+    let mut router_settings = set.clone();
+    change(&mut router_settings);
+    let mut audit = Audit::with_fleet(set, router_settings, two_cell_fleet());
+    audit.filter_event = filter_event;
+    run("diverging router", &audit, &scope);
 }
 
 #[test]
 #[should_panic(expected = "rule 1")]
-fn a_late_answer_is_seen() {
-    let later = |event| match event {
+fn the_audit_detects_a_late_answer() {
+    let extend_deadline = |event| match event {
         Event::Request(r) => Some(Event::Request(Request { deadline: r.deadline + secs(1.0), ..r })),
         other => Some(other),
     };
-    lied(|_| {}, later, Scope { depth: 3, ..one_request() });
+    run_diverging(|_| {}, extend_deadline, Scope { depth: 3, ..one_request() });
 }
 
 #[test]
 #[should_panic(expected = "rule 2")]
-fn a_single_shot_that_is_sent_again_is_seen() {
-    lied(
+fn the_audit_detects_a_repeated_non_idempotent_request() {
+    run_diverging(
         |s| s.classes[NON_IDEMPOTENT.0].retry_safety = RetrySafety::Idempotent,
         Some,
         Scope { depth: 4, ..one_request() },
@@ -326,28 +340,28 @@
 
 #[test]
 #[should_panic(expected = "rule 2")]
-fn a_guarded_request_outside_its_group_is_seen() {
-    let wide = |s: &mut Settings| {
+fn the_audit_detects_a_repeat_outside_the_deduplication_scope() {
+    let widen_scope = |s: &mut Settings| {
         s.classes[DEDUPLICATED.0].retry_safety = RetrySafety::Deduplicated(DeduplicationScope::All)
     };
-    lied(wide, Some, Scope { depth: 4, ..one_request() });
+    run_diverging(widen_scope, Some, Scope { depth: 4, ..one_request() });
 }
 
 #[test]
 #[should_panic(expected = "rule 3")]
-fn a_send_to_a_draining_worker_is_seen() {
-    let deaf = |event| Some(event).filter(|e| !matches!(e, Event::Endpoints { .. }));
-    lied(|_| {}, deaf, Scope { depth: 4, ..with_news() });
+fn the_audit_detects_a_send_to_a_draining_worker() {
+    let drop_list_updates = |event| Some(event).filter(|e| !matches!(e, Event::Endpoints { .. }));
+    run_diverging(|_| {}, drop_list_updates, Scope { depth: 4, ..with_list_updates() });
 }
 
 #[test]
 #[should_panic(expected = "rule 4")]
-fn a_cold_worker_that_is_pushed_over_is_seen() {
-    lied(|s| s.slow_start_duration = Micros(0), Some, beside_a_cold_one());
+fn the_audit_detects_an_overloaded_cold_worker() {
+    run_diverging(|s| s.slow_start_duration = Micros(0), Some, with_slow_start());
 }
 
 #[test]
 #[should_panic(expected = "rule 5")]
-fn a_pinned_state_is_seen() {
-    lied(|s| s.reservation_timeout = secs(3.0), Some, Scope { depth: 5, ..with_news() });
+fn the_audit_detects_state_that_is_not_released() {
+    run_diverging(|s| s.reservation_timeout = secs(3.0), Some, Scope { depth: 5, ..with_list_updates() });
 }
