--- a/crates/ledger/src/follow.rs
+++ b/crates/ledger/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a ledger that another process writes.
+//! Reads a ledger while another process writes it.
 
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom};
@@ -11,37 +11,38 @@
 use crate::volume::DirectoryVolume;
 use crate::{read, segments_from_checkpoint, LedgerError};
 
-/// What following gives.
+/// Event that [`Follower::poll`] delivers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowEvent<T> {
-    /// All that was given before is void: it is read again, from the last checkpoint on. Comes first, and
-    /// whenever the ledger has lost what it had (its machine's power went).
+    /// Invalidates all earlier events: the ledger is read again from its last checkpoint. This is the first event,
+    /// and repeats when the ledger has lost records that were read, for example in a power failure.
     Restart,
-    /// A record and its number.
+    /// Number and content of a record.
     Record(u64, T),
 }
 
+/// Position up to which the ledger was read.
 #[derive(Debug)]
 struct Position {
     segment: String,
     offset: u64,
     next: u64,
-    /// The last bytes before the offset: if they change, the ledger is another.
+    /// The four bytes before the offset. If they change, the ledger was rewritten.
     last_bytes: [u8; 4],
 }
 
-/// How far reading on has come.
+/// Result of [`Position::advance`].
 enum Progress {
-    /// There may be more, in this segment or the next.
+    /// This segment or the next one may hold more records.
     NextSegment,
-    /// All that is written was read.
+    /// All written records were read.
     CaughtUp,
-    /// The ledger is not the one that was read, or is damaged: it is read again from its last checkpoint.
+    /// The ledger was rewritten or is damaged, so it must be read again from its last checkpoint.
     Lost,
 }
 
 impl Position {
-    /// Reads the rest of the segment, and moves to the next one if there is one.
+    /// Reads the rest of the segment and moves to the next segment if it exists.
     fn advance<T: DeserializeOwned>(
         &mut self,
         folder: &Path,
@@ -57,7 +58,7 @@
             }
         }
         if !frames.damage.is_empty() {
-            // Written over while it was read, or damaged: all of it is looked at.
+            // The segment was rewritten during the read or is damaged: the ledger is read again.
             return Ok(Progress::Lost);
         }
         let valid = frames.valid_length();
@@ -69,7 +70,7 @@
         self.move_to_next_segment(folder)
     }
 
-    /// The next segment is read only after all of this one.
+    /// Moves to the next segment once this one is read completely.
     fn move_to_next_segment(&mut self, folder: &Path) -> Result<Progress, LedgerError> {
         let all = segments(&DirectoryVolume::reader(folder))?;
         let Some(next) = all.iter().skip_while(|name| **name != self.segment).nth(1).cloned() else {
@@ -91,7 +92,7 @@
     }
 }
 
-/// Reads on where it stopped; a half-written record is left for the next time.
+/// Reads new records at each poll. A partially written record is left for the next poll.
 #[derive(Debug)]
 pub struct Follower {
     folder: PathBuf,
@@ -99,15 +100,15 @@
 }
 
 impl Follower {
-    /// Of a ledger's folder, which need not be there yet.
+    /// Creates a follower of a ledger's folder, which need not exist yet.
     pub fn new(folder: &Path) -> Self {
         Self { folder: folder.into(), position: None }
     }
 
-    /// Gives the records that are new. If some of the ledger is damaged, what is missing is described.
+    /// Passes new records to `take`. Returns a description of the damage if parts of the ledger are damaged.
     ///
     /// # Errors
-    /// If the ledger can't be read; the records that were given stay valid.
+    /// If the ledger can't be read; records that were already passed stay valid.
     pub fn poll<T: DeserializeOwned>(
         &mut self,
         is_checkpoint: impl Fn(&T) -> bool,
@@ -143,13 +144,13 @@
                 last_bytes,
             });
         }
-        // A tail that is being written looks torn.
+        // A record that is being written looks like a torn tail, so the tail is not reported.
         let damaged = crate::Report { tail: crate::Tail::Complete, ..report };
         Ok(damaged.describe_damage())
     }
 }
 
-/// What follows a position; none: the ledger is not the one that was read.
+/// Reads the bytes after a position. Returns `None` if the ledger was rewritten.
 fn tail(folder: &Path, position: &Position) -> io::Result<Option<Vec<u8>>> {
     let mut file = match File::open(folder.join(&position.segment)) {
         Ok(file) => file,
@@ -176,10 +177,10 @@
     last_bytes: [u8; 4],
 }
 
-/// A segment's head; none while it is being written.
+/// Reads a segment's head. Returns `None` while the head is incomplete.
 fn head_of(folder: &Path, name: &str) -> io::Result<Option<Head>> {
     let mut bytes = Vec::new();
-    File::open(folder.join(name))?.take(crate::frame::HEAD as u64).read_to_end(&mut bytes)?;
+    File::open(folder.join(name))?.take(crate::frame::HEAD_BYTES as u64).read_to_end(&mut bytes)?;
     let first = crate::frame::read_head(&bytes).ok();
     let last_bytes = bytes.last_chunk::<4>().copied();
     let length = bytes.len() as u64;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,9 +1,10 @@
-//! A ledger: durable, append-only, checksummed records of one writer, in numbered order.
+//! A ledger: durable, append-only, checksummed records of one writer, in order of their numbers.
 //!
-//! Records are framed and numbered without gaps, stored in segments of a bounded size, and written in groups:
-//! [`Writer::flush`] hands all that was appended to the system in one write (nothing of it is lost when the
-//! process is killed), and syncing to the disk runs on a thread of its own (the window of loss at power loss).
-//! A torn tail is truncated and reported; damage elsewhere is skipped and reported.
+//! Records are framed, numbered without gaps, stored in segments of bounded size and written in groups.
+//! [`Writer::flush`] passes all appended records to the operating system in one write, after which a killed
+//! process loses none of them. A separate thread syncs the files to the disk; a power failure loses the records
+//! that were not synced.
+//! A torn tail is truncated and reported; other damage is skipped and reported.
 
 mod follow;
 mod frame;
@@ -20,38 +21,38 @@
 /// Why a ledger can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The file system's error.
+    /// The file system returned an error.
     #[error("{place}: {source}")]
     Io {
-        /// The segment, or the ledger.
+        /// Name of the segment, or of the ledger.
         place: String,
-        /// What failed.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// Another process writes it.
+    /// Another process has the ledger open for writing.
     #[error("{place}: another process writes this ledger")]
     Locked {
-        /// The ledger.
+        /// Name of the ledger.
         place: String,
     },
-    /// A segment is of another format, or its head is damaged.
+    /// A segment has another format or a damaged head.
     #[error("{segment}: {source}")]
     InvalidHead {
-        /// The segment.
+        /// Name of the segment.
         segment: String,
-        /// What is wrong with its head.
+        /// Why its head is invalid.
         source: SegmentHeadError,
     },
-    /// A record is larger than a frame may be.
+    /// An encoded record exceeds [`MAX_PAYLOAD_BYTES`].
     #[error("a record of {bytes} bytes is larger than {MAX_PAYLOAD_BYTES}")]
     TooLarge {
-        /// The record's length.
+        /// Length of the encoded record.
         bytes: usize,
     },
 }
 
 impl LedgerError {
-    /// An error of the file system at a segment.
+    /// Converts an I/O error at a segment or ledger.
     pub(crate) fn io(place: &str) -> impl FnOnce(std::io::Error) -> Self {
         let place = place.to_owned();
         move |source| Self::Io { place, source }
--- a/crates/ledger/src/reader.rs
+++ b/crates/ledger/src/reader.rs
@@ -1,38 +1,38 @@
-//! Reading ledgers: all of one, or from its last checkpoint on.
+//! Reads a complete ledger, or a ledger from its last checkpoint.
 
 use serde::de::DeserializeOwned;
 
-use crate::frame::{decode, Damage, Frames, HEAD};
+use crate::frame::{decode, Damage, Frames, HEAD_BYTES};
 use crate::volume::{segment_number, Volume};
 use crate::LedgerError;
 
 /// How the newest segment ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tail {
-    /// With a whole record, or it has none.
+    /// With a complete record, or without any record.
     Complete,
-    /// So many bytes after the last whole record are none: cut short by a crash.
+    /// With this many bytes of an incomplete record, cut by a crash.
     Torn(usize),
 }
 
-/// What was read.
+/// Result of reading a ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// Segments read, by name.
     pub segments: Vec<String>,
     /// Records read.
     pub records: u64,
-    /// The number that the next record gets.
+    /// Number of the next record.
     pub next: u64,
-    /// Length of the newest segment's good part.
+    /// Length of the valid part of the newest segment, in bytes.
     pub valid_length: usize,
-    /// The newest segment's end.
+    /// How the newest segment ends.
     pub tail: Tail,
-    /// Damage stepped over, by segment. Of records that could not be decoded the numbers are named.
+    /// Skipped damage by segment, including records that could not be decoded.
     pub damage: Vec<(String, Damage)>,
 }
 
-/// The segments from the newest that begins with a checkpoint on; all, if none does.
+/// Lists the segments from the newest one that begins with a checkpoint, or all segments if none does.
 ///
 /// # Errors
 /// If the volume can't be read.
@@ -60,10 +60,11 @@
     Ok(numbered.into_iter().map(|(_, n)| n).collect())
 }
 
-/// Reads segments in order and gives each record with its number.
+/// Reads segments in order and passes each record with its number to `take`.
 ///
 /// # Errors
-/// If a segment can't be read or is none. One whose head alone was cut by a crash, as the newest, is empty.
+/// If a segment can't be read or has an invalid head. A newest segment no longer than a head counts as empty:
+/// a crash cut it.
 pub fn read<T: DeserializeOwned>(
     volume: &impl Volume,
     names: &[String],
@@ -82,7 +83,7 @@
         let bytes = volume.read(name).map_err(LedgerError::io(name))?;
         let mut frames = match Frames::new(&bytes) {
             Ok(frames) => frames,
-            Err(_) if newest && bytes.len() <= HEAD => {
+            Err(_) if newest && bytes.len() <= HEAD_BYTES => {
                 report.valid_length = 0;
                 report.tail = Tail::Torn(bytes.len());
                 continue;
--- a/crates/ledger/src/volume.rs
+++ b/crates/ledger/src/volume.rs
@@ -1,4 +1,4 @@
-//! Where segments are kept: a folder, or a stand-in with faults in tests.
+//! Storage of segments: a folder, or a test double that injects faults.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -7,71 +7,72 @@
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 use std::sync::Arc;
 
-/// Files that wait to be synced: one of each that is written, the one before, and the folder.
-const SYNCS: usize = 4;
+/// Maximum number of files queued for syncing. The current segment, the previous one and the folder can wait at
+/// once.
+const SYNC_QUEUE_LENGTH: usize = 4;
 
-/// The name of a segment by its number.
+/// Returns the file name of a segment.
 pub fn segment_name(number: u64) -> String {
     format!("{number:012}.ledger")
 }
 
-/// The number of a segment by its name.
+/// Parses a segment's number from its file name.
 pub fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(".ledger")?;
     (digits.len() == 12).then(|| digits.parse().ok()).flatten()
 }
 
-/// Where a ledger's files are; the newest segment is open for writing.
+/// Storage of a ledger's files, of which one is open for writing.
 pub trait Volume {
-    /// Names of files.
+    /// Lists the names of all files.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// All of a file.
+    /// Reads a complete file.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
     /// Creates a file, which must not exist, and opens it for writing.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     fn create(&mut self, name: &str) -> io::Result<()>;
     /// Opens an existing file for writing, truncated to a length.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     fn open(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Appends to the open file; how many bytes were written.
+    /// Appends to the open file and returns the number of bytes written.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize>;
-    /// Truncates the open file.
+    /// Truncates the open file to a length in bytes.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// Begins to sync all that was written to the disk; it need not be there on return.
+    /// Starts to sync all written data to the disk; may return before the sync is complete.
     ///
     /// # Errors
-    /// If an earlier sync failed, or this one can't begin.
+    /// If an earlier sync failed or this one can't be started.
     fn sync(&mut self) -> io::Result<()>;
-    /// Reserves space by a file of this name and length.
+    /// Reserves disk space with a file of this name and length.
     ///
     /// # Errors
-    /// The file system's, such as a full disk.
+    /// Returns errors of the file system, such as a full disk.
     fn reserve_space(&mut self, name: &str, bytes: usize) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A folder of the file system. Syncing happens on a thread of its own; if it fails, that is told at the
-/// next call.
+/// A folder of the file system. A separate thread syncs files; its failure is returned by the next call of
+/// [`Volume::sync`].
 #[derive(Debug)]
 pub struct DirectoryVolume {
     path: PathBuf,
@@ -82,16 +83,16 @@
 }
 
 impl DirectoryVolume {
-    /// For reading only.
+    /// Opens a folder for reading only.
     pub fn reader(path: &Path) -> Self {
         let (syncer, _) = sync_channel(0);
         Self { path: path.into(), file: None, syncer, failed: Arc::default(), _lock: None }
     }
 
-    /// For writing: the folder is made if need be, and locked.
+    /// Opens a folder for writing: creates it if it doesn't exist, and locks it.
     ///
     /// # Errors
-    /// If it can't be made, or another process writes there (`WouldBlock`).
+    /// If the folder can't be created, or another process holds its lock (`WouldBlock`).
     pub fn writer(path: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
@@ -99,13 +100,13 @@
             std::fs::TryLockError::WouldBlock => io::Error::from(io::ErrorKind::WouldBlock),
             std::fs::TryLockError::Error(e) => e,
         })?;
-        // A wait at the disk that has not begun covers all that is written before it does: when the queue is full,
-        // nothing is missed.
-        let (syncer, wanted) = sync_channel::<File>(SYNCS);
+        // A queued sync that has not started also covers data written after it was queued. A request that finds
+        // the queue full can therefore be dropped.
+        let (syncer, queue) = sync_channel::<File>(SYNC_QUEUE_LENGTH);
         let failed = Arc::new(AtomicBool::new(false));
         let flag = failed.clone();
         std::thread::Builder::new().name("ledger-sync".into()).spawn(move || {
-            for file in wanted {
+            for file in queue {
                 if file.sync_data().is_err() {
                     flag.store(true, Ordering::SeqCst);
                 }
@@ -149,7 +150,7 @@
         if let Some(old) = self.file.replace(file) {
             self.sync_later(old)?;
         }
-        // The folder has a new name to keep.
+        // The folder is synced too, so that its new entry survives a power failure.
         self.sync_later(File::open(&self.path)?)
     }
 
@@ -182,7 +183,7 @@
         if std::fs::metadata(&path).is_ok_and(|m| m.len() == bytes as u64) {
             return Ok(());
         }
-        // Written, since a hole takes no space.
+        // The bytes are written, because a sparse file occupies no space.
         let filled = File::create(&path).and_then(|mut f| f.write_all(&vec![0x5a; bytes]));
         if filled.is_err() {
             let _ = std::fs::remove_file(&path);
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing a ledger: groups, rotation, a full disk.
+//! Writes a ledger: groups of records, segment rotation and handling of a full disk.
 
 use std::io;
 
@@ -10,14 +10,15 @@
 use crate::volume::{segment_name, segment_number, Volume};
 use crate::{segments_from_checkpoint, LedgerError};
 
-/// Bounds.
+/// Size limits of a ledger.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// A segment of this many bytes is followed by a new one.
+    /// Segment length in bytes from which a new segment is started.
     pub segment_bytes: usize,
-    /// Bytes kept aside for the time when the disk is full: what is open then can still be settled.
+    /// Bytes of reserved disk space. On a full disk the space is released, so that open requests can still be
+    /// settled.
     pub reserve_bytes: usize,
-    /// Bytes of records that wait for the disk; from then on the ledger counts as unwritable.
+    /// Bytes of unwritten records from which the ledger counts as unwritable.
     pub buffered_bytes: usize,
 }
 
@@ -31,39 +32,41 @@
     }
 }
 
+/// Name of the file that reserves disk space.
 const RESERVE_FILE: &str = "ballast";
 
-/// Appends to a ledger.
+/// Appends records to a ledger.
 #[derive(Debug)]
 pub struct Writer<V> {
     volume: V,
     limits: Limits,
-    /// The segment that is written, and its length.
+    /// Number of the current segment.
     segment: u64,
+    /// Length of the current segment, in bytes.
     length: u64,
     next: u64,
-    /// Frames that the system has not taken.
+    /// Frames that were not written yet.
     waiting: Vec<u8>,
-    /// Something was written since the last sync.
+    /// Whether data was written since the last sync.
     unsynced: bool,
-    /// What was kept aside is let go.
+    /// Whether the disk is full: the reserved space was released or could not be reserved.
     full: bool,
 }
 
-/// An opened ledger and what was found in it.
+/// Result of [`Writer::open`].
 #[derive(Debug)]
 pub struct Opened<V> {
-    /// To go on writing.
+    /// The writer, positioned after the last valid record.
     pub writer: Writer<V>,
-    /// What reading it found.
+    /// Result of reading the ledger.
     pub report: Report,
 }
 
 impl<V: Volume> Writer<V> {
-    /// Opens a ledger, gives its records from the last checkpoint on, and cuts a torn tail.
+    /// Opens a ledger, passes its records from the last checkpoint to `take` and truncates a torn tail.
     ///
     /// # Errors
-    /// If it can't be read or made ready.
+    /// If the ledger can't be read or prepared for writing.
     pub fn open<T: DeserializeOwned>(
         mut volume: V,
         limits: Limits,
@@ -74,7 +77,7 @@
         let report = read(&volume, &names, take)?;
         let newest = segments(&volume)?.last().cloned();
         let (segment, length) = match &newest {
-            // A head that was cut: the segment is made anew.
+            // The head is incomplete: the segment is created again.
             Some(name) if report.valid_length == 0 => {
                 volume.remove(name).map_err(LedgerError::io(name))?;
                 (segment_number(name).unwrap_or(1), None)
@@ -87,9 +90,8 @@
         };
         let length = match length {
             Some(length) => length,
-            None => {
-                begin(&mut volume, segment, report.next).map_err(LedgerError::io(&segment_name(segment)))?
-            }
+            None => create_segment(&mut volume, segment, report.next)
+                .map_err(LedgerError::io(&segment_name(segment)))?,
         };
         let full = volume.reserve_space(RESERVE_FILE, limits.reserve_bytes).is_err();
         let next = report.next;
@@ -98,36 +100,36 @@
         Ok(Opened { writer, report })
     }
 
-    /// The number of the next record.
+    /// Number of the next record.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Whether new work may rely on it: there is room and nothing waits for long.
+    /// Whether new requests may be admitted: the disk is not full and few records wait to be written.
     pub fn is_writable(&self) -> bool {
         !self.full && self.waiting.len() < self.limits.buffered_bytes
     }
 
-    /// Whether a new segment should begin, with a checkpoint at its head.
+    /// Whether a new segment should be started with a checkpoint.
     pub fn wants_rotation(&self) -> bool {
         self.length as usize + self.waiting.len() >= self.limits.segment_bytes && !self.full
     }
 
-    /// Takes a record, to be written by the next [`Writer::flush`].
+    /// Queues a record for the next [`Writer::flush`] and returns its number.
     ///
     /// # Errors
-    /// If it is too large for a frame.
+    /// If the record is too large for a frame.
     pub fn append(&mut self, record: &impl Serialize) -> Result<u64, LedgerError> {
         encode(self.next, record, &mut self.waiting).map_err(|bytes| LedgerError::TooLarge { bytes })?;
         self.next += 1;
         Ok(self.next - 1)
     }
 
-    /// Gives all that waits to the system. On an error it still waits, nothing half-written is left, and
-    /// what was kept aside is let go, so that a second call may get through.
+    /// Writes all queued records. On the first error the reserved space is released and the write is tried again.
+    /// If that fails too, the records stay queued and a partial write is truncated.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns errors of the file system.
     pub fn flush(&mut self) -> io::Result<()> {
         let mut done = self.write();
         if done.is_err() && !std::mem::replace(&mut self.full, true) {
@@ -141,10 +143,10 @@
         let mut done = 0;
         while let Some(rest) = self.waiting.get(done..).filter(|r| !r.is_empty()) {
             match self.volume.append(rest) {
-                Ok(0) => return self.undo(io::ErrorKind::WriteZero.into()),
+                Ok(0) => return self.roll_back(io::ErrorKind::WriteZero.into()),
                 Ok(n) => done += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return self.undo(e),
+                Err(e) => return self.roll_back(e),
             }
         }
         if done > 0 {
@@ -155,16 +157,16 @@
         Ok(())
     }
 
-    /// A group is written whole or not at all: half a group is cut again.
-    fn undo(&mut self, error: io::Error) -> io::Result<()> {
+    /// Truncates a partial write: a group is written completely or not at all.
+    fn roll_back(&mut self, error: io::Error) -> io::Result<()> {
         self.volume.truncate(self.length)?;
         Err(error)
     }
 
-    /// Has what was written brought to the disk; called at the stated interval.
+    /// Starts to sync written records to the disk. The caller calls this periodically.
     ///
     /// # Errors
-    /// If an earlier call failed in the meantime, or this one can't begin.
+    /// If an earlier sync failed or this one can't be started.
     pub fn sync(&mut self) -> io::Result<()> {
         if std::mem::take(&mut self.unsynced) {
             self.volume.sync()?;
@@ -172,7 +174,7 @@
         Ok(())
     }
 
-    /// Tries whether there is room again: if what is kept aside can be kept aside anew.
+    /// Checks whether a full disk has free space again, by writing queued records and reserving the space anew.
     pub fn retry_reserve(&mut self) {
         if self.full
             && self.flush().is_ok()
@@ -182,15 +184,16 @@
         }
     }
 
-    /// Begins a new segment whose first record is the checkpoint.
+    /// Starts a new segment whose first record is the checkpoint.
     ///
     /// # Errors
-    /// The file system's; the old segment goes on then, and the checkpoint was not taken.
+    /// Returns errors of the file system. If the segment can't be created, the old one stays in use and the
+    /// checkpoint is not queued.
     pub fn rotate(&mut self, checkpoint: &impl Serialize) -> Result<(), LedgerError> {
         let old = segment_name(self.segment);
         self.flush().map_err(LedgerError::io(&old))?;
         let name = segment_name(self.segment + 1);
-        match begin(&mut self.volume, self.segment + 1, self.next) {
+        match create_segment(&mut self.volume, self.segment + 1, self.next) {
             Ok(length) => (self.segment, self.length) = (self.segment + 1, length),
             Err(e) => {
                 self.volume.open(&old, self.length).map_err(LedgerError::io(&old))?;
@@ -202,7 +205,7 @@
     }
 }
 
-fn begin(volume: &mut impl Volume, segment: u64, first: u64) -> io::Result<u64> {
+fn create_segment(volume: &mut impl Volume, segment: u64, first: u64) -> io::Result<u64> {
     volume.create(&segment_name(segment))?;
     let head = head(first);
     match volume.append(&head) {
@@ -215,7 +218,7 @@
 }
 
 impl Report {
-    /// In words, for the log; none: nothing is wrong.
+    /// Describes the damage for the log. Returns `None` if nothing is damaged.
     pub fn describe_damage(&self) -> Option<String> {
         let mut out = Vec::new();
         if let (Tail::Torn(bytes), Some(name)) = (self.tail, self.segments.last()) {
