--- a/crates/budget/src/bill/biller.rs
+++ b/crates/budget/src/bill/biller.rs
@@ -1,4 +1,4 @@
-//! Making a bill: joining requests with the engines' work for them.
+//! Computes a bill by joining requests with the engines' work for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,14 +8,14 @@
 use crate::record::{Ending, Record, Reservation, Settled};
 use crate::units::{Time, Usage};
 
-/// A request as its ledger knows it.
+/// A request as recorded in its ledger.
 #[derive(Debug, Clone)]
 struct Request {
     reservation: Reservation,
     settled: Option<Settled>,
 }
 
-/// An attempt of a request.
+/// Key of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptKey {
     request: Box<str>,
@@ -29,22 +29,22 @@
     identity: Box<str>,
 }
 
-/// Collects ledgers and engines' records, in any order, and makes the bill.
+/// Collects ledger records and engine records in any order and computes the bill.
 #[derive(Debug, Default)]
 pub struct Biller {
     requests: BTreeMap<Box<str>, Request>,
-    /// Settlements whose reservations were not read yet.
+    /// Settlements whose reservations have not been read yet.
     early_settlements: BTreeMap<Box<str>, Settled>,
-    /// Records taken, by ledger and number: the same file read twice counts once.
+    /// Record numbers already read, by ledger. A file that is read twice counts once.
     seen: BTreeMap<Box<str>, BTreeSet<u64>>,
-    /// Engines' work that no request accounts for yet.
+    /// Engine work that is not yet assigned to a request.
     work: BTreeMap<AttemptKey, EngineRecord>,
-    /// Attempts that two records name with different tokens.
+    /// Engine records that contradict an earlier record of the same attempt.
     conflicting: Vec<EngineRecord>,
 }
 
 impl Biller {
-    /// Takes a record of a router's ledger.
+    /// Adds a record of a router's ledger.
     pub fn record(&mut self, router: &str, number: u64, record: &Record) {
         if !self.seen.entry(router.into()).or_default().insert(number) {
             return;
@@ -57,7 +57,7 @@
                     .or_insert_with(|| Request { reservation: reservation.clone(), settled });
             }
             Record::Settled(settled) => match self.requests.get_mut(&settled.id) {
-                // The first counts; a second would be a fault of the router's, and bills nothing more.
+                // Only the first settlement counts. A second one would be a fault of the router and must not be billed.
                 Some(request) => {
                     request.settled.get_or_insert_with(|| settled.clone());
                 }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes a line of an engine's record; the same line twice counts once.
+    /// Adds an engine record. An identical record counts once.
     pub fn work(&mut self, line: EngineRecord) {
         let key = AttemptKey { request: line.request.clone(), attempt: line.attempt };
         match self.work.get(&key) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The bill of the requests that were admitted in a period.
+    /// Computes the bill of the requests that were admitted in a period.
     pub fn bill(mut self, plan: &Plan, period: Period) -> Bill {
         let mut bill = Bill::default();
         let mut billed_identities = BTreeSet::new();
@@ -110,7 +110,7 @@
         bill
     }
 
-    /// Bills a request of the period, or lists why its work is not billed.
+    /// Bills a request of the period, or lists its work with the cause for which it is not billed.
     fn bill_request(
         &mut self,
         request: &Request,
@@ -139,16 +139,16 @@
         self.list_unbilled_work(&reservation.id, cause, bill);
     }
 
-    /// Bills a request whose answer was given, completely or in part.
+    /// Bills a request whose answer was delivered completely or partly.
     fn charge(&mut self, reservation: &Reservation, settled: &Settled, plan: &Plan, bill: &mut Bill) {
         let prefill = self.take_work(&reservation.id, settled.prefill_attempt, bill);
         let answering = self.take_work(&reservation.id, settled.answering_attempt, bill);
         let done = |line: &Option<EngineRecord>| line.as_ref().map_or(Usage::default(), EngineRecord::done);
         let engines = done(&prefill).plus(done(&answering));
         let is_missing = answering.is_none() || (settled.prefill_attempt.is_some() && prefill.is_none());
-        // The router could not know how much was written for a client that had left.
-        let is_engines_count = settled.ending == Ending::Left && !is_missing;
-        let usage = if is_engines_count { engines } else { settled.usage };
+        // The router can't count the tokens generated after a client has left.
+        let uses_engine_count = settled.ending == Ending::Left && !is_missing;
+        let usage = if uses_engine_count { engines } else { settled.usage };
         let tokens = difference_of(usage, engines);
         if tokens > 0 {
             bill.differences.push(Difference {
@@ -163,39 +163,39 @@
         bill.billed_tokens += usage.total();
     }
 
-    /// Takes an attempt's work out of what no request accounts for.
+    /// Removes and returns an attempt's unassigned work.
     fn take_work(&mut self, id: &str, attempt: Option<u32>, bill: &mut Bill) -> Option<EngineRecord> {
         let line = self.work.remove(&AttemptKey { request: id.into(), attempt: attempt? })?;
         bill.engine_tokens += line.done().total();
         Some(line)
     }
 
-    /// Lists all other work for a request under one cause.
+    /// Lists all remaining work for a request with one cause.
     fn list_unbilled_work(&mut self, id: &str, cause: Cause, bill: &mut Bill) {
         let first = AttemptKey { request: id.into(), attempt: 0 };
         let last = AttemptKey { request: id.into(), attempt: u32::MAX };
         let attempts: Vec<u32> = self.work.range(first..=last).map(|(key, _)| key.attempt).collect();
         for attempt in attempts {
             if let Some(line) = self.take_work(id, Some(attempt), bill) {
-                list_difference(bill, &line, cause);
+                record_difference(bill, &line, cause);
             }
         }
     }
 
-    /// Lists what is left: work for requests that no ledger knows, and records that contradict each other.
+    /// Lists the remaining work: requests that are in no ledger, and contradictory records.
     fn list_unknown_work(&mut self, bill: &mut Bill) {
         let unknown = std::mem::take(&mut self.work).into_values();
         let unknown = unknown.map(|line| (line, Cause::NoReservation));
         let conflicting = std::mem::take(&mut self.conflicting).into_iter();
         let conflicting = conflicting.map(|line| (line, Cause::Mismatch));
         for (line, cause) in unknown.chain(conflicting) {
-            list_difference(bill, &line, cause);
+            record_difference(bill, &line, cause);
             bill.engine_tokens += line.done().total();
         }
     }
 }
 
-/// Why work for a request that ended so is not billed, beside what it is billed for.
+/// The cause for which the unbilled work of a request with this ending is not billed.
 fn cause_of_unbilled_work(ending: Ending) -> Cause {
     match ending {
         Ending::Served | Ending::Left => Cause::AttemptLost,
@@ -206,7 +206,7 @@
     }
 }
 
-/// Tokens by which two counts differ; cached tokens count only where the prompts are the same.
+/// Number of tokens by which two usages differ. Cached tokens are compared only if the prompts are equal.
 fn difference_of(usage: Usage, engines: Usage) -> u64 {
     let prompt = usage.prompt.abs_diff(engines.prompt);
     let output = usage.output.abs_diff(engines.output);
@@ -227,9 +227,9 @@
     }
 }
 
-fn list_difference(bill: &mut Bill, line: &EngineRecord, cause: Cause) {
+fn record_difference(bill: &mut Bill, line: &EngineRecord, cause: Cause) {
     let tokens = line.done().total();
-    // An attempt that did nothing is no difference.
+    // An attempt without tokens is no difference.
     if tokens > 0 {
         bill.differences.push(Difference {
             request: line.request.clone(),
--- a/crates/budget/src/bill/mod.rs
+++ b/crates/budget/src/bill/mod.rs
@@ -1,9 +1,9 @@
-//! Bills: the ledgers of all routers, joined with the engines' own records of tokens.
+//! Bills, computed by joining the ledgers of all routers with the engines' own token records.
 //!
-//! A served request costs what its engine counted; a client that left after its answer had begun pays for
-//! what the engine wrote for it; all else costs nothing. Every token that an engine did and nobody pays for
-//! is listed with its cause: `engine tokens = billed + explained`, unless records are missing or wrong; those
-//! are listed too, as unexplained.
+//! A served request is billed by its engine's token count. A client that left after its answer had begun is
+//! billed for the tokens that the engine produced. All other requests cost nothing. Each engine token that is not
+//! billed is listed with its cause, so that `engine tokens = billed + explained`. Missing or wrong records break
+//! this equation; their tokens are listed as unexplained.
 
 mod biller;
 
@@ -16,156 +16,156 @@
 
 pub use biller::Biller;
 
-/// Millionths in the currency's smallest unit.
+/// Millionths per smallest unit of the currency.
 const MILLIONTHS: u128 = 1_000_000;
 
-/// What an engine was asked to do.
+/// Kind of work that an engine did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
-    /// Read the prompt and keep its KV state.
+    /// Prefill: computes the prompt and keeps its KV state.
     #[serde(rename = "read")]
     Prefill,
-    /// Pull the KV state and write the answer.
+    /// Decode: pulls the KV state and generates the answer.
     #[serde(rename = "pull")]
     Decode,
-    /// Read the prompt and write the answer.
+    /// Prefill and decode in one call.
     #[serde(rename = "whole")]
     Combined,
 }
 
-/// One line of an engine's own record: an attempt that did work. Documented in `docs/bills.md`.
+/// One line of an engine's own token records: an attempt that did work. `docs/bills.md` documents the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineRecord {
-    /// The engine.
+    /// The engine's name.
     pub engine: Box<str>,
-    /// The router's id of the request, as its call named it.
+    /// The request's id at the router, as given in the call.
     pub request: Box<str>,
-    /// The attempt's number, as its call named it.
+    /// The attempt's number, as given in the call.
     pub attempt: u32,
-    /// What for.
+    /// Kind of work.
     pub work: Work,
-    /// Prompt tokens; of a pull, pulled ones.
+    /// Prompt tokens; for a decode, the pulled tokens.
     pub prompt: u64,
-    /// Of these, not read: cached or pulled.
+    /// Prompt tokens that were cached or pulled instead of computed.
     #[serde(rename = "kept")]
     pub cached: u64,
-    /// Tokens written.
+    /// Generated tokens.
     pub output: u64,
-    /// When it ended, µs since 1970.
+    /// Time when the attempt ended.
     pub at: Time,
 }
 
 impl EngineRecord {
-    /// The tokens that it did.
+    /// Tokens that count as the attempt's work.
     fn done(&self) -> Usage {
         match self.work {
-            // A pull reads no prompt.
+            // A decode does not compute the prompt.
             Work::Decode => Usage { prompt: 0, cached: 0, output: self.output },
-            // The one token that a prefill writes is written again by the decoding engine.
+            // The decode engine generates the one token of a prefill again.
             Work::Prefill => Usage { prompt: self.prompt, cached: self.cached, output: 0 },
             Work::Combined => Usage { prompt: self.prompt, cached: self.cached, output: self.output },
         }
     }
 }
 
-/// Why engine work is nobody's to pay, or why a bill and the engines differ.
+/// Why engine work is not billed, or why the bill and the engines' records differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The request was rejected or failed in the end.
+    /// The request was rejected or finally failed.
     Failed,
-    /// Its answer broke midway, or ended without the engine's end marker.
+    /// The answer was interrupted or ended without the engine's end marker.
     Broken,
-    /// Its client left before the answer began.
+    /// The client disconnected before the answer began.
     LeftEarly,
-    /// Its router's process ended before the request did.
+    /// The router's process ended before the request.
     Orphaned,
-    /// The attempt's answer was not the one given; a prompt read again is counted here too.
+    /// The attempt's answer was not the one delivered. Repeated prefills count here too.
     AttemptLost,
-    /// The idempotency key is billed under another request.
+    /// Another request with the same idempotency key is billed.
     Repeated,
-    /// Still open, or settled in another period: in another bill.
+    /// The request is still open or belongs to the bill of another period.
     OtherPeriod,
-    /// Unexplained: the engine names a request that no ledger knows.
+    /// Unexplained: no ledger contains the request of the engine's record.
     NoReservation,
-    /// Unexplained: a billed request for which no engine has a record.
+    /// Unexplained: no engine has a record of a billed request.
     NoEngineRecord,
-    /// Unexplained: engine and router counted differently.
+    /// Unexplained: engine and router counted different numbers of tokens.
     Mismatch,
 }
 
 impl Cause {
-    /// Whether a bill may go out with it.
+    /// Whether a bill with this difference may be issued.
     pub fn is_explained(self) -> bool {
         !matches!(self, Self::NoReservation | Self::NoEngineRecord | Self::Mismatch)
     }
 }
 
-/// Which line of the bill.
+/// Key of a bill line.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LineKey {
-    /// Whose.
+    /// The tenant's name.
     pub tenant: Box<str>,
-    /// The class of its requests.
+    /// The class of the requests.
     pub class: Box<str>,
-    /// The day by the plan's calendar, as `2026-12-01`.
+    /// The day in the plan's calendar, such as `2026-12-01`.
     pub day: String,
 }
 
-/// A line of the bill: one tenant, class and day.
+/// Line of a bill for one tenant, class and day.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct BillLine {
-    /// Requests that cost something.
+    /// Number of billed requests.
     pub requests: u64,
-    /// Their tokens.
+    /// Billed tokens.
     #[serde(flatten)]
     pub usage: Usage,
-    /// Millionths of the currency's smallest unit; none: no price for the day.
+    /// Price in millionths of the currency's smallest unit; `None` if the day has no price.
     pub price_millionths: Option<u128>,
-    /// The currency's smallest unit.
+    /// Name of the currency's smallest unit.
     pub currency: Option<String>,
 }
 
-/// Work that is in no line, or a difference.
+/// Work that is not billed, or a difference between bill and engine record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Request.
+    /// The request's id.
     pub request: Box<str>,
-    /// Attempt, where one engine's work is meant.
+    /// The attempt, if the difference concerns a single one.
     pub attempt: Option<u32>,
-    /// Engine.
+    /// The engine's name, if known.
     pub engine: Option<Box<str>>,
-    /// Why.
+    /// Cause of the difference.
     pub cause: Cause,
-    /// Tokens, unweighted.
+    /// Unweighted tokens.
     pub tokens: u64,
 }
 
-/// A statement of one period.
+/// Bill of one period.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Bill {
     /// Lines by tenant, class and day.
     #[serde(serialize_with = "serialize_lines")]
     pub lines: BTreeMap<LineKey, BillLine>,
-    /// Each with its cause.
+    /// Differences with their causes.
     pub differences: Vec<Difference>,
-    /// Tokens that the engines did in all, prompt and output.
+    /// All prompt and output tokens of the engines' work.
     pub engine_tokens: u64,
-    /// Billed.
+    /// Billed tokens.
     pub billed_tokens: u64,
-    /// Done, not billed, and why is known.
+    /// Tokens that are not billed for a known cause.
     pub explained_tokens: u64,
-    /// The rest: 0, or the bill must not go out.
+    /// Tokens of unexplained differences. Unless this is 0, the bill must not be issued.
     pub unexplained_tokens: u64,
-    /// Reservations still open in the ledgers.
+    /// Number of reservations that are still open.
     pub open: u64,
-    /// Requests by how they ended.
+    /// Number of requests by ending.
     pub endings: BTreeMap<Ending, u64>,
 }
 
-/// JSON has no keys of several parts: each line names its own.
+/// Serializes lines as a list, because JSON has no composite keys.
 fn serialize_lines<S: serde::Serializer>(
     lines: &BTreeMap<LineKey, BillLine>,
     out: S,
@@ -186,7 +186,7 @@
     }))
 }
 
-/// A sum of millionths in smallest units, rounded half up; once for each printed sum.
+/// Converts millionths to smallest units, rounded half up. Applied once to each printed sum.
 pub fn round_to_smallest_unit(millionths: u128) -> u128 {
     (millionths + MILLIONTHS / 2) / MILLIONTHS
 }
--- a/crates/budget/src/calendar.rs
+++ b/crates/budget/src/calendar.rs
@@ -1,4 +1,4 @@
-//! Periods of budgets: hours, days and months by the calendar of a time zone.
+//! Budget periods: hours, days and months in a time zone.
 
 use jiff::tz::TimeZone;
 use jiff::{Timestamp, ToSpan};
@@ -6,23 +6,23 @@
 
 use crate::units::Time;
 
-/// How long a period is.
+/// Kind of a period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeriodKind {
-    /// From one full hour to the next on the zone's clock.
+    /// From one full hour to the next by the zone's local time.
     Hour,
-    /// From midnight to midnight: 23 or 25 hours where the clock is changed.
+    /// From midnight to midnight; 23 or 25 hours long when daylight saving time changes.
     Day,
-    /// From the first of a month to the next.
+    /// From the first day of a month to the first day of the next.
     Month,
 }
 
 impl PeriodKind {
-    /// All, shortest first.
+    /// All kinds, shortest first.
     pub const ALL: [Self; 3] = [Self::Hour, Self::Day, Self::Month];
 
-    /// Its word in settings and reports.
+    /// The name in settings and reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Hour => "hour",
@@ -32,25 +32,25 @@
     }
 }
 
-/// A period: from its start until just before its end.
+/// A half-open time interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Period {
-    /// First µs.
+    /// First microsecond.
     pub start: Time,
-    /// First µs after it.
+    /// First microsecond after the period.
     pub end: Time,
 }
 
 impl Period {
-    /// Whether a time lies in it.
+    /// Whether the period contains a time.
     pub fn contains(&self, at: Time) -> bool {
         self.start <= at && at < self.end
     }
 }
 
-/// Times without a calendar (the zone's data ends, or no such time): one period of a day each, so that a
-/// budget never becomes endless.
-const FALLBACK: u64 = 86_400_000_000;
+/// Length in microseconds of the periods used for times that the calendar can't represent. A fixed day keeps the
+/// period of a budget finite.
+const FALLBACK_PERIOD: u64 = 86_400_000_000;
 
 impl Default for Calendar {
     /// UTC.
@@ -59,26 +59,26 @@
     }
 }
 
-/// The calendar of one zone.
+/// The calendar of one time zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Calendar {
     zone: TimeZone,
 }
 
 impl Calendar {
-    /// By the zone's IANA name, such as `Europe/Zurich`; the names are built in.
+    /// Creates the calendar of a zone by its IANA name, such as `Europe/Zurich`. The time zone data is built in.
     ///
     /// # Errors
-    /// Says that there is no zone of that name.
+    /// If no zone has this name.
     pub fn new(zone: &str) -> Result<Self, String> {
         TimeZone::get(zone).map(|zone| Self { zone }).map_err(|_| format!("no time zone `{zone}`"))
     }
 
-    /// The period of a kind in which a time lies.
+    /// The period of a kind that contains a time.
     pub fn period(&self, kind: PeriodKind, at: Time) -> Period {
         self.by_calendar(kind, at).filter(|period| period.contains(at)).unwrap_or_else(|| {
-            let start = at.0 / FALLBACK * FALLBACK;
-            Period { start: Time(start), end: Time(start.saturating_add(FALLBACK)) }
+            let start = at.0 / FALLBACK_PERIOD * FALLBACK_PERIOD;
+            Period { start: Time(start), end: Time(start.saturating_add(FALLBACK_PERIOD)) }
         })
     }
 
@@ -86,15 +86,15 @@
         let micros = i64::try_from(at.0).ok()?;
         let zoned = Timestamp::from_microsecond(micros).ok()?.to_zoned_datetime(self.zone.clone());
         let (start, end) = match kind {
-            // By elapsed time: an hour that the clock shows twice is two periods. Where the clock is changed
-            // within an hour (by half an hour, say), that is a border too.
+            // Hours are elapsed time: a local hour that occurs twice is two periods. A clock change within an hour,
+            // such as one by half an hour, is a period boundary too.
             PeriodKind::Hour => {
                 let t = zoned.timestamp();
                 let since = i64::from(zoned.minute()) * 60 + i64::from(zoned.second());
                 let full = t.as_second().checked_sub(since)?;
                 let (start, end) =
                     (Timestamp::from_second(full).ok()?, Timestamp::from_second(full + 3_600).ok()?);
-                // Of transitions, `preceding` gives those before, not at, a time.
+                // `preceding` returns only transitions strictly before a time.
                 let until_now = t.checked_add(1.nanosecond()).ok()?;
                 let before = self.zone.preceding(until_now).next().map(|c| c.timestamp());
                 let after = self.zone.following(t).next().map(|c| c.timestamp());
@@ -114,7 +114,7 @@
         period(start.timestamp(), end.timestamp())
     }
 
-    /// The date on which a time lies, as `2026-12-01`.
+    /// The local date of a time, such as `2026-12-01`.
     pub fn date(&self, at: Time) -> String {
         let zoned = i64::try_from(at.0).ok().and_then(|m| Timestamp::from_microsecond(m).ok());
         zoned.map_or_else(
@@ -123,10 +123,10 @@
         )
     }
 
-    /// The period that a text names: `2026-12`, `2026-12-01` or `2026-12-01T14`.
+    /// Parses a month (`2026-12`), a day (`2026-12-01`) or an hour (`2026-12-01T14`).
     ///
     /// # Errors
-    /// Says what is wrong with the text.
+    /// Describes the expected formats.
     pub fn parse_period(&self, text: &str) -> Result<(PeriodKind, Period), String> {
         let wrong =
             || format!("`{text}` is no period: 2026-12 (month), 2026-12-01 (day) or 2026-12-01T14 (hour)");
--- a/crates/budget/src/calendar_test.rs
+++ b/crates/budget/src/calendar_test.rs
@@ -56,6 +56,9 @@
             }
         }
     }
-    assert!(Calendar::new("UTC").unwrap().period(PeriodKind::Day, Time(u64::MAX - FALLBACK)).start > Time(0));
+    assert!(
+        Calendar::new("UTC").unwrap().period(PeriodKind::Day, Time(u64::MAX - FALLBACK_PERIOD)).start
+            > Time(0)
+    );
     assert!(Calendar::new("Nowhere/City").is_err());
 }
--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -1,4 +1,4 @@
-//! Leases: what a settlement round grants each router, signed and numbered.
+//! Numbered and signed grants of a settlement round, which give each router its lease.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::de::DeserializeOwned;
@@ -9,7 +9,7 @@
 use crate::plan::AccountKey;
 use crate::units::{Time, Units};
 
-/// The most that a router may ever spend of an account in a period. Raised and lowered by later grants.
+/// The maximum that a router may spend of an account in a period. Later grants raise or lower it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Allowance {
     /// The account.
@@ -17,60 +17,60 @@
     /// The period.
     #[serde(rename = "span")]
     pub period: Period,
-    /// Spent and reserved there together never pass it.
+    /// Maximum of spent and reserved units at the router.
     pub ceiling: Units,
-    /// What the period allows over all routers.
+    /// Budget of the period over all routers.
     pub limit: Units,
-    /// Used over all other routers, as far as their ledgers told.
+    /// Units used at all other routers, according to their ledgers.
     pub elsewhere: Units,
 }
 
-/// What one round says to one router.
+/// The allowances that one round gives one router.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// The router's name.
     pub router: Box<str>,
     /// The round's number.
     pub number: u64,
-    /// Nothing is taken by it from then on.
+    /// Expiry time: from then on no request is admitted under the grant.
     pub until: Time,
-    /// What changed; what is not named stays.
+    /// Changed allowances; all others stay in force.
     pub allowances: Vec<Allowance>,
 }
 
-/// A ceiling that a router may hold or still come to hold.
+/// A ceiling that a router holds or may still adopt.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Outstanding {
-    /// Whose.
+    /// The router's name.
     pub router: Box<str>,
-    /// Of which account.
+    /// The account.
     pub key: AccountKey,
-    /// In which period.
+    /// The period.
     #[serde(rename = "span")]
     pub period: Period,
-    /// The highest of those out.
+    /// The highest outstanding ceiling.
     pub ceiling: Units,
-    /// The newest round that named it.
+    /// Number of the newest round that granted the ceiling.
     pub number: u64,
-    /// The longest of their lives.
+    /// The latest expiry time of the grants.
     pub until: Time,
 }
 
-/// A settlement round: one entry of the journal. It names all that is outstanding, so that the newest entry
-/// is enough to go on from.
+/// A settlement round, stored as one entry of the journal. Each entry contains all outstanding ceilings, so that
+/// the newest entry suffices to continue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Round {
-    /// One more than that of the round before.
+    /// One more than the number of the previous round.
     pub number: u64,
-    /// When, by the settlement job's clock.
+    /// Time of the round by the settlement job's clock.
     pub at: Time,
-    /// One for each router.
+    /// One grant for each router.
     pub grants: Vec<Grant>,
-    /// All that is out and not known to be replaced or over, these grants included.
+    /// All ceilings that are not known to be replaced or expired, including those of these grants.
     pub outstanding: Vec<Outstanding>,
 }
 
-/// The key that settlement job and routers share.
+/// The secret key that the settlement job and the routers share.
 #[derive(Clone)]
 pub struct SigningKey([u8; 32]);
 
@@ -80,14 +80,14 @@
     }
 }
 
-/// Why a message is not taken for the settlement job's.
+/// Why a message is not accepted as the settlement job's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SignatureError {
-    /// No line with a MAC.
+    /// The message has no line with a MAC.
     Truncated,
-    /// The MAC is another's, or the message was changed.
+    /// The MAC does not match: the message was changed or signed with another key.
     WrongMac,
-    /// Signed, and not understood: another version.
+    /// The MAC matches, but the message can't be parsed; it may be of another version.
     Unreadable,
 }
 
@@ -111,10 +111,10 @@
 }
 
 impl SigningKey {
-    /// From 64 hexadecimal digits.
+    /// Parses a key from 64 hexadecimal digits.
     ///
     /// # Errors
-    /// Says what is wrong with the text.
+    /// Describes the expected format.
     pub fn new(text: &str) -> Result<Self, String> {
         let bytes = unhex(text.trim()).and_then(|b| b.try_into().ok());
         bytes.map(Self).ok_or_else(|| "must be 64 hexadecimal digits".into())
@@ -122,7 +122,7 @@
 
     fn mac(&self, purpose: &str) -> Option<Hmac<Sha256>> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
-        // What is signed for one purpose can't be shown for another.
+        // The purpose is part of the MAC, so a message signed for one purpose is not valid for another.
         mac.update(purpose.as_bytes());
         mac.update(&[0]);
         Some(mac)
@@ -149,28 +149,28 @@
         serde_json::from_str(body).map_err(|_| SignatureError::Unreadable)
     }
 
-    /// A grant as it is delivered: a line of JSON, and a line with the HMAC-SHA-256 of it.
+    /// Encodes a grant for delivery: a line of JSON and a line with its HMAC-SHA-256.
     pub fn sign_grant(&self, grant: &Grant) -> Vec<u8> {
         self.sign("chalkyard-grant-1", grant)
     }
 
-    /// Reads a delivered grant.
+    /// Verifies and parses a delivered grant.
     ///
     /// # Errors
-    /// If it is not the settlement job's.
+    /// If the message is not signed with this key or can't be parsed.
     pub fn open_grant(&self, bytes: &[u8]) -> Result<Grant, SignatureError> {
         self.open("chalkyard-grant-1", bytes)
     }
 
-    /// A round as the journal keeps it.
+    /// Encodes a round for the journal.
     pub fn sign_round(&self, round: &Round) -> Vec<u8> {
         self.sign("chalkyard-round-1", round)
     }
 
-    /// Reads a journal's entry.
+    /// Verifies and parses a journal entry.
     ///
     /// # Errors
-    /// If it is not the settlement job's.
+    /// If the message is not signed with this key or can't be parsed.
     pub fn open_round(&self, bytes: &[u8]) -> Result<Round, SignatureError> {
         self.open("chalkyard-round-1", bytes)
     }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,12 +1,12 @@
-//! Tenant budgets across routers that don't talk to each other, and the bills that follow from them.
+//! Tenant budgets shared by routers that don't communicate with each other, and bills from the routers' ledgers.
 //!
-//! Sans-IO: no clock, no files, no sockets. A [`BudgetEnforcer`] decides at one router what may be spent there and
-//! gives the [`Record`]s that its ledger must keep; a [`LeaseAllocator`] reads all ledgers and grants leases for
-//! the next epoch; [`bill`] joins ledgers with the engines' own records of tokens. The bound on overrun and
-//! its proof stand in `docs/budgets.md`.
+//! The crate uses no clock, files or sockets. A [`BudgetEnforcer`] decides which requests one router admits and
+//! returns the [`Record`]s that the router's ledger must store. A [`LeaseAllocator`] reads all ledgers and grants
+//! leases for the next epoch. [`bill`] joins the ledgers with the engines' own token records. `docs/budgets.md`
+//! states and proves the bound on overrun.
 
 #![warn(clippy::type_complexity, rustdoc::broken_intra_doc_links)]
-// A test that plays a long sequence stays one function.
+// Tests that run a long sequence of events stay single functions.
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
 pub mod bill;
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is agreed with tenants: budgets, rates and prices.
+//! Budgets, rates and prices of tenants.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use crate::calendar::{Calendar, PeriodKind};
 use crate::units::{Units, Usage, Weights};
 
-/// An account: one budget of a tenant.
+/// Key of an account, which is one budget of a tenant.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountKey {
-    /// Whose.
+    /// The tenant's name.
     pub tenant: Box<str>,
-    /// For one class of requests, or for all.
+    /// The class of requests; `None` for all classes.
     pub class: Option<Box<str>>,
-    /// Its periods.
+    /// Kind of the account's periods.
     pub kind: PeriodKind,
 }
 
@@ -24,68 +24,68 @@
     }
 }
 
-/// What happens to a request that the budget does not hold.
+/// Action for a request that exceeds the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HardLimitAction {
-    /// It is refused, with a time to come back.
+    /// Rejects the request with a retry time.
     Refuse,
-    /// Its longest answer is cut to what is left, down to so many tokens; below, it is refused.
+    /// Limits the answer to the remaining budget. Below this many tokens the request is rejected.
     Clamp(u64),
 }
 
-/// What happens past the soft limit.
+/// Action for requests above the soft limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SoftLimitAction {
-    /// It is told of.
+    /// Warns only.
     Warn,
-    /// Answers are no longer than so many tokens.
+    /// Limits answers to this many tokens.
     Clamp(u64),
-    /// Requests are taken as of this class.
+    /// Handles requests as this class.
     Lower(Box<str>),
 }
 
-/// A budget.
+/// Budget of an account for each period.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limit {
-    /// For each period; never passed but by the stated bound.
+    /// Hard limit of a period, exceeded by no more than the documented bound on overrun.
     pub hard: Units,
-    /// Thousandths of `hard` from which `at_soft` holds; 1,000: never.
+    /// Soft limit in thousandths of `hard`; 1,000 disables it.
     pub soft: u32,
-    /// Past the soft limit.
+    /// Action above the soft limit.
     pub at_soft: SoftLimitAction,
-    /// At the hard one.
+    /// Action at the hard limit.
     pub at_hard: HardLimitAction,
-    /// Thousandths of `hard` whose passing is told of, in order.
+    /// Warning marks in thousandths of `hard`, in ascending order.
     pub marks: Vec<u32>,
 }
 
-/// A limit on tokens a second.
+/// Limit on tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateLimit {
-    /// Units a second, over all routers.
+    /// Units per second over all routers.
     pub per_second: Units,
-    /// What may come at once after a rest, over all routers.
+    /// Maximum burst in units over all routers.
     pub burst: Units,
 }
 
-/// Prices from a day on, in millionths of the currency's smallest unit for a token.
+/// Token prices that apply from a day on, in millionths of the currency's smallest unit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Price {
-    /// First day, as `2026-12-01`; days compare as texts.
+    /// First day, such as `2026-12-01`. Days are compared as strings.
     pub from: String,
-    /// The smallest unit's name, such as `Rp`.
+    /// Name of the currency's smallest unit, such as `Rp`.
     pub currency: String,
-    /// A prompt token that was read.
+    /// Price of a prompt token that was computed.
     pub prompt: u64,
-    /// One that was kept.
+    /// Price of a cached prompt token.
     #[serde(rename = "kept")]
     pub cached: u64,
-    /// A token of an answer.
+    /// Price of an output token.
     pub output: u64,
 }
 
 impl Price {
-    /// Millionths of the smallest unit; rounded only in sums of a bill.
+    /// Price of a usage in millionths of the smallest unit. Only sums of a bill are rounded.
     pub fn of(&self, usage: Usage) -> u128 {
         let cached = usage.cached.min(usage.prompt);
         u128::from(usage.prompt - cached) * u128::from(self.prompt)
@@ -94,39 +94,40 @@
     }
 }
 
-/// Who says how much this router may spend.
+/// How the part of the budget that a router may spend is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// The same part of each budget at each of so many routers.
+    /// Each of this many routers may spend an equal share of each budget.
     Shares(u32),
-    /// Leases. Until a first one is taken nothing is; refused requests are told to come back after so
-    /// many µs (the settlement job's epoch).
+    /// The settlement job leases parts of the budget to routers. A router without a lease admits nothing. Rejected
+    /// requests are to be retried after one epoch.
     Leases {
-        /// The settlement job's epoch, µs.
+        /// The settlement job's epoch in microseconds.
         epoch: u64,
-        /// Routers, for the rate limits' parts.
+        /// Number of routers among which rate limits are divided.
         routers: u32,
     },
-    /// Nothing is held back: for the baseline of a rehearsal only.
+    /// Reservations are not counted. Only the baseline of a rehearsal uses this mode; the value is the number of
+    /// routers.
     Unreserved(u32),
 }
 
-/// All that is agreed. Tenants without a budget are taken without limit and billed all the same.
+/// Budgets, rates and prices. Requests of tenants without a budget are admitted without limit and billed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The zone by whose calendar periods and days are.
+    /// Calendar of the time zone in which periods and days are computed.
     pub calendar: Calendar,
-    /// What tokens count.
+    /// Weights of tokens.
     pub weights: Weights,
-    /// Budgets.
+    /// Budgets by account.
     pub limits: BTreeMap<AccountKey, Limit>,
     /// Rates by tenant.
     pub rates: BTreeMap<Box<str>, RateLimit>,
-    /// Thousandths by which the estimate of a prompt is raised for its reservation.
+    /// Thousandths added to the estimated tokens of a prompt for its reservation.
     pub margin: u32,
-    /// Who says what this router may spend.
+    /// How the part of the budget that this router may spend is determined.
     pub mode: Mode,
-    /// Prices, in order of their first days.
+    /// Prices in order of their first days.
     pub prices: Vec<Price>,
 }
 
@@ -142,12 +143,12 @@
 }
 
 impl Plan {
-    /// The price of a day: the last that began by then.
+    /// The price of a day: the newest one whose first day is not later.
     pub fn price(&self, day: &str) -> Option<&Price> {
         self.prices.iter().rfind(|p| p.from.as_str() <= day)
     }
 
-    /// The estimate of a prompt, raised by the margin.
+    /// The estimated tokens of a prompt plus the margin.
     pub fn with_margin(&self, prompt: u64) -> u64 {
         prompt.saturating_add(prompt.saturating_mul(self.margin.into()).div_ceil(1_000))
     }
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -1,7 +1,7 @@
 //! The records of a router's ledger.
 //!
-//! They are stored with postcard, which writes variants and fields by their order: none may be reordered.
-//! Renaming is free, but for [`Settled`], which processes also hand over as JSON.
+//! Records are stored with postcard, which identifies variants and fields by their order, so neither may be
+//! reordered. Renaming is safe except in [`Settled`], which processes also exchange as JSON.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,92 +10,92 @@
 use crate::state::{AccountPeriod, State};
 use crate::units::{Time, Units, Usage};
 
-/// A reservation: a request was admitted.
+/// The reservation of an admitted request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The router's id of the request.
+    /// The request's id at the router.
     pub id: Box<str>,
-    /// Tenant; empty: none.
+    /// The tenant; empty if the request has none.
     pub tenant: Box<str>,
-    /// The class that it was asked for.
+    /// The class that the request asked for.
     pub class: Box<str>,
     /// The client's idempotency key.
     pub identity: Option<Box<str>>,
-    /// When; decides the period and the bill's day.
+    /// Time of admission, which determines the period and the day on the bill.
     pub at: Time,
-    /// The worst case.
+    /// Reserved units: the most that the request can cost.
     pub amount: Units,
-    /// The accounts' periods that it is charged to.
+    /// The account periods that the request is charged to.
     pub account_periods: Vec<AccountPeriod>,
 }
 
-/// How a request ended, for its bill.
+/// How a request ended, which determines what is billed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// Answered completely: costs what the engine counted.
+    /// The answer was complete. The engine's token count is billed.
     Served,
-    /// Rejected: costs nothing.
+    /// The request was rejected. Nothing is billed.
     Refused,
-    /// Failed before a token of the answer: costs nothing.
+    /// The request failed before the first token of the answer. Nothing is billed.
     Failed,
-    /// Broke midway, by no fault of the client: costs nothing.
+    /// The answer was interrupted, not by the client. Nothing is billed.
     Broken,
-    /// The client left (or stopped reading) after the answer had begun: costs what was written for it.
+    /// The client disconnected or stopped reading after the answer had begun. The tokens written for it are billed.
     Left,
-    /// The client left before: costs nothing.
+    /// The client disconnected before the answer began. Nothing is billed.
     LeftEarly,
-    /// Open when its router's process ended, and its client was cut off: costs nothing.
+    /// The router's process ended while the request was open, which disconnected the client. Nothing is billed.
     Orphaned,
 }
 
 /// The attempts whose work a request is billed for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BilledAttempts {
-    /// The attempt that read the prompt, where another wrote the answer.
+    /// The prefill attempt, if another attempt decoded the answer.
     pub prefill: Option<u32>,
-    /// The attempt whose answer it was.
+    /// The attempt whose answer the client got.
     pub answering: Option<u32>,
 }
 
 /// The end of a reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settled {
-    /// The request's id, as reserved.
+    /// The request's id in the reservation.
     pub id: Box<str>,
-    /// When.
+    /// Time of the settlement.
     pub at: Time,
     /// How the request ended.
     pub ending: Ending,
-    /// What is billed; for [`Ending::Left`] by the router's count, which the engine's record corrects.
+    /// Billed tokens. For [`Ending::Left`] the router's count, which the bill replaces by the engine's.
     pub usage: Usage,
-    /// What it cost the budget.
+    /// Units charged to the budget.
     pub cost: Units,
-    /// The attempt that read the prompt, where another wrote the answer.
+    /// The prefill attempt, if another attempt decoded the answer.
     #[serde(rename = "read")]
     pub prefill_attempt: Option<u32>,
-    /// The attempt whose answer it was.
+    /// The attempt whose answer the client got.
     #[serde(rename = "write")]
     pub answering_attempt: Option<u32>,
-    /// Whether it may have had its effect.
+    /// Whether the request may have been executed.
     pub may_have_run: bool,
 }
 
 impl Settled {
-    /// The attempts that it is billed for.
+    /// Returns the billed attempts.
     pub fn attempts(&self) -> BilledAttempts {
         BilledAttempts { prefill: self.prefill_attempt, answering: self.answering_attempt }
     }
 }
 
-/// The most that a router ever spends of an account in a period.
+/// The maximum that a router may spend of an account in a period.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountCeiling {
     /// The account.
     pub key: AccountKey,
     /// The period.
     pub period: Period,
-    /// Spent and reserved together never pass it.
+    /// Maximum of spent and reserved units.
     pub ceiling: Units,
 }
 
@@ -104,24 +104,24 @@
 pub struct DeniedDemand {
     /// The account.
     pub key: AccountKey,
-    /// The worst cases of all denied requests.
+    /// Sum of the worst-case costs of all denied requests.
     pub total: Units,
-    /// The largest of them.
+    /// The largest worst-case cost of one denied request.
     pub largest: Units,
 }
 
-/// A lease as it holds from its adoption on.
+/// A lease as adopted by a router.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AdoptedLease {
     /// The round's number.
     pub number: u64,
-    /// When it was adopted.
+    /// Time of adoption.
     pub at: Time,
-    /// Nothing is reserved under it from then on.
+    /// Expiry time: from then on nothing is reserved under the lease.
     pub until: Time,
-    /// Ceilings that changed; those that are not named stay.
+    /// Changed ceilings; all others stay in force.
     pub ceilings: Vec<AccountCeiling>,
-    /// Denied since the lease before.
+    /// Demand denied since the previous lease.
     pub demand: Vec<DeniedDemand>,
 }
 
@@ -130,11 +130,11 @@
 pub enum Record {
     /// The router's process started.
     Started(Time),
-    /// The router's process took over from a predecessor, which still settles what it had admitted.
+    /// The router's process took over from a previous process, which still settles the requests it had admitted.
     Succeeded(Time),
     /// A request was admitted.
     Reserved(Reservation),
-    /// It ended.
+    /// A request ended.
     Settled(Settled),
     /// A lease was adopted.
     Adopted(AdoptedLease),
@@ -143,7 +143,7 @@
 }
 
 impl Record {
-    /// When it was made; a checkpoint has no time of its own.
+    /// Time of the record; `None` for a checkpoint.
     pub fn at(&self) -> Option<Time> {
         match self {
             Self::Started(at) | Self::Succeeded(at) => Some(*at),
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Whether recovery can begin with it.
+    /// Whether recovery can begin at this record.
     pub fn is_checkpoint(&self) -> bool {
         matches!(self, Self::State(_))
     }
--- a/crates/budget/src/state.rs
+++ b/crates/budget/src/state.rs
@@ -1,7 +1,7 @@
-//! The state of a ledger: the sums of its records.
+//! The state of a ledger, aggregated from its records.
 //!
-//! The same code recovers it at a start, decides on it, and is read by the lease allocator. It is stored as a
-//! checkpoint with postcard: the order of fields stays.
+//! The router recovers the state at its start and decides on it; the lease allocator reads it too. Checkpoints
+//! store the state with postcard, so fields must not be reordered.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,61 +13,61 @@
 use crate::usage_table::forget_old_periods;
 pub use crate::usage_table::{AccountPeriod, AccountUsage, UsageTable};
 
-/// Executed requests are remembered so long, µs: a day is the longest that settings can ask for.
+/// Microseconds for which executed requests are remembered. One day is the longest time that settings allow.
 const EXECUTED_KEPT_FOR: u64 = 86_400_000_000;
-/// The most executed requests that are remembered.
+/// Maximum number of executed requests that are remembered.
 const EXECUTED_KEPT: usize = 100_000;
 
-/// The idempotency key of a reservation, with the class for which it was used.
+/// The idempotency key of a reservation and the class of its request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestIdentity {
     /// The client's idempotency key.
     pub identity: Box<str>,
-    /// The class that the request was asked for.
+    /// The class that the request asked for.
     pub class: Box<str>,
 }
 
-/// A reservation without its settlement.
+/// A reservation that is not settled.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OpenReservation {
-    /// Whose.
+    /// The tenant's name.
     pub tenant: Box<str>,
-    /// How much.
+    /// Reserved units.
     pub amount: Units,
-    /// The accounts' periods that it is charged to.
+    /// The account periods that the request is charged to.
     pub account_periods: Vec<AccountPeriod>,
-    /// The client's idempotency key for it, if it has one.
+    /// The request's idempotency key and class, if the client gave a key.
     pub identity: Option<RequestIdentity>,
 }
 
-/// A request with an idempotency key that may have had its effect.
+/// A request with an idempotency key that may have been executed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ExecutedRequest {
-    /// Whose.
+    /// The tenant's name.
     pub tenant: Box<str>,
     /// The client's idempotency key.
     pub identity: Box<str>,
-    /// The class it was asked for.
+    /// The class that the request asked for.
     pub class: Box<str>,
-    /// When it ended.
+    /// Time when the request ended.
     pub at: Time,
 }
 
-/// The newest lease that was adopted.
+/// The newest adopted lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// The round's number; 0: none was adopted.
+    /// Number of the lease's round; 0 if no lease was adopted.
     pub number: u64,
-    /// Nothing is reserved under it from then on.
+    /// Expiry time: from then on nothing is reserved under the lease.
     pub until: Time,
 }
 
 /// Demand for an account that was denied because the router's share was too small.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Demand {
-    /// The worst cases of all denied requests.
+    /// Sum of the worst-case costs of all denied requests.
     pub total: Units,
-    /// The largest of them.
+    /// The largest worst-case cost of one denied request.
     pub largest: Units,
 }
 
@@ -79,30 +79,31 @@
     }
 }
 
-/// The sums of a ledger's records.
+/// The state that results from a ledger's records.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct State {
-    /// Use by account and period.
+    /// Usage by account and period.
     pub usage: UsageTable,
-    /// Reservations without settlement, by the request's id.
+    /// Reservations that are not settled, by request id.
     pub open: BTreeMap<Box<str>, OpenReservation>,
-    /// The newest lease adopted.
+    /// The newest adopted lease.
     pub lease: Lease,
-    /// The latest time of any record: no later decision is made at an earlier one.
+    /// The latest time of any record. Later decisions use at least this time.
     pub last: Time,
-    /// Reservations settled, in all.
+    /// Total number of settled reservations.
     pub settled: u64,
-    /// Requests that may have had their effect, oldest first; bounded in number and age.
+    /// Requests that may have been executed, oldest first; bounded in number and age.
     pub executed: VecDeque<ExecutedRequest>,
     /// The number of the last record applied. A ledger's records are numbered without gaps.
     pub sequence: u64,
-    /// Demand that was denied, as the newest lease's record names it.
+    /// Denied demand from the newest lease's record.
     pub demand: BTreeMap<AccountKey, Demand>,
 }
 
 impl State {
-    /// Applies a record by its number. False: it changes nothing, since it was applied before (the same
-    /// ledger read twice does no harm), or settles what is not open.
+    /// Applies the record with the given number. Returns false if the record changes nothing: it was applied
+    /// before, its reservation or lease is not new, or its settlement is of a request that is not open. Reading
+    /// the same ledger twice is therefore harmless.
     pub fn apply(&mut self, number: u64, record: &Record) -> bool {
         if number <= self.sequence {
             return false;
@@ -110,7 +111,7 @@
         self.sequence = number;
         match record {
             Record::Started(at) => self.start(*at),
-            // Nothing was lost: leases and reservations stay in force.
+            // The previous process lost no records, so leases and reservations stay in force.
             Record::Succeeded(at) => self.last = self.last.max(*at),
             Record::Reserved(reservation) => return self.reserve(reservation),
             Record::Settled(settled) => return self.settle(settled),
@@ -123,7 +124,7 @@
         true
     }
 
-    /// What the lease allocator needs: the state without single requests.
+    /// The state without individual requests, as the lease allocator needs it.
     pub fn sums(&self) -> Self {
         Self {
             usage: self.usage.clone(),
@@ -134,8 +135,7 @@
         }
     }
 
-    /// A restarted process reserves nothing under earlier leases: their last records may have been lost with
-    /// the machine's power.
+    /// Ends earlier leases: after a restart, their last records may have been lost in a power failure.
     fn start(&mut self, at: Time) {
         self.last = self.last.max(at);
         self.lease.until = Time(0);
--- a/crates/budget/src/token_bucket.rs
+++ b/crates/budget/src/token_bucket.rs
@@ -2,14 +2,14 @@
 
 use crate::units::{Time, Units};
 
-/// The token bucket of a tenant at one router. A request is admitted if the bucket holds its worst case, or is
-/// full; what was not used is given back at its settlement.
+/// The token bucket of a tenant at one router. A request is admitted if the bucket holds the request's worst-case
+/// cost or is full. The unused part is returned at the settlement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct TokenBucket {
     per_second: u64,
     burst: i64,
     level: i64,
-    /// Refilled up to then; the time for a part of a unit is not lost.
+    /// Time up to which the bucket was refilled. The time for a fraction of a unit carries over.
     filled_at: Time,
 }
 
@@ -17,13 +17,13 @@
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(per_second: Units, burst: Units, now: Time) -> Self {
         let burst = i64::try_from(burst.0).unwrap_or(i64::MAX).max(1);
         Self { per_second: per_second.0.max(1), burst, level: burst, filled_at: now }
     }
 
-    /// Changes the rate; the level is cut to the new burst.
+    /// Changes the rate and the burst. The level is limited to the new burst.
     pub fn change(&mut self, per_second: Units, burst: Units) {
         self.per_second = per_second.0.max(1);
         self.burst = i64::try_from(burst.0).unwrap_or(i64::MAX).max(1);
@@ -41,10 +41,10 @@
         self.level = self.level.saturating_add(i64::try_from(units).unwrap_or(i64::MAX)).min(self.burst);
     }
 
-    /// Whether so much may be taken now.
+    /// Checks whether the units may be taken now.
     ///
     /// # Errors
-    /// The time until then, µs.
+    /// The waiting time in microseconds.
     pub fn check_available(&mut self, now: Time, units: Units) -> Result<(), u64> {
         self.refill(now);
         let wanted = i64::try_from(units.0).unwrap_or(i64::MAX).min(self.burst);
@@ -57,12 +57,12 @@
         Err(u64::try_from(wait).unwrap_or(u64::MAX))
     }
 
-    /// Takes units, if need be into debt.
+    /// Takes units; the level may become negative.
     pub fn take(&mut self, units: Units) {
         self.level = self.level.saturating_sub(i64::try_from(units.0).unwrap_or(i64::MAX));
     }
 
-    /// Gives back what was not used.
+    /// Returns unused units.
     pub fn give_back(&mut self, units: Units) {
         let level = self.level.saturating_add(i64::try_from(units.0).unwrap_or(i64::MAX));
         self.level = level.min(self.burst);
--- a/crates/budget/src/units.rs
+++ b/crates/budget/src/units.rs
@@ -1,4 +1,4 @@
-//! What budgets are counted in.
+//! Units of budgets: times, tokens, weights and costs.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,19 +7,19 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// So many µs later.
+    /// The time this many microseconds later.
     #[must_use]
     pub fn after(self, micros: u64) -> Self {
         Self(self.0.saturating_add(micros))
     }
 
-    /// µs since an earlier time; 0 if it is later.
+    /// Microseconds since an earlier time, or 0 if `earlier` is later.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Thousandths of a budget token: a token of weight 1 is 1,000 units. All sums are whole.
+/// Thousandths of a budget token: a token of weight 1 is 1,000 units. All sums are integers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Units(pub u64);
 
@@ -27,29 +27,29 @@
     /// Units in a token of weight 1.
     pub const PER_TOKEN: u64 = 1_000;
 
-    /// So many tokens of weight 1.
+    /// The units of this many tokens of weight 1.
     pub fn tokens(tokens: u64) -> Self {
         Self(tokens.saturating_mul(Self::PER_TOKEN))
     }
 
-    /// Whole tokens, rounded up.
+    /// The number of tokens of weight 1, rounded up.
     pub fn in_tokens(self) -> u64 {
         self.0.div_ceil(Self::PER_TOKEN)
     }
 
-    /// The sum, held at the largest.
+    /// Saturating sum.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// The difference, held at 0.
+    /// Saturating difference.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// This times `part` of `total`, rounded down; 0 of nothing.
+    /// These units times `part / total`, rounded down; 0 if `total` is 0.
     #[must_use]
     pub fn share(self, part: u64, total: u64) -> Self {
         if total == 0 {
@@ -69,17 +69,17 @@
 /// Tokens of a request as an engine counted them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Usage {
-    /// Of the prompt, kept ones included.
+    /// Tokens of the prompt, including cached ones.
     pub prompt: u64,
-    /// Of these, found kept and not read again.
+    /// Tokens of the prompt that were cached and not computed again.
     #[serde(rename = "kept")]
     pub cached: u64,
-    /// Of the answer.
+    /// Tokens of the answer.
     pub output: u64,
 }
 
 impl Usage {
-    /// Sums of each.
+    /// Saturating sum of each count.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -89,21 +89,21 @@
         }
     }
 
-    /// Tokens altogether, unweighted.
+    /// Unweighted sum of prompt and output tokens.
     pub fn total(self) -> u64 {
         self.prompt.saturating_add(self.output)
     }
 }
 
-/// What a token counts, in units.
+/// Units for each kind of token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Weights {
-    /// A prompt token that was read.
+    /// Units of a prompt token that was computed.
     pub prompt: u32,
-    /// A prompt token that was kept.
+    /// Units of a cached prompt token.
     #[serde(rename = "kept")]
     pub cached: u32,
-    /// A token of the answer.
+    /// Units of an output token.
     pub output: u32,
 }
 
@@ -114,7 +114,7 @@
 }
 
 impl Weights {
-    /// What a usage costs.
+    /// Cost of a usage.
     pub fn cost(&self, usage: Usage) -> Units {
         let cached = usage.cached.min(usage.prompt);
         let of = |tokens: u64, weight: u32| tokens.saturating_mul(u64::from(weight));
@@ -122,7 +122,7 @@
         Units(read.saturating_add(of(cached, self.cached)).saturating_add(of(usage.output, self.output)))
     }
 
-    /// The most that a request can cost: nothing is kept, or all, whichever is dearer.
+    /// Maximum cost of a request: all of its prompt counts at the higher of the two prompt weights.
     pub fn worst(&self, prompt: u64, output: u64) -> Units {
         let dearer = self.prompt.max(self.cached);
         Units(
