--- a/crates/budget/src/bill/mod.rs
+++ b/crates/budget/src/bill/mod.rs
@@ -53,7 +53,7 @@
     pub cached: u64,
     /// Generated tokens.
     pub output: u64,
-    /// Time when the attempt ended.
+    /// Time when the attempt ended, in microseconds since 1970.
     pub at: Time,
 }
 
--- a/crates/budget/src/budget_enforcer/account.rs
+++ b/crates/budget/src/budget_enforcer/account.rs
@@ -1,4 +1,4 @@
-//! What a router knows of a tenant and of one of its accounts.
+//! Tenants and accounts at one router, and the capacity of an account.
 
 use std::collections::BTreeMap;
 
@@ -14,12 +14,12 @@
 /// The soft limit, in thousandths of the budget, that means "none".
 const NO_SOFT_LIMIT: u32 = 1_000;
 
-/// What the newest grant said of an account's period over all routers.
+/// Budget and usage of an account period over all routers, from the newest grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct GrantedLimit {
-    /// The budget, with what was granted by hand.
+    /// The budget, including manual adjustments.
     pub limit: Units,
-    /// Used at all other routers.
+    /// Units used at all other routers.
     pub used_elsewhere: Units,
 }
 
@@ -29,13 +29,13 @@
     pub limits: Vec<(AccountKey, Limit)>,
     pub granted: BTreeMap<AccountPeriod, GrantedLimit>,
     pub bucket: Option<TokenBucket>,
-    /// Denied since the last lease because this router's share was too small.
+    /// Demand denied since the last lease because this router's share was too small.
     pub demand: BTreeMap<AccountKey, Demand>,
     /// Requests denied since the process started.
     pub denied: u64,
 }
 
-/// The tenants that a plan names.
+/// Returns the tenants of a plan.
 pub(super) fn tenants_of(plan: &Plan) -> BTreeMap<Box<str>, TenantAccount> {
     let mut tenants: BTreeMap<Box<str>, TenantAccount> = BTreeMap::new();
     for (key, limit) in &plan.limits {
@@ -49,7 +49,7 @@
 }
 
 impl TenantAccount {
-    /// The tenant under a new plan; its bucket stays if there is still a rate.
+    /// Applies a new plan. The token bucket is kept if the plan has a rate for the tenant.
     pub fn with_plan(self, limits: Vec<(AccountKey, Limit)>, rate: Option<&RateLimit>, mode: Mode) -> Self {
         let mut bucket = self.bucket.filter(|_| rate.is_some());
         if let (Some(bucket), Some(rate)) = (&mut bucket, rate) {
@@ -58,7 +58,7 @@
         Self { limits, bucket, ..self }
     }
 
-    /// Takes the demand that a lease's record tells the allocator.
+    /// Takes the denied demand, which the record of the next lease reports to the allocator.
     pub fn take_demand(&mut self) -> impl Iterator<Item = DeniedDemand> {
         let demand = std::mem::take(&mut self.demand);
         demand.into_iter().map(|(key, demand)| DeniedDemand {
@@ -69,23 +69,23 @@
     }
 }
 
-/// What may still be reserved, and what to say when it is too little.
+/// Units that may still be reserved, and the reason for a denial if they do not suffice.
 pub(super) struct Capacity {
     pub available: Units,
     pub limited_by: DenialReason,
 }
 
-/// An account in its current period, as it stands for one decision.
+/// An account in its current period, for one decision.
 pub(super) struct AccountBalance<'a> {
     pub key: &'a AccountKey,
     pub limit: &'a Limit,
     pub usage: AccountUsage,
-    /// None: no grant has named the period.
+    /// `None` if no grant has included the period.
     pub granted: Option<GrantedLimit>,
 }
 
 impl AccountBalance<'_> {
-    /// What may still be reserved at this router.
+    /// Capacity that may still be reserved at this router.
     pub fn capacity(&self, mode: Mode, lease_until: Time, now: Time) -> Capacity {
         match mode {
             Mode::Shares(routers) => {
@@ -97,7 +97,7 @@
                 Capacity { available: share.minus(self.usage.used()), limited_by }
             }
             Mode::Unreserved(_) => {
-                // Reservations don't count: anything fits until the budget is spent here.
+                // Reservations don't count: every request fits until this router has spent the budget.
                 let unspent = self.limit.hard.minus(self.usage.spent);
                 let available = if unspent > Units(0) { Units(u64::MAX) } else { unspent };
                 Capacity { available, limited_by: DenialReason::BudgetExhausted }
@@ -123,7 +123,8 @@
         Capacity { available: ceiling.minus(used), limited_by }
     }
 
-    /// Thousandths of the budget that are used with so much more, over all routers as far as is known here.
+    /// Thousandths of the budget that are used after `more` additional units. Includes other routers as far as
+    /// grants report their usage.
     pub fn used_thousandths(&self, mode: Mode, more: Units) -> u32 {
         let (usage, hard) = (self.usage, self.limit.hard);
         let (total, used) = match (mode, self.granted) {
@@ -138,7 +139,7 @@
         u32::try_from(part).unwrap_or(u32::MAX)
     }
 
-    /// Past the soft limit the answer is cut or the class lowered, as agreed.
+    /// Limits the answer or lowers the class of a request above the soft limit, as the plan demands.
     pub fn apply_soft_limit(&self, mode: Mode, admission: &mut Admission) {
         let soft = self.limit.soft;
         if soft >= NO_SOFT_LIMIT || self.used_thousandths(mode, Units(0)) < soft {
@@ -151,8 +152,8 @@
         }
     }
 
-    /// The longest answer, up to the one asked for, whose worst case is available. None: the request doesn't
-    /// fit, and its answer may not be cut so far.
+    /// The longest answer, up to the requested length, whose worst-case cost is available. `None` if the request
+    /// does not fit and the plan does not allow an answer that short.
     pub fn longest_answer(&self, plan: &Plan, prompt: u64, output: u64, available: Units) -> Option<u64> {
         let weights = plan.weights;
         if weights.worst(prompt, output) <= available {
--- a/crates/budget/src/budget_enforcer/admission.rs
+++ b/crates/budget/src/budget_enforcer/admission.rs
@@ -12,43 +12,43 @@
 use super::account::{AccountBalance, TenantAccount};
 use super::{router_part, BudgetEnforcer};
 
-/// Retry-After of a denial while the ledger can't be written, µs.
+/// Retry time of a denial while the ledger can't be written, in microseconds.
 const LEDGER_RETRY_AFTER: u64 = 1_000_000;
 
-/// A request that asks for admission.
+/// A request to be admitted.
 #[derive(Debug, Clone, Copy)]
 pub struct ReservationRequest<'a> {
-    /// The router's id of it.
+    /// The request's id at the router.
     pub id: &'a str,
-    /// Tenant; empty: none.
+    /// The tenant; empty if the request has none.
     pub tenant: &'a str,
-    /// Class.
+    /// The request's class.
     pub class: &'a str,
     /// The client's idempotency key.
     pub identity: Option<&'a str>,
-    /// Estimated tokens of its prompt.
+    /// Estimated tokens of the prompt.
     pub prompt: u64,
-    /// The longest answer asked for, in tokens.
+    /// Maximum length of the answer in tokens, as requested.
     pub output: u64,
 }
 
 /// The terms on which a request is admitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admission {
-    /// The longest answer in tokens: as asked, or cut.
+    /// Maximum length of the answer in tokens: as requested or reduced.
     pub output: u64,
-    /// The class as which the request is handled, if its own is lowered.
+    /// The lower class as which the request is handled, if any.
     pub lower_to: Option<Box<str>>,
     /// Warning marks that the reservation passed.
     pub marks: Vec<BudgetMark>,
 }
 
-/// A warning mark of an account's budget.
+/// Warning mark of an account's budget.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetMark {
     /// The account.
     pub account: AccountKey,
-    /// Thousandths of its budget.
+    /// Thousandths of the account's budget.
     pub thousandths: u32,
 }
 
@@ -57,7 +57,7 @@
 pub enum DenialReason {
     /// The period's budget is used up.
     BudgetExhausted,
-    /// This router's share of it is used up; the next lease may grant more.
+    /// This router's share of the period's budget is used up; the next lease may grant more.
     RouterShareExhausted,
     /// This router holds no lease.
     NoLease,
@@ -67,14 +67,15 @@
     LedgerUnavailable,
 }
 
-/// A denied request. Nothing has run, and retrying does no harm.
+/// The denial of a request. The request was not executed and can safely be retried.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Denial {
-    /// Why.
+    /// Why the request is denied.
     pub reason: DenialReason,
-    /// Which budget; none for [`DenialReason::RateLimited`] and [`DenialReason::LedgerUnavailable`].
+    /// The account that denied the request. `None` for [`DenialReason::RateLimited`] and
+    /// [`DenialReason::LedgerUnavailable`].
     pub account: Option<AccountKey>,
-    /// Retry after so many µs.
+    /// Time to wait before a retry, in microseconds.
     pub retry_after: u64,
 }
 
@@ -95,14 +96,14 @@
     }
 }
 
-/// What an admitted request reserves.
+/// Reservation of an admitted request.
 struct ReservedAmount {
     amount: Units,
     account_periods: Vec<AccountPeriod>,
 }
 
 impl BudgetEnforcer {
-    /// Admits a request by reserving its worst case.
+    /// Admits a request by reserving its worst-case cost.
     ///
     /// # Errors
     /// The reason why it is denied, and when to retry.
@@ -128,7 +129,7 @@
                 let mut decision = Decision { plan, state, current_periods, now, request, prompt };
                 decision.reserve(tenant, &mut admission)?
             }
-            // Without a budget: admitted without limit, and recorded for the bill.
+            // Tenants without a budget are admitted without limit and recorded for the bill.
             None => {
                 let amount = plan.weights.worst(prompt, request.output);
                 ReservedAmount { amount, account_periods: Vec::new() }
@@ -146,7 +147,7 @@
         Ok(admission)
     }
 
-    /// Counts a denial, and keeps the demand that a larger share would have met for the next lease.
+    /// Counts a denial. If a larger share could have admitted the request, its demand is kept for the next lease.
     fn note_denial(&mut self, request: ReservationRequest<'_>, denial: &Denial) {
         let worst = self.plan.weights.worst(self.plan.with_margin(request.prompt), request.output);
         if !self.tenants.contains_key(request.tenant) {
@@ -169,12 +170,12 @@
     current_periods: &'a mut BTreeMap<PeriodKind, Period>,
     now: Time,
     request: ReservationRequest<'a>,
-    /// Tokens of the prompt, raised by the plan's margin.
+    /// Tokens of the prompt plus the plan's margin.
     prompt: u64,
 }
 
 impl<'a> Decision<'a> {
-    /// Checks all accounts and the rate; takes from the rate's bucket only if all of them admit.
+    /// Checks all accounts and the rate. Takes from the rate's bucket only if all accounts admit the request.
     fn reserve(
         &mut self,
         tenant: &mut TenantAccount,
@@ -200,7 +201,7 @@
         Ok(ReservedAmount { amount, account_periods })
     }
 
-    /// The current period of a kind; asks the calendar once for each period.
+    /// The current period of a kind. The calendar is evaluated once for each period.
     fn current_period(&mut self, kind: PeriodKind) -> Period {
         match self.current_periods.get(&kind) {
             Some(period) if period.contains(self.now) => *period,
@@ -225,7 +226,7 @@
         AccountBalance { key, limit, usage, granted }
     }
 
-    /// Cuts the answer to what is available where that is agreed; otherwise denies.
+    /// Reduces the answer to the available units if the plan allows it; otherwise denies the request.
     fn fit(
         &self,
         balance: &AccountBalance<'_>,
@@ -238,7 +239,7 @@
             admission.output = output;
             return Ok(());
         }
-        // A new period begins with a new budget, whatever leases say.
+        // The next period begins with a new budget, independently of leases.
         let until_next_period = period.end.since(self.now);
         let retry_after = match (capacity.limited_by, self.plan.mode) {
             (DenialReason::RouterShareExhausted | DenialReason::NoLease, Mode::Leases { epoch, .. }) => {
@@ -265,7 +266,7 @@
     }
 }
 
-/// The warning marks that a reservation of this amount passes.
+/// The warning marks that a reservation of this amount reaches.
 fn passed_marks(balances: &[AccountBalance<'_>], mode: Mode, amount: Units) -> Vec<BudgetMark> {
     let mut marks = Vec::new();
     for balance in balances.iter().filter(|balance| !balance.limit.marks.is_empty()) {
--- a/crates/budget/src/budget_enforcer/lease.rs
+++ b/crates/budget/src/budget_enforcer/lease.rs
@@ -1,4 +1,4 @@
-//! Adopting leases: from a grant to the ceilings that hold at this router.
+//! Adoption of leases: turns a grant into the ceilings in force at this router.
 
 use crate::grant::Grant;
 use crate::record::{AccountCeiling, AdoptedLease, Record};
@@ -8,31 +8,32 @@
 use super::account::GrantedLimit;
 use super::BudgetEnforcer;
 
-/// Granted limits kept for a tenant; beyond, those of periods that the state has forgotten are dropped.
+/// Number of granted limits of a tenant from which limits of periods that are no longer in the state are dropped.
 const GRANTED_LIMITS_KEPT: usize = 16;
 
-/// Why a grant is not adopted. The lease in force stays.
+/// Why a grant is not adopted. The current lease stays in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AdoptLeaseError {
-    /// It is for another router.
+    /// The grant is for another router.
     #[error("the grant is for another router")]
     NotOurs,
-    /// It is not newer than the newest seen.
+    /// The grant is not newer than the current lease.
     #[error("the grant is not newer than the lease in force")]
     Old,
-    /// Its time is over.
+    /// The grant has expired.
     #[error("the grant has expired")]
     Expired,
-    /// The ledger can't be written, so that the adoption could not be recorded.
+    /// The ledger can't be written, so the adoption can't be recorded.
     #[error("the ledger can't be written")]
     NoLedger,
 }
 
 impl BudgetEnforcer {
-    /// Adopts a grant whose signature was checked.
+    /// Adopts a grant whose signature was verified.
     ///
     /// # Errors
-    /// If it is not this router's, not newer than the newest, or expired; or if it can't be recorded.
+    /// If the grant is for another router, is not newer than the current lease or has expired, or if the ledger
+    /// can't be written.
     pub fn adopt(&mut self, now: Time, grant: &Grant) -> Result<(), AdoptLeaseError> {
         let now = self.monotonic(now);
         self.check(now, grant)?;
@@ -59,7 +60,7 @@
         if grant.until <= now {
             return Err(AdoptLeaseError::Expired);
         }
-        // Bounds the records that wait for the disk: while it is full nothing but settlements is added.
+        // Bounds the records that wait for the disk: while the disk is full, only settlements are added.
         if !self.writable {
             return Err(AdoptLeaseError::NoLedger);
         }
@@ -70,7 +71,7 @@
         let mut ceilings = Vec::with_capacity(grant.allowances.len());
         for allowance in &grant.allowances {
             let (key, period) = (&allowance.key, allowance.period);
-            // What is used can't be given back; the allocator learns it from the record.
+            // Used units can't be returned, so the ceiling is at least the usage. The record tells the allocator.
             let used = self.state.usage.get(key, period.start).used();
             ceilings.push(AccountCeiling { key: key.clone(), period, ceiling: allowance.ceiling.max(used) });
             if let Some(tenant) = self.tenants.get_mut(&key.tenant) {
--- a/crates/budget/src/budget_enforcer/mod.rs
+++ b/crates/budget/src/budget_enforcer/mod.rs
@@ -1,8 +1,8 @@
-//! Budget enforcement at one router, decided from its plan, its ledger's state and its lease alone.
+//! Budget enforcement at one router, based only on the plan, the state of the router's ledger and its lease.
 //!
-//! [`admission`] decides on new requests, [`account`] holds what is known of one account and one tenant, and
-//! [`lease`] adopts leases. Every change of state is a [`Record`] that the caller must write to the ledger
-//! before anything that follows from it leaves the router.
+//! [`admission`] decides on new requests, [`account`] computes the capacity of accounts, and [`lease`] adopts
+//! leases. Each state change is a [`Record`] that the caller must write to the ledger before the router sends
+//! any output that depends on it.
 
 mod account;
 mod admission;
@@ -20,37 +20,37 @@
 pub use admission::{Admission, BudgetMark, Denial, DenialReason, ReservationRequest};
 pub use lease::AdoptLeaseError;
 
-/// A tenant's figures at this router for metrics; all but `refused` in units.
+/// Metrics of a tenant at this router, in units except for `refused`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Figures {
-    /// Settled in the present period.
+    /// Units settled in the current period.
     pub spent: u64,
-    /// Reserved and not settled.
+    /// Units reserved and not settled.
     pub reserved: u64,
-    /// Granted to this router and not used.
+    /// Units granted to this router and not used.
     pub stranded: u64,
     /// Requests denied since the process started.
     pub refused: u64,
 }
 
-/// The budget decisions of one router. The same events always give the same decisions.
+/// Makes the budget decisions of one router. Decisions are deterministic.
 #[derive(Debug, Clone)]
 pub struct BudgetEnforcer {
     router: Box<str>,
     plan: Plan,
     state: State,
-    /// The current period of each kind, as the calendar last gave it.
+    /// Cached current period of each kind.
     current_periods: BTreeMap<PeriodKind, Period>,
     tenants: BTreeMap<Box<str>, TenantAccount>,
     writable: bool,
-    /// Requests that the previous process admitted and still settles.
+    /// Ids of requests that the previous process admitted and still settles.
     inherited: BTreeSet<Box<str>>,
     unwritten_records: Vec<(u64, Record)>,
 }
 
 impl BudgetEnforcer {
-    /// Starts from the recovered state. Reservations that were open belong to a process that crashed, whose
-    /// clients were cut off: they are settled here at no cost.
+    /// Starts from the recovered state. Open reservations belong to a crashed process whose clients were
+    /// disconnected, so they are settled at no cost.
     pub fn new(router: &str, plan: Plan, state: State, now: Time) -> Self {
         let mut enforcer = Self::with_state(router, plan, state);
         let now = enforcer.monotonic(now);
@@ -60,8 +60,8 @@
         enforcer
     }
 
-    /// Takes over from a process that handed its ledger over and admits nothing new, but still finishes its
-    /// open requests. Their settlements come by [`BudgetEnforcer::settle_inherited`], until
+    /// Takes over from a process that handed over its ledger. That process admits no new requests but finishes its
+    /// open ones. Their settlements arrive through [`BudgetEnforcer::settle_inherited`], until
     /// [`BudgetEnforcer::finish_inheritance`].
     pub fn take_over(router: &str, plan: Plan, state: State, now: Time) -> Self {
         let mut enforcer = Self::with_state(router, plan, state);
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Applies a settlement of the previous process. False: the request is not one that it left open.
+    /// Applies a settlement of the previous process. Returns false if the request is not an unsettled one of that
+    /// process.
     pub fn settle_inherited(&mut self, now: Time, settled: &Settled) -> bool {
         if !self.inherited.remove(&settled.id) {
             return false;
@@ -93,7 +94,7 @@
         self.settle(now, &settled.id, settled.ending, settled.usage, attempts, settled.may_have_run)
     }
 
-    /// The previous process has ended: what it did not settle is orphaned.
+    /// Settles the remaining requests of the previous process, which has ended, as orphaned.
     pub fn finish_inheritance(&mut self, now: Time) {
         let unsettled: Vec<Box<str>> = std::mem::take(&mut self.inherited).into_iter().collect();
         self.settle_orphans(now, &unsettled);
@@ -105,13 +106,13 @@
         }
     }
 
-    /// Takes the records, with their numbers, that must reach the ledger before anything that follows from
-    /// them leaves the router.
+    /// Takes new records with their numbers. The caller must write them to the ledger before the router sends any
+    /// output that depends on them.
     pub fn take_records(&mut self) -> impl Iterator<Item = (u64, Record)> + '_ {
         self.unwritten_records.drain(..)
     }
 
-    /// Sets whether the ledger can be written. While it can't, nothing is admitted.
+    /// Sets whether the ledger can be written. Otherwise no request is admitted.
     pub fn set_writable(&mut self, writable: bool) {
         self.writable = writable;
     }
@@ -121,8 +122,8 @@
         &self.state
     }
 
-    /// Replaces budgets, rates and prices. What is spent and reserved stays, and requests of tenants that the
-    /// new plan does not name are still settled.
+    /// Replaces budgets, rates and prices. Spent and reserved units are kept. Open requests of tenants that are not
+    /// in the new plan are still settled.
     pub fn set_plan(&mut self, plan: Plan) {
         let mut tenants = account::tenants_of(&plan);
         self.current_periods.clear();
@@ -135,13 +136,13 @@
         self.plan = plan;
     }
 
-    /// No time is before the ledger's last record: a clock that was set back reopens no old period and
-    /// lengthens no lease.
+    /// Returns `now`, but no time before the ledger's last record: a clock that was set back must not reopen old
+    /// periods or prolong a lease.
     fn monotonic(&self, now: Time) -> Time {
         now.max(self.state.last)
     }
 
-    /// Applies a record and queues it for the ledger. False: it changed nothing.
+    /// Applies a record and queues it for the ledger. Returns false if the record changed nothing.
     fn record(&mut self, record: Record) -> bool {
         let number = self.state.sequence + 1;
         let changed = self.state.apply(number, &record);
@@ -149,8 +150,8 @@
         changed
     }
 
-    /// Ends a reservation with what the request cost. `may_have_run` tells whether it may have had its effect.
-    /// False: it was settled before or never reserved, and nothing changes.
+    /// Settles a reservation with the request's usage. `may_have_run` states whether the request may have been
+    /// executed. Returns false without any change if the request is not open.
     pub fn settle(
         &mut self,
         now: Time,
@@ -187,13 +188,13 @@
         }))
     }
 
-    /// Writes a checkpoint, for the head of a new ledger segment. It changes no sums.
+    /// Queues a checkpoint for the beginning of a new ledger segment. Usage does not change.
     pub fn checkpoint(&mut self) {
         let state = self.state.clone();
         self.record(Record::State(Box::new(state)));
     }
 
-    /// Each tenant's figures at this router, over its accounts of the longest kind without a class.
+    /// Metrics of each tenant at this router, from its account without a class that has the longest period.
     pub fn figures(&self, now: Time) -> BTreeMap<Box<str>, Figures> {
         let now = self.monotonic(now);
         let starts = PeriodKind::ALL.map(|kind| (kind, self.plan.calendar.period(kind, now).start));
@@ -226,7 +227,7 @@
         figures
     }
 
-    /// The open reservation of a request; for tests and the operator's view.
+    /// The open reservation of a request, for tests and the operator's view.
     pub fn reservation(&self, id: &str) -> Option<&OpenReservation> {
         self.state.open.get(id)
     }
@@ -241,7 +242,7 @@
     }
 }
 
-/// One router's part of a rate that is agreed for all routers.
+/// One router's part of a rate for all routers.
 fn router_part(rate: Units, mode: Mode) -> Units {
     rate.share(1, mode.routers())
 }
--- a/crates/budget/src/lease_allocator/division.rs
+++ b/crates/budget/src/lease_allocator/division.rs
@@ -1,19 +1,20 @@
-//! Dividing what is left of a budget among routers.
+//! Division of the remaining budget among routers.
 
 use std::cmp::Reverse;
 
 use crate::units::Units;
 
-/// What a router needs of an account until the next lease.
+/// Demand of a router for an account until the next lease.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RouterDemand {
     pub is_alive: bool,
     pub units: Units,
-    /// The largest single request that was denied: a share below it is of no use.
+    /// Worst-case cost of the largest denied request. A smaller share could not admit it.
     pub largest: Units,
 }
 
-/// Divides what is left: one part in `divisor` evenly, the rest by demand; what nobody needs stays undivided.
+/// Divides the remaining budget: `1 / divisor` of it evenly and the rest by demand. Units beyond all demand stay
+/// undivided.
 pub(super) fn divide(left: Units, demands: &[RouterDemand], divisor: u64) -> Vec<Units> {
     let alive = demands.iter().filter(|demand| demand.is_alive).count() as u64;
     let even_share = even_share(left, demands, divisor, alive);
@@ -31,7 +32,8 @@
     shares
 }
 
-/// The share of each living router whatever its demand; none, if it would be too small for a request.
+/// The share of each live router independent of its demand; 0 if the share is too small for the largest denied
+/// request.
 fn even_share(left: Units, demands: &[RouterDemand], divisor: u64, alive: u64) -> Units {
     let largest = demands.iter().map(|demand| demand.largest).max().unwrap_or_default();
     let share = left.share(1, divisor.max(1).saturating_mul(alive.max(1)));
@@ -50,8 +52,8 @@
     }
 }
 
-/// Shares that were scaled below a single request strand the budget: those with the largest demand get
-/// enough for one, the others nothing.
+/// Concentrates the budget on fewer routers: shares that are too small for a single request would strand it. The
+/// routers with the largest demand get enough for one request, the others nothing.
 fn concentrate(shares: &mut [Units], demands: &[RouterDemand], rest: Units) {
     let mut left = rest;
     let mut order: Vec<usize> = (0..demands.len()).collect();
@@ -62,7 +64,7 @@
         *share = if enough <= left && demand.is_alive { enough } else { Units(0) };
         left = left.minus(*share);
     }
-    // What is too small for the largest demand goes to whom it may fit.
+    // The remainder goes to the live router with the largest demand, for which it may suffice.
     let alive = shares.iter_mut().zip(demands).filter(|(_, demand)| demand.is_alive);
     if let Some((share, _)) = alive.max_by_key(|(_, demand)| demand.units) {
         *share = share.plus(left);
--- a/crates/budget/src/lease_allocator/mod.rs
+++ b/crates/budget/src/lease_allocator/mod.rs
@@ -1,10 +1,10 @@
-//! Lease allocation, the settlement job's decisions: leases for the next epoch from the ledgers of all routers.
+//! Lease allocation by the settlement job: leases for the next epoch, computed from the ledgers of all routers.
 //!
-//! What a router may still come to spend is never forgotten: a ceiling counts from the round that names it
-//! until the router's own ledger shows a newer lease, or its time (and the clocks' error) was over when
-//! that ledger was read. The sum of what counts never passes the budget.
+//! All units that a router may still spend are accounted for. A ceiling counts from the round that grants it until
+//! the router's ledger shows a newer lease, or until that ledger was read after the lease's expiry plus the clock
+//! error. The sum of all counted ceilings never exceeds the budget.
 //!
-//! [`division`] divides what is left among routers, [`outstanding`] keeps the ceilings that may still be
+//! [`division`] divides the remaining budget among routers; [`outstanding`] tracks ceilings that may still be
 //! adopted.
 
 mod division;
@@ -21,27 +21,27 @@
 use division::{divide, RouterDemand};
 use outstanding::OutstandingCeilings;
 
-/// Rounds without a new lease adopted after which a router is granted nothing more.
+/// Number of rounds without a newly adopted lease after which a router is granted nothing more.
 const SILENT_ROUNDS: u64 = 4;
-/// Rounds of its growth that a router is granted ahead.
+/// Number of rounds of expected growth that a router is granted in advance.
 const ROUNDS_AHEAD: u64 = 4;
-/// Grants for the next period are given so many epochs before it begins.
+/// Number of epochs before the next period in which grants for it begin.
 const EPOCHS_BEFORE_PERIOD: u64 = 3;
 
-/// How long leases and rounds last, µs.
+/// Parameters of leases and rounds. Times are in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseTerms {
-    /// Between two rounds.
+    /// Time between two rounds.
     pub epoch: u64,
-    /// A lease's duration.
+    /// Duration of a lease.
     pub lease: u64,
-    /// The largest difference between two clocks.
+    /// Maximum difference between two clocks.
     pub clock_error: u64,
-    /// Not a time: of what is left, one part in so many is spread evenly over the living routers, for bursts.
+    /// Divisor of the remaining budget: one part is divided evenly among the live routers, for bursts.
     pub even_share_divisor: u64,
 }
 
-/// An account in the period that begins at a time.
+/// An account and the start of one of its periods.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountStart {
     /// The account.
@@ -50,52 +50,52 @@
     pub start: Time,
 }
 
-/// A router's lease is newer than the journal: another settlement job works with another journal.
+/// A router's lease is newer than the journal, so another settlement job uses a different journal.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "router {router} holds lease {number}, this journal ends at {head}: another settlement job keeps another \
      journal; stop one and join the journals"
 )]
 pub struct JournalForkError {
-    /// Whose ledger shows it.
+    /// The router whose ledger shows the lease.
     pub router: Box<str>,
-    /// The lease's number.
+    /// Number of the lease.
     pub number: u64,
-    /// The newest round of this journal.
+    /// Number of the newest round in this journal.
     pub head: u64,
 }
 
-/// One account over all routers in its present period, for operators.
+/// One account over all routers in its current period, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct AccountSummary {
     /// The account.
     pub account: String,
-    /// The period's start, µs since 1970.
+    /// Start of the period, in microseconds since 1970.
     pub start: Time,
-    /// Of the period, with what was granted by hand.
+    /// Budget of the period, including manual adjustments.
     pub limit: Units,
-    /// Settled.
+    /// Settled units.
     pub spent: Units,
-    /// Reserved and open.
+    /// Units reserved by open requests.
     pub reserved: Units,
-    /// Leased to routers and not used there.
+    /// Units leased to routers and not used there.
     pub stranded: Units,
 }
 
-/// A router's use of an account at the last round.
+/// A router's usage of an account at the last round, and its growth.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Growth {
     period_start: Time,
     used: Units,
-    /// Smoothed growth of the use a round.
+    /// Smoothed growth of the usage per round.
     per_round: Units,
 }
 
-/// What a router's ledger showed when it was last read.
+/// State of a router's ledger when it was last read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct RouterView {
     state: State,
-    /// When the ledger was read, by the settlement job's clock; 0: never.
+    /// Time when the ledger was read, by the settlement job's clock; 0 if never.
     read_at: Time,
     growth: BTreeMap<AccountKey, Growth>,
 }
@@ -106,12 +106,12 @@
     }
 }
 
-/// Allocates leases. The same observations always give the same rounds.
+/// Allocates leases. Rounds are a deterministic function of the observations.
 #[derive(Debug, Clone)]
 pub struct LeaseAllocator {
     plan: Plan,
     terms: LeaseTerms,
-    /// Granted by hand beyond the plan; may be less than nothing.
+    /// Manual adjustments of the plan's limits; may be negative.
     extra: BTreeMap<AccountStart, i64>,
     routers: BTreeMap<Box<str>, RouterView>,
     head: u64,
@@ -119,14 +119,14 @@
 }
 
 impl LeaseAllocator {
-    /// For these routers; no other is granted anything.
+    /// Creates an allocator for these routers. No other router is granted anything.
     pub fn new(plan: Plan, terms: LeaseTerms, routers: &[&str]) -> Self {
         let routers = routers.iter().map(|router| ((*router).into(), RouterView::default())).collect();
         let outstanding = OutstandingCeilings::default();
         Self { plan, terms, extra: BTreeMap::new(), routers, head: 0, outstanding }
     }
 
-    /// The newest round that is known.
+    /// Number of the newest known round.
     pub fn head(&self) -> u64 {
         self.head
     }
@@ -137,7 +137,7 @@
         self.extra = extra;
     }
 
-    /// Applies the journal's newest round; an older one is ignored.
+    /// Applies the journal's newest round. Rounds that are not newer than the known one are ignored.
     pub fn apply_round(&mut self, round: &Round) {
         if round.number > self.head {
             self.head = round.number;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes the state of a router's ledger. Reading it must not have begun before the time given.
+    /// Updates the state of a router's ledger. Reading the ledger must not have begun before `read_at`.
     pub fn observe(&mut self, router: &str, read_at: Time, state: &State) {
         if let Some(view) = self.routers.get_mut(router) {
             view.state = state.sums();
@@ -153,11 +153,11 @@
         }
     }
 
-    /// The next round. It is in force once it stands in the journal under its number, alone; then
-    /// [`Self::apply_round`] takes it, and its grants may be delivered.
+    /// Computes the next round. The round is in force once the journal contains it as the only round of its number;
+    /// then it must be passed to [`Self::apply_round`], and its grants may be delivered.
     ///
     /// # Errors
-    /// If another journal is at work.
+    /// If a router holds a lease of another journal.
     pub fn next_round(&mut self, now: Time) -> Result<Round, JournalForkError> {
         self.check_fork()?;
         let number = self.head + 1;
@@ -191,7 +191,7 @@
         Ok(())
     }
 
-    /// The present period, and the next one shortly before it begins.
+    /// The current period, and the next one shortly before it begins.
     fn periods_to_grant(&self, kind: PeriodKind, now: Time) -> Vec<Period> {
         let present = self.plan.calendar.period(kind, now);
         let ahead = self.terms.epoch.saturating_mul(EPOCHS_BEFORE_PERIOD).max(self.terms.lease / 2);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Smooths each router's growth of use; denied demand counts half.
+    /// Updates the smoothed usage growth of each router. Denied demand counts half.
     fn update_growth(&mut self, key: &AccountKey, now: Time) {
         let period_start = self.plan.calendar.period(key.kind, now).start;
         for view in self.routers.values_mut() {
@@ -221,12 +221,12 @@
         Units(hard.saturating_add_signed(extra))
     }
 
-    /// Whether a lease's time was certainly over when the router's ledger was read.
+    /// Whether a lease had certainly expired when the router's ledger was read.
     fn is_over(&self, view: &RouterView, until: Time) -> bool {
         view.read_at > until.after(self.terms.clock_error)
     }
 
-    /// What this router has used or may still come to use.
+    /// Units that this router has used or may still use.
     fn committed(&self, router: &str, view: &RouterView, account: &AccountStart) -> Units {
         let usage = view.usage(account);
         let is_over = self.is_over(view, view.state.lease.until);
@@ -235,7 +235,7 @@
         unanswered.max(leased).max(usage.used())
     }
 
-    /// Allowances of one account in one period, for the routers for which they change.
+    /// Allowances of one account in one period that a grant must name, by router.
     fn allocate(&self, key: &AccountKey, period: Period) -> Vec<(Box<str>, Allowance)> {
         let account = AccountStart { key: key.clone(), start: period.start };
         let limit = self.limit(&account);
@@ -252,7 +252,7 @@
         allowances
     }
 
-    /// The ceilings of all routers, in their order. The sum of what is committed never passes the limit.
+    /// The ceilings of all routers, in order of the routers. The sum of committed units never exceeds the limit.
     fn ceilings(&self, account: &AccountStart, limit: Units, total: Units) -> Vec<Units> {
         let demands: Vec<RouterDemand> =
             self.routers.values().map(|view| self.demand(&account.key, view)).collect();
@@ -261,7 +261,7 @@
             self.routers.iter().map(|(router, view)| self.committed(router, view, account)).collect();
         let used: Vec<Units> = self.routers.values().map(|view| view.usage(account).used()).collect();
         let mut free = limit.minus(committed.iter().copied().sum());
-        // The largest share is raised first, in case not all can be.
+        // The largest share is raised first, because the free units may not suffice for all.
         let mut order: Vec<usize> = (0..demands.len()).collect();
         order.sort_by_key(|i| std::cmp::Reverse(at(&shares, *i)));
         let mut ceilings = vec![Units(0); demands.len()];
@@ -280,9 +280,9 @@
     fn must_name(&self, router: &str, view: &RouterView, account: &AccountStart, ceiling: Units) -> bool {
         let held = view.usage(account).ceiling;
         let is_unchanged = held == Some(ceiling) || (held.is_none() && ceiling == Units(0));
-        // An unanswered round that named it must be overruled by name.
+        // A ceiling in a round that the router has not confirmed must be replaced explicitly.
         let is_unanswered = self.unanswered(router, view, account).is_some();
-        // After a lease's end the next one would bring back what it does not name.
+        // After a lease has expired, the next lease would restore each ceiling that it does not name.
         let would_come_back = held.is_some() && self.is_over(view, view.state.lease.until);
         is_unanswered || !is_unchanged || would_come_back
     }
@@ -290,7 +290,7 @@
     fn demand(&self, key: &AccountKey, view: &RouterView) -> RouterDemand {
         let growth = view.growth.get(key).map_or(Units(0), |growth| growth.per_round);
         let largest = view.state.demand.get(key).map_or(Units(0), |demand| demand.largest);
-        // One that adopts leases again is planned for from the next round on.
+        // A router that adopts leases again is included from the next round on.
         let silent_rounds = self.head.saturating_sub(view.state.lease.number);
         let expected = Units(growth.0.saturating_mul(ROUNDS_AHEAD));
         RouterDemand {
@@ -300,7 +300,7 @@
         }
     }
 
-    /// All accounts in their present periods.
+    /// Summaries of all accounts in their current periods.
     pub fn account_summaries(&self, now: Time) -> Vec<AccountSummary> {
         self.plan.limits.keys().map(|key| self.account_summary(key, now)).collect()
     }
--- a/crates/budget/src/lease_allocator/outstanding.rs
+++ b/crates/budget/src/lease_allocator/outstanding.rs
@@ -1,4 +1,4 @@
-//! Ceilings that were granted and may still be adopted.
+//! Granted ceilings that routers may still adopt.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use super::{AccountStart, LeaseAllocator, RouterView};
 
-/// All ceilings that the newest round names as outstanding, by account, then router.
+/// Outstanding ceilings of the newest round, by account, then by router.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct OutstandingCeilings(BTreeMap<AccountStart, BTreeMap<Box<str>, Vec<Outstanding>>>);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Whose ceiling it is; rounds name them in this order.
+/// Key of a ceiling. Rounds list ceilings in the order of these keys.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CeilingKey<'a> {
     account: AccountStart,
@@ -47,7 +47,7 @@
 }
 
 impl LeaseAllocator {
-    /// The highest ceiling that was granted to a router for an account and may still be adopted.
+    /// The highest granted ceiling of a router for an account that the router may still adopt.
     pub(super) fn unanswered(
         &self,
         router: &str,
@@ -62,7 +62,7 @@
         out.number > view.state.lease.number && !self.is_over(view, out.until)
     }
 
-    /// What is outstanding once these grants are given.
+    /// The outstanding ceilings after these grants are delivered.
     pub(super) fn outstanding_after(
         &self,
         grants: &BTreeMap<Box<str>, Vec<Allowance>>,
@@ -83,7 +83,7 @@
                 };
                 fresh.insert(CeilingKey::new(&out.key, out.period, router), out);
             }
-            // A lease that names nothing new still extends the ceilings held under the one before.
+            // A lease without changes still extends the ceilings that the router holds.
             for out in self.extended(router, number, until, now) {
                 fresh.entry(CeilingKey::new(&out.key, out.period, router)).or_insert(out);
             }
@@ -94,7 +94,7 @@
         all
     }
 
-    /// The ceilings that a router holds under a lease whose time may not be over.
+    /// The ceilings that a router holds, unless its lease has certainly expired.
     fn extended(&self, router: &str, number: u64, until: Time, now: Time) -> Vec<Outstanding> {
         let Some(view) = self.routers.get(router) else { return Vec::new() };
         if self.is_over(view, view.state.lease.until) {
@@ -121,7 +121,7 @@
         now: Time,
     ) -> bool {
         let may_be_adopted = self.routers.get(&old.router).is_none_or(|view| self.may_be_adopted(view, old));
-        // A newer one that is as high lasts longer and covers it.
+        // A newer ceiling that is at least as high expires later and replaces the old one.
         let newer = fresh.get(&CeilingKey::new(&old.key, old.period, &old.router));
         let is_covered = newer.is_some_and(|newer| newer.ceiling >= old.ceiling);
         may_be_adopted && !self.has_ended(old.period, now) && !is_covered
