--- a/crates/budget/src/budget_enforcer/admission.rs
+++ b/crates/budget/src/budget_enforcer/admission.rs
@@ -111,7 +111,7 @@
         let now = self.monotonic(now);
         let decision = self.decide(now, request);
         if let Err(denial) = &decision {
-            self.note_denial(request, denial);
+            self.count_denial(request, denial);
         }
         decision
     }
@@ -148,7 +148,7 @@
     }
 
     /// Counts a denial. If a larger share could have admitted the request, its demand is kept for the next lease.
-    fn note_denial(&mut self, request: ReservationRequest<'_>, denial: &Denial) {
+    fn count_denial(&mut self, request: ReservationRequest<'_>, denial: &Denial) {
         let worst = self.plan.weights.worst(self.plan.with_margin(request.prompt), request.output);
         if !self.tenants.contains_key(request.tenant) {
             self.tenants.insert(request.tenant.into(), TenantAccount::default());
@@ -196,7 +196,7 @@
             account_periods.push(account_period);
         }
         let amount = self.plan.weights.worst(self.prompt, admission.output);
-        admission.marks = passed_marks(&balances, self.plan.mode, amount);
+        admission.marks = reached_marks(&balances, self.plan.mode, amount);
         self.take_from_rate(tenant, amount)?;
         Ok(ReservedAmount { amount, account_periods })
     }
@@ -267,7 +267,7 @@
 }
 
 /// The warning marks that a reservation of this amount reaches.
-fn passed_marks(balances: &[AccountBalance<'_>], mode: Mode, amount: Units) -> Vec<BudgetMark> {
+fn reached_marks(balances: &[AccountBalance<'_>], mode: Mode, amount: Units) -> Vec<BudgetMark> {
     let mut marks = Vec::new();
     for balance in balances.iter().filter(|balance| !balance.limit.marks.is_empty()) {
         let before = balance.used_thousandths(mode, Units(0));
--- a/crates/budget/src/calendar_test.rs
+++ b/crates/budget/src/calendar_test.rs
@@ -10,11 +10,11 @@
 const HOUR: u64 = 3_600_000_000;
 
 #[test]
-fn days_are_as_long_as_the_clock_makes_them() {
+fn days_of_clock_changes_have_23_or_25_hours() {
     let calendar = Calendar::new("Europe/Zurich").unwrap();
     let length = |z: &str| {
-        let span = calendar.period(PeriodKind::Day, at(z));
-        span.end.since(span.start) / HOUR
+        let period = calendar.period(PeriodKind::Day, at(z));
+        period.end.since(period.start) / HOUR
     };
     assert_eq!(length("2026-03-29T12:00[Europe/Zurich]"), 23);
     assert_eq!(length("2026-10-25T12:00[Europe/Zurich]"), 25);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_hour_that_is_shown_twice_is_two_periods() {
+fn repeated_local_hour_is_two_periods() {
     let calendar = Calendar::new("Europe/Zurich").unwrap();
     let first = calendar.period(PeriodKind::Hour, at("2026-10-25T02:30+02:00[Europe/Zurich]"));
     let second = calendar.period(PeriodKind::Hour, at("2026-10-25T02:30+01:00[Europe/Zurich]"));
@@ -32,27 +32,27 @@
 #[test]
 fn february_of_a_leap_year_has_its_29th() {
     let calendar = Calendar::new("Asia/Kolkata").unwrap();
-    let span = calendar.period(PeriodKind::Month, at("2028-02-29T23:59:59[Asia/Kolkata]"));
-    assert_eq!(span.end.since(span.start), 29 * 24 * HOUR);
+    let period = calendar.period(PeriodKind::Month, at("2028-02-29T23:59:59[Asia/Kolkata]"));
+    assert_eq!(period.end.since(period.start), 29 * 24 * HOUR);
     assert_eq!(calendar.date(at("2028-02-29T23:59[Asia/Kolkata]")), "2028-02-29");
-    assert_eq!(calendar.parse_period("2028-02").unwrap(), (PeriodKind::Month, span));
+    assert_eq!(calendar.parse_period("2028-02").unwrap(), (PeriodKind::Month, period));
     assert!(calendar.parse_period("2027-02-29").is_err());
 }
 
 #[test]
-fn each_period_ends_where_the_next_begins_and_no_time_is_without() {
+fn periods_are_contiguous_and_cover_all_times() {
     for zone in ["Europe/Zurich", "America/Port_of_Spain", "Australia/Lord_Howe", "UTC"] {
         let calendar = Calendar::new(zone).unwrap();
         for kind in PeriodKind::ALL {
             // Zurich's clock changed on 29 March, Lord Howe's (by half an hour) on 5 April.
             let mut t = at("2026-03-25T00:00[UTC]");
             for _ in 0..500 {
-                let span = calendar.period(kind, t);
+                let period = calendar.period(kind, t);
                 assert!(
-                    span.contains(t) && calendar.period(kind, Time(span.end.0 - 1)) == span,
+                    period.contains(t) && calendar.period(kind, Time(period.end.0 - 1)) == period,
                     "{zone} {kind:?}"
                 );
-                t = span.end;
+                t = period.end;
             }
         }
     }
--- a/crates/budget/src/lease_allocator/mod.rs
+++ b/crates/budget/src/lease_allocator/mod.rs
@@ -222,17 +222,17 @@
     }
 
     /// Whether a lease had certainly expired when the router's ledger was read.
-    fn is_over(&self, view: &RouterView, until: Time) -> bool {
+    fn has_expired(&self, view: &RouterView, until: Time) -> bool {
         view.read_at > until.after(self.terms.clock_error)
     }
 
     /// Units that this router has used or may still use.
     fn committed(&self, router: &str, view: &RouterView, account: &AccountStart) -> Units {
         let usage = view.usage(account);
-        let is_over = self.is_over(view, view.state.lease.until);
-        let leased = usage.ceiling.filter(|_| !is_over).unwrap_or_default();
-        let unanswered = self.unanswered(router, view, account).unwrap_or_default();
-        unanswered.max(leased).max(usage.used())
+        let has_expired = self.has_expired(view, view.state.lease.until);
+        let leased = usage.ceiling.filter(|_| !has_expired).unwrap_or_default();
+        let unconfirmed_ceiling = self.unconfirmed_ceiling(router, view, account).unwrap_or_default();
+        unconfirmed_ceiling.max(leased).max(usage.used())
     }
 
     /// Allowances of one account in one period that a grant must name, by router.
@@ -243,7 +243,7 @@
         let ceilings = self.ceilings(&account, limit, total);
         let mut allowances = Vec::new();
         for ((router, view), ceiling) in self.routers.iter().zip(ceilings) {
-            if self.must_name(router, view, &account, ceiling) {
+            if self.must_include(router, view, &account, ceiling) {
                 let elsewhere = total.minus(view.usage(&account).used());
                 let allowance = Allowance { key: key.clone(), period, ceiling, limit, elsewhere };
                 allowances.push((router.clone(), allowance));
@@ -277,14 +277,14 @@
     }
 
     /// Whether a router's grant must name its ceiling.
-    fn must_name(&self, router: &str, view: &RouterView, account: &AccountStart, ceiling: Units) -> bool {
+    fn must_include(&self, router: &str, view: &RouterView, account: &AccountStart, ceiling: Units) -> bool {
         let held = view.usage(account).ceiling;
         let is_unchanged = held == Some(ceiling) || (held.is_none() && ceiling == Units(0));
         // A ceiling in a round that the router has not confirmed must be replaced explicitly.
-        let is_unanswered = self.unanswered(router, view, account).is_some();
+        let is_unconfirmed = self.unconfirmed_ceiling(router, view, account).is_some();
         // After a lease has expired, the next lease would restore each ceiling that it does not name.
-        let would_come_back = held.is_some() && self.is_over(view, view.state.lease.until);
-        is_unanswered || !is_unchanged || would_come_back
+        let would_be_restored = held.is_some() && self.has_expired(view, view.state.lease.until);
+        is_unconfirmed || !is_unchanged || would_be_restored
     }
 
     fn demand(&self, key: &AccountKey, view: &RouterView) -> RouterDemand {
--- a/crates/budget/src/lease_allocator/outstanding.rs
+++ b/crates/budget/src/lease_allocator/outstanding.rs
@@ -48,7 +48,7 @@
 
 impl LeaseAllocator {
     /// The highest granted ceiling of a router for an account that the router may still adopt.
-    pub(super) fn unanswered(
+    pub(super) fn unconfirmed_ceiling(
         &self,
         router: &str,
         view: &RouterView,
@@ -59,7 +59,7 @@
     }
 
     fn may_be_adopted(&self, view: &RouterView, out: &Outstanding) -> bool {
-        out.number > view.state.lease.number && !self.is_over(view, out.until)
+        out.number > view.state.lease.number && !self.has_expired(view, out.until)
     }
 
     /// The outstanding ceilings after these grants are delivered.
@@ -70,7 +70,7 @@
         until: Time,
         now: Time,
     ) -> Vec<Outstanding> {
-        let mut fresh: BTreeMap<CeilingKey<'_>, Outstanding> = BTreeMap::new();
+        let mut granted_now: BTreeMap<CeilingKey<'_>, Outstanding> = BTreeMap::new();
         for (router, allowances) in grants {
             for allowance in allowances {
                 let out = Outstanding {
@@ -81,23 +81,27 @@
                     number,
                     until,
                 };
-                fresh.insert(CeilingKey::new(&out.key, out.period, router), out);
+                granted_now.insert(CeilingKey::new(&out.key, out.period, router), out);
             }
             // A lease without changes still extends the ceilings that the router holds.
             for out in self.extended(router, number, until, now) {
-                fresh.entry(CeilingKey::new(&out.key, out.period, router)).or_insert(out);
+                granted_now.entry(CeilingKey::new(&out.key, out.period, router)).or_insert(out);
             }
         }
-        let mut all: Vec<Outstanding> =
-            self.outstanding.iter().filter(|old| self.still_counts(old, &fresh, now)).cloned().collect();
-        all.extend(fresh.into_values());
+        let mut all: Vec<Outstanding> = self
+            .outstanding
+            .iter()
+            .filter(|old| self.is_still_outstanding(old, &granted_now, now))
+            .cloned()
+            .collect();
+        all.extend(granted_now.into_values());
         all
     }
 
     /// The ceilings that a router holds, unless its lease has certainly expired.
     fn extended(&self, router: &str, number: u64, until: Time, now: Time) -> Vec<Outstanding> {
         let Some(view) = self.routers.get(router) else { return Vec::new() };
-        if self.is_over(view, view.state.lease.until) {
+        if self.has_expired(view, view.state.lease.until) {
             return Vec::new();
         }
         let mut held = Vec::new();
@@ -114,15 +118,15 @@
         held
     }
 
-    fn still_counts(
+    fn is_still_outstanding(
         &self,
         old: &Outstanding,
-        fresh: &BTreeMap<CeilingKey<'_>, Outstanding>,
+        granted_now: &BTreeMap<CeilingKey<'_>, Outstanding>,
         now: Time,
     ) -> bool {
         let may_be_adopted = self.routers.get(&old.router).is_none_or(|view| self.may_be_adopted(view, old));
         // A newer ceiling that is at least as high expires later and replaces the old one.
-        let newer = fresh.get(&CeilingKey::new(&old.key, old.period, &old.router));
+        let newer = granted_now.get(&CeilingKey::new(&old.key, old.period, &old.router));
         let is_covered = newer.is_some_and(|newer| newer.ceiling >= old.ceiling);
         may_be_adopted && !self.has_ended(old.period, now) && !is_covered
     }
--- a/crates/budget/src/lease_test.rs
+++ b/crates/budget/src/lease_test.rs
@@ -1,6 +1,6 @@
-//! Small-scope exploration of the lease protocol, on the code that runs: all orders of ticks, requests,
-//! settlements, rounds with any view of the ledgers, and deliveries (lost, doubled, late, reordered), with
-//! routers that die, come back or lose their last records, and two settlement jobs.
+//! Small-scope exploration of the lease protocol with the production code: all orders of ticks, requests,
+//! settlements, rounds with any view of the ledgers, and deliveries (lost, duplicated, late, reordered). Routers
+//! crash, restart or lose their last records, and two settlement jobs run at once.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,7 +8,7 @@
 use super::*;
 
 const START: u64 = 1_796_083_200_000_000;
-/// So small that all of it is leased out at once, and every shift needs something taken back.
+/// A budget so small that it is leased out at once. Each shift between routers must take back a ceiling.
 const BUDGET: u64 = 2;
 const ROUTERS: [&str; 2] = ["r1", "r2"];
 
@@ -37,14 +37,14 @@
     depth: usize,
     ticks: u64,
     rounds: usize,
-    asks: u32,
+    requests: u32,
     crashes: u32,
-    /// A crash loses so many of the last records.
-    loses: usize,
-    /// How far behind the second router's clock is, and what the settlement job allows for.
-    lag: u64,
+    /// Number of last records that a crash loses.
+    lost_records: usize,
+    /// How far the second router's clock is behind. `clock_error` is what the settlement job allows for.
+    clock_lag: u64,
     clock_error: u64,
-    /// Both settlement jobs append to one journal; otherwise each has its own, from this many rounds on.
+    /// If set, each settlement job has its own journal after this many rounds; otherwise both share one.
     fork_at: Option<usize>,
 }
 
@@ -52,23 +52,23 @@
 struct World {
     now: u64,
     enforcers: Vec<BudgetEnforcer>,
-    /// All records of each router, as its ledger has them.
+    /// All records in the ledger of each router.
     ledgers: Vec<Vec<(u64, Record)>>,
-    /// Units really used, whatever ledgers say.
-    truth: Vec<u64>,
+    /// Units actually used at each router, independent of the ledgers.
+    actual_use: Vec<u64>,
     allocators: Vec<LeaseAllocator>,
     journals: Vec<Vec<Round>>,
-    asks: u32,
+    requests: u32,
     crashes: u32,
     forks_seen: u32,
-    /// Sum of what power losses could make forgotten.
-    excused: u64,
+    /// Units in records that power failures lost.
+    forgettable: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Tick,
-    Ask(usize),
+    Request(usize),
     Settle(usize, bool),
     Deliver(usize, usize, usize),
     Crash(usize),
@@ -79,7 +79,7 @@
     fn kind(self) -> usize {
         match self {
             Self::Tick => 0,
-            Self::Ask(_) => 1,
+            Self::Request(_) => 1,
             Self::Settle(..) => 2,
             Self::Deliver(..) => 3,
             Self::Crash(_) => 4,
@@ -98,13 +98,13 @@
             now: START,
             enforcers: ROUTERS.iter().map(enforcer).collect(),
             ledgers: vec![Vec::new(); 2],
-            truth: vec![0; 2],
+            actual_use: vec![0; 2],
             allocators: vec![allocator.clone(), allocator],
             journals: vec![Vec::new(); if scope.fork_at.is_some() { 2 } else { 1 }],
-            asks: 0,
+            requests: 0,
             crashes: 0,
             forks_seen: 0,
-            excused: 0,
+            forgettable: 0,
         };
         world.drain();
         world
@@ -117,11 +117,11 @@
     }
 
     fn clock(&self, router: usize, scope: &Scope) -> Time {
-        Time(self.now - if router == 1 { scope.lag } else { 0 })
+        Time(self.now - if router == 1 { scope.clock_lag } else { 0 })
     }
 
     fn journal(&self, allocator: usize, scope: &Scope) -> usize {
-        // Up to the fork both copies are the same: the first journal stands for both.
+        // Up to the fork both journals are equal. Without a fork both jobs share the first one.
         match scope.fork_at {
             Some(_) => allocator,
             None => 0,
@@ -134,8 +134,8 @@
             out.push(Step::Tick);
         }
         for r in 0..2 {
-            if self.asks < scope.asks {
-                out.push(Step::Ask(r));
+            if self.requests < scope.requests {
+                out.push(Step::Request(r));
             }
             if !self.enforcers[r].state().open.is_empty() {
                 out.extend([Step::Settle(r, true), Step::Settle(r, false)]);
@@ -156,12 +156,12 @@
         out
     }
 
-    /// False: nothing changed that could matter.
+    /// Returns false if the step changed no relevant state.
     fn step(&mut self, step: Step, scope: &Scope) -> bool {
         match step {
             Step::Tick => self.now += 1,
-            Step::Ask(r) => {
-                let id = format!("{r}-{}-{}", self.asks, self.crashes);
+            Step::Request(r) => {
+                let id = format!("{r}-{}-{}", self.requests, self.crashes);
                 let request = ReservationRequest {
                     id: &id,
                     tenant: "t",
@@ -171,11 +171,11 @@
                     output: 1,
                 };
                 let now = self.clock(r, scope);
-                self.asks += 1;
+                self.requests += 1;
                 if self.enforcers[r].admit(now, request).is_err() {
                     return false;
                 }
-                self.truth[r] += 1;
+                self.actual_use[r] += 1;
             }
             Step::Settle(r, used) => {
                 let now = self.clock(r, scope);
@@ -189,7 +189,7 @@
                     BilledAttempts::default(),
                     false,
                 );
-                self.truth[r] -= u64::from(!used);
+                self.actual_use[r] -= u64::from(!used);
             }
             Step::Deliver(r, j, n) => {
                 let now = self.clock(r, scope);
@@ -201,18 +201,18 @@
             }
             Step::Crash(r) => {
                 self.crashes += 1;
-                let kept = self.ledgers[r].len().saturating_sub(scope.loses);
+                let kept = self.ledgers[r].len().saturating_sub(scope.lost_records);
                 for (_, record) in &self.ledgers[r][kept..] {
-                    // What could be forgotten: a ceiling that was lowered, or use that was written.
-                    self.excused += match record {
+                    // A lost record can hide a lowered ceiling or recorded usage.
+                    self.forgettable += match record {
                         Record::Reserved(c) => c.amount.0,
                         Record::Settled(s) => s.cost.0,
                         Record::Adopted(_) => BUDGET,
                         _ => 0,
                     };
                 }
-                // An orphan's tokens are nobody's to pay; its client is told that it failed.
-                self.truth[r] -= self.enforcers[r].state().open.len() as u64;
+                // Nobody pays for the tokens of an orphaned request; its client gets an error.
+                self.actual_use[r] -= self.enforcers[r].state().open.len() as u64;
                 self.ledgers[r].truncate(kept);
                 let mut state = State::default();
                 for (number, record) in &self.ledgers[r] {
@@ -231,7 +231,7 @@
                     }
                 }
                 match self.allocators[s].next_round(Time(self.now)) {
-                    // Somebody was first under this number: it is read, and nothing granted.
+                    // The other job was first with this number: its round is applied and nothing is granted.
                     Ok(round) if round.number as usize <= self.journals[j].len() => {
                         let newest = self.journals[j].last().unwrap().clone();
                         self.allocators[s].apply_round(&newest);
@@ -240,7 +240,7 @@
                         assert_eq!(round.number as usize, self.journals[j].len() + 1);
                         self.allocators[s].apply_round(&round);
                         if scope.fork_at.is_some_and(|at| round.number as usize <= at) {
-                            // Not yet forked: both have it.
+                            // Before the fork both journals contain the round.
                             self.journals.iter_mut().for_each(|j| j.push(round.clone()));
                             self.allocators.iter_mut().for_each(|s| s.apply_round(&round));
                         } else {
@@ -249,7 +249,7 @@
                     }
                     Err(_) if scope.fork_at.is_some() => self.forks_seen += 1,
                     Err(_) if scope.fork_at.is_none() => {
-                        // Its own copy of the journal is behind: it reads on.
+                        // The job's copy of the journal is behind and is updated.
                         let Some(newest) = self.journals[j].last().cloned() else {
                             panic!("fork without journal")
                         };
@@ -264,9 +264,9 @@
         true
     }
 
-    fn print(&self) -> u64 {
+    fn fingerprint(&self) -> u64 {
         let mut h = DefaultHasher::new();
-        (self.now, &self.truth, self.asks, self.crashes, self.excused).hash(&mut h);
+        (self.now, &self.actual_use, self.requests, self.crashes, self.forgettable).hash(&mut h);
         for k in &self.enforcers {
             k.hash_state(&mut h);
         }
@@ -278,17 +278,17 @@
     }
 }
 
-struct Found {
+struct Findings {
     states: usize,
-    worst: u64,
+    max_overrun: u64,
     most_used: u64,
     forks_seen: u32,
 }
 
 /// All orders of up to `depth` steps; the bound on overrun is checked in every state reached.
-fn explore(scope: &Scope, bound: impl Fn(&World) -> u64) -> Found {
-    let mut found = Found { states: 0, worst: 0, most_used: 0, forks_seen: 0 };
-    // With how many steps left a state was gone on from.
+fn explore(scope: &Scope, bound: impl Fn(&World) -> u64) -> Findings {
+    let mut found = Findings { states: 0, max_overrun: 0, most_used: 0, forks_seen: 0 };
+    // Maximum number of remaining steps with which each state was explored.
     let mut seen: HashMap<u64, usize> = HashMap::new();
     let mut stack = vec![(World::new(scope), scope.depth, Vec::<Step>::new())];
     while let Some((world, left, path)) = stack.pop() {
@@ -297,7 +297,7 @@
             if !next.step(step, scope) {
                 continue;
             }
-            let entry = seen.entry(next.print()).or_insert(0);
+            let entry = seen.entry(next.fingerprint()).or_insert(0);
             if *entry >= left {
                 continue;
             }
@@ -314,27 +314,27 @@
     found
 }
 
-fn check(world: &World, bound: &impl Fn(&World) -> u64, found: &mut Found, path: &[Step]) {
-    let used: u64 = world.truth.iter().sum();
+fn check(world: &World, bound: &impl Fn(&World) -> u64, found: &mut Findings, path: &[Step]) {
+    let used: u64 = world.actual_use.iter().sum();
     let over = used.saturating_sub(BUDGET);
     assert!(over <= bound(world), "overrun {over} after {path:?}");
-    found.worst = found.worst.max(over);
+    found.max_overrun = found.max_overrun.max(over);
     found.most_used = found.most_used.max(used);
     found.forks_seen += world.forks_seen;
 }
 
-/// Walks that are long and not exhaustive: random steps, to depths that all orders can't reach.
-fn walk(scope: &Scope, bound: impl Fn(&World) -> u64) -> Found {
+/// Random walks to depths that the exhaustive exploration can't reach.
+fn random_walks(scope: &Scope, bound: impl Fn(&World) -> u64) -> Findings {
     use proptest::prelude::Rng;
     use proptest::test_runner::{RngAlgorithm, TestRng};
     let mut rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let scope = Scope { ticks: 40, rounds: 40, asks: 60, crashes: 4 * scope.crashes, ..*scope };
-    let mut found = Found { states: 0, worst: 0, most_used: 0, forks_seen: 0 };
+    let scope = Scope { ticks: 40, rounds: 40, requests: 60, crashes: 4 * scope.crashes, ..*scope };
+    let mut found = Findings { states: 0, max_overrun: 0, most_used: 0, forks_seen: 0 };
     for _ in 0..400 {
         let mut world = World::new(&scope);
         for _ in 0..150 {
-            // Each kind of step is as likely, however many there are of it; and though any old grant can come,
-            // mostly a new one does.
+            // All kinds of steps are equally likely, whatever their number. Any old grant can be delivered, but in
+            // three of four cases the newest one is.
             let mut kinds: BTreeMap<usize, Vec<Step>> = BTreeMap::new();
             for step in world.steps(&scope) {
                 kinds.entry(step.kind()).or_default().push(step);
@@ -354,62 +354,62 @@
     found
 }
 
-const SMALL: Scope = Scope {
+const SMALL_SCOPE: Scope = Scope {
     depth: 4,
     ticks: 4,
     rounds: 3,
-    asks: 3,
+    requests: 3,
     crashes: 1,
-    loses: 0,
-    lag: 0,
+    lost_records: 0,
+    clock_lag: 0,
     clock_error: 0,
     fork_at: None,
 };
 
-/// `EXPLORE=n` lets all orders be n steps longer.
-fn longer(scope: Scope) -> Scope {
+/// Increases the depth of the exploration by `n` if the environment has `EXPLORE=n`.
+fn with_extra_depth(scope: Scope) -> Scope {
     let more = std::env::var("EXPLORE").ok().and_then(|n| n.parse().ok()).unwrap_or(0);
     Scope { depth: scope.depth + more, ..scope }
 }
 
-fn both(name: &str, scope: Scope, bound: impl Fn(&World) -> u64) -> (Found, Found) {
-    let (all, long) = (explore(&longer(scope), &bound), walk(&scope, &bound));
+fn explore_and_walk(name: &str, scope: Scope, bound: impl Fn(&World) -> u64) -> (Findings, Findings) {
+    let (all, long) = (explore(&with_extra_depth(scope), &bound), random_walks(&scope, &bound));
     println!(
         "{name}: all orders of {} steps, {} states, used up to {}, overrun up to {}; walks of 150 steps, {} states, {}, {}",
-        longer(scope).depth, all.states, all.most_used, all.worst, long.states, long.most_used, long.worst
+        with_extra_depth(scope).depth, all.states, all.most_used, all.max_overrun, long.states, long.most_used, long.max_overrun
     );
     (all, long)
 }
 
 #[test]
-fn no_overrun_with_two_jobs_on_one_journal_and_routers_that_die() {
-    let (_, long) = both("shared journal", SMALL, |_| 0);
+fn no_overrun_with_two_jobs_on_one_journal_and_router_crashes() {
+    let (_, long) = explore_and_walk("shared journal", SMALL_SCOPE, |_| 0);
     assert_eq!(long.most_used, BUDGET, "the budget can be used up");
 }
 
 #[test]
 fn no_overrun_while_clocks_differ_by_no_more_than_allowed() {
-    let scope = Scope { lag: 1, clock_error: 1, crashes: 0, ..SMALL };
-    both("clock error", scope, |_| 0);
+    let scope = Scope { clock_lag: 1, clock_error: 1, crashes: 0, ..SMALL_SCOPE };
+    explore_and_walk("clock error", scope, |_| 0);
 }
 
 #[test]
-fn a_clock_worse_than_allowed_costs_at_most_that_routers_ceiling() {
-    let scope = Scope { lag: 3, clock_error: 0, crashes: 0, ..SMALL };
-    let (_, long) = both("worse clock", scope, |_| BUDGET);
-    assert!(long.worst > 0, "the exploration sees overrun where there is some");
+fn clock_error_beyond_the_allowance_costs_at_most_the_routers_ceiling() {
+    let scope = Scope { clock_lag: 3, clock_error: 0, crashes: 0, ..SMALL_SCOPE };
+    let (_, long) = explore_and_walk("worse clock", scope, |_| BUDGET);
+    assert!(long.max_overrun > 0, "the exploration detects overrun where it is possible");
 }
 
 #[test]
-fn power_loss_costs_no_more_than_what_was_lost() {
-    let scope = Scope { loses: 1, ..SMALL };
-    let (_, long) = both("power loss", scope, |w| w.excused);
-    assert!(long.worst > 0, "the exploration sees overrun where there is some");
+fn power_loss_costs_at_most_the_lost_records() {
+    let scope = Scope { lost_records: 1, ..SMALL_SCOPE };
+    let (_, long) = explore_and_walk("power loss", scope, |w| w.forgettable);
+    assert!(long.max_overrun > 0, "the exploration detects overrun where it is possible");
 }
 
 #[test]
-fn a_forked_journal_costs_at_most_what_was_free_and_is_noticed() {
-    let scope = Scope { fork_at: Some(1), crashes: 0, ..SMALL };
-    let (_, long) = both("forked journal", scope, |_| BUDGET);
-    assert!(long.worst > 0 && long.forks_seen > 0, "a fork does harm, and is noticed");
+fn forked_journal_costs_at_most_the_free_budget_and_is_detected() {
+    let scope = Scope { fork_at: Some(1), crashes: 0, ..SMALL_SCOPE };
+    let (_, long) = explore_and_walk("forked journal", scope, |_| BUDGET);
+    assert!(long.max_overrun > 0 && long.forks_seen > 0, "a fork causes overrun and is detected");
 }
--- a/crates/budget/src/token_bucket_test.rs
+++ b/crates/budget/src/token_bucket_test.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn a_rate_holds_over_time_whatever_the_steps() {
+fn rate_holds_for_every_step_length() {
     for step in [1_u64, 7, 999, 250_000] {
         let mut bucket = TokenBucket::new(Units(3_000), Units(6_000), Time(0));
         let (mut taken, mut now) = (0, 0);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_larger_than_the_burst_waits_for_a_full_bucket_and_leaves_debt() {
+fn request_above_the_burst_waits_for_a_full_bucket_and_leaves_debt() {
     let mut bucket = TokenBucket::new(Units(1_000), Units(2_000), Time(0));
     assert_eq!(bucket.check_available(Time(0), Units(5_000)), Ok(()));
     bucket.take(Units(5_000));
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Hard cases of budgets and bills, at the decisions: no clock, no files, no sockets.
+//! Tests of budget decisions and bills, without clock, files or sockets.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing, clippy::panic, missing_docs)]
 
 use std::collections::BTreeMap;
@@ -66,30 +66,36 @@
     ReservationRequest { id, tenant: "nord", class: "help", identity: None, prompt, output }
 }
 
-fn served(k: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, cached: u64, output: u64) -> bool {
+fn served(enforcer: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, cached: u64, output: u64) -> bool {
     let attempts = BilledAttempts { prefill: None, answering: Some(0) };
-    k.settle(now, id, Ending::Served, Usage { prompt, cached, output }, attempts, true)
+    enforcer.settle(now, id, Ending::Served, Usage { prompt, cached, output }, attempts, true)
 }
 
-fn records(k: &mut BudgetEnforcer) -> Vec<(u64, Record)> {
-    k.take_records().collect()
+fn records(enforcer: &mut BudgetEnforcer) -> Vec<(u64, Record)> {
+    enforcer.take_records().collect()
 }
 
 #[test]
-fn a_request_reserves_its_worst_case_and_settles_once_on_what_was_done() {
-    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000))]);
-    k.admit(noon(), ask("a", 200, 100)).unwrap();
-    let place = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
-    assert_eq!(k.state().usage.get(&place().0, place().1).reserved, Units::tokens(600));
-    let denial = k.admit(noon(), ask("b", 300, 50)).unwrap_err();
+fn request_reserves_its_worst_case_and_settles_once_by_its_usage() {
+    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(1_000))]);
+    enforcer.admit(noon(), ask("a", 200, 100)).unwrap();
+    let account_period = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
+    assert_eq!(
+        enforcer.state().usage.get(&account_period().0, account_period().1).reserved,
+        Units::tokens(600)
+    );
+    let denial = enforcer.admit(noon(), ask("b", 300, 50)).unwrap_err();
     assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(PeriodKind::Day))));
-    assert_eq!(denial.retry_after, 12 * 3_600 * S, "come back at midnight");
-    assert!(served(&mut k, noon(), "a", 210, 110, 10));
-    assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units(100 * 1_000 + 110 * 100 + 10 * 4_000));
-    assert!(!served(&mut k, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
-    assert!(!served(&mut k, noon(), "never", 1, 0, 1));
-    assert!(k.admit(noon(), ask("b", 300, 50)).is_ok());
-    k.settle(
+    assert_eq!(denial.retry_after, 12 * 3_600 * S, "retry at midnight");
+    assert!(served(&mut enforcer, noon(), "a", 210, 110, 10));
+    assert_eq!(
+        enforcer.state().usage.get(&account_period().0, account_period().1).spent,
+        Units(100 * 1_000 + 110 * 100 + 10 * 4_000)
+    );
+    assert!(!served(&mut enforcer, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
+    assert!(!served(&mut enforcer, noon(), "never", 1, 0, 1));
+    assert!(enforcer.admit(noon(), ask("b", 300, 50)).is_ok());
+    enforcer.settle(
         noon(),
         "b",
         Ending::Failed,
@@ -98,46 +104,46 @@
         false,
     );
     assert_eq!(
-        k.state().usage.get(&place().0, place().1).used(),
+        enforcer.state().usage.get(&account_period().0, account_period().1).used(),
         Units(151_000),
-        "what failed costs nothing"
+        "a failed request costs nothing"
     );
-    assert_eq!(records(&mut k).len(), 1 + 4);
+    assert_eq!(records(&mut enforcer).len(), 1 + 4);
 }
 
 #[test]
 fn soft_limits_warn_clamp_and_lower_and_hard_ones_can_clamp() {
     let soft = |at_soft| Limit { soft: 500, at_soft, marks: vec![500, 900], ..limit(1_000) };
-    let mut k = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Clamp(20)))]);
-    let first = k.admit(noon(), ask("a", 100, 100)).unwrap();
+    let mut enforcer = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Clamp(20)))]);
+    let first = enforcer.admit(noon(), ask("a", 100, 100)).unwrap();
     assert_eq!(
         (first.output, &first.marks[..]),
         (100, &[BudgetMark { account: key(PeriodKind::Day), thousandths: 500 }][..])
     );
-    assert_eq!(k.admit(noon(), ask("b", 100, 100)).unwrap().output, 20);
+    assert_eq!(enforcer.admit(noon(), ask("b", 100, 100)).unwrap().output, 20);
 
-    let mut k = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Lower("later".into())))]);
-    assert_eq!(k.admit(noon(), ask("a", 100, 100)).unwrap().lower_to, None);
-    assert_eq!(k.admit(noon(), ask("b", 100, 10)).unwrap().lower_to.as_deref(), Some("later"));
+    let mut enforcer = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Lower("later".into())))]);
+    assert_eq!(enforcer.admit(noon(), ask("a", 100, 100)).unwrap().lower_to, None);
+    assert_eq!(enforcer.admit(noon(), ask("b", 100, 10)).unwrap().lower_to.as_deref(), Some("later"));
 
-    let mut k =
+    let mut enforcer =
         one(vec![(key(PeriodKind::Day), Limit { at_hard: HardLimitAction::Clamp(16), ..limit(1_000) })]);
-    assert_eq!(k.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
-    assert_eq!(k.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "what is left");
-    assert_eq!(k.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
+    assert_eq!(enforcer.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
+    assert_eq!(enforcer.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "the remaining budget");
+    assert_eq!(enforcer.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
 }
 
 #[test]
 fn a_class_has_its_own_budget_beside_the_tenants() {
     let of_class = AccountKey { class: Some("report".into()), ..key(PeriodKind::Hour) };
-    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
+    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
     let report = |id| ReservationRequest { class: "report", ..ask(id, 50, 10) };
-    assert!(k.admit(noon(), report("a")).is_ok());
-    let denial = k.admit(noon(), report("b")).unwrap_err();
+    assert!(enforcer.admit(noon(), report("a")).is_ok());
+    let denial = enforcer.admit(noon(), report("b")).unwrap_err();
     assert_eq!((denial.account, denial.retry_after), (Some(of_class), 3_600 * S));
-    assert!(k.admit(noon(), ask("b", 50, 10)).is_ok(), "another class");
+    assert!(enforcer.admit(noon(), ask("b", 50, 10)).is_ok(), "another class");
     let stranger = ReservationRequest { tenant: "ost", ..ask("c", 1_000_000, 1_000_000) };
-    assert!(k.admit(noon(), stranger).is_ok(), "no budget agreed: taken, and recorded for the bill");
+    assert!(enforcer.admit(noon(), stranger).is_ok(), "without a budget: admitted and recorded for the bill");
 }
 
 #[test]
@@ -145,65 +151,69 @@
     let mut p = plan(vec![], Mode::Shares(2));
     let rate = RateLimit { per_second: Units::tokens(200), burst: Units::tokens(2_000) };
     p.rates.insert("nord".into(), rate);
-    let mut k = BudgetEnforcer::new("r1", p, State::default(), noon());
-    assert!(k.admit(noon(), ask("a", 200, 200)).is_ok());
-    let denial = k.admit(noon(), ask("b", 0, 100)).unwrap_err();
+    let mut enforcer = BudgetEnforcer::new("r1", p, State::default(), noon());
+    assert!(enforcer.admit(noon(), ask("a", 200, 200)).is_ok());
+    let denial = enforcer.admit(noon(), ask("b", 0, 100)).unwrap_err();
     assert_eq!((denial.reason, denial.retry_after), (DenialReason::RateLimited, 4 * S));
-    assert_eq!(k.state().open.len(), 1, "a denial reserves nothing");
-    served(&mut k, noon(), "a", 200, 0, 50);
-    assert!(k.admit(noon(), ask("b", 0, 100)).is_ok());
+    assert_eq!(enforcer.state().open.len(), 1, "a denial reserves nothing");
+    served(&mut enforcer, noon(), "a", 200, 0, 50);
+    assert!(enforcer.admit(noon(), ask("b", 0, 100)).is_ok());
 }
 
 #[test]
-fn a_stream_over_the_periods_change_is_charged_to_the_period_that_took_it() {
-    let mut k = one(vec![(key(PeriodKind::Day), limit(500))]);
+fn stream_across_periods_is_charged_to_the_period_of_admission() {
+    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(500))]);
     let before = at("2026-12-01T23:59:59[Europe/Zurich]");
-    k.admit(before, ask("a", 100, 100)).unwrap();
+    enforcer.admit(before, ask("a", 100, 100)).unwrap();
     let after = before.after(5 * S);
-    k.admit(after, ask("b", 100, 100)).unwrap();
-    served(&mut k, after, "a", 100, 0, 100);
-    let used = |day: &str| k.state().usage.get(&key(PeriodKind::Day), at(day));
+    enforcer.admit(after, ask("b", 100, 100)).unwrap();
+    served(&mut enforcer, after, "a", 100, 0, 100);
+    let used = |day: &str| enforcer.state().usage.get(&key(PeriodKind::Day), at(day));
     let (first, second) = (used("2026-12-01T00:00[Europe/Zurich]"), used("2026-12-02T00:00[Europe/Zurich]"));
     assert_eq!((first.spent, first.reserved), (Units::tokens(500), Units(0)));
     assert_eq!((second.spent, second.reserved), (Units(0), Units::tokens(500)));
 }
 
-/// With equal shares as with leases: a long life remembers few periods, and all in which something is open.
+/// Guards against unbounded growth of the state: only recent periods and those with open reservations are kept.
 #[test]
 fn old_periods_are_forgotten() {
-    let mut k = one(vec![(key(PeriodKind::Hour), limit(1_000)), (key(PeriodKind::Day), limit(100_000))]);
-    k.admit(noon(), ask("stays open", 10, 1)).unwrap();
+    let mut enforcer =
+        one(vec![(key(PeriodKind::Hour), limit(1_000)), (key(PeriodKind::Day), limit(100_000))]);
+    enforcer.admit(noon(), ask("stays open", 10, 1)).unwrap();
     for hour in 0..200 {
         let (now, id) = (noon().after(hour * 3_600 * S), format!("q{hour}"));
-        k.admit(now, ask(&id, 10, 1)).unwrap();
-        served(&mut k, now, &id, 10, 0, 1);
+        enforcer.admit(now, ask(&id, 10, 1)).unwrap();
+        served(&mut enforcer, now, &id, 10, 0, 1);
     }
-    // Four of each kind, and the two in which one is open.
-    assert_eq!(k.state().usage.iter().count(), 4 + 4 + 2);
-    let first = k.reservation("stays open").unwrap().account_periods[0].start;
-    assert_eq!(k.state().usage.get(&key(PeriodKind::Hour), first).reserved, Units::tokens(14));
+    // Four periods of each kind, and the two with an open reservation.
+    assert_eq!(enforcer.state().usage.iter().count(), 4 + 4 + 2);
+    let first = enforcer.reservation("stays open").unwrap().account_periods[0].start;
+    assert_eq!(enforcer.state().usage.get(&key(PeriodKind::Hour), first).reserved, Units::tokens(14));
 }
 
 #[test]
-fn the_hour_that_is_shown_twice_has_two_budgets_and_its_day_one() {
-    let mut k = one(vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))]);
-    let once = at("2026-10-25T02:30+02:00[Europe/Zurich]");
-    // The ledger's last time holds back an older clock, so a router of that day is needed.
+fn repeated_local_hour_has_two_budgets_and_its_day_one() {
+    let mut enforcer = one(vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))]);
+    let first_hour = at("2026-10-25T02:30+02:00[Europe/Zurich]");
+    // The enforcer's ledger is newer than this day, so a second enforcer starts on it.
     let fresh = plan(
         vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))],
         Mode::Shares(1),
     );
-    let mut of_then = BudgetEnforcer::new("r1", fresh, State::default(), once);
-    assert!(of_then.admit(once, ask("a", 100, 100)).is_ok());
-    assert_eq!(of_then.admit(once, ask("b", 100, 100)).unwrap_err().account, Some(key(PeriodKind::Hour)));
-    let twice = once.after(3_600 * S);
-    assert!(of_then.admit(twice, ask("b", 100, 100)).is_ok());
-    let denial = of_then.admit(twice.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
+    let mut enforcer_in_october = BudgetEnforcer::new("r1", fresh, State::default(), first_hour);
+    assert!(enforcer_in_october.admit(first_hour, ask("a", 100, 100)).is_ok());
+    assert_eq!(
+        enforcer_in_october.admit(first_hour, ask("b", 100, 100)).unwrap_err().account,
+        Some(key(PeriodKind::Hour))
+    );
+    let second_hour = first_hour.after(3_600 * S);
+    assert!(enforcer_in_october.admit(second_hour, ask("b", 100, 100)).is_ok());
+    let denial = enforcer_in_october.admit(second_hour.after(3_600 * S), ask("c", 100, 100)).unwrap_err();
     assert_eq!(denial.account, Some(key(PeriodKind::Day)));
-    assert!(k.admit(once, ask("a", 100, 100)).is_ok());
+    assert!(enforcer.admit(first_hour, ask("a", 100, 100)).is_ok());
     let now = at("2026-12-01T12:00[Europe/Zurich]");
     assert_eq!(
-        k.reservation("a").unwrap().account_periods[0].start,
+        enforcer.reservation("a").unwrap().account_periods[0].start,
         now,
         "a clock that stepped back opens no old period"
     );
@@ -227,106 +237,109 @@
 }
 
 #[test]
-fn leases_are_numbered_end_and_never_come_back() {
-    let mut k = leased(noon());
-    assert_eq!(k.admit(noon(), ask("a", 1, 1)).unwrap_err().reason, DenialReason::NoLease);
+fn expired_and_older_leases_are_not_adopted() {
+    let mut enforcer = leased(noon());
+    assert_eq!(enforcer.admit(noon(), ask("a", 1, 1)).unwrap_err().reason, DenialReason::NoLease);
     let until = noon().after(10 * S);
-    k.adopt(noon(), &grant(5, until, 300)).unwrap();
-    assert!(k.admit(noon(), ask("a", 100, 10)).is_ok());
-    let denial = k.admit(noon(), ask("b", 200, 10)).unwrap_err();
+    enforcer.adopt(noon(), &grant(5, until, 300)).unwrap();
+    assert!(enforcer.admit(noon(), ask("a", 100, 10)).is_ok());
+    let denial = enforcer.admit(noon(), ask("b", 200, 10)).unwrap_err();
     assert_eq!(
         (denial.reason, denial.retry_after),
         (DenialReason::RouterShareExhausted, S),
         "more may be granted next epoch"
     );
-    assert_eq!(k.adopt(noon(), &grant(5, until, 900)), Err(AdoptLeaseError::Old));
-    assert_eq!(k.adopt(noon(), &grant(4, until, 900)), Err(AdoptLeaseError::Old));
-    assert_eq!(k.adopt(until, &grant(6, until, 900)), Err(AdoptLeaseError::Expired));
+    assert_eq!(enforcer.adopt(noon(), &grant(5, until, 900)), Err(AdoptLeaseError::Old));
+    assert_eq!(enforcer.adopt(noon(), &grant(4, until, 900)), Err(AdoptLeaseError::Old));
+    assert_eq!(enforcer.adopt(until, &grant(6, until, 900)), Err(AdoptLeaseError::Expired));
     let other = Grant { router: "r2".into(), ..grant(7, until, 900) };
-    assert_eq!(k.adopt(noon(), &other), Err(AdoptLeaseError::NotOurs));
-    // A ceiling under what is used already: what is used is told.
-    k.adopt(noon(), &grant(6, until, 10)).unwrap();
-    let Some((_, Record::Adopted(adopted))) = records(&mut k).pop() else { panic!() };
+    assert_eq!(enforcer.adopt(noon(), &other), Err(AdoptLeaseError::NotOurs));
+    // If the ceiling is below the usage, the record names the usage.
+    enforcer.adopt(noon(), &grant(6, until, 10)).unwrap();
+    let Some((_, Record::Adopted(adopted))) = records(&mut enforcer).pop() else { panic!() };
     assert_eq!(adopted.ceilings[0].ceiling, Units::tokens(140));
     assert_eq!(adopted.demand[0].total, Units::tokens(240));
-    k.adopt(noon(), &grant(7, until, 1_000)).unwrap();
-    assert!(k.admit(noon().after(9 * S), ask("c", 10, 1)).is_ok());
-    assert_eq!(k.admit(until, ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
-    // A clock that steps back does not lengthen it.
-    assert!(served(&mut k, until.after(S), "a", 100, 0, 1));
-    assert_eq!(k.admit(noon(), ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
-    // Nor does a restart.
-    let mut again = BudgetEnforcer::new(
+    enforcer.adopt(noon(), &grant(7, until, 1_000)).unwrap();
+    assert!(enforcer.admit(noon().after(9 * S), ask("c", 10, 1)).is_ok());
+    assert_eq!(enforcer.admit(until, ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
+    // A clock that steps back does not prolong the lease.
+    assert!(served(&mut enforcer, until.after(S), "a", 100, 0, 1));
+    assert_eq!(enforcer.admit(noon(), ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
+    // A restart does not prolong the lease either.
+    let mut restarted = BudgetEnforcer::new(
         "r1",
         plan(vec![], Mode::Leases { epoch: S, routers: 2 }),
-        k.state().clone(),
+        enforcer.state().clone(),
         noon(),
     );
-    assert_eq!(again.adopt(noon(), &grant(7, until.after(60 * S), 900)), Err(AdoptLeaseError::Old));
+    assert_eq!(restarted.adopt(noon(), &grant(7, until.after(60 * S), 900)), Err(AdoptLeaseError::Old));
 }
 
 #[test]
-fn grants_under_another_key_or_changed_are_not_taken() {
-    let k = SigningKey::new(&"ab".repeat(32)).unwrap();
+fn grants_with_another_key_or_changed_bytes_are_rejected() {
+    let key = SigningKey::new(&"ab".repeat(32)).unwrap();
     let g = grant(3, noon(), 10);
-    let bytes = k.sign_grant(&g);
-    assert_eq!(k.open_grant(&bytes), Ok(g));
+    let bytes = key.sign_grant(&g);
+    assert_eq!(key.open_grant(&bytes), Ok(g));
     assert_eq!(SigningKey::new(&"ac".repeat(32)).unwrap().open_grant(&bytes), Err(SignatureError::WrongMac));
-    assert!(k.open_round(&bytes).is_err(), "a grant is no round");
+    assert!(key.open_round(&bytes).is_err(), "a grant is no round");
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(k.open_grant(&changed).is_err(), "byte {at}");
-        assert!(k.open_grant(&bytes[..at]).is_err(), "cut at {at}");
+        assert!(key.open_grant(&changed).is_err(), "byte {at}");
+        assert!(key.open_grant(&bytes[..at]).is_err(), "cut at {at}");
     }
     assert!(SigningKey::new("short").is_err());
 }
 
 #[test]
 fn a_tenant_removed_while_it_streams_is_settled_and_billed() {
-    let mut k = one(vec![(key(PeriodKind::Day), limit(1_000))]);
-    k.admit(noon(), ask("a", 100, 100)).unwrap();
-    k.set_plan(plan(vec![], Mode::Shares(1)));
-    assert!(served(&mut k, noon(), "a", 100, 0, 40));
-    let place = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
-    assert_eq!(k.state().usage.get(&place().0, place().1).spent, Units::tokens(260));
-    // Put back, it finds what it had spent.
-    k.set_plan(plan(vec![(key(PeriodKind::Day), limit(300))], Mode::Shares(1)));
-    assert_eq!(k.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
-    assert!(k.admit(noon(), ask("b", 40, 0)).is_ok());
+    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(1_000))]);
+    enforcer.admit(noon(), ask("a", 100, 100)).unwrap();
+    enforcer.set_plan(plan(vec![], Mode::Shares(1)));
+    assert!(served(&mut enforcer, noon(), "a", 100, 0, 40));
+    let account_period = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
+    assert_eq!(enforcer.state().usage.get(&account_period().0, account_period().1).spent, Units::tokens(260));
+    // A tenant that is added again keeps its spent units.
+    enforcer.set_plan(plan(vec![(key(PeriodKind::Day), limit(300))], Mode::Shares(1)));
+    assert_eq!(enforcer.admit(noon(), ask("b", 50, 0)).unwrap_err().reason, DenialReason::BudgetExhausted);
+    assert!(enforcer.admit(noon(), ask("b", 40, 0)).is_ok());
 }
 
 #[test]
-fn nothing_is_taken_that_can_not_be_recorded() {
-    let mut k = one(vec![]);
-    k.admit(noon(), ask("a", 10, 10)).unwrap();
-    k.set_writable(false);
-    assert_eq!(k.admit(noon(), ask("b", 10, 10)).unwrap_err().reason, DenialReason::LedgerUnavailable);
-    assert_eq!(k.adopt(noon(), &grant(1, noon().after(S), 10)), Err(AdoptLeaseError::NoLedger));
-    assert!(served(&mut k, noon(), "a", 10, 0, 10), "what is open still ends");
-    k.set_writable(true);
-    assert!(k.admit(noon(), ask("b", 10, 10)).is_ok());
-}
-
-/// The sums after a crash at any record are those of the records, and nothing is left reserved.
+fn nothing_is_admitted_while_the_ledger_is_not_writable() {
+    let mut enforcer = one(vec![]);
+    enforcer.admit(noon(), ask("a", 10, 10)).unwrap();
+    enforcer.set_writable(false);
+    assert_eq!(enforcer.admit(noon(), ask("b", 10, 10)).unwrap_err().reason, DenialReason::LedgerUnavailable);
+    assert_eq!(enforcer.adopt(noon(), &grant(1, noon().after(S), 10)), Err(AdoptLeaseError::NoLedger));
+    assert!(served(&mut enforcer, noon(), "a", 10, 0, 10), "open requests are still settled");
+    enforcer.set_writable(true);
+    assert!(enforcer.admit(noon(), ask("b", 10, 10)).is_ok());
+}
+
+/// After a crash at any record, the state equals the sums of the records and nothing is reserved.
 #[test]
 fn recovery_gives_the_sums_that_the_records_say() {
-    let mut k = one(vec![(key(PeriodKind::Day), limit(100_000))]);
+    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(100_000))]);
     for i in 0..20_u64 {
-        k.admit(noon().after(i), ask(&format!("q{i}"), 10 + i, 5)).unwrap();
+        enforcer.admit(noon().after(i), ask(&format!("q{i}"), 10 + i, 5)).unwrap();
         if i % 3 > 0 {
-            served(&mut k, noon().after(i), &format!("q{i}"), 10 + i, i, 2);
+            served(&mut enforcer, noon().after(i), &format!("q{i}"), 10 + i, i, 2);
         }
         if i == 10 {
-            k.checkpoint();
+            enforcer.checkpoint();
         }
     }
-    let all = records(&mut k);
+    let all = records(&mut enforcer);
     for cut in 0..=all.len() {
         let mut state = State::default();
         for (n, r) in &all[..cut] {
             state.apply(*n, r);
-            assert!(!state.apply(*n, r) || matches!(r, Record::Started(_)), "fed twice it changes nothing");
+            assert!(
+                !state.apply(*n, r) || matches!(r, Record::Started(_)),
+                "a repeated record changes nothing"
+            );
         }
         let spent = |s: &State| s.usage.values().map(|h| h.spent).sum::<Units>();
         let before = spent(&state);
@@ -340,11 +353,11 @@
     for (n, r) in &all[start..] {
         from_checkpoint.apply(*n, r);
     }
-    assert_eq!(&from_checkpoint, k.state());
+    assert_eq!(&from_checkpoint, enforcer.state());
 }
 
-/// A successor goes on with leases and reservations; each request of the life before is settled once, by its word
-/// or, at its end, as orphaned.
+/// A successor keeps leases and reservations. Each request of the previous process is settled once: by that
+/// process or, after its end, as orphaned.
 #[test]
 fn a_successor_settles_what_it_took_over_once() {
     let mut old = leased(noon());
@@ -355,34 +368,37 @@
     let mode = Mode::Leases { epoch: S, routers: 2 };
     let plan = plan(vec![(key(PeriodKind::Day), limit(1_000))], mode);
     let mut new = BudgetEnforcer::take_over("r1", plan, old.state().clone(), noon());
-    assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease goes on");
-    let said = |k: &mut BudgetEnforcer, id: &str| {
-        served(k, noon(), id, 10, 0, 5);
-        let Some((_, Record::Settled(s))) = records(k).pop() else { panic!() };
+    assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease stays in force");
+    let settlement_of = |enforcer: &mut BudgetEnforcer, id: &str| {
+        served(enforcer, noon(), id, 10, 0, 5);
+        let Some((_, Record::Settled(s))) = records(enforcer).pop() else { panic!() };
         s
     };
-    let a = said(&mut old, "a");
+    let a = settlement_of(&mut old, "a");
     assert!(new.settle_inherited(noon(), &a));
-    assert!(!new.settle_inherited(noon(), &a), "told twice");
+    assert!(!new.settle_inherited(noon(), &a), "settled twice");
     let own = Settled { id: "d".into(), ..a.clone() };
-    assert!(!new.settle_inherited(noon(), &own), "its own are not the old life's to settle");
+    assert!(!new.settle_inherited(noon(), &own), "the old process can't settle requests of the new one");
     new.finish_inheritance(noon());
-    assert!(!new.settle_inherited(noon(), &said(&mut old, "b")), "after its end it says nothing");
+    assert!(
+        !new.settle_inherited(noon(), &settlement_of(&mut old, "b")),
+        "no settlements after the end of the old process"
+    );
     let ids: Vec<&str> = new.state().open.keys().map(|id| &**id).collect();
     assert_eq!(ids, ["d"]);
     assert_eq!(new.state().usage.values().map(|h| h.spent).sum::<Units>(), Units::tokens(10 + 4 * 5));
 }
 
-// ---- Over routers.
+// ---- Several routers.
 
-struct Yard {
+struct Cluster {
     enforcers: Vec<BudgetEnforcer>,
     allocator: LeaseAllocator,
     now: Time,
     n: u64,
 }
 
-impl Yard {
+impl Cluster {
     fn new(routers: usize, tokens: u64, leases: bool) -> Self {
         let names: Vec<String> = (0..routers).map(|r| format!("r{r}")).collect();
         let mode = if leases {
@@ -400,8 +416,8 @@
 
     fn round(&mut self) {
         self.now = self.now.after(S);
-        for (i, k) in self.enforcers.iter().enumerate() {
-            self.allocator.observe(&format!("r{i}"), self.now, k.state());
+        for (i, enforcer) in self.enforcers.iter().enumerate() {
+            self.allocator.observe(&format!("r{i}"), self.now, enforcer.state());
         }
         let round = self.allocator.next_round(self.now).unwrap();
         self.allocator.apply_round(&round);
@@ -426,7 +442,7 @@
     fn used(&self) -> u64 {
         self.enforcers
             .iter()
-            .flat_map(|k| k.state().usage.values())
+            .flat_map(|enforcer| enforcer.state().usage.values())
             .map(|h| h.used())
             .sum::<Units>()
             .in_tokens()
@@ -435,63 +451,63 @@
 
 #[test]
 fn a_burst_over_sixteen_routers_at_once_stays_within_the_budget() {
-    let mut yard = Yard::new(16, 20_000, true);
-    yard.round();
-    // In the same instant, far more than the whole budget at each router.
+    let mut cluster = Cluster::new(16, 20_000, true);
+    cluster.round();
+    // At one instant each router gets requests for far more than the whole budget.
     for n in 0..16 * 200 {
-        yard.n += 1;
+        cluster.n += 1;
         let id = format!("q{n}");
-        let _ = yard.enforcers[n % 16].admit(yard.now, ask(&id, 50, 50));
-        assert!(yard.used() <= 20_000);
+        let _ = cluster.enforcers[n % 16].admit(cluster.now, ask(&id, 50, 50));
+        assert!(cluster.used() <= 20_000);
     }
     for _ in 0..10 {
-        yard.round();
+        cluster.round();
         for n in 0..16 * 20 {
-            yard.ask(n % 16);
+            cluster.ask(n % 16);
         }
-        assert!(yard.used() <= 20_000);
+        assert!(cluster.used() <= 20_000);
     }
-    assert!(yard.used() >= 18_000, "{}", yard.used());
+    assert!(cluster.used() >= 18_000, "{}", cluster.used());
 }
 
 fn skewed(leases: bool) -> u64 {
-    let mut yard = Yard::new(16, 400_000, leases);
+    let mut cluster = Cluster::new(16, 400_000, leases);
     for _ in 0..120 {
-        yard.round();
+        cluster.round();
         for router in 0..16 {
             // One router gets ten times what the others get.
             for _ in 0..if router == 0 { 40 } else { 4 } {
-                yard.ask(router);
+                cluster.ask(router);
             }
         }
     }
-    assert!(yard.used() <= 400_000);
-    yard.used()
+    assert!(cluster.used() <= 400_000);
+    cluster.used()
 }
 
 #[test]
-fn traffic_that_falls_ten_to_one_still_reaches_the_budget() {
+fn skewed_traffic_still_reaches_the_budget() {
     let used = skewed(true);
     assert!(used >= 380_000, "{used}");
 }
 
 #[test]
-fn all_traffic_at_one_router_reaches_it_too_where_equal_shares_strand_it() {
+fn traffic_at_one_router_reaches_the_budget_with_leases_but_not_with_equal_shares() {
     let mut used = [0, 0];
     for (leases, used) in [true, false].into_iter().zip(&mut used) {
-        let mut yard = Yard::new(16, 100_000, leases);
+        let mut cluster = Cluster::new(16, 100_000, leases);
         for _ in 0..60 {
-            yard.round_or_wait(leases);
+            cluster.round_or_wait(leases);
             for _ in 0..40 {
-                yard.ask(3);
+                cluster.ask(3);
             }
         }
-        *used = yard.used();
+        *used = cluster.used();
     }
     assert!(used[0] >= 90_000 && used[1] <= 100_000 / 16, "{used:?}");
 }
 
-impl Yard {
+impl Cluster {
     fn round_or_wait(&mut self, leases: bool) {
         if leases {
             self.round();
@@ -501,36 +517,36 @@
     }
 }
 
-/// What a dead router had not used is used by others once its lease is over.
+/// Other routers can use the unused units of a crashed router after its lease has expired.
 #[test]
-fn a_dead_routers_part_comes_back() {
-    let mut yard = Yard::new(4, 50_000, true);
+fn unused_units_of_a_crashed_router_are_redistributed() {
+    let mut cluster = Cluster::new(4, 50_000, true);
     for _ in 0..3 {
-        yard.round();
+        cluster.round();
         for r in 0..4 {
-            yard.ask(r);
+            cluster.ask(r);
         }
     }
-    let dead = yard.enforcers[2].clone();
+    let dead = cluster.enforcers[2].clone();
     for _ in 0..80 {
-        yard.now = yard.now.after(S);
-        for (i, k) in yard.enforcers.iter().enumerate() {
-            yard.allocator.observe(&format!("r{i}"), yard.now, k.state());
+        cluster.now = cluster.now.after(S);
+        for (i, enforcer) in cluster.enforcers.iter().enumerate() {
+            cluster.allocator.observe(&format!("r{i}"), cluster.now, enforcer.state());
         }
-        let round = yard.allocator.next_round(yard.now).unwrap();
-        yard.allocator.apply_round(&round);
+        let round = cluster.allocator.next_round(cluster.now).unwrap();
+        cluster.allocator.apply_round(&round);
         for grant in round.grants.iter().filter(|g| &*g.router != "r2") {
             let i: usize = grant.router[1..].parse().unwrap();
-            yard.enforcers[i].adopt(yard.now, grant).unwrap();
+            cluster.enforcers[i].adopt(cluster.now, grant).unwrap();
         }
         for n in 0..30 {
-            yard.ask([0, 1, 3][n % 3]);
+            cluster.ask([0, 1, 3][n % 3]);
         }
     }
-    assert!(yard.used() >= 47_500 && yard.used() <= 50_000, "{}", yard.used());
-    // Back from the dead with its old lease, it takes nothing.
-    yard.enforcers[2] = dead;
-    assert!(!yard.ask(2));
+    assert!(cluster.used() >= 47_500 && cluster.used() <= 50_000, "{}", cluster.used());
+    // With its old lease, the returning router admits nothing.
+    cluster.enforcers[2] = dead;
+    assert!(!cluster.ask(2));
 }
 
 // ---- Bills.
@@ -575,12 +591,12 @@
     }
 }
 
-struct Books {
+struct Ledgers {
     biller: Biller,
     n: u64,
 }
 
-impl Books {
+impl Ledgers {
     fn new() -> Self {
         Self { biller: Biller::default(), n: 0 }
     }
@@ -603,7 +619,7 @@
 
 #[test]
 fn a_bill_agrees_with_the_engines_to_the_token() {
-    let mut b = Books::new();
+    let mut b = Ledgers::new();
     let two = (Some(0), Some(1));
     b.put("r1", [charge("a", None, "help", noon()), end("a", Ending::Served, (100, 20, 30), two)]);
     b.biller.work(work("a", 0, Work::Prefill, (100, 20, 1)));
@@ -624,8 +640,8 @@
 }
 
 #[test]
-fn each_rule_of_what_costs_and_what_does_not() {
-    let mut b = Books::new();
+fn each_ending_is_billed_or_listed_with_its_cause() {
+    let mut b = Ledgers::new();
     let whole = (None, Some(0));
     let none = (None, None);
     let both = |id: &str, identity, ending, usage, attempts| {
@@ -640,15 +656,15 @@
     b.biller.work(work("early", 0, Work::Prefill, (13, 0, 1)));
     b.put("r1", both("failed", None, Ending::Failed, (0, 0, 0), none));
     b.biller.work(work("failed", 0, Work::Combined, (14, 0, 0)));
-    // Kept text was lost, so the prompt was read again by a second attempt.
+    // The prefill result was lost, so a second attempt computed the prompt again.
     b.put("r1", both("again", None, Ending::Served, (15, 0, 2), (Some(2), Some(3))));
     b.biller.work(work("again", 0, Work::Prefill, (15, 8, 1)));
     b.biller.work(work("again", 2, Work::Prefill, (15, 0, 1)));
     b.biller.work(work("again", 3, Work::Decode, (15, 15, 2)));
-    // The router died between the answer's end and its settlement.
+    // The router crashed between the end of the answer and its settlement.
     b.put("r1", both("orphan", None, Ending::Orphaned, (0, 0, 0), none));
     b.biller.work(work("orphan", 0, Work::Combined, (16, 0, 9)));
-    // The same identity at two routers.
+    // The same idempotency key at two routers.
     b.put("r1", both("first", Some("k"), Ending::Served, (17, 0, 1), whole));
     b.put("r2", both("second", Some("k"), Ending::Served, (17, 0, 1), whole));
     b.biller.work(work("first", 0, Work::Combined, (17, 0, 1)));
@@ -673,8 +689,8 @@
 }
 
 #[test]
-fn what_is_missing_or_wrong_is_not_explained_away() {
-    let mut b = Books::new();
+fn missing_or_wrong_records_are_unexplained() {
+    let mut b = Ledgers::new();
     let whole = (None, Some(0));
     b.put("r1", [charge("gone", None, "help", noon()), end("gone", Ending::Served, (10, 0, 1), whole)]);
     b.put("r1", [charge("off", None, "help", noon()), end("off", Ending::Served, (10, 0, 4), whole)]);
@@ -692,14 +708,14 @@
 
 #[test]
 fn ledgers_and_engine_records_fed_twice_or_in_any_order_bill_once() {
-    let mut b = Books::new();
+    let mut b = Ledgers::new();
     let records = [charge("a", None, "help", noon()), end("a", Ending::Served, (10, 0, 1), (None, Some(0)))];
     for _ in 0..2 {
         b.biller.record("r1", 2, &records[1]);
         b.biller.record("r1", 1, &records[0]);
         b.biller.work(work("a", 0, Work::Combined, (10, 0, 1)));
     }
-    // What was taken in November is in November's bill, and what is still open in none.
+    // A request admitted in November is on November's bill. An open request is on no bill.
     let november = at("2026-11-30T23:59:59[Europe/Zurich]");
     b.put(
         "r3",
--- a/crates/budget/tests/stored_data.rs
+++ b/crates/budget/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Compatibility of the stored forms: ledgers, checkpoints, grants and rounds that an earlier build wrote are
-//! read with their values, and the same values are written as the same bytes.
+//! Compatibility of stored formats: ledgers, checkpoints, grants and rounds of an earlier build are read with the
+//! same values, and the same values are written as the same bytes.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing, clippy::panic, missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -41,15 +41,15 @@
     AccountKey { tenant: "ost".into(), class: None, kind: PeriodKind::Day }
 }
 
-fn month_place() -> AccountPeriod {
+fn month_period() -> AccountPeriod {
     AccountPeriod { class: None, kind: PeriodKind::Month, start: MONTH.start }
 }
 
-fn hour_place() -> AccountPeriod {
+fn hour_period() -> AccountPeriod {
     AccountPeriod { class: Some("help".into()), kind: PeriodKind::Hour, start: HOUR.start }
 }
 
-fn day_place() -> AccountPeriod {
+fn day_period() -> AccountPeriod {
     AccountPeriod { class: None, kind: PeriodKind::Day, start: DAY.start }
 }
 
@@ -83,7 +83,7 @@
         identity: Some(format!("order-{n}").into()),
         at: START.after(3 * S + n),
         amount: Units(28_800),
-        account_periods: vec![month_place(), hour_place()],
+        account_periods: vec![month_period(), hour_period()],
     }
 }
 
@@ -115,7 +115,7 @@
         identity: Some("order-99".into()),
         at: START.after(5 * S),
         amount: Units(12_345),
-        account_periods: vec![day_place()],
+        account_periods: vec![day_period()],
     }));
     records.push(Record::Reserved(Reservation {
         id: "r1-free".into(),
@@ -173,14 +173,17 @@
     assert_eq!(state.lease, Lease { number: 7, until: START.after(12 * S) });
     let usage =
         |spent, reserved, ceiling| AccountUsage { spent: Units(spent), reserved: Units(reserved), ceiling };
-    let uses: Vec<(&str, AccountPeriod, AccountUsage)> =
-        state.usage.iter().map(|(tenant, place, usage)| (tenant, place.clone(), *usage)).collect();
+    let usages: Vec<(&str, AccountPeriod, AccountUsage)> = state
+        .usage
+        .iter()
+        .map(|(tenant, account_period, usage)| (tenant, account_period.clone(), *usage))
+        .collect();
     assert_eq!(
-        uses,
+        usages,
         [
-            ("nord", month_place(), usage(22_750, 0, Some(Units(5_000_000)))),
-            ("nord", hour_place(), usage(22_750, 0, Some(Units(700_000)))),
-            ("ost", day_place(), usage(0, 12_345, Some(Units(40_000)))),
+            ("nord", month_period(), usage(22_750, 0, Some(Units(5_000_000)))),
+            ("nord", hour_period(), usage(22_750, 0, Some(Units(700_000)))),
+            ("ost", day_period(), usage(0, 12_345, Some(Units(40_000)))),
         ]
     );
     let open: Vec<(&str, OpenReservation)> =
@@ -188,19 +191,19 @@
     let ost = OpenReservation {
         tenant: "ost".into(),
         amount: Units(12_345),
-        account_periods: vec![day_place()],
+        account_periods: vec![day_period()],
         identity: Some(RequestIdentity { identity: "order-99".into(), class: "later".into() }),
     };
     let free =
         OpenReservation { tenant: "".into(), amount: Units(0), account_periods: vec![], identity: None };
     assert_eq!(open, [("r1-free", free), ("r1-open", ost)]);
-    let ran = |n: u64| ExecutedRequest {
+    let executed = |n: u64| ExecutedRequest {
         tenant: "nord".into(),
         identity: format!("order-{n}").into(),
         class: "help".into(),
         at: START.after(4 * S + n),
     };
-    assert_eq!(state.executed, [ran(0), ran(3), ran(6)]);
+    assert_eq!(state.executed, [executed(0), executed(3), executed(6)]);
     let demand: Vec<(AccountKey, Demand)> = state.demand.clone().into_iter().collect();
     let denied = |total, largest| Demand { total: Units(total), largest: Units(largest) };
     assert_eq!(demand, [(tenant_month(), denied(300_500, 200_250)), (class_hour(), denied(9, 9))]);
@@ -220,7 +223,7 @@
     assert_eq!(from_checkpoint, from_all);
 }
 
-/// Cut within the checkpoint, as a crash leaves it; and a changed byte in the grant's record.
+/// One ledger ends within its checkpoint, as after a crash; the other has a changed byte in the lease's record.
 #[test]
 fn torn_and_damaged_ledgers_give_the_other_records_and_a_report() {
     let (report, read) = read_segment("ledger-torn");
@@ -303,7 +306,7 @@
     assert_eq!(SigningKey::new("5a5a").unwrap_err(), "must be 64 hexadecimal digits");
 }
 
-/// A predecessor tells its successor of settlements as lines of JSON.
+/// A predecessor sends settlements to its successor as lines of JSON.
 #[test]
 fn settlements_have_the_same_json() {
     let stored = std::fs::read_to_string(data("settled.jsonl")).unwrap();
@@ -337,13 +340,13 @@
 }
 
 #[test]
-fn figures_and_standings_have_the_same_json() {
+fn figures_and_account_summaries_have_the_same_json() {
     let figures = Figures { spent: 1, reserved: 2, stranded: 3, refused: 4 };
     assert_eq!(
         serde_json::to_string(&figures).unwrap(),
         r#"{"spent":1,"reserved":2,"stranded":3,"refused":4}"#
     );
-    let standing = AccountSummary {
+    let summary = AccountSummary {
         account: tenant_month().to_string(),
         start: START,
         limit: Units(5),
@@ -352,13 +355,13 @@
         stranded: Units(3),
     };
     assert_eq!(
-        serde_json::to_string(&standing).unwrap(),
+        serde_json::to_string(&summary).unwrap(),
         r#"{"account":"nord/*/month","start":1796100000000000,"limit":5,"spent":1,"reserved":2,"stranded":3}"#
     );
 }
 
 #[test]
-fn refusals_and_forks_are_printed_as_before() {
+fn denials_and_forks_have_the_same_texts() {
     let printed = |reason, account| Denial { reason, account, retry_after: 0 }.to_string();
     let harmless = "; nothing has run, trying again does no harm";
     assert_eq!(
@@ -384,16 +387,16 @@
         "router r1 holds lease 9, this journal ends at 7: another settlement job keeps another journal; \
          stop one and join the journals"
     );
-    // The router's log names the cause of a grant that was not taken by its variant.
+    // The router's log gives the cause of a rejected grant as the name of its variant.
     let causes =
         [AdoptLeaseError::NotOurs, AdoptLeaseError::Old, AdoptLeaseError::Expired, AdoptLeaseError::NoLedger];
     let names: Vec<String> = causes.iter().map(|cause| format!("{cause:?}")).collect();
     assert_eq!(names, ["NotOurs", "Old", "Expired", "NoLedger"]);
 }
 
-/// Causes are printed by their variants in texts and by these words in JSON.
+/// Texts contain causes as variant names; JSON contains them as the serialized names below.
 #[test]
-fn causes_and_endings_have_the_same_words() {
+fn causes_and_endings_have_the_same_names() {
     use chalkyard_budget::bill::Cause;
     let causes = [
         (Cause::Failed, "Failed", "\"failed\""),
