--- a/crates/ledger/tests/stored_data.rs
+++ b/crates/ledger/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Compatibility of the stored form: ledgers that an earlier build wrote are read with their values, damaged
-//! ones give the same reports and errors, and writing the same records again gives the same bytes.
+//! Compatibility of the stored format: ledgers of an earlier build are read with the same values, damaged ledgers
+//! give the same reports and errors, and the same records are written as the same bytes.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing, clippy::panic, missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use chalkyard_ledger::*;
 use serde::{Deserialize, Serialize};
 
-/// One variant of each shape that postcard knows.
+/// A record type with one variant of each shape that postcard supports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 enum Entry {
     Unit,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Cut within the fourth record, as a crash leaves it.
+/// The segment ends within the fourth record, as after a crash.
 #[test]
 fn torn_tail_is_reported_and_the_records_before_it_are_read() {
     let (report, records) = read_all("torn", &[1]).unwrap();
@@ -145,7 +145,7 @@
     );
 }
 
-/// A changed byte in the third record.
+/// The third record has a changed byte.
 #[test]
 fn damaged_record_is_skipped_and_reported_by_place_and_number() {
     let (report, records) = read_all("damaged", &[1]).unwrap();
@@ -161,7 +161,7 @@
     );
 }
 
-/// A record of a variant that this build does not know, with a good checksum.
+/// The second record has a variant that this build does not know, and a valid checksum.
 #[test]
 fn record_of_another_version_is_skipped_and_reported() {
     let (report, records) = read_all("unknown-variant", &[1]).unwrap();
@@ -179,12 +179,12 @@
         ("bad-magic", "000000000001.ledger: not a ledger's segment, or of another version"),
         ("bad-head", "000000000001.ledger: its head is damaged"),
     ];
-    for (folder, told) in cases {
+    for (folder, expected) in cases {
         let error = read_all(folder, &[1]).unwrap_err();
         assert!(matches!(error, LedgerError::InvalidHead { .. }), "{error:?}");
-        assert_eq!(error.to_string(), told);
+        assert_eq!(error.to_string(), expected);
     }
-    // A head that was cut is a crash at the newest segment, and foreign at an older one.
+    // An incomplete head is the result of a crash at the newest segment, and an error at an older one.
     let (report, records) = read_all("cut-head", &[1]).unwrap();
     assert_eq!((records, report.valid_length, report.tail), (vec![], 0, Tail::Torn(11)));
     let volume = DirectoryVolume::reader(&data("cut-head"));
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn errors_are_printed_as_before() {
+fn errors_have_the_same_texts() {
     assert_eq!(
         LedgerError::Locked { place: "here".into() }.to_string(),
         "here: another process writes this ledger"
