--- a/crates/budget/src/bill/mod.rs
+++ b/crates/budget/src/bill/mod.rs
@@ -146,7 +146,7 @@
 /// Bill of one period.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Bill {
-    /// Lines by tenant, class and day.
+    /// Bill lines by tenant, class and day.
     #[serde(serialize_with = "serialize_lines")]
     pub lines: BTreeMap<LineKey, BillLine>,
     /// Differences with their causes.
--- a/crates/budget/src/budget_enforcer/account.rs
+++ b/crates/budget/src/budget_enforcer/account.rs
@@ -11,7 +11,7 @@
 use super::admission::{Admission, DenialReason};
 use super::router_part;
 
-/// The soft limit, in thousandths of the budget, that means "none".
+/// Value of the soft limit, in thousandths of the budget, that disables it.
 const NO_SOFT_LIMIT: u32 = 1_000;
 
 /// Budget and usage of an account period over all routers, from the newest grant.
--- a/crates/budget/src/budget_enforcer/admission.rs
+++ b/crates/budget/src/budget_enforcer/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a request reserves its worst case in all accounts of its tenant, or is denied.
+//! Admission: a request reserves its worst-case cost in all accounts of its tenant or is denied.
 
 use std::collections::BTreeMap;
 
@@ -106,7 +106,7 @@
     /// Admits a request by reserving its worst-case cost.
     ///
     /// # Errors
-    /// The reason why it is denied, and when to retry.
+    /// The reason for a denial and the time to wait before a retry.
     pub fn admit(&mut self, now: Time, request: ReservationRequest<'_>) -> Result<Admission, Denial> {
         let now = self.monotonic(now);
         let decision = self.decide(now, request);
--- a/crates/budget/src/lease_allocator/mod.rs
+++ b/crates/budget/src/lease_allocator/mod.rs
@@ -131,7 +131,7 @@
         self.head
     }
 
-    /// Replaces the budgets, from the next round on.
+    /// Replaces the budgets and manual adjustments from the next round on.
     pub fn set_plan(&mut self, plan: Plan, extra: BTreeMap<AccountStart, i64>) {
         self.plan = plan;
         self.extra = extra;
@@ -276,7 +276,7 @@
         ceilings
     }
 
-    /// Whether a router's grant must name its ceiling.
+    /// Whether a router's grant must include the given ceiling.
     fn must_include(&self, router: &str, view: &RouterView, account: &AccountStart, ceiling: Units) -> bool {
         let held = view.usage(account).ceiling;
         let is_unchanged = held == Some(ceiling) || (held.is_none() && ceiling == Units(0));
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -138,7 +138,7 @@
     Settled(Settled),
     /// A lease was adopted.
     Adopted(AdoptedLease),
-    /// A checkpoint: recovery can begin here.
+    /// A checkpoint, at which recovery can begin.
     State(Box<State>),
 }
 
--- a/crates/budget/src/token_bucket.rs
+++ b/crates/budget/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Token rates: a token bucket that may go into debt, refilled in integral units.
+//! Token rate limits: a token bucket whose level may become negative, refilled in integral units.
 
 use crate::units::{Time, Units};
 
--- a/crates/budget/tests/budgets.rs
+++ b/crates/budget/tests/budgets.rs
@@ -58,7 +58,7 @@
     }
 }
 
-fn one(limits: Vec<(AccountKey, Limit)>) -> BudgetEnforcer {
+fn enforcer_with(limits: Vec<(AccountKey, Limit)>) -> BudgetEnforcer {
     BudgetEnforcer::new("r1", plan(limits, Mode::Shares(1)), State::default(), noon())
 }
 
@@ -66,7 +66,7 @@
     ReservationRequest { id, tenant: "nord", class: "help", identity: None, prompt, output }
 }
 
-fn served(enforcer: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, cached: u64, output: u64) -> bool {
+fn serve(enforcer: &mut BudgetEnforcer, now: Time, id: &str, prompt: u64, cached: u64, output: u64) -> bool {
     let attempts = BilledAttempts { prefill: None, answering: Some(0) };
     enforcer.settle(now, id, Ending::Served, Usage { prompt, cached, output }, attempts, true)
 }
@@ -77,7 +77,7 @@
 
 #[test]
 fn request_reserves_its_worst_case_and_settles_once_by_its_usage() {
-    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(1_000))]);
+    let mut enforcer = enforcer_with(vec![(key(PeriodKind::Day), limit(1_000))]);
     enforcer.admit(noon(), ask("a", 200, 100)).unwrap();
     let account_period = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(
@@ -87,13 +87,13 @@
     let denial = enforcer.admit(noon(), ask("b", 300, 50)).unwrap_err();
     assert_eq!((denial.reason, denial.account), (DenialReason::BudgetExhausted, Some(key(PeriodKind::Day))));
     assert_eq!(denial.retry_after, 12 * 3_600 * S, "retry at midnight");
-    assert!(served(&mut enforcer, noon(), "a", 210, 110, 10));
+    assert!(serve(&mut enforcer, noon(), "a", 210, 110, 10));
     assert_eq!(
         enforcer.state().usage.get(&account_period().0, account_period().1).spent,
         Units(100 * 1_000 + 110 * 100 + 10 * 4_000)
     );
-    assert!(!served(&mut enforcer, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
-    assert!(!served(&mut enforcer, noon(), "never", 1, 0, 1));
+    assert!(!serve(&mut enforcer, noon(), "a", 210, 110, 10), "a second settlement changes nothing");
+    assert!(!serve(&mut enforcer, noon(), "never", 1, 0, 1));
     assert!(enforcer.admit(noon(), ask("b", 300, 50)).is_ok());
     enforcer.settle(
         noon(),
@@ -114,7 +114,7 @@
 #[test]
 fn soft_limits_warn_clamp_and_lower_and_hard_ones_can_clamp() {
     let soft = |at_soft| Limit { soft: 500, at_soft, marks: vec![500, 900], ..limit(1_000) };
-    let mut enforcer = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Clamp(20)))]);
+    let mut enforcer = enforcer_with(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Clamp(20)))]);
     let first = enforcer.admit(noon(), ask("a", 100, 100)).unwrap();
     assert_eq!(
         (first.output, &first.marks[..]),
@@ -122,12 +122,15 @@
     );
     assert_eq!(enforcer.admit(noon(), ask("b", 100, 100)).unwrap().output, 20);
 
-    let mut enforcer = one(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Lower("later".into())))]);
+    let mut enforcer =
+        enforcer_with(vec![(key(PeriodKind::Day), soft(SoftLimitAction::Lower("later".into())))]);
     assert_eq!(enforcer.admit(noon(), ask("a", 100, 100)).unwrap().lower_to, None);
     assert_eq!(enforcer.admit(noon(), ask("b", 100, 10)).unwrap().lower_to.as_deref(), Some("later"));
 
-    let mut enforcer =
-        one(vec![(key(PeriodKind::Day), Limit { at_hard: HardLimitAction::Clamp(16), ..limit(1_000) })]);
+    let mut enforcer = enforcer_with(vec![(
+        key(PeriodKind::Day),
+        Limit { at_hard: HardLimitAction::Clamp(16), ..limit(1_000) },
+    )]);
     assert_eq!(enforcer.admit(noon(), ask("a", 200, 100)).unwrap().output, 100);
     assert_eq!(enforcer.admit(noon(), ask("b", 200, 100)).unwrap().output, 50, "the remaining budget");
     assert_eq!(enforcer.admit(noon(), ask("c", 1, 16)).unwrap_err().reason, DenialReason::BudgetExhausted);
@@ -136,7 +139,8 @@
 #[test]
 fn a_class_has_its_own_budget_beside_the_tenants() {
     let of_class = AccountKey { class: Some("report".into()), ..key(PeriodKind::Hour) };
-    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
+    let mut enforcer =
+        enforcer_with(vec![(key(PeriodKind::Day), limit(1_000)), (of_class.clone(), limit(100))]);
     let report = |id| ReservationRequest { class: "report", ..ask(id, 50, 10) };
     assert!(enforcer.admit(noon(), report("a")).is_ok());
     let denial = enforcer.admit(noon(), report("b")).unwrap_err();
@@ -156,18 +160,18 @@
     let denial = enforcer.admit(noon(), ask("b", 0, 100)).unwrap_err();
     assert_eq!((denial.reason, denial.retry_after), (DenialReason::RateLimited, 4 * S));
     assert_eq!(enforcer.state().open.len(), 1, "a denial reserves nothing");
-    served(&mut enforcer, noon(), "a", 200, 0, 50);
+    serve(&mut enforcer, noon(), "a", 200, 0, 50);
     assert!(enforcer.admit(noon(), ask("b", 0, 100)).is_ok());
 }
 
 #[test]
 fn stream_across_periods_is_charged_to_the_period_of_admission() {
-    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(500))]);
+    let mut enforcer = enforcer_with(vec![(key(PeriodKind::Day), limit(500))]);
     let before = at("2026-12-01T23:59:59[Europe/Zurich]");
     enforcer.admit(before, ask("a", 100, 100)).unwrap();
     let after = before.after(5 * S);
     enforcer.admit(after, ask("b", 100, 100)).unwrap();
-    served(&mut enforcer, after, "a", 100, 0, 100);
+    serve(&mut enforcer, after, "a", 100, 0, 100);
     let used = |day: &str| enforcer.state().usage.get(&key(PeriodKind::Day), at(day));
     let (first, second) = (used("2026-12-01T00:00[Europe/Zurich]"), used("2026-12-02T00:00[Europe/Zurich]"));
     assert_eq!((first.spent, first.reserved), (Units::tokens(500), Units(0)));
@@ -178,12 +182,12 @@
 #[test]
 fn old_periods_are_forgotten() {
     let mut enforcer =
-        one(vec![(key(PeriodKind::Hour), limit(1_000)), (key(PeriodKind::Day), limit(100_000))]);
+        enforcer_with(vec![(key(PeriodKind::Hour), limit(1_000)), (key(PeriodKind::Day), limit(100_000))]);
     enforcer.admit(noon(), ask("stays open", 10, 1)).unwrap();
     for hour in 0..200 {
         let (now, id) = (noon().after(hour * 3_600 * S), format!("q{hour}"));
         enforcer.admit(now, ask(&id, 10, 1)).unwrap();
-        served(&mut enforcer, now, &id, 10, 0, 1);
+        serve(&mut enforcer, now, &id, 10, 0, 1);
     }
     // Four periods of each kind, and the two with an open reservation.
     assert_eq!(enforcer.state().usage.iter().count(), 4 + 4 + 2);
@@ -193,7 +197,8 @@
 
 #[test]
 fn repeated_local_hour_has_two_budgets_and_its_day_one() {
-    let mut enforcer = one(vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))]);
+    let mut enforcer =
+        enforcer_with(vec![(key(PeriodKind::Hour), limit(500)), (key(PeriodKind::Day), limit(1_000))]);
     let first_hour = at("2026-10-25T02:30+02:00[Europe/Zurich]");
     // The enforcer's ledger is newer than this day, so a second enforcer starts on it.
     let fresh = plan(
@@ -263,7 +268,7 @@
     assert!(enforcer.admit(noon().after(9 * S), ask("c", 10, 1)).is_ok());
     assert_eq!(enforcer.admit(until, ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
     // A clock that steps back does not prolong the lease.
-    assert!(served(&mut enforcer, until.after(S), "a", 100, 0, 1));
+    assert!(serve(&mut enforcer, until.after(S), "a", 100, 0, 1));
     assert_eq!(enforcer.admit(noon(), ask("d", 10, 1)).unwrap_err().reason, DenialReason::NoLease);
     // A restart does not prolong the lease either.
     let mut restarted = BudgetEnforcer::new(
@@ -294,10 +299,10 @@
 
 #[test]
 fn a_tenant_removed_while_it_streams_is_settled_and_billed() {
-    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(1_000))]);
+    let mut enforcer = enforcer_with(vec![(key(PeriodKind::Day), limit(1_000))]);
     enforcer.admit(noon(), ask("a", 100, 100)).unwrap();
     enforcer.set_plan(plan(vec![], Mode::Shares(1)));
-    assert!(served(&mut enforcer, noon(), "a", 100, 0, 40));
+    assert!(serve(&mut enforcer, noon(), "a", 100, 0, 40));
     let account_period = || (key(PeriodKind::Day), at("2026-12-01T00:00[Europe/Zurich]"));
     assert_eq!(enforcer.state().usage.get(&account_period().0, account_period().1).spent, Units::tokens(260));
     // A tenant that is added again keeps its spent units.
@@ -308,24 +313,24 @@
 
 #[test]
 fn nothing_is_admitted_while_the_ledger_is_not_writable() {
-    let mut enforcer = one(vec![]);
+    let mut enforcer = enforcer_with(vec![]);
     enforcer.admit(noon(), ask("a", 10, 10)).unwrap();
     enforcer.set_writable(false);
     assert_eq!(enforcer.admit(noon(), ask("b", 10, 10)).unwrap_err().reason, DenialReason::LedgerUnavailable);
     assert_eq!(enforcer.adopt(noon(), &grant(1, noon().after(S), 10)), Err(AdoptLeaseError::NoLedger));
-    assert!(served(&mut enforcer, noon(), "a", 10, 0, 10), "open requests are still settled");
+    assert!(serve(&mut enforcer, noon(), "a", 10, 0, 10), "open requests are still settled");
     enforcer.set_writable(true);
     assert!(enforcer.admit(noon(), ask("b", 10, 10)).is_ok());
 }
 
 /// After a crash at any record, the state equals the sums of the records and nothing is reserved.
 #[test]
-fn recovery_gives_the_sums_that_the_records_say() {
-    let mut enforcer = one(vec![(key(PeriodKind::Day), limit(100_000))]);
+fn recovered_usage_equals_the_sums_of_the_records() {
+    let mut enforcer = enforcer_with(vec![(key(PeriodKind::Day), limit(100_000))]);
     for i in 0..20_u64 {
         enforcer.admit(noon().after(i), ask(&format!("q{i}"), 10 + i, 5)).unwrap();
         if i % 3 > 0 {
-            served(&mut enforcer, noon().after(i), &format!("q{i}"), 10 + i, i, 2);
+            serve(&mut enforcer, noon().after(i), &format!("q{i}"), 10 + i, i, 2);
         }
         if i == 10 {
             enforcer.checkpoint();
@@ -370,7 +375,7 @@
     let mut new = BudgetEnforcer::take_over("r1", plan, old.state().clone(), noon());
     assert!(new.admit(noon(), ask("d", 10, 10)).is_ok(), "the lease stays in force");
     let settlement_of = |enforcer: &mut BudgetEnforcer, id: &str| {
-        served(enforcer, noon(), id, 10, 0, 5);
+        serve(enforcer, noon(), id, 10, 0, 5);
         let Some((_, Record::Settled(s))) = records(enforcer).pop() else { panic!() };
         s
     };
@@ -434,7 +439,7 @@
         let prompt = 50 + self.n % 41;
         let taken = self.enforcers[router].admit(self.now, ask(&id, prompt, 50)).is_ok();
         if taken {
-            served(&mut self.enforcers[router], self.now, &id, prompt, 0, 20 + self.n % 31);
+            serve(&mut self.enforcers[router], self.now, &id, prompt, 0, 20 + self.n % 31);
         }
         taken
     }
@@ -470,7 +475,7 @@
     assert!(cluster.used() >= 18_000, "{}", cluster.used());
 }
 
-fn skewed(leases: bool) -> u64 {
+fn use_after_skewed_traffic(leases: bool) -> u64 {
     let mut cluster = Cluster::new(16, 400_000, leases);
     for _ in 0..120 {
         cluster.round();
@@ -487,7 +492,7 @@
 
 #[test]
 fn skewed_traffic_still_reaches_the_budget() {
-    let used = skewed(true);
+    let used = use_after_skewed_traffic(true);
     assert!(used >= 380_000, "{used}");
 }
 
@@ -551,7 +556,7 @@
 
 // ---- Bills.
 
-fn charge(id: &str, identity: Option<&str>, class: &str, when: Time) -> Record {
+fn reservation_record(id: &str, identity: Option<&str>, class: &str, when: Time) -> Record {
     Record::Reserved(Reservation {
         id: id.into(),
         tenant: "nord".into(),
@@ -563,7 +568,12 @@
     })
 }
 
-fn end(id: &str, ending: Ending, usage: (u64, u64, u64), attempts: (Option<u32>, Option<u32>)) -> Record {
+fn settlement(
+    id: &str,
+    ending: Ending,
+    usage: (u64, u64, u64),
+    attempts: (Option<u32>, Option<u32>),
+) -> Record {
     let usage = Usage { prompt: usage.0, cached: usage.1, output: usage.2 };
     let (prefill_attempt, answering_attempt) = attempts;
     Record::Settled(Settled {
@@ -578,7 +588,7 @@
     })
 }
 
-fn work(id: &str, attempt: u32, work: Work, usage: (u64, u64, u64)) -> EngineRecord {
+fn engine_record(id: &str, attempt: u32, work: Work, usage: (u64, u64, u64)) -> EngineRecord {
     EngineRecord {
         engine: "e".into(),
         request: id.into(),
@@ -600,7 +610,7 @@
     fn new() -> Self {
         Self { biller: Biller::default(), n: 0 }
     }
-    fn put(&mut self, router: &str, records: impl IntoIterator<Item = Record>) {
+    fn add_records(&mut self, router: &str, records: impl IntoIterator<Item = Record>) {
         for r in records {
             self.n += 1;
             self.biller.record(router, self.n, &r);
@@ -621,11 +631,20 @@
 fn a_bill_agrees_with_the_engines_to_the_token() {
     let mut b = Ledgers::new();
     let two = (Some(0), Some(1));
-    b.put("r1", [charge("a", None, "help", noon()), end("a", Ending::Served, (100, 20, 30), two)]);
-    b.biller.work(work("a", 0, Work::Prefill, (100, 20, 1)));
-    b.biller.work(work("a", 1, Work::Decode, (100, 100, 30)));
-    b.put("r2", [charge("b", None, "help", noon()), end("b", Ending::Served, (50, 0, 5), (None, Some(0)))]);
-    b.biller.work(work("b", 0, Work::Combined, (50, 0, 5)));
+    b.add_records(
+        "r1",
+        [reservation_record("a", None, "help", noon()), settlement("a", Ending::Served, (100, 20, 30), two)],
+    );
+    b.biller.work(engine_record("a", 0, Work::Prefill, (100, 20, 1)));
+    b.biller.work(engine_record("a", 1, Work::Decode, (100, 100, 30)));
+    b.add_records(
+        "r2",
+        [
+            reservation_record("b", None, "help", noon()),
+            settlement("b", Ending::Served, (50, 0, 5), (None, Some(0))),
+        ],
+    );
+    b.biller.work(engine_record("b", 0, Work::Combined, (50, 0, 5)));
     let bill = b.bill();
     assert_eq!((bill.engine_tokens, bill.billed_tokens), (185, 185));
     assert_eq!((bill.explained_tokens, bill.unexplained_tokens, bill.differences.len()), (0, 0, 0));
@@ -645,31 +664,31 @@
     let whole = (None, Some(0));
     let none = (None, None);
     let both = |id: &str, identity, ending, usage, attempts| {
-        [charge(id, identity, "help", noon()), end(id, ending, usage, attempts)]
+        [reservation_record(id, identity, "help", noon()), settlement(id, ending, usage, attempts)]
     };
-    b.put("r1", both("broken", None, Ending::Broken, (0, 0, 0), none));
-    b.biller.work(work("broken", 0, Work::Combined, (10, 0, 7)));
-    // The client left after the router had counted 3 tokens; the engine had written 5.
-    b.put("r1", both("left", None, Ending::Left, (11, 0, 3), whole));
-    b.biller.work(work("left", 0, Work::Combined, (12, 2, 5)));
-    b.put("r1", both("early", None, Ending::LeftEarly, (0, 0, 0), none));
-    b.biller.work(work("early", 0, Work::Prefill, (13, 0, 1)));
-    b.put("r1", both("failed", None, Ending::Failed, (0, 0, 0), none));
-    b.biller.work(work("failed", 0, Work::Combined, (14, 0, 0)));
+    b.add_records("r1", both("broken", None, Ending::Broken, (0, 0, 0), none));
+    b.biller.work(engine_record("broken", 0, Work::Combined, (10, 0, 7)));
+    // The client left after the router had counted 3 tokens; the engine had generated 5.
+    b.add_records("r1", both("left", None, Ending::Left, (11, 0, 3), whole));
+    b.biller.work(engine_record("left", 0, Work::Combined, (12, 2, 5)));
+    b.add_records("r1", both("early", None, Ending::LeftEarly, (0, 0, 0), none));
+    b.biller.work(engine_record("early", 0, Work::Prefill, (13, 0, 1)));
+    b.add_records("r1", both("failed", None, Ending::Failed, (0, 0, 0), none));
+    b.biller.work(engine_record("failed", 0, Work::Combined, (14, 0, 0)));
     // The prefill result was lost, so a second attempt computed the prompt again.
-    b.put("r1", both("again", None, Ending::Served, (15, 0, 2), (Some(2), Some(3))));
-    b.biller.work(work("again", 0, Work::Prefill, (15, 8, 1)));
-    b.biller.work(work("again", 2, Work::Prefill, (15, 0, 1)));
-    b.biller.work(work("again", 3, Work::Decode, (15, 15, 2)));
+    b.add_records("r1", both("again", None, Ending::Served, (15, 0, 2), (Some(2), Some(3))));
+    b.biller.work(engine_record("again", 0, Work::Prefill, (15, 8, 1)));
+    b.biller.work(engine_record("again", 2, Work::Prefill, (15, 0, 1)));
+    b.biller.work(engine_record("again", 3, Work::Decode, (15, 15, 2)));
     // The router crashed between the end of the answer and its settlement.
-    b.put("r1", both("orphan", None, Ending::Orphaned, (0, 0, 0), none));
-    b.biller.work(work("orphan", 0, Work::Combined, (16, 0, 9)));
+    b.add_records("r1", both("orphan", None, Ending::Orphaned, (0, 0, 0), none));
+    b.biller.work(engine_record("orphan", 0, Work::Combined, (16, 0, 9)));
     // The same idempotency key at two routers.
-    b.put("r1", both("first", Some("k"), Ending::Served, (17, 0, 1), whole));
-    b.put("r2", both("second", Some("k"), Ending::Served, (17, 0, 1), whole));
-    b.biller.work(work("first", 0, Work::Combined, (17, 0, 1)));
-    b.biller.work(work("second", 0, Work::Combined, (17, 0, 1)));
-    b.put("r2", both("refused", None, Ending::Refused, (0, 0, 0), none));
+    b.add_records("r1", both("first", Some("k"), Ending::Served, (17, 0, 1), whole));
+    b.add_records("r2", both("second", Some("k"), Ending::Served, (17, 0, 1), whole));
+    b.biller.work(engine_record("first", 0, Work::Combined, (17, 0, 1)));
+    b.biller.work(engine_record("second", 0, Work::Combined, (17, 0, 1)));
+    b.add_records("r2", both("refused", None, Ending::Refused, (0, 0, 0), none));
     let bill = b.bill();
     let mut got = causes(&bill);
     got.sort();
@@ -692,10 +711,22 @@
 fn missing_or_wrong_records_are_unexplained() {
     let mut b = Ledgers::new();
     let whole = (None, Some(0));
-    b.put("r1", [charge("gone", None, "help", noon()), end("gone", Ending::Served, (10, 0, 1), whole)]);
-    b.put("r1", [charge("off", None, "help", noon()), end("off", Ending::Served, (10, 0, 4), whole)]);
-    b.biller.work(work("off", 0, Work::Combined, (10, 0, 1)));
-    b.biller.work(work("unknown", 0, Work::Combined, (7, 0, 1)));
+    b.add_records(
+        "r1",
+        [
+            reservation_record("gone", None, "help", noon()),
+            settlement("gone", Ending::Served, (10, 0, 1), whole),
+        ],
+    );
+    b.add_records(
+        "r1",
+        [
+            reservation_record("off", None, "help", noon()),
+            settlement("off", Ending::Served, (10, 0, 4), whole),
+        ],
+    );
+    b.biller.work(engine_record("off", 0, Work::Combined, (10, 0, 1)));
+    b.biller.work(engine_record("unknown", 0, Work::Combined, (7, 0, 1)));
     let bill = b.bill();
     let expected = [
         ("gone", Cause::NoEngineRecord, 11),
@@ -709,20 +740,26 @@
 #[test]
 fn ledgers_and_engine_records_fed_twice_or_in_any_order_bill_once() {
     let mut b = Ledgers::new();
-    let records = [charge("a", None, "help", noon()), end("a", Ending::Served, (10, 0, 1), (None, Some(0)))];
+    let records = [
+        reservation_record("a", None, "help", noon()),
+        settlement("a", Ending::Served, (10, 0, 1), (None, Some(0))),
+    ];
     for _ in 0..2 {
         b.biller.record("r1", 2, &records[1]);
         b.biller.record("r1", 1, &records[0]);
-        b.biller.work(work("a", 0, Work::Combined, (10, 0, 1)));
+        b.biller.work(engine_record("a", 0, Work::Combined, (10, 0, 1)));
     }
     // A request admitted in November is on November's bill. An open request is on no bill.
     let november = at("2026-11-30T23:59:59[Europe/Zurich]");
-    b.put(
+    b.add_records(
         "r3",
-        [charge("old", None, "help", november), end("old", Ending::Served, (5, 0, 1), (None, Some(0)))],
+        [
+            reservation_record("old", None, "help", november),
+            settlement("old", Ending::Served, (5, 0, 1), (None, Some(0))),
+        ],
     );
-    b.biller.work(work("old", 0, Work::Combined, (5, 0, 1)));
-    b.put("r3", [charge("open", None, "help", noon())]);
+    b.biller.work(engine_record("old", 0, Work::Combined, (5, 0, 1)));
+    b.add_records("r3", [reservation_record("open", None, "help", noon())]);
     let bill = b.bill();
     assert_eq!((bill.billed_tokens, bill.unexplained_tokens, bill.open), (11, 0, 1));
     assert_eq!(causes(&bill), [("old", Cause::OtherPeriod, 6)]);
