--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -1,4 +1,4 @@
-//! `<budgets>`: token budgets, the ledger, the settlement job.
+//! `<budgets>`: token budgets, the ledger and the settlement job.
 
 mod limits;
 mod settlement;
@@ -19,28 +19,29 @@
 use crate::values::{Text, TimeSpan};
 use crate::xml::{Element, Errors};
 
-/// Size of a ledger segment in bytes, unless the file says otherwise.
-const SEGMENT_BYTES: u64 = 64 * 1024 * 1024;
-/// The smallest and the largest segment.
+/// Default size of a ledger segment in bytes.
+const DEFAULT_SEGMENT_BYTES: u64 = 64 * 1024 * 1024;
+/// Allowed sizes of a ledger segment in bytes.
 const SEGMENT_BYTES_RANGE: std::ops::RangeInclusive<u64> = 64 * 1024..=1024 * 1024 * 1024;
-/// How often a ledger is synced, unless the file says otherwise, and at most.
-const SYNC: p::Micros = p::Micros(50_000);
-const LEAST_SYNC: p::Micros = p::Micros(1_000);
-/// The epoch of a settlement job whose settings are not in this file, µs.
-const EPOCH_US: u64 = 1_000_000;
-
-/// Token budgets, the ledger behind them, and the settlement job.
+/// Default interval between syncs of the ledger to disk.
+const DEFAULT_SYNC_INTERVAL: p::Micros = p::Micros(50_000);
+/// Shortest allowed interval between syncs.
+const MIN_SYNC_INTERVAL: p::Micros = p::Micros(1_000);
+/// Epoch of a settlement job that this file does not configure, in microseconds.
+const DEFAULT_EPOCH_US: u64 = 1_000_000;
+
+/// Token budgets, the ledger that records their usage, and the settlement job.
 #[derive(Debug, Clone)]
 pub struct Budgets {
-    /// Budgets, rates and prices.
+    /// Limits, rates and prices.
     pub plan: Plan,
-    /// Folder of this router's ledger.
+    /// Directory of this router's ledger.
     pub ledger: PathBuf,
-    /// How often written records are synced to disk: what a power failure can lose.
+    /// Interval between syncs of written records to disk: a power failure can lose this much.
     pub sync_interval: Duration,
     /// Size of a ledger segment in bytes.
     pub segment_bytes: usize,
-    /// File in which this router's leases arrive.
+    /// File to which the settlement job writes this router's leases.
     pub grants_file: Option<PathBuf>,
     /// File with the key that signs leases.
     pub key_file: Option<PathBuf>,
@@ -76,28 +77,32 @@
 
     fn add_settlement(&mut self, child: &mut Element<'_, '_>, errors: &mut Errors) {
         if self.settlement.replace(settlement(child, errors)).is_some() {
-            child.report(None, "<settlement> is there twice", errors);
+            child.report(None, "duplicate element <settlement>", errors);
         }
     }
 
     fn add_limit(&mut self, child: &mut Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) {
         let (key, limit) = limit(child, known, errors);
         if self.limits.insert(key.clone(), limit).is_some() {
-            child.report(None, format!("the budget {key} is there twice"), errors);
+            child.report(None, format!("duplicate budget {key}"), errors);
         }
     }
 
     fn add_rate(&mut self, child: &mut Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) {
         let (tenant, rate) = rate(child, known, errors);
         if self.rates.insert(tenant, rate).is_some() {
-            child.report(Some("tenant"), "this tenant has a <rate> already", errors);
+            child.report(Some("tenant"), "duplicate <rate> for this tenant", errors);
         }
     }
 
     fn add_price(&mut self, child: &mut Element<'_, '_>, errors: &mut Errors) {
         let price = price(child, errors);
         if self.prices.last().is_some_and(|last| last.from >= price.from) {
-            child.report(Some("from"), "prices must be in order of their first days", errors);
+            child.report(
+                Some("from"),
+                "prices must be in ascending order of `from`, without duplicates",
+                errors,
+            );
         }
         self.prices.push(price);
     }
@@ -112,7 +117,7 @@
     element.optional::<Text>(name, errors).map(|text| text.0.into())
 }
 
-/// The calendar of the zone; UTC in place of one that does not exist.
+/// Reads the time zone. An unknown zone is reported and replaced by UTC.
 fn calendar(element: &mut Element<'_, '_>, errors: &mut Errors) -> Calendar {
     let zone = element.with_default("zone", Text("UTC".into()), errors).0;
     Calendar::new(&zone).unwrap_or_else(|reason| {
@@ -121,7 +126,7 @@
     })
 }
 
-/// How this router's part of each budget is found.
+/// Determines how each budget is divided between routers.
 fn mode(
     element: &mut Element<'_, '_>,
     has_leases: bool,
@@ -131,7 +136,11 @@
 ) -> Mode {
     let sharing = element.optional::<Sharing>("sharing", errors);
     if sharing.is_some() && has_leases {
-        element.report(Some("sharing"), "with `grants`, budgets are shared by leases", errors);
+        element.report(
+            Some("sharing"),
+            "cannot be combined with `grants`: leases divide the budgets",
+            errors,
+        );
     }
     match sharing {
         _ if has_leases => Mode::Leases { epoch, routers },
@@ -141,16 +150,16 @@
 }
 
 fn segment_bytes(element: &mut Element<'_, '_>, errors: &mut Errors) -> usize {
-    let bytes = element.with_default("segment-bytes", SEGMENT_BYTES, errors);
+    let bytes = element.with_default("segment-bytes", DEFAULT_SEGMENT_BYTES, errors);
     if !SEGMENT_BYTES_RANGE.contains(&bytes) {
         element.report(Some("segment-bytes"), "must be 65536 to 1073741824", errors);
     }
-    usize::try_from(bytes).unwrap_or(SEGMENT_BYTES as usize)
+    usize::try_from(bytes).unwrap_or(DEFAULT_SEGMENT_BYTES as usize)
 }
 
 fn sync_interval(element: &mut Element<'_, '_>, errors: &mut Errors) -> Duration {
-    let sync = element.with_default("sync", TimeSpan(SYNC), errors).0;
-    if sync < LEAST_SYNC {
+    let sync = element.with_default("sync", TimeSpan(DEFAULT_SYNC_INTERVAL), errors).0;
+    if sync < MIN_SYNC_INTERVAL {
         element.report(Some("sync"), "must be at least 1ms", errors);
     }
     Duration::from_micros(sync.0)
@@ -163,9 +172,9 @@
     let grants_file = path(element, "grants", errors);
     let key_file = path(element, "key-file", errors);
     if grants_file.is_some() && key_file.is_none() {
-        element.report(Some("grants"), "leases are signed: `key-file` must name the key", errors);
+        element.report(Some("grants"), "requires `key-file`: leases are signed", errors);
     }
-    let epoch = children.settlement.as_ref().map_or(EPOCH_US, |settlement| settlement.terms.epoch);
+    let epoch = children.settlement.as_ref().map_or(DEFAULT_EPOCH_US, |settlement| settlement.terms.epoch);
     let budgets = Budgets {
         plan: Plan {
             calendar,
--- a/crates/settings/src/budgets/limits.rs
+++ b/crates/settings/src/budgets/limits.rs
@@ -1,4 +1,4 @@
-//! `<budget>`, `<rate>` and `<price>`: what is agreed with tenants.
+//! `<budget>`, `<rate>` and `<price>`: token limits, rate limits and prices of tenants.
 
 use std::collections::BTreeSet;
 
@@ -11,14 +11,14 @@
 use crate::values::Name;
 use crate::xml::{Element, Errors};
 
-/// The largest budget in tokens: thousandths of its units must fit a 64-bit number.
+/// Largest budget in tokens: its units times 1000 must fit a `u64`.
 const MAX_BUDGET_TOKENS: u64 = u64::MAX / Units::PER_TOKEN / 1_000;
 
-/// Names in other elements that `<budgets>` refers to.
+/// Names that `<budgets>` may refer to.
 pub struct KnownNames<'a> {
     pub tenants: BTreeSet<&'a str>,
     pub classes: Vec<(&'a str, &'a p::Class)>,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: u32,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// What happens above the soft limit.
+/// Reads the action above the soft limit.
 fn soft_action(
     element: &mut Element<'_, '_>,
     class: Option<&str>,
@@ -49,13 +49,13 @@
             SoftLimitAction::Lower(lower_class.into())
         }
         (Some(_), Some(_)) => {
-            element.report(Some("soft-class"), "one of `soft-answer` and `soft-class`, not both", errors);
+            element.report(Some("soft-class"), "cannot be combined with `soft-answer`", errors);
             SoftLimitAction::Warn
         }
     }
 }
 
-/// Requests may only be lowered to a class with the same retry safety: what may be sent again must not depend on usage.
+/// Reports a lower class whose retry safety differs: whether a request may be retried must not depend on token usage.
 fn check_lower_class(
     element: &Element<'_, '_>,
     class: Option<&str>,
@@ -71,14 +71,14 @@
     for (name, from) in lowered {
         if from.retry_safety != to.retry_safety {
             let message = format!(
-                "class `{lower_class}` has another effect than `{name}`, which would be lowered to it"
+                "class `{lower_class}` has another effect than class `{name}`, whose requests it would receive"
             );
             element.report(Some("soft-class"), message, errors);
         }
     }
 }
 
-/// The tenant that an element is about.
+/// Reads the tenant that an element applies to.
 fn tenant(element: &mut Element<'_, '_>, known: &KnownNames<'_>, errors: &mut Errors) -> Box<str> {
     let name = element.required("tenant", Name("-".into()), errors).0;
     if !known.tenants.contains(name.as_str()) {
@@ -105,7 +105,7 @@
     }
     let soft = element.with_default("soft", Thousandths(1_000), errors).0;
     if soft > 1_000 {
-        element.report(Some("soft"), "must be a share up to 1", errors);
+        element.report(Some("soft"), "must be at most 1", errors);
     }
     let limit = Limit {
         hard: Units::tokens(tokens),
--- a/crates/settings/src/budgets/settlement.rs
+++ b/crates/settings/src/budgets/settlement.rs
@@ -8,19 +8,19 @@
 use crate::values::{Name, Text, TimeSpan, UniqueNames};
 use crate::xml::{Element, Errors};
 
-/// The shortest epoch, µs.
-const LEAST_EPOCH_US: u64 = 50_000;
-/// A lease lasts at least this many epochs, so that one late round does no harm.
-const LEASE_EPOCHS: u64 = 3;
+/// Shortest allowed epoch, in microseconds.
+const MIN_EPOCH_US: u64 = 50_000;
+/// Shortest allowed lease, in epochs: a lease must outlast one late round.
+const MIN_LEASE_EPOCHS: u64 = 3;
 
-/// The settings of the settlement job.
+/// Settings of the settlement job.
 #[derive(Debug, Clone)]
 pub struct Settlement {
-    /// Folder of rounds, grants and adjustments.
+    /// Directory of rounds, grants and adjustments.
     pub journal: PathBuf,
     /// Durations of leases and rounds.
     pub terms: LeaseTerms,
-    /// Routers and their ledgers.
+    /// Names of the routers and the directories of their ledgers.
     pub routers: Vec<(String, PathBuf)>,
 }
 
@@ -33,13 +33,13 @@
         clock_error: micros(element.with_default("clock-error", TimeSpan(p::Micros(250_000)), errors)),
         even_share_divisor: element.with_default("even", 4_u64, errors),
     };
-    if terms.epoch < LEAST_EPOCH_US {
+    if terms.epoch < MIN_EPOCH_US {
         element.report(Some("epoch"), "must be at least 50ms", errors);
     }
-    if terms.lease < terms.epoch.saturating_mul(LEASE_EPOCHS) {
+    if terms.lease < terms.epoch.saturating_mul(MIN_LEASE_EPOCHS) {
         element.report(
             Some("lease"),
-            "must be at least three epochs, so that a late round does no harm",
+            "must be at least three epochs, so that leases outlast a late round",
             errors,
         );
     }
@@ -48,14 +48,14 @@
     if routers.is_empty() {
         element.report(
             None,
-            "<settlement> needs a <ledger router=\"..\" folder=\"..\"/> for each router",
+            "<settlement> requires a <ledger router=\"..\" folder=\"..\"/> for each router",
             errors,
         );
     }
     Settlement { journal, terms, routers }
 }
 
-/// The routers and the folders of their ledgers.
+/// Reads the names of the routers and the directories of their ledgers.
 fn ledgers(element: &Element<'_, '_>, errors: &mut Errors) -> Vec<(String, PathBuf)> {
     let mut routers = Vec::new();
     let mut names = UniqueNames::default();
--- a/crates/settings/src/budgets/values.rs
+++ b/crates/settings/src/budgets/values.rs
@@ -1,13 +1,13 @@
-//! Types of attribute values in `<budgets>`.
+//! Attribute value types of `<budgets>`.
 
 use chalkyard_budget::{Calendar, PeriodKind};
 
 use crate::xml::{Value, ValueError};
 
-/// What is expected of [`Thousandths`].
+/// Error message for an invalid [`Thousandths`].
 const THOUSANDTHS: &str = "must be a number with at most three decimals, such as 0.25";
 
-/// A decimal number in thousandths: budgets are computed without floating point.
+/// A decimal number in thousandths: budget arithmetic uses integers only.
 pub struct Thousandths(pub u32);
 
 impl Value for Thousandths {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Thousandths in ascending order at which usage is reported.
+/// Usage thresholds for notifications, in ascending thousandths of the limit.
 pub struct Marks(pub Vec<u32>);
 
 impl Value for Marks {
@@ -33,13 +33,13 @@
             text.split_whitespace().map(|m| Thousandths::parse(m).map(|t| t.0)).collect();
         let marks = marks?;
         if marks.iter().any(|m| *m == 0 || *m > 1_000) || !marks.is_sorted() {
-            return Err("must be shares over 0 up to 1, in order, such as \"0.8 0.95\"".into());
+            return Err("must be ascending numbers greater than 0 and at most 1, such as \"0.8 0.95\"".into());
         }
         Ok(Self(marks))
     }
 }
 
-/// The kind of a budget's periods.
+/// The period of a budget.
 pub struct PeriodValue(pub PeriodKind);
 
 impl Value for PeriodValue {
@@ -49,7 +49,8 @@
     }
 }
 
-/// How budgets are shared between routers without leases. `unreserved` reserves nothing: a baseline to measure against.
+/// How budgets are divided between routers without leases. `unreserved` reserves nothing and serves as a baseline for
+/// measurements.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Sharing {
     Equal,
@@ -62,7 +63,8 @@
             "equal" => Ok(Self::Equal),
             "unreserved" => Ok(Self::Unreserved),
             _ => {
-                Err("must be equal or unreserved (which holds nothing back: only to measure against)".into())
+                Err("must be equal or unreserved (which reserves nothing: a baseline for measurements)"
+                    .into())
             }
         }
     }
--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -1,4 +1,4 @@
-//! `<classes>`: classes of requests, with their objectives and how far each may be retried.
+//! `<classes>`: request classes with their latency objectives and retry safety.
 
 use chalkyard_policy as p;
 use chalkyard_policy::Micros;
@@ -7,17 +7,17 @@
 use crate::values::{EffectKind, EffectValue, GroupValue, Name, TimeSpan, UniqueNames};
 use crate::xml::{Element, Errors};
 
-/// The classes in their order, for the router and for the decision module.
+/// The classes in file order, for the router and for the decision module.
 #[derive(Debug, Default)]
 pub struct Classes {
     pub entries: Vec<ClassConfig>,
     pub policies: Vec<p::Class>,
-    /// Position of the class of requests that name none.
+    /// Index of the class for requests that name no class.
     pub default: Option<usize>,
 }
 
 impl Classes {
-    /// The position of a class.
+    /// Returns the index of a class.
     pub fn position(&self, name: &str) -> Option<usize> {
         self.entries.iter().position(|c| c.name == name)
     }
@@ -49,16 +49,16 @@
     let deadline = element.required("deadline", TimeSpan(Micros(10_000_000)), errors).0;
     let aim = element.required("aim", TimeSpan(Micros(1_000_000)), errors).0;
     if aim >= deadline {
-        element.report(Some("aim"), "the aim must be under the deadline", errors);
+        element.report(Some("aim"), "`aim` must be less than `deadline`", errors);
     }
-    let effect = element.required("effect", EffectValue(EffectKind::SingleShot), errors).0;
+    let effect = element.required("effect", EffectValue(EffectKind::NonIdempotent), errors).0;
     let group = element.optional::<GroupValue>("group", errors).map(|g| g.0);
     let window = element.optional::<TimeSpan>("dedup-window", errors).map(|s| s.0);
-    if effect == EffectKind::Guarded && (group.is_none() || window.is_none()) {
-        element.report(None, "a guarded class needs `group` and `dedup-window`", errors);
+    if effect == EffectKind::Deduplicated && (group.is_none() || window.is_none()) {
+        element.report(None, "effect=\"guarded\" requires `group` and `dedup-window`", errors);
     }
-    if effect != EffectKind::Guarded && (group.is_some() || window.is_some()) {
-        element.report(None, "`group` and `dedup-window` are for guarded classes", errors);
+    if effect != EffectKind::Deduplicated && (group.is_some() || window.is_some()) {
+        element.report(None, "`group` and `dedup-window` require effect=\"guarded\"", errors);
     }
     let class = p::Class {
         latency_objective: aim,
@@ -67,9 +67,11 @@
             .0,
         deadline,
         retry_safety: match effect {
-            EffectKind::Free => p::RetrySafety::Idempotent,
-            EffectKind::Guarded => p::RetrySafety::Deduplicated(group.unwrap_or(p::DeduplicationScope::Cell)),
-            EffectKind::SingleShot => p::RetrySafety::NonIdempotent,
+            EffectKind::Idempotent => p::RetrySafety::Idempotent,
+            EffectKind::Deduplicated => {
+                p::RetrySafety::Deduplicated(group.unwrap_or(p::DeduplicationScope::Cell))
+            }
+            EffectKind::NonIdempotent => p::RetrySafety::NonIdempotent,
         },
         dedup_window: window.unwrap_or_default(),
     };
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The document as a whole: its elements are read in the order in which they refer to each other.
+//! The whole document. Elements are read after the elements that they refer to.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,29 +18,29 @@
 use crate::values::{Name, Text, TimeSpan};
 use crate::xml::{parse, Element, Errors, SettingsError};
 
-/// The namespace of settings of this version.
+/// XML namespace of this version of the settings.
 pub const NAMESPACE: &str = "urn:chalkyard:settings:1";
 
-/// Top-level elements, each of which may be present once.
-const PARTS: [&str; 10] =
+/// Top-level elements, each allowed once.
+const SECTIONS: [&str; 10] =
     ["router", "rules", "bounds", "waits", "zones", "kinds", "classes", "tenants", "budgets", "engines"];
-/// Top-level elements that must be present.
-const REQUIRED_PARTS: [&str; 3] = ["router", "kinds", "classes"];
+/// Required top-level elements.
+const REQUIRED_SECTIONS: [&str; 3] = ["router", "kinds", "classes"];
 
-/// A checked settings file.
+/// A validated settings file.
 #[derive(Debug)]
 pub struct Settings {
     /// Configuration of the router.
     pub config: Config,
-    /// Address at which clients connect.
+    /// Address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// Whether several routers may listen at this address.
+    /// Whether several routers may listen on this address.
     pub shared_port: bool,
-    /// File in which the endpoint list is cached for the next start.
+    /// File that caches the endpoint list for the next start.
     pub endpoint_list_file: Option<PathBuf>,
-    /// Engines named in the file itself, as an endpoint list.
+    /// Static engines from `<engines>`, as an endpoint list.
     pub engines: Option<String>,
-    /// How long a graceful shutdown waits for open requests.
+    /// How long a graceful shutdown waits for open requests to finish.
     pub drain_timeout: Duration,
     /// Path of the control socket.
     pub control: Option<PathBuf>,
@@ -48,26 +48,26 @@
     pub budgets: Option<Budgets>,
 }
 
-type Parts<'a, 'i> = BTreeMap<&'a str, Element<'a, 'i>>;
+type Sections<'a, 'i> = BTreeMap<&'a str, Element<'a, 'i>>;
 
-/// The top-level elements by their tags.
-fn parts<'a, 'i>(root: &Element<'a, 'i>, errors: &mut Errors) -> Parts<'a, 'i> {
+/// Returns the top-level elements by tag; reports duplicate, unknown and missing ones.
+fn sections<'a, 'i>(root: &Element<'a, 'i>, errors: &mut Errors) -> Sections<'a, 'i> {
     root.finish(errors);
-    let mut parts = Parts::new();
-    for child in root.children(&PARTS, errors) {
-        if let Some(second) = parts.insert(child.tag(), child) {
-            second.report(None, format!("<{}> is there twice", second.tag()), errors);
+    let mut sections = Sections::new();
+    for child in root.children(&SECTIONS, errors) {
+        if let Some(second) = sections.insert(child.tag(), child) {
+            second.report(None, format!("duplicate element <{}>", second.tag()), errors);
         }
     }
-    for needed in REQUIRED_PARTS {
-        if !parts.contains_key(needed) {
-            root.report(None, format!("<chalkyard> needs <{needed}>"), errors);
+    for needed in REQUIRED_SECTIONS {
+        if !sections.contains_key(needed) {
+            root.report(None, format!("<chalkyard> requires the element <{needed}>"), errors);
         }
     }
-    parts
+    sections
 }
 
-/// The settings of all top-level elements but `<router>`.
+/// Settings of all top-level elements except `<router>`.
 struct Shared {
     policy: p::Settings,
     zones: Zones,
@@ -80,16 +80,17 @@
     timeouts: Timeouts,
 }
 
-fn shared(parts: &mut Parts<'_, '_>, router: &mut Element<'_, '_>, errors: &mut Errors) -> Shared {
-    let mut policy = policy(router, &mut parts.remove("rules"), errors);
-    let zones = parts.remove("zones").map(|list| zones(&list, errors)).unwrap_or_default();
-    let kinds = parts.remove("kinds").map(|list| kinds(&list, errors)).unwrap_or_default();
-    let mut classes = parts.remove("classes").map(|mut list| classes(&mut list, errors)).unwrap_or_default();
+fn shared(sections: &mut Sections<'_, '_>, router: &mut Element<'_, '_>, errors: &mut Errors) -> Shared {
+    let mut policy = policy(router, &mut sections.remove("rules"), errors);
+    let zones = sections.remove("zones").map(|list| zones(&list, errors)).unwrap_or_default();
+    let kinds = sections.remove("kinds").map(|list| kinds(&list, errors)).unwrap_or_default();
+    let mut classes =
+        sections.remove("classes").map(|mut list| classes(&mut list, errors)).unwrap_or_default();
     policy.classes = std::mem::take(&mut classes.policies);
-    let tenants = parts.remove("tenants").map(|mut list| tenants(&mut list, &classes, errors));
+    let tenants = sections.remove("tenants").map(|mut list| tenants(&mut list, &classes, errors));
     let mut tenants = tenants.unwrap_or_default();
     policy.tenants = std::mem::take(&mut tenants.policies);
-    let budgets = parts.remove("budgets").map(|mut part| {
+    let budgets = sections.remove("budgets").map(|mut part| {
         let known = budgets::KnownNames {
             tenants: tenants.entries.iter().map(|t| t.name.as_str()).collect(),
             classes: classes.entries.iter().map(|c| c.name.as_str()).zip(&policy.classes).collect(),
@@ -97,17 +98,17 @@
         };
         budgets::read(&mut part, &known, errors)
     });
-    let engines = parts.remove("engines").map(|list| engines(&list, &zones, &kinds, errors));
-    let bounds = parts.remove("bounds").map_or_else(Bounds::default, |mut part| bounds(&mut part, errors));
+    let engines = sections.remove("engines").map(|list| engines(&list, &zones, &kinds, errors));
+    let bounds = sections.remove("bounds").map_or_else(Bounds::default, |mut part| bounds(&mut part, errors));
     let timeouts =
-        parts.remove("waits").map_or_else(Timeouts::default, |mut part| timeouts(&mut part, errors));
+        sections.remove("waits").map_or_else(Timeouts::default, |mut part| timeouts(&mut part, errors));
     Shared { policy, zones, kinds, classes, tenants, budgets, engines, bounds, timeouts }
 }
 
 fn settings(router: &mut Element<'_, '_>, shared: Shared, errors: &mut Errors) -> Settings {
-    let register = router.optional::<SocketAddr>("register", errors);
-    if register.is_none() && shared.engines.is_none() {
-        router.report(None, "engines must come from somewhere: `register` of <router>, or <engines>", errors);
+    let discovery = router.optional::<SocketAddr>("register", errors);
+    if discovery.is_none() && shared.engines.is_none() {
+        router.report(None, "no source of engines: set `register` of <router>, or add <engines>", errors);
     }
     let drain = router.with_default("drain", TimeSpan(Micros(20_000_000)), errors).0;
     let settings = Settings {
@@ -127,7 +128,7 @@
             keys: shared.tenants.keys,
             zones: shared.zones,
             kinds: shared.kinds,
-            discovery: register,
+            discovery,
             bounds: shared.bounds,
             timeouts: shared.timeouts,
             dialect: None,
@@ -137,22 +138,22 @@
     settings
 }
 
-/// Reads and checks a settings file.
+/// Parses and validates the text of a settings file.
 ///
 /// # Errors
-/// All errors of the file, in its order.
+/// All errors of the file, in document order.
 pub fn read(text: &str) -> Result<Settings, Vec<SettingsError>> {
     let document = parse(text).map_err(|error| vec![error])?;
     let mut errors = Errors::default();
     let root = Element::new(document.root_element());
     let root_name = document.root_element().tag_name();
     if root_name.name() != "chalkyard" || root_name.namespace() != Some(NAMESPACE) {
-        root.report(None, format!("the root must be <chalkyard xmlns=\"{NAMESPACE}\">"), &mut errors);
+        root.report(None, format!("the root element must be <chalkyard xmlns=\"{NAMESPACE}\">"), &mut errors);
         return Err(errors.0);
     }
-    let mut parts = parts(&root, &mut errors);
-    let Some(mut router) = parts.remove("router") else { return Err(errors.0) };
-    let shared = shared(&mut parts, &mut router, &mut errors);
+    let mut sections = sections(&root, &mut errors);
+    let Some(mut router) = sections.remove("router") else { return Err(errors.0) };
+    let shared = shared(&mut sections, &mut router, &mut errors);
     let settings = settings(&mut router, shared, &mut errors);
     if errors.0.is_empty() {
         Ok(settings)
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `<zones>`, `<kinds>` and `<engines>`: the engines that requests are routed to.
+//! `<zones>`, `<kinds>` and `<engines>`: the engines to which requests are routed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     kinds
 }
 
-/// Reads `<engines>`: an endpoint list in the form that service discovery sends.
+/// Reads `<engines>` into an endpoint list in the format of service discovery.
 pub fn engines(list: &Element<'_, '_>, zones: &Zones, kinds: &Kinds, errors: &mut Errors) -> String {
     let (mut workers, mut ids) = (Vec::new(), UniqueNames::default());
     for mut engine in list.children(&["engine"], errors) {
@@ -70,10 +70,10 @@
     if zone.as_ref().is_some_and(|z| !zones.contains_key(z)) {
         engine.report(Some("zone"), "no such <zone>", errors);
     }
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+    let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
     serde_json::json!({
         "worker": id, "kind": kind, "zone": zone, "state": "in",
-        "address": engine.required("address", nowhere, errors).to_string(),
+        "address": engine.required("address", placeholder, errors).to_string(),
         "cell": engine.with_default("cell", 0_u64, errors), "weight": engine.with_default("weight", PositiveNumber(1.0), errors).0,
     })
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reads a router's settings from an XML file; every error has its line and column. Schema: `deploy/chalkyard.xsd`.
+//! Parses and validates a router's XML settings file; every error has its line and column. Schema: `deploy/chalkyard.xsd`.
 //!
-//! The time and memory for reading a file are proportional to its length, however many tenants it names.
+//! Time and memory for reading a file are linear in its length, whatever the number of tenants.
 
 #![warn(clippy::type_complexity, rustdoc::broken_intra_doc_links)]
-// A test that plays a long sequence stays one function.
+// A test of a long sequence of steps may stay one function.
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
 mod budgets;
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! `<bounds>` and `<waits>`: limits on sizes and on time.
+//! `<bounds>` and `<waits>`: size limits and timeouts.
 
 use chalkyard_policy::Micros;
 use chalkyard_router::{Bounds, Timeouts};
@@ -40,26 +40,26 @@
 
 /// Reads `<waits>`.
 pub fn timeouts(element: &mut Element<'_, '_>, errors: &mut Errors) -> Timeouts {
-    let mut waits = Timeouts::default();
+    let mut timeouts = Timeouts::default();
     let mut span = |name: &'static str, value: &mut Micros| {
         *value = element.with_default(name, TimeSpan(*value), errors).0;
         if *value < Micros(1_000) {
             element.report(Some(name), format!("{name} must be at least 1ms"), errors);
         }
     };
-    span("head", &mut waits.request);
-    span("idle", &mut waits.idle);
-    span("engine-idle", &mut waits.worker_idle);
-    span("connect", &mut waits.connect);
-    span("stream", &mut waits.stream);
-    span("slow-client", &mut waits.slow_client);
-    span("register", &mut waits.discovery);
-    span("reply-margin", &mut waits.reply_margin);
-    span("identity", &mut waits.identity);
-    // The same limit before a client's first request as between its requests.
-    waits.first_request = waits.idle;
-    // Release calls are small: engines answer them as fast as they accept a connection.
-    waits.release = waits.connect;
+    span("head", &mut timeouts.request);
+    span("idle", &mut timeouts.idle);
+    span("engine-idle", &mut timeouts.worker_idle);
+    span("connect", &mut timeouts.connect);
+    span("stream", &mut timeouts.stream);
+    span("slow-client", &mut timeouts.slow_client);
+    span("register", &mut timeouts.discovery);
+    span("reply-margin", &mut timeouts.reply_margin);
+    span("identity", &mut timeouts.identity);
+    // A connection may stay idle as long before its first request as between requests.
+    timeouts.first_request = timeouts.idle;
+    // Release calls are small: engines answer them as quickly as they accept a connection.
+    timeouts.release = timeouts.connect;
     element.finish(errors);
-    waits
+    timeouts
 }
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -6,12 +6,12 @@
 use crate::values::{DiscoveryValue, Fraction, PositiveNumber, ReportsValue, TimeSpan};
 use crate::xml::{Element, Errors};
 
-/// The most routers of a fleet.
+/// Largest number of routers.
 const MAX_ROUTERS: u64 = 100_000;
-/// The most attempts of a request.
+/// Largest number of attempts per request.
 const MAX_ATTEMPTS: u64 = 100;
 
-/// Reads `<rules>`, and the number of routers of `<router>`.
+/// Reads `<rules>`, and the number of routers from `<router>`.
 pub fn policy(
     router: &mut Element<'_, '_>,
     rules: &mut Option<Element<'_, '_>>,
@@ -21,13 +21,13 @@
     settings.routers = routers(router, errors);
     if let Some(rules) = rules {
         read_rules(rules, &mut settings, errors);
-        check_least(rules, &settings, errors);
+        check_minimums(rules, &settings, errors);
         rules.finish(errors);
     }
     settings
 }
 
-/// What holds where `<rules>` says nothing.
+/// Defaults of `<rules>`.
 fn defaults() -> p::Settings {
     p::Settings {
         routers: 1,
@@ -91,18 +91,18 @@
     settings.load_reporting = rules.with_default("reports", ReportsValue(settings.load_reporting), errors).0;
 }
 
-/// Reports time spans that are too short.
-fn check_least(rules: &Element<'_, '_>, settings: &p::Settings, errors: &mut Errors) {
-    // An endpoint source that can't be reached is polled again after a tenth of must-ask-in.
+/// Reports durations below their minimums.
+fn check_minimums(rules: &Element<'_, '_>, settings: &p::Settings, errors: &mut Errors) {
+    // An unreachable endpoint source is polled again after a tenth of must-ask-in.
     let spans = [
         ("release", settings.reservation_timeout, 10),
         ("fall-after", settings.overload_window, 10),
         ("cold-for", settings.slow_start_duration, 10),
         ("must-ask-in", settings.max_poll_interval, 1_000),
     ];
-    for (name, span, least_ms) in spans {
-        if span < Micros(least_ms * 1_000) {
-            rules.report(Some(name), format!("{name} must be at least {least_ms}ms"), errors);
+    for (name, span, min_ms) in spans {
+        if span < Micros(min_ms * 1_000) {
+            rules.report(Some(name), format!("{name} must be at least {min_ms}ms"), errors);
         }
     }
 }
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `<tenants>`: tenants, their API keys, and the classes that each may use.
+//! `<tenants>`: tenants, their API keys and the classes that each may use.
 
 use chalkyard_api::keys::KeyRing;
 use chalkyard_policy as p;
@@ -8,7 +8,7 @@
 use crate::values::{Name, PositiveNumber, Text, UniqueNames};
 use crate::xml::{Element, Errors};
 
-/// The tenants in their order, and their keys.
+/// The tenants in file order, and their API keys.
 #[derive(Debug)]
 pub struct Tenants {
     pub entries: Vec<TenantConfig>,
@@ -64,7 +64,7 @@
     tenants.policies.push(p::Tenant { allowance_per_s });
 }
 
-/// The salt under which keys are hashed.
+/// Reads the salt of the key hashes.
 fn salt(element: &mut Element<'_, '_>, errors: &mut Errors) -> [u8; 32] {
     let text = element.required("salt", Text("0".repeat(64)), errors).0;
     parse_salt(&text).unwrap_or_else(|| {
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,4 +1,4 @@
-//! The types of attribute values, and names that must be unique.
+//! Attribute value types, and a check for unique names.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 
 /// Any text.
 pub struct Text(pub String);
-/// A time, such as `250ms`.
+/// A duration such as `250ms`.
 pub struct TimeSpan(pub Micros);
 /// A number from 0 to 1.
 pub struct Fraction(pub f64);
-/// A number over 0.
+/// A number greater than 0.
 pub struct PositiveNumber(pub f64);
-/// A name, as it may stand in request ids, headers and logs.
+/// A name that is valid in request ids, headers and logs.
 pub struct Name(pub String);
 
 impl Value for Text {
@@ -33,10 +33,10 @@
     }
 }
 
-/// What is expected of a [`TimeSpan`].
-const TIME_SPAN: &str = "must be a time such as 250ms, 1.5s or 2min";
-/// The longest [`TimeSpan`], µs.
-const DAY_US: f64 = 86_400e6;
+/// Error message for an invalid [`TimeSpan`].
+const EXPECTED_TIME_SPAN: &str = "must be a duration such as 250ms, 1.5s or 2min";
+/// Longest [`TimeSpan`], one day in microseconds.
+const MAX_TIME_SPAN_US: f64 = 86_400e6;
 
 impl Value for TimeSpan {
     fn parse(text: &str) -> Result<Self, ValueError> {
@@ -47,11 +47,11 @@
             "ms" => 1e3,
             "s" => 1e6,
             "min" => 60e6,
-            _ => return Err(TIME_SPAN.into()),
+            _ => return Err(EXPECTED_TIME_SPAN.into()),
         };
-        let value: f64 = number.parse().map_err(|_| TIME_SPAN)?;
+        let value: f64 = number.parse().map_err(|_| EXPECTED_TIME_SPAN)?;
         let micros = value * unit_us;
-        if !(0.0..=DAY_US).contains(&micros) {
+        if !(0.0..=MAX_TIME_SPAN_US).contains(&micros) {
             return Err("must be between 0 and one day".into());
         }
         Ok(Self(Micros(micros.round() as u64)))
@@ -70,7 +70,7 @@
     fn parse(text: &str) -> Result<Self, ValueError> {
         let value: Option<f64> = text.parse().ok();
         let value = value.filter(|v| v.is_finite() && *v > 0.0);
-        value.map(Self).ok_or_else(|| "must be a number over 0".into())
+        value.map(Self).ok_or_else(|| "must be a number greater than 0".into())
     }
 }
 
@@ -92,10 +92,10 @@
     }
 }
 
-/// A type of values each of which is one word.
+/// Defines an attribute value type with a fixed set of keywords.
 macro_rules! keywords {
     ($name:ident: $type:ty { $($word:literal => $value:expr),+ $(,)? }) => {
-        /// One of these words.
+        /// A keyword.
         pub struct $name(pub $type);
         impl Value for $name {
             fn parse(text: &str) -> Result<Self, ValueError> {
@@ -115,27 +115,27 @@
 });
 keywords!(GroupValue: p::DeduplicationScope { "all" => p::DeduplicationScope::All, "zone" => p::DeduplicationScope::Zone, "cell" => p::DeduplicationScope::Cell });
 
-/// How far requests of a class may be retried.
+/// Retry safety of the requests of a class.
 #[derive(Clone, Copy, PartialEq)]
 pub enum EffectKind {
-    Free,
-    Guarded,
-    SingleShot,
+    Idempotent,
+    Deduplicated,
+    NonIdempotent,
 }
 
 keywords!(EffectValue: EffectKind {
-    "free" => EffectKind::Free, "guarded" => EffectKind::Guarded, "single-shot" => EffectKind::SingleShot,
+    "free" => EffectKind::Idempotent, "guarded" => EffectKind::Deduplicated, "single-shot" => EffectKind::NonIdempotent,
 });
 
-/// The names of one kind of element; each must be unique.
+/// The names of one kind of element, which must be unique.
 #[derive(Debug, Default)]
 pub struct UniqueNames(BTreeSet<String>);
 
 impl UniqueNames {
-    /// Adds a name; reports an error at the element's attribute if another element has it.
+    /// Adds a name; reports a duplicate at the element's attribute.
     pub fn add(&mut self, name: &str, element: &Element<'_, '_>, attribute: &str, errors: &mut Errors) {
         if !self.0.insert(name.to_owned()) {
-            element.report(Some(attribute), format!("`{name}` is there twice"), errors);
+            element.report(Some(attribute), format!("duplicate name `{name}`"), errors);
         }
     }
 }
--- a/crates/settings/src/xml.rs
+++ b/crates/settings/src/xml.rs
@@ -1,4 +1,4 @@
-//! Reads elements and attributes, and records every error with its position.
+//! Typed access to elements and attributes; every error is recorded with its position.
 
 use roxmltree::{Document, Node, TextPos};
 use std::collections::BTreeSet;
@@ -7,15 +7,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{line}:{column}: {message}")]
 pub struct SettingsError {
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: u32,
-    /// Column, from 1.
+    /// Column, counted from 1.
     pub column: u32,
-    /// What is wrong, and what is expected.
+    /// The fault and the expected content.
     pub message: String,
 }
 
-/// The value of an attribute that is not of its type: what is expected instead.
+/// An invalid attribute value; the text describes the expected form.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ValueError(String);
@@ -32,46 +32,46 @@
     }
 }
 
-/// Collects errors, so that one check reports all of them.
+/// Collects the errors of a file, so that one run reports all of them.
 #[derive(Debug, Default)]
 pub struct Errors(pub Vec<SettingsError>);
 
-/// An element, and which of its attributes were read.
+/// An element and the names of the attributes that were read from it.
 pub struct Element<'a, 'i> {
     node: Node<'a, 'i>,
     read: BTreeSet<&'static str>,
 }
 
-/// A type of attribute values.
+/// A type of attribute value.
 pub trait Value: Sized {
     /// Parses a value.
     ///
     /// # Errors
-    /// What is expected instead.
+    /// The text is not of this type; the error describes the expected form.
     fn parse(text: &str) -> Result<Self, ValueError>;
 }
 
 impl<'a, 'i> Element<'a, 'i> {
-    /// An element none of whose attributes was read yet.
+    /// Wraps a node; none of its attributes counts as read.
     pub fn new(node: Node<'a, 'i>) -> Self {
         Self { node, read: BTreeSet::new() }
     }
 
-    /// The position of an attribute, or of the element.
+    /// Returns the position of an attribute, or of the element.
     fn position(&self, attribute: Option<&str>) -> TextPos {
         let attribute = attribute.and_then(|name| self.node.attribute_node(name));
         let offset = attribute.map_or(self.node.range().start, |attribute| attribute.range().start);
         self.node.document().text_pos_at(offset)
     }
 
-    /// Records an error at an attribute, or at the element.
+    /// Records an error at the position of an attribute, or of the element.
     pub fn report(&self, attribute: Option<&str>, message: impl Into<String>, errors: &mut Errors) {
         let position = self.position(attribute);
         let error = SettingsError { line: position.row, column: position.col, message: message.into() };
         errors.0.push(error);
     }
 
-    /// An attribute that may be missing.
+    /// Reads an optional attribute; an invalid value is reported and yields `None`.
     pub fn optional<T: Value>(&mut self, name: &'static str, errors: &mut Errors) -> Option<T> {
         self.read.insert(name);
         let text = self.node.attribute(name)?;
@@ -85,21 +85,21 @@
         }
     }
 
-    /// An attribute with a default.
+    /// Reads an attribute with a default.
     pub fn with_default<T: Value>(&mut self, name: &'static str, default: T, errors: &mut Errors) -> T {
         self.optional(name, errors).unwrap_or(default)
     }
 
-    /// An attribute that must be present; the placeholder only serves to find further errors.
+    /// Reads a required attribute. A missing one is reported, and the placeholder lets validation continue.
     pub fn required<T: Value>(&mut self, name: &'static str, placeholder: T, errors: &mut Errors) -> T {
         if self.node.attribute(name).is_none() {
             let tag = self.tag();
-            self.report(None, format!("<{tag}> needs the attribute `{name}`"), errors);
+            self.report(None, format!("<{tag}> requires the attribute `{name}`"), errors);
         }
         self.with_default(name, placeholder, errors)
     }
 
-    /// The child elements, each of which must have one of these tags.
+    /// Returns the child elements with these tags; reports all others.
     pub fn children(&self, tags: &[&str], errors: &mut Errors) -> Vec<Element<'a, 'i>> {
         let mut children = Vec::new();
         for child in self.node.children().filter(|c| c.is_element()) {
@@ -108,11 +108,11 @@
             if tags.contains(&tag) {
                 children.push(element);
             } else {
-                let known = if tags.is_empty() { "no elements".into() } else { tags.join(", ") };
+                let allowed = if tags.is_empty() { "no elements".into() } else { tags.join(", ") };
                 let parent = self.tag();
                 element.report(
                     None,
-                    format!("<{tag}> is not known in <{parent}>, which takes {known}"),
+                    format!("unknown element <{tag}> in <{parent}>; allowed: {allowed}"),
                     errors,
                 );
             }
@@ -120,19 +120,19 @@
         children
     }
 
-    /// The tag.
+    /// Returns the tag without its namespace.
     pub fn tag(&self) -> &'a str {
         self.node.tag_name().name()
     }
 
-    /// Reports attributes that were not read: the element does not have them.
+    /// Reports attributes that were not read, as unknown.
     pub fn finish(&self, errors: &mut Errors) {
         let unknown = self.node.attributes().filter(|attribute| !self.read.contains(attribute.name()));
         for attribute in unknown {
             let name = attribute.name();
-            let known: Vec<&str> = self.read.iter().copied().collect();
+            let allowed: Vec<&str> = self.read.iter().copied().collect();
             let message =
-                format!("<{}> has no attribute `{name}`; it takes {}", self.tag(), known.join(", "));
+                format!("unknown attribute `{name}` of <{}>; allowed: {}", self.tag(), allowed.join(", "));
             self.report(Some(name), message, errors);
         }
     }
--- a/crates/settings/tests/growth.rs
+++ b/crates/settings/tests/growth.rs
@@ -1,5 +1,5 @@
-//! Reading settings costs memory and work that grow with the file's length, not with its square: counted in bytes that
-//! are allocated on the way, which are the same every time.
+//! Guards against memory and time that grow with the square of the settings file's length. The measure is the number of
+//! allocated bytes, which is deterministic.
 #![allow(clippy::unwrap_used, clippy::expect_used, missing_docs)]
 
 use std::alloc::System;
@@ -10,7 +10,7 @@
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Settings with so many tenants, each with a key, two budgets and a rate, and half as many engines.
+/// Settings with `tenants` tenants, each with a key, two budgets and a rate, and half as many engines.
 fn settings(tenants: usize) -> String {
     let (mut named, mut budgets, mut engines) = (String::new(), String::new(), String::new());
     for n in 0..tenants {
@@ -38,11 +38,11 @@
     )
 }
 
-/// Bytes that are allocated in all while a file of so many tenants is read.
+/// Total bytes allocated while settings with `tenants` tenants are read.
 fn allocated(tenants: usize) -> usize {
     let text = settings(tenants);
     let before = ALLOCATOR.total_allocated();
-    let read = chalkyard_settings::read(&text).expect("good settings");
+    let read = chalkyard_settings::read(&text).expect("valid settings");
     assert_eq!(read.config.tenants.len(), tenants);
     ALLOCATOR.total_allocated() - before
 }
@@ -52,7 +52,7 @@
     let bytes: Vec<usize> = [500, 1_000, 2_000, 4_000].into_iter().map(allocated).collect();
     for pair in bytes.windows(2) {
         let [small, large] = pair else { unreachable!() };
-        // A vector that grows by doubling may do so just within the larger one.
+        // Up to 2.4 times: a vector that grows by doubling may reallocate in the larger file only.
         assert!((*large as f64) < 2.4 * *small as f64, "{bytes:?}");
     }
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -1,4 +1,4 @@
-//! Duplicate names are reported at the second one.
+//! Duplicate names are reported at the position of the second element.
 #![allow(clippy::unwrap_used, clippy::expect_used, missing_docs)]
 
 fn settings() -> String {
@@ -32,10 +32,10 @@
             settings().lines().position(|l| l.contains(&format!("\"{second}\""))).expect("the second") + 1;
         let doubled = settings().replace(&format!("\"{second}\""), &format!("\"{first}\""));
         let errors = chalkyard_settings::read(&doubled).expect_err("a duplicate name");
-        let duplicate = errors.iter().find(|e| e.message.contains("there twice")).expect("reported");
+        let duplicate = errors.iter().find(|e| e.message.contains("duplicate name")).expect("reported");
         assert_eq!(
             (duplicate.line as usize, duplicate.message.as_str()),
-            (place, format!("`{first}` is there twice").as_str())
+            (place, format!("duplicate name `{first}`").as_str())
         );
     }
 }
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -1,5 +1,5 @@
-//! A settings file with every element and attribute, and what each is read as. Operators keep such files: a name or a
-//! form that moves is a router that does not start, or starts otherwise.
+//! Reads a settings file with every element and attribute and checks each value. Guards operators' existing files: a
+//! changed name or format would keep a router from starting, or change its settings.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use std::path::PathBuf;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn names_and_keys_are_read_in_their_order() {
+fn names_and_keys_are_read_in_file_order() {
     let config = stored().config;
     let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(classes, ["free", "cellular", "zonal", "everywhere", "once", "later"]);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn bounds_are_read_and_those_of_engines_follow() {
+fn bounds_are_read_and_those_of_engines_are_derived() {
     let b = stored().config.bounds;
     let c = b.client;
     assert_eq!((c.start_line_bytes, c.head_bytes, c.body_bytes), (1_001, 2_002, 3_003));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn waits_are_read_and_those_without_an_attribute_follow() {
+fn timeouts_are_read_and_those_without_an_attribute_are_derived() {
     let w = stored().config.timeouts;
     assert_eq!([w.request, w.idle, w.worker_idle, w.connect], [1_000, 2_000, 3_000, 4_000].map(ms));
     assert_eq!([w.stream, w.slow_client, w.discovery], [5_000, 6_000, 7_000].map(ms));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn engines_are_a_list_as_the_register_would_send_it() {
+fn engines_are_read_as_an_endpoint_list() {
     let engines: serde_json::Value = serde_json::from_str(&stored().engines.unwrap()).unwrap();
     assert_eq!(
         engines,
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn what_a_file_leaves_out_has_its_default() {
+fn omitted_attributes_have_their_defaults() {
     let zeros = "0".repeat(64);
     let settings = read(&format!(
         r#"<chalkyard xmlns="urn:chalkyard:settings:1">
