--- a/crates/daemon/src/arguments_test.rs
+++ b/crates/daemon/src/arguments_test.rs
@@ -4,7 +4,7 @@
 
 use super::Arguments;
 
-/// Command lines of README and of the pages for operators: each is taken as it stands there.
+/// Command lines of the README and the operator documentation, which must be accepted as written.
 const DOCUMENTED: &[&str] = &[
     "check deploy/example.xml",
     "run deploy/example.xml",
--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -1,4 +1,4 @@
-//! `chalkyard bill`: statements from ledgers and engines' records.
+//! `chalkyard bill`: computes statements from ledgers and from engine records.
 
 use std::collections::BTreeMap;
 use std::io::BufRead;
@@ -14,22 +14,22 @@
 use crate::settle::{Adjustments, Change};
 use chalkyard_settings::Budgets;
 
-/// Longest line of an engine's record.
+/// Longest line of an engine record, in bytes.
 const LINE_BYTES: usize = 64 * 1024;
-/// Exit code of a bill that engines' records contradict.
-const UNEXPLAINED: u8 = 3;
+/// Exit code of a bill with tokens in engine records that nothing explains.
+const EXIT_UNEXPLAINED: u8 = 3;
 
-/// What a bill is made from.
+/// The inputs of a bill.
 pub struct Sources<'a> {
     /// Settings.
     pub budgets: &'a Budgets,
     /// Ledgers' folders; none: those of the settings' settlement.
     pub ledgers: Vec<PathBuf>,
-    /// Engines' records.
+    /// Files of engine records.
     pub engines: Vec<PathBuf>,
 }
 
-/// All segments of a ledger, oldest first.
+/// Returns the names of all segments of a ledger, oldest first.
 pub fn all_segments(folder: &Path) -> Result<Vec<String>, CommandError> {
     let names = DirectoryVolume::reader(folder).list();
     let names = names.map_err(|e| CommandError::BadInput(format!("{}: {e}", folder.display())))?;
@@ -50,23 +50,24 @@
 }
 
 fn read_engines(file: &Path, biller: &mut Biller) -> Result<(), CommandError> {
-    let wrong = |n: usize, why: String| CommandError::BadInput(format!("{}:{n}: {why}", file.display()));
+    let invalid = |n: usize, why: String| CommandError::BadInput(format!("{}:{n}: {why}", file.display()));
     let opened =
         std::fs::File::open(file).map_err(|e| CommandError::BadInput(format!("{}: {e}", file.display())))?;
     for (n, line) in std::io::BufReader::new(opened).lines().enumerate() {
-        let line = line.map_err(|e| wrong(n + 1, e.to_string()))?;
+        let line = line.map_err(|e| invalid(n + 1, e.to_string()))?;
         if line.len() > LINE_BYTES {
-            return Err(wrong(n + 1, format!("longer than {LINE_BYTES} bytes")));
+            return Err(invalid(n + 1, format!("longer than {LINE_BYTES} bytes")));
         }
         if !line.trim().is_empty() {
-            let line: EngineRecord = serde_json::from_str(&line).map_err(|e| wrong(n + 1, e.to_string()))?;
+            let line: EngineRecord =
+                serde_json::from_str(&line).map_err(|e| invalid(n + 1, e.to_string()))?;
             biller.work(line);
         }
     }
     Ok(())
 }
 
-/// Makes the bill of a period; damage met in ledgers is told beside.
+/// Computes the bill of a period; also returns descriptions of damage and missing records in the ledgers.
 pub fn make(sources: &Sources<'_>, period: Period) -> Result<(Bill, Vec<String>), CommandError> {
     let budgets = sources.budgets;
     let settled = budgets.settlement.iter().flat_map(|s| &s.routers).map(|(_, folder)| folder.clone());
@@ -77,17 +78,17 @@
     if folders.is_empty() {
         folders.push(budgets.ledger.clone());
     }
-    let (mut biller, mut troubles) = (Biller::default(), Vec::new());
+    let (mut biller, mut damage) = (Biller::default(), Vec::new());
     for folder in &folders {
-        // A ledger is known by its folder; a copy fed beside it names the same requests, which count once.
+        // A ledger is identified by its directory. A copy of a ledger contains the same requests, which count once.
         let name = folder.display().to_string();
-        let trouble = read_ledger(folder, |number, record| biller.record(&name, number, &record))?;
-        troubles.extend(trouble.map(|t| format!("{name}: {t}")));
+        let problem = read_ledger(folder, |number, record| biller.record(&name, number, &record))?;
+        damage.extend(problem.map(|t| format!("{name}: {t}")));
         for sums in DirectoryVolume::reader(folder).list().unwrap_or_default() {
             let before = sums.strip_prefix("sums-before-").and_then(|s| s.strip_suffix(".json"));
             let before = before.and_then(|b| budgets.plan.calendar.parse_period(b).ok());
             if before.is_some_and(|(_, cut)| cut.start > period.start) {
-                troubles
+                damage
                     .push(format!("{name}: records of this period were compacted; their sums are in {sums}"));
             }
         }
@@ -95,10 +96,10 @@
     for file in &sources.engines {
         read_engines(file, &mut biller)?;
     }
-    Ok((biller.bill(&budgets.plan, period), troubles))
+    Ok((biller.bill(&budgets.plan, period), damage))
 }
 
-/// Which line of the bill an amount is put on.
+/// The bill line to which a manual amount applies.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AdjustedLine {
     tenant: String,
@@ -106,9 +107,9 @@
     day: String,
 }
 
-/// An amount put on or taken off by hand.
+/// An amount that an operator added to or removed from a bill.
 struct ManualAmount {
-    /// The adjustment's number.
+    /// Number of the adjustment.
     number: u64,
     amount: i64,
     reason: String,
@@ -129,18 +130,18 @@
     Ok(amounts)
 }
 
-/// What `chalkyard bill` prints.
+/// The output of `chalkyard bill`.
 struct Statement<'a> {
     period: &'a str,
-    /// Engines' records were given, so that the bill can be compared with them.
+    /// Whether engine records were given, with which the bill was compared.
     is_reconciled: bool,
     bill: Bill,
     manual: ManualAmounts,
-    /// Damage met in ledgers.
+    /// Damage found in ledgers.
     damage: Vec<String>,
 }
 
-/// `chalkyard bill`: exit code 3 if engines and bill differ and nothing explains it.
+/// Prints the bill of a period. The exit code is 3 if it differs from the engine records without an explanation.
 pub fn bill(sources: &Sources<'_>, period: &str, format: Format) -> Result<ExitCode, CommandError> {
     let calendar = &sources.budgets.plan.calendar;
     let parsed = calendar.parse_period(period);
@@ -156,7 +157,7 @@
         Format::Text => statement.print(),
     }
     let is_unexplained = is_reconciled && statement.bill.unexplained_tokens > 0;
-    Ok(if is_unexplained { ExitCode::from(UNEXPLAINED) } else { ExitCode::SUCCESS })
+    Ok(if is_unexplained { ExitCode::from(EXIT_UNEXPLAINED) } else { ExitCode::SUCCESS })
 }
 
 impl Statement<'_> {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Sums by tenant and currency, rounded once, with the amounts by hand.
+    /// Prints the sums by tenant and currency, each rounded once, including manual amounts.
     fn print_totals(&self) {
         let mut sums: BTreeMap<(&str, &str), u128> = BTreeMap::new();
         for (key, line) in &self.bill.lines {
@@ -261,7 +262,7 @@
     }
 }
 
-/// Engines' work that is not billed for one cause.
+/// Engine work that was not billed, for one cause.
 #[derive(Default)]
 struct CauseSum {
     attempts: u64,
--- a/crates/daemon/src/budget_runtime.rs
+++ b/crates/daemon/src/budget_runtime.rs
@@ -1,5 +1,5 @@
-//! Budgets of a running router: recovery of the ledger, writing it, and the threads that feed the event loop
-//! with grants and with the previous process's settlements.
+//! Budgets of a running router: recovery and writing of the ledger, and the threads that send grants and the settlements
+//! of the previous process to the event loop.
 
 use std::path::PathBuf;
 use std::sync::mpsc::SyncSender;
@@ -14,24 +14,24 @@
 use crate::error::CommandError;
 use crate::grant_files::{self, KeyFileError};
 
-/// A full disk, and a full segment, are looked at so often.
+/// Interval between retries after a full disk or a full segment.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest line that the previous process sends.
-const SETTLED_LINE_BYTES: u64 = 64 * 1024;
+/// Longest line that is read from the previous process, in bytes.
+const MAX_SETTLED_LINE_BYTES: u64 = 64 * 1024;
 
-/// The settlements of the previous process: one a line, as JSON.
+/// The settlements of the previous process, one JSON object per line.
 pub type Predecessor = Box<dyn std::io::BufRead + Send>;
 
-/// Why budgets can't be enforced at a start.
+/// Why the budgets cannot be recovered at the start.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveryError {
-    /// Another process has the ledger.
+    /// Another process has locked the ledger.
     #[error("ledger {}: another process writes this ledger", folder.display())]
     LedgerLocked {
         /// The ledger.
         folder: PathBuf,
     },
-    /// The ledger's folder can't be used.
+    /// The ledger's directory cannot be used.
     #[error("ledger {}: {source}", folder.display())]
     Folder {
         /// The ledger.
@@ -39,7 +39,7 @@
         /// The file system's error.
         source: std::io::Error,
     },
-    /// The ledger can't be read or made ready.
+    /// The ledger cannot be read or prepared for writing.
     #[error("ledger {}: {source}", folder.display())]
     Ledger {
         /// The ledger.
@@ -47,10 +47,10 @@
         /// What failed.
         source: LedgerError,
     },
-    /// The key of the grants can't be used.
+    /// The key that verifies grants cannot be used.
     #[error(transparent)]
     Key(#[from] KeyFileError),
-    /// A thread can't be started.
+    /// A thread cannot be started.
     #[error("starting: {0}")]
     Thread(std::io::Error),
 }
@@ -67,42 +67,42 @@
 /// The ledger of a running router.
 pub struct Ledger {
     writer: Writer<DirectoryVolume>,
-    /// How often it is synced.
+    /// Interval between syncs to disk.
     pub sync_interval: Duration,
-    /// What the event loop was last told of the ledger.
+    /// Whether the ledger is writable, as last reported to the event loop.
     reported_writable: bool,
     is_failing: bool,
-    /// What failed is retried from then on.
+    /// Earliest time of the next retry.
     retry_at: Instant,
 }
 
-/// What recovery gives.
+/// The result of recovery.
 pub struct Recovered {
-    /// The decisions, from all that the ledger holds.
+    /// The enforcer, with the state that was recovered from the ledger.
     pub enforcer: BudgetEnforcer,
-    /// The ledger, to be written further.
+    /// The ledger, open for appending.
     pub ledger: Ledger,
 }
 
-/// Opens the ledger and recovers the budgets' state from it, before the first request is admitted.
-/// `predecessor`: the process that is taken over from and has handed the ledger over.
+/// Opens the ledger and recovers the state of the budgets from it, before the first request is admitted.
+/// `predecessor` is the process that has handed the ledger over, if any.
 pub fn recover(
     budgets: &Budgets,
     router: &str,
     now: Time,
     predecessor: Option<Predecessor>,
-    news: &SyncSender<SinkEvent>,
+    events: &SyncSender<SinkEvent>,
 ) -> Result<Recovered, RecoveryError> {
     let (state, writer) = open_ledger(budgets)?;
     if let (Some(file), Some(key)) = (&budgets.grants_file, &budgets.key_file) {
-        let (file, key, news) = (file.clone(), grant_files::read_key(key)?, news.clone());
-        spawn("grants", move || grant_files::watch(&file, &key, &news))?;
+        let (file, key, events) = (file.clone(), grant_files::read_key(key)?, events.clone());
+        spawn("grants", move || grant_files::watch(&file, &key, &events))?;
     }
     let enforcer = match predecessor {
         None => BudgetEnforcer::new(router, budgets.plan.clone(), state, now),
         Some(predecessor) => {
-            let news = news.clone();
-            spawn("inherit", move || inherit(predecessor, &news))?;
+            let events = events.clone();
+            spawn("inherit", move || forward_settlements(predecessor, &events))?;
             BudgetEnforcer::take_over(router, budgets.plan.clone(), state, now)
         }
     };
@@ -134,7 +134,7 @@
     if let Some(damage) = opened.report.describe_damage() {
         warn!(target: "ledger", "{damage}");
     }
-    // Numbers of damaged records are not given again.
+    // Sequence numbers of damaged records are not reused.
     state.sequence = opened.report.next - 1;
     let records = opened.report.records;
     info!(target: "ledger", records, open = state.open.len(), took_us = start.elapsed().as_micros() as u64, "recovered");
@@ -146,40 +146,40 @@
     thread.map(drop).map_err(RecoveryError::Thread)
 }
 
-/// Gives the event loop what the previous process settles, until that has ended.
-fn inherit(mut predecessor: Predecessor, news: &SyncSender<SinkEvent>) {
+/// Forwards the settlements of the previous process to the event loop until that process has ended.
+fn forward_settlements(mut predecessor: Predecessor, events: &SyncSender<SinkEvent>) {
     let mut line = String::new();
     loop {
         line.clear();
         match std::io::BufRead::read_line(
-            &mut std::io::Read::take(&mut predecessor, SETTLED_LINE_BYTES),
+            &mut std::io::Read::take(&mut predecessor, MAX_SETTLED_LINE_BYTES),
             &mut line,
         ) {
             Ok(n) if n > 0 => match serde_json::from_str(&line) {
                 Ok(settled) => {
-                    if news.send(SinkEvent::PredecessorSettled(Box::new(settled))).is_err() {
+                    if events.send(SinkEvent::PredecessorSettled(Box::new(settled))).is_err() {
                         return;
                     }
                 }
                 Err(e) => {
-                    warn!(target: "ledger", "the life before says what is not understood: {e}");
+                    warn!(target: "ledger", "invalid settlement from the previous process: {e}");
                     break;
                 }
             },
             _ => break,
         }
     }
-    let _ = news.send(SinkEvent::PredecessorEnded);
+    let _ = events.send(SinkEvent::PredecessorEnded);
 }
 
 impl Ledger {
-    /// Syncs, retries what failed, and tells the loop of changes.
+    /// Syncs the ledger, retries failed operations, and returns changes of its state for the event loop.
     pub fn housekeep(&mut self) -> Vec<SinkEvent> {
         let mut out = Vec::new();
         if let Err(e) = self.writer.sync() {
-            warn!(target: "ledger", "syncing: {e}");
+            warn!(target: "ledger", "cannot sync the ledger: {e}");
         }
-        // Each retry costs the loop time: the reserved space is written, all state is copied.
+        // Retries are rare because they block the event loop: one writes the reserved space and copies the whole state.
         let retry = self.retry_at <= Instant::now();
         if retry {
             self.retry_at = Instant::now() + RETRY_INTERVAL;
@@ -195,7 +195,7 @@
         out
     }
 
-    /// Appends a record; a checkpoint begins a new segment.
+    /// Appends a record; a checkpoint starts a new segment.
     pub fn record(&mut self, number: u64, record: &Record) {
         let done = match record {
             Record::State(_) => self.writer.rotate(record),
@@ -206,12 +206,12 @@
         }
     }
 
-    /// Hands all records to the system; whether the ledger can be relied on.
+    /// Writes all buffered records to the operating system; returns whether the ledger is writable.
     pub fn flush(&mut self) -> bool {
         let done = self.writer.flush();
         if let Err(e) = &done {
             if !std::mem::replace(&mut self.is_failing, true) {
-                warn!(target: "ledger", "writing: {e}");
+                warn!(target: "ledger", "cannot write the ledger: {e}");
             }
         } else {
             self.is_failing = false;
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -1,4 +1,4 @@
-//! `chalkyard budget`: what operators see and change by hand.
+//! `chalkyard budget`: shows token budgets and records manual adjustments.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -31,9 +31,9 @@
     }
 }
 
-/// Which budget.
+/// BudgetSelector budget.
 #[derive(Debug, Args)]
-pub struct Which {
+pub struct BudgetSelector {
     /// Settings, as XML, with `<budgets>` and `<settlement>`.
     file: PathBuf,
     /// Tenant.
@@ -47,10 +47,10 @@
     period: Period,
 }
 
-/// Who does it and why: kept in the audit trail.
+/// Author does it and why: kept in the audit trail.
 #[derive(Debug, Args)]
-pub struct Who {
-    /// Who does it.
+pub struct Author {
+    /// Author does it.
     #[arg(long)]
     by: String,
     /// Why.
@@ -71,22 +71,22 @@
     /// Set a budget, from the present period on, whatever the settings say.
     Set {
         #[command(flatten)]
-        which: Which,
+        which: BudgetSelector,
         /// Tokens a period; none: as the settings say again.
         #[arg(long)]
         tokens: Option<u64>,
         #[command(flatten)]
-        who: Who,
+        who: Author,
     },
     /// Grant tokens for the present period alone; less than 0 takes some back.
     Grant {
         #[command(flatten)]
-        which: Which,
+        which: BudgetSelector,
         /// Tokens.
         #[arg(long, allow_negative_numbers = true)]
         tokens: i64,
         #[command(flatten)]
-        who: Who,
+        who: Author,
     },
     /// Put an amount on a bill, or (less than 0) take it off.
     Adjust {
@@ -105,7 +105,7 @@
         #[arg(long, allow_negative_numbers = true)]
         amount: i64,
         #[command(flatten)]
-        who: Who,
+        who: Author,
     },
 }
 
@@ -119,7 +119,7 @@
     budgets.settlement.as_ref().ok_or_else(none)
 }
 
-fn account(which: &Which, budgets: &Budgets) -> Result<AccountKey, CommandError> {
+fn account(which: &BudgetSelector, budgets: &Budgets) -> Result<AccountKey, CommandError> {
     let class = which.class.as_deref().map(Into::into);
     let key = AccountKey { tenant: which.tenant.as_str().into(), class, kind: which.period.into() };
     if budgets.plan.limits.contains_key(&key) {
@@ -129,7 +129,7 @@
     Err(CommandError::BadInput(format!("no budget {key} in the settings, which have: {}", known.join(", "))))
 }
 
-fn add(budgets: &Budgets, who: Who, what: Change) -> Result<ExitCode, CommandError> {
+fn add(budgets: &Budgets, who: Author, what: Change) -> Result<ExitCode, CommandError> {
     for (name, text) in [("--by", &who.by), ("--why", &who.why)] {
         if text.trim().is_empty() || text.len() > 1_000 {
             return Err(CommandError::BadInput(format!("{name} must be 1 to 1000 bytes of text")));
@@ -141,7 +141,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Carries out a command.
+/// Runs a `chalkyard budget` command.
 pub fn command(command: Command) -> Result<ExitCode, CommandError> {
     match command {
         Command::Show { file, format } => show(&load(&file)?, format),
@@ -184,8 +184,8 @@
     let journal = Journal::open(&settlement.journal, key)
         .map_err(|e| CommandError::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
     let mut allocator = restore_allocator(&budgets.plan, settlement, &journal)?;
-    let mut by_hand = Adjustments::new(settlement);
-    let changes = by_hand.read()?;
+    let mut adjustments = Adjustments::new(settlement);
+    let changes = adjustments.read()?;
     let (plan, extra) = adjusted(&budgets.plan, changes);
     allocator.set_plan(plan, extra);
     Sums::new(settlement).read(&mut allocator);
--- a/crates/daemon/src/compact.rs
+++ b/crates/daemon/src/compact.rs
@@ -1,4 +1,4 @@
-//! `chalkyard compact`: the sums of a ledger's old periods replace their records.
+//! `chalkyard compact`: replaces a ledger's old records with their sums.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -13,13 +13,13 @@
 use crate::error::CommandError;
 use crate::files::replace;
 
-/// Old segments, as far as they were read.
+/// The old segments that were read so far.
 #[derive(Default)]
 struct OldSegments {
     names: Vec<String>,
     biller: Biller,
     records: u64,
-    /// Requests whose settlement was not read yet.
+    /// Ids of reserved requests without a settlement so far.
     open: BTreeSet<Box<str>>,
 }
 
@@ -42,19 +42,19 @@
     }
 }
 
-/// `chalkyard compact`: the sums of complete months are kept, their records go.
+/// Stores the sums of the records before a month or day, and deletes those records.
 pub fn compact(budgets: &Budgets, folder: &Path, before: &str) -> Result<ExitCode, CommandError> {
     let parsed = budgets.plan.calendar.parse_period(before);
     let (_, cut) = parsed.map_err(|error| CommandError::BadInput(format!("--before: {error}")))?;
     let old = old_segments(folder, cut.start)?;
-    // A request's two records stay together: nothing may be open at the cut.
+    // A reservation and its settlement must not be separated: no request may be open at the cut.
     if old.names.is_empty() || !old.open.is_empty() {
         println!("nothing to compact: no segment before {before} with all its requests settled and a checkpoint after it");
         return Ok(ExitCode::SUCCESS);
     }
     let target = folder.join(format!("sums-before-{before}.json"));
     if target.exists() {
-        return Err(CommandError::BadInput(format!("{}: is there already", target.display())));
+        return Err(CommandError::BadInput(format!("{}: file already exists", target.display())));
     }
     let all = Period { start: Time(0), end: cut.start };
     let bill: Bill = old.biller.bill(&budgets.plan, all);
@@ -70,7 +70,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The segments that may go: a later one begins with a checkpoint, and no record in them is as late as the cut.
+/// Returns the segments that can be removed: a later segment begins with a checkpoint, and all of their records are
+/// earlier than the cut.
 fn old_segments(folder: &Path, cut: Time) -> Result<OldSegments, CommandError> {
     let volume = DirectoryVolume::reader(folder);
     let failed = |error: LedgerError| CommandError::BadInput(format!("{}: {error}", folder.display()));
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,6 +1,6 @@
-//! The control socket of a running router, and the commands that speak to it.
+//! The control socket of a running router, and its client for the operator commands.
 //!
-//! One line of JSON in, one line of JSON out, and the connection ends. The socket can be used by its owner alone.
+//! Each connection carries one request and one response, each a line of JSON. Only the owner of the socket file can connect.
 
 use std::io::{BufRead, BufReader, IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -27,16 +27,16 @@
 use crate::reload::Reloader;
 use crate::{logs, CommandError, Format};
 
-/// Longest question.
-const LINE_BYTES: u64 = 64 * 1024;
-/// Longest answer that a command reads.
-const ANSWER_BYTES: u64 = 64 * 1024 * 1024;
-/// How long the loop may take to answer, and a peer to ask.
-const WAIT: Duration = Duration::from_secs(2);
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Longest request that the router reads, in bytes.
+const MAX_REQUEST_BYTES: u64 = 64 * 1024;
+/// Longest response that a command reads, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
+/// Time limit for the event loop's reply, and for a peer to send its request.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before accepting again after a failure.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What can be asked.
+/// A request to the control socket.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Call {
@@ -52,27 +52,27 @@
     LogLevel { level: String },
 }
 
-/// Removes the socket's file when the process ends by its own will.
+/// The running control socket. Removes the socket file on drop, unless a successor has taken the path over.
 pub struct Server {
     path: PathBuf,
-    /// A successor has the path now.
-    handed: Arc<AtomicBool>,
-    /// Tells when all was said to the successor.
-    said: Receiver<()>,
+    /// A successor has bound the path.
+    handed_over: Arc<AtomicBool>,
+    /// Signals that all settlements were sent to the successor.
+    done: Receiver<()>,
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        if self.handed.load(Ordering::SeqCst) {
-            let _ = self.said.recv_timeout(WAIT);
+        if self.handed_over.load(Ordering::SeqCst) {
+            let _ = self.done.recv_timeout(IO_TIMEOUT);
         } else {
             let _ = std::fs::remove_file(&self.path);
         }
     }
 }
 
-/// Binds the control socket so that it is never open to others, not for a moment: it is made in a folder that only its
-/// owner can enter, then moved to its path.
+/// Binds the control socket without a moment in which other users could connect: the socket is created in a directory
+/// that only its owner can enter, and then renamed to its path.
 fn bind_private(path: &Path) -> std::io::Result<UnixListener> {
     let folder = path.with_extension(format!("new-{}", std::process::id()));
     std::fs::create_dir(&folder)?;
@@ -88,11 +88,11 @@
     bound
 }
 
-/// Listens on the control socket. The socket of a dead router is replaced; that of a running one only by its
-/// successor.
+/// Listens on the control socket. The socket of a dead router is replaced; the socket of a running router is replaced
+/// only by its successor.
 ///
 /// # Errors
-/// The socket can't be bound, or another router answers there.
+/// The socket cannot be bound, or another router listens there.
 pub fn serve(
     path: &Path,
     handle: Handle,
@@ -108,60 +108,60 @@
         )));
     }
     let listener = bind_private(path).map_err(failed)?;
-    let handed = Arc::new(AtomicBool::new(false));
-    let (say, said) = sync_channel(1);
-    let flag = handed.clone();
-    let listen = move || answer_all(&listener, &handle, &reloader, &flag, &say);
+    let handed_over = Arc::new(AtomicBool::new(false));
+    let (notify_done, done) = sync_channel(1);
+    let flag = handed_over.clone();
+    let listen = move || accept_loop(&listener, &handle, &reloader, &flag, &notify_done);
     std::thread::Builder::new().name("control".into()).spawn(listen).map_err(failed)?;
-    Ok(Server { path: path.into(), handed, said })
+    Ok(Server { path: path.into(), handed_over, done })
 }
 
-/// Answers one connection after the other, each bounded in bytes and time, until a successor has taken over.
-fn answer_all(
+/// Serves connections in sequence, each with a byte and time limit, until a successor has taken over.
+fn accept_loop(
     listener: &UnixListener,
     handle: &Handle,
     reloader: &Reloader,
-    handed: &AtomicBool,
-    say: &SyncSender<()>,
+    handed_over: &AtomicBool,
+    notify_done: &SyncSender<()>,
 ) {
     for stream in listener.incoming() {
         match stream {
             Ok(stream) => {
-                if let Err(e) = talk(&stream, handle, reloader, handed) {
+                if let Err(e) = serve_connection(&stream, handle, reloader, handed_over) {
                     warn!(target: "control", "{e}");
                 }
-                if handed.load(Ordering::SeqCst) {
-                    let _ = say.try_send(());
+                if handed_over.load(Ordering::SeqCst) {
+                    let _ = notify_done.try_send(());
                     return;
                 }
             }
             Err(e) => {
                 warn!(target: "control", "{e}");
-                std::thread::sleep(ACCEPT_PAUSE);
+                std::thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
 }
 
-fn talk(
+fn serve_connection(
     stream: &UnixStream,
     handle: &Handle,
     reloader: &Reloader,
-    handed: &AtomicBool,
+    handed_over: &AtomicBool,
 ) -> std::io::Result<()> {
-    stream.set_read_timeout(Some(WAIT))?;
-    stream.set_write_timeout(Some(WAIT))?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
     let mut line = String::new();
-    let patient = Patient { stream, until: Instant::now() + WAIT };
-    BufReader::new(patient.take(LINE_BYTES)).read_line(&mut line)?;
+    let reader = DeadlineReader { stream, until: Instant::now() + IO_TIMEOUT };
+    BufReader::new(reader.take(MAX_REQUEST_BYTES)).read_line(&mut line)?;
     let answer = match serde_json::from_str(&line) {
-        Ok(Call::TakeOver {}) => match handle.hand_over(WAIT) {
+        Ok(Call::TakeOver {}) => match handle.hand_over(IO_TIMEOUT) {
             Some(handover) => {
-                handed.store(true, Ordering::SeqCst);
-                info!(target: "control", "another process takes over");
-                return give(stream, handover);
+                handed_over.store(true, Ordering::SeqCst);
+                info!(target: "control", "handing over to a successor");
+                return send_handover(stream, handover);
             }
-            None => json!({"error": "this router has nothing to give: it is not ready"}).to_string(),
+            None => json!({"error": "this router cannot be taken over: it is not ready"}).to_string(),
         },
         Ok(call) => answer(call, handle, reloader),
         Err(e) => json!({"error": format!("not understood: {e}")}).to_string(),
@@ -171,13 +171,13 @@
     stream.write_all(b"\n")
 }
 
-/// Reads until a time: a peer that says a byte now and then has no more of it than one that says nothing.
-struct Patient<'a> {
+/// Reads until a deadline, so that a peer that sends single bytes gets no more time than a silent one.
+struct DeadlineReader<'a> {
     stream: &'a UnixStream,
     until: Instant,
 }
 
-impl Read for Patient<'_> {
+impl Read for DeadlineReader<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         let left = self.until.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -189,18 +189,18 @@
     }
 }
 
-/// Gives the listening socket with one line, then a line for each settlement until the life ends.
-fn give(mut stream: &UnixStream, handover: Handover) -> std::io::Result<()> {
+/// Sends the listening socket with one line, then a line for each settlement until this process ends.
+fn send_handover(mut stream: &UnixStream, handover: Handover) -> std::io::Result<()> {
     let line = json!({"ledger": handover.settled.is_some()}).to_string() + "\n";
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     let fds = [handover.listener.as_fd()];
     if !control.push(SendAncillaryMessage::ScmRights(&fds)) {
-        return Err(std::io::Error::other("no room for the listening socket"));
+        return Err(std::io::Error::other("control message buffer is too small for the listening socket"));
     }
     let sent = sendmsg(stream, &[IoSlice::new(line.as_bytes())], &mut control, SendFlags::empty())?;
     if sent != line.len() {
-        return Err(std::io::Error::other("cut short"));
+        return Err(std::io::Error::other("short write of the handover line"));
     }
     drop(handover.listener);
     for settled in handover.settled.into_iter().flatten() {
@@ -209,26 +209,26 @@
     Ok(())
 }
 
-/// What a successor got.
-pub struct Taken {
+/// What a successor received.
+pub struct TakenOver {
     /// The listening socket.
     pub listener: OwnedFd,
-    /// What the life before settles; none where it kept no ledger.
+    /// Settlements of the previous process; none if it has no ledger.
     pub before: Option<BufReader<UnixStream>>,
 }
 
-/// Takes over from the router that answers at a control socket.
-pub fn take_over(socket: &Path) -> Result<Taken, CommandError> {
-    let wrong =
+/// Takes over from the router that listens on a control socket.
+pub fn take_over(socket: &Path) -> Result<TakenOver, CommandError> {
+    let io_error =
         |e: std::io::Error| CommandError::CouldNotRun(format!("taking over at {}: {e}", socket.display()));
-    let mut stream = UnixStream::connect(socket).map_err(wrong)?;
-    stream.set_read_timeout(Some(WAIT * 3)).map_err(wrong)?;
-    stream.write_all(b"{\"command\":\"take-over\"}\n").map_err(wrong)?;
+    let mut stream = UnixStream::connect(socket).map_err(io_error)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT * 3)).map_err(io_error)?;
+    stream.write_all(b"{\"command\":\"take-over\"}\n").map_err(io_error)?;
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut buffer = [0; 4_096];
     let got = recvmsg(&stream, &mut [IoSliceMut::new(&mut buffer)], &mut control, RecvFlags::CMSG_CLOEXEC);
-    let got = got.map_err(|e| wrong(e.into()))?;
+    let got = got.map_err(|e| io_error(e.into()))?;
     let mut listener = None;
     for message in control.drain() {
         if let RecvAncillaryMessage::ScmRights(fds) = message {
@@ -236,31 +236,31 @@
         }
     }
     let line = String::from_utf8_lossy(buffer.get(..got.bytes).unwrap_or_default()).into_owned();
-    // Settlements may follow in the same bytes.
+    // Settlements could have arrived in the same read.
     let (first, rest) = line.split_once('\n').unwrap_or((&line, ""));
-    let said: Value = serde_json::from_str(first).map_err(|e| wrong(e.into()))?;
+    let offer: Value = serde_json::from_str(first).map_err(|e| io_error(e.into()))?;
     let Some(listener) = listener else {
-        let why = said.get("error").and_then(Value::as_str).unwrap_or("no listening socket came");
+        let why = offer.get("error").and_then(Value::as_str).unwrap_or("no listening socket received");
         return Err(CommandError::CouldNotRun(format!("taking over at {}: {why}", socket.display())));
     };
     if !rest.is_empty() {
         return Err(CommandError::CouldNotRun(format!(
-            "taking over at {}: more came than was asked",
+            "taking over at {}: unexpected data after the first line",
             socket.display()
         )));
     }
-    stream.set_read_timeout(None).map_err(wrong)?;
-    let before = (said.get("ledger") == Some(&Value::Bool(true))).then(|| BufReader::new(stream));
-    Ok(Taken { listener, before })
+    stream.set_read_timeout(None).map_err(io_error)?;
+    let before = (offer.get("ledger") == Some(&Value::Bool(true))).then(|| BufReader::new(stream));
+    Ok(TakenOver { listener, before })
 }
 
 fn answer(call: Call, handle: &Handle, reloader: &Reloader) -> String {
-    let late = || json!({"error": "the router's loop did not answer in time"}).to_string();
-    let ask = |question| handle.query(question, WAIT).unwrap_or_else(late);
-    let tell = |event, what: &str| {
-        info!(target: "control", "told to {what}");
+    let late = || json!({"error": "the router's event loop did not reply in time"}).to_string();
+    let ask = |question| handle.query(question, IO_TIMEOUT).unwrap_or_else(late);
+    let notify = |event, what: &str| {
+        info!(target: "control", "received command {what}");
         match handle.notify(event) {
-            // What became of it, as the loop sees it.
+            // The status after the event.
             true => ask(AdminQuery::Status),
             false => late(),
         }
@@ -270,21 +270,21 @@
         Call::Engines {} => ask(AdminQuery::Workers),
         Call::Requests {} => ask(AdminQuery::Requests),
         Call::Trace { id } => ask(AdminQuery::Trace(id)),
-        Call::Drain {} => tell(LifecycleEvent::Drain, "drain"),
-        Call::Undrain {} => tell(LifecycleEvent::Undrain, "undrain"),
-        // What it changes is told at once; the loop takes it whole, or nothing of it.
-        Call::Reload {} => match reloader.look() {
+        Call::Drain {} => notify(LifecycleEvent::Drain, "drain"),
+        Call::Undrain {} => notify(LifecycleEvent::Undrain, "undrain"),
+        // The response lists the changes; the event loop applies all of them or none.
+        Call::Reload {} => match reloader.preview() {
             Err(why) => json!({"error": format!("not reloaded, all stays as it was: {why}")}).to_string(),
             Ok(changes) => {
                 let late = changes.iter().any(|c| !c.in_flight);
                 if !late {
-                    tell(LifecycleEvent::Reload, "reload");
+                    notify(LifecycleEvent::Reload, "reload");
                 }
                 json!({"reloaded": !late, "items": changes, "more": 0}).to_string()
             }
         },
-        Call::TakeOver {} => json!({"error": "only a router takes over"}).to_string(),
-        Call::Stop {} => tell(LifecycleEvent::Terminate, "stop"),
+        Call::TakeOver {} => json!({"error": "take-over is not available here"}).to_string(),
+        Call::Stop {} => notify(LifecycleEvent::Terminate, "stop"),
         Call::LogLevel { level } => match logs::set_level(&level) {
             Ok(()) => json!({"level": level}).to_string(),
             Err(why) => json!({"error": why}).to_string(),
@@ -292,20 +292,21 @@
     }
 }
 
-/// Asks a running router.
+/// Sends a request to a running router and returns its response.
 pub fn ask(socket: &Path, call: &Call) -> Result<Value, CommandError> {
-    let wrong =
+    let io_error =
         |e: std::io::Error| CommandError::CouldNotRun(format!("control socket {}: {e}", socket.display()));
-    let mut stream = UnixStream::connect(socket).map_err(wrong)?;
-    stream.set_read_timeout(Some(WAIT * 3)).map_err(wrong)?;
+    let mut stream = UnixStream::connect(socket).map_err(io_error)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT * 3)).map_err(io_error)?;
     let line = serde_json::to_string(call).map_err(|e| CommandError::CouldNotRun(e.to_string()))?;
-    stream.write_all(format!("{line}\n").as_bytes()).map_err(wrong)?;
+    stream.write_all(format!("{line}\n").as_bytes()).map_err(io_error)?;
     let mut answer = String::new();
-    stream.take(ANSWER_BYTES).read_to_string(&mut answer).map_err(wrong)?;
+    stream.take(MAX_RESPONSE_BYTES).read_to_string(&mut answer).map_err(io_error)?;
     serde_json::from_str(&answer).map_err(|e| CommandError::CouldNotRun(format!("{}: {e}", socket.display())))
 }
 
-/// One of the commands that speak to a running router; with `watch`, again after so many seconds, until it is gone.
+/// Runs an operator command against a running router; with `watch`, repeats it at that interval in seconds until the
+/// router is gone.
 pub fn command(
     socket: &Path,
     call: &Call,
@@ -332,7 +333,7 @@
     }
 }
 
-/// An answer for a person: one line a member, a line a row for lists.
+/// Formats a response for people: one line per member, or one line per row of a list.
 fn text(answer: &Value) -> String {
     let word = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_owned);
     let row = |v: &Value| match v.as_object() {
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a command failed.
+//! Errors of the commands.
 
 use std::process::ExitCode;
 
-/// The error of a command, as it is printed; its kind decides the exit code.
+/// The error of a command. The variant determines the exit code.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// It could not run.
+    /// The command could not run.
     #[error("chalkyard: {0}")]
     CouldNotRun(String),
-    /// Its input is invalid; the text names the place.
+    /// The input is invalid; the text contains its position.
     #[error("{0}")]
     BadInput(String),
 }
 
 impl CommandError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::CouldNotRun(_) => ExitCode::from(1),
--- a/crates/daemon/src/fuzz_test.rs
+++ b/crates/daemon/src/fuzz_test.rs
@@ -1,4 +1,4 @@
-//! Arbitrary settings and control lines give an answer, never a panic, and each error has its position.
+//! Arbitrary settings and control requests never cause a panic, and each settings error has a position.
 
 use proptest::prelude::*;
 
@@ -7,7 +7,7 @@
 const EXAMPLES: [&str; 2] =
     [include_str!("../../../deploy/example.xml"), include_str!("../../../deploy/budgets.xml")];
 
-/// Words that are near what is expected, and far from it.
+/// Replacement values, both close to valid ones and far from them.
 const WORDS: [&str; 16] = [
     "",
     "0",
@@ -44,7 +44,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Each value of the examples replaced by a word, or a piece cut out, or moved elsewhere.
+    /// Replaces a value of an example, cuts out a range, or swaps two lines.
     #[test]
     fn altered_settings_are_read_or_refused_with_a_position(example in 0..2_usize, value in 0..200_usize, word in 0..16_usize, cut in any::<(u16, u16)>(), how in 0..3) {
         let xml = EXAMPLES[example];
@@ -80,7 +80,7 @@
     #[test]
     fn arbitrary_control_lines_are_parsed_without_a_panic(text in ".{0,200}", id in ".{0,40}") {
         let _ = serde_json::from_str::<Call>(&text);
-        // What is written is read as the same.
+        // A request is read back as it was written.
         let line = serde_json::to_string(&Call::Trace { id: id.clone() }).unwrap();
         let same = matches!(serde_json::from_str(&line), Ok(Call::Trace { id: read }) if read == id);
         prop_assert!(same, "{}", line);
--- a/crates/daemon/src/grant_files.rs
+++ b/crates/daemon/src/grant_files.rs
@@ -1,4 +1,4 @@
-//! Grants as files: the settlement job writes one for each router, which watches it for changes.
+//! Grant files: the settlement job writes one for each router, and each router polls its own.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::SyncSender;
@@ -11,15 +11,15 @@
 use crate::error::CommandError;
 use crate::files::{read_limited, replace};
 
-/// A router looks for a new grant so often.
+/// Interval at which a router checks its grant file.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Bytes of a grant's file that are read.
-const GRANT_BYTES: u64 = 64 * 1024 * 1024;
+/// Largest grant file that is read, in bytes.
+const MAX_GRANT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Why the key under which grants are signed can't be used.
+/// Why the key that signs grants cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         /// The file.
@@ -27,12 +27,12 @@
         /// The file system's error.
         source: std::io::Error,
     },
-    /// It holds no key.
+    /// The file does not contain a key.
     #[error("{}: {reason}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong with its text.
+        /// The fault in its text.
         reason: String,
     },
 }
@@ -43,30 +43,30 @@
     }
 }
 
-/// Reads the key under which grants are signed.
+/// Reads the key that signs grants.
 pub fn read_key(path: &Path) -> Result<SigningKey, KeyFileError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| KeyFileError::Unreadable { path: path.into(), source })?;
     SigningKey::new(&text).map_err(|reason| KeyFileError::Invalid { path: path.into(), reason })
 }
 
-/// Writes a signed grant to its router's file.
+/// Writes a signed grant to the file of its router.
 pub fn deliver(folder: &Path, key: &SigningKey, grant: &Grant) -> std::io::Result<()> {
     replace(&folder.join(format!("{}.grant", grant.router)), &key.sign_grant(grant))
 }
 
-/// Gives the event loop each new grant, until the loop has ended.
-pub fn watch(file: &Path, key: &SigningKey, news: &SyncSender<SinkEvent>) {
+/// Sends each new grant to the event loop until the loop has ended.
+pub fn watch(file: &Path, key: &SigningKey, events: &SyncSender<SinkEvent>) {
     let mut last = Vec::new();
     loop {
         std::thread::sleep(POLL_INTERVAL);
-        let Ok(bytes) = read_limited(file, GRANT_BYTES) else { continue };
+        let Ok(bytes) = read_limited(file, MAX_GRANT_BYTES) else { continue };
         if bytes == last {
             continue;
         }
         match key.open_grant(&bytes) {
             Ok(grant) => {
-                if news.send(SinkEvent::LeaseGranted(Box::new(grant))).is_err() {
+                if events.send(SinkEvent::LeaseGranted(Box::new(grant))).is_err() {
                     return;
                 }
             }
--- a/crates/daemon/src/line_budget.rs
+++ b/crates/daemon/src/line_budget.rs
@@ -1,32 +1,33 @@
-//! Limits the log lines about single requests to a number a second, and counts those that were left out.
+//! Limits the rate of log lines about single requests, and counts the lines that are left out.
 
 use std::time::{Duration, Instant};
 
-/// Lines about single requests in each second.
-const LINES: u32 = 20;
-const SPAN: Duration = Duration::from_secs(1);
+/// Largest number of lines per interval.
+const MAX_LINES: u32 = 20;
+/// Length of the interval for which lines are counted.
+const INTERVAL: Duration = Duration::from_secs(1);
 
-/// The lines that may still be written in this second.
+/// The number of lines written and left out in the current interval.
 #[derive(Debug)]
 pub struct LineBudget {
-    since: Instant,
+    interval_start: Instant,
     written: u32,
     left_out: u64,
 }
 
 impl LineBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(now: Instant) -> Self {
-        Self { since: now, written: 0, left_out: 0 }
+        Self { interval_start: now, written: 0, left_out: 0 }
     }
 
-    /// Takes a line from the budget: the number of lines that were left out since the last one, or none when no line may
-    /// be written.
+    /// Takes a line from the budget. Returns the number of lines left out since the last one, or none if the budget is
+    /// used up.
     pub fn take(&mut self, now: Instant) -> Option<u64> {
-        if now.saturating_duration_since(self.since) >= SPAN {
-            (self.since, self.written) = (now, 0);
+        if now.saturating_duration_since(self.interval_start) >= INTERVAL {
+            (self.interval_start, self.written) = (now, 0);
         }
-        if self.written >= LINES {
+        if self.written >= MAX_LINES {
             self.left_out += 1;
             return None;
         }
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -7,16 +7,16 @@
 use tracing::{info, warn};
 use tracing_subscriber::EnvFilter;
 
-/// The environment's word for the level.
-pub const LEVEL_NAME: &str = "CHALKYARD_LOG";
+/// Environment variable with the log level or filter.
+pub const LEVEL_VARIABLE: &str = "CHALKYARD_LOG";
 
-/// Takes another filter while the process runs.
+/// Replaces the log filter of the running process.
 type SetLevel = Box<dyn Fn(EnvFilter) -> Result<(), String> + Send + Sync>;
 static LEVEL: OnceLock<SetLevel> = OnceLock::new();
 
-/// Starts logging for this process, at this level if the environment names none.
+/// Starts logging, at `level` unless the environment sets another one.
 pub fn start(level: &str) {
-    let filter = EnvFilter::try_from_env(LEVEL_NAME).unwrap_or_else(|_| EnvFilter::new(level));
+    let filter = EnvFilter::try_from_env(LEVEL_VARIABLE).unwrap_or_else(|_| EnvFilter::new(level));
     let lines = tracing_subscriber::fmt().json().flatten_event(true).with_current_span(false);
     let lines = lines.with_writer(std::io::stderr).with_env_filter(filter).with_filter_reloading();
     let handle = lines.reload_handle();
@@ -24,17 +24,17 @@
     let _ = lines.try_init();
 }
 
-/// Logs at another level from now on: `off`, `error`, `warn`, `info`, `debug`, `trace`, or a filter by target such
+/// Changes the log level: `off`, `error`, `warn`, `info`, `debug`, `trace`, or a filter by target such
 /// as `info,request=off`.
 pub fn set_level(level: &str) -> Result<(), String> {
     let filter = EnvFilter::builder().parse(level).map_err(|e| format!("no level or filter: {e}"))?;
-    LEVEL.get().map_or_else(|| Err("no log in this process".into()), |set| set(filter))
+    LEVEL.get().map_or_else(|| Err("logging is not started in this process".into()), |set| set(filter))
 }
 
-/// Tells the log, and keeps the list of workers.
+/// Writes log lines, and caches the endpoint list in a file.
 pub struct Log {
-    /// Where the list is kept.
-    pub list_file: Option<PathBuf>,
+    /// File of the cached endpoint list.
+    pub endpoint_list_file: Option<PathBuf>,
 }
 
 impl Log {
@@ -72,7 +72,7 @@
         );
     }
 
-    /// A change of a request's state that is out of the ordinary.
+    /// Logs an unusual state change of a request.
     pub fn transition(&self, t: &Transition) {
         if !tracing::enabled!(target: "transition", tracing::Level::INFO) {
             return;
@@ -93,7 +93,7 @@
         );
     }
 
-    /// What was done since the start, by cause.
+    /// Logs the counters since the start, by cause.
     pub fn counters(&self, counters: &Counters) {
         if tracing::enabled!(target: "counters", tracing::Level::INFO) {
             let violations = counters.violation_count();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// What was done in a second; `losses` sums these lines.
+    /// Logs the tally of one second; `losses` adds up these lines.
     pub fn tally(&self, t: &Tally) {
         if tracing::enabled!(target: "tally", tracing::Level::INFO) {
             info!(target: "tally", tally = serde_json::to_string(t).unwrap_or_default(), "second");
@@ -113,12 +113,12 @@
         warn!(target: "router", what, "{text}");
     }
 
-    /// Written beside and renamed, so that a crash leaves the old list or the new one, never half.
-    pub fn keep_list(&self, text: &str) {
-        let Some(file) = &self.list_file else { return };
+    /// Stores the list by writing a new file and renaming it, so that a crash leaves the old list or the new one.
+    pub fn store_endpoint_list(&self, text: &str) {
+        let Some(file) = &self.endpoint_list_file else { return };
         let fresh = file.with_extension("new");
         if let Err(e) = std::fs::write(&fresh, text).and_then(|()| std::fs::rename(&fresh, file)) {
-            warn!(target: "router", what = "list", "the list can't be kept in {}: {e}", file.display());
+            warn!(target: "router", what = "list", "cannot store the endpoint list in {}: {e}", file.display());
         }
     }
 }
--- a/crates/daemon/src/logs_test.rs
+++ b/crates/daemon/src/logs_test.rs
@@ -35,7 +35,7 @@
         .without_time()
         .with_writer(move || writer.clone())
         .finish();
-    tracing::subscriber::with_default(subscriber, || write(&Log { list_file: None }));
+    tracing::subscriber::with_default(subscriber, || write(&Log { endpoint_list_file: None }));
     let bytes = lines.0.lock().unwrap().clone();
     String::from_utf8(bytes).unwrap()
 }
--- a/crates/daemon/src/losses.rs
+++ b/crates/daemon/src/losses.rs
@@ -1,7 +1,7 @@
-//! `chalkyard losses`: what the logs of many routers say about requests that were not served.
+//! `chalkyard losses`: summarizes requests that were not served, from the logs of many routers.
 //!
-//! Reads logs of our own routers only. Lines are streamed; memory grows with reasons, classes and seconds, each up to a
-//! limit.
+//! Only logs of this program are read. Lines are streamed; memory grows with the number of reasons, classes and seconds,
+//! each up to a limit.
 
 mod aggregate;
 mod log_line;
@@ -14,14 +14,14 @@
 use self::report::Report;
 use crate::{CommandError, Format};
 
-/// Sums the logs up and prints the report.
+/// Aggregates the logs and prints the report.
 pub fn losses(logs: &[PathBuf], format: Format) -> Result<ExitCode, CommandError> {
     let mut aggregate = Aggregate::default();
     for file in logs {
         aggregate.read(file)?;
     }
     if aggregate.requests == 0 && aggregate.seconds.is_empty() {
-        let reason = "no requests in these logs; routers tell of them with CHALKYARD_LOG=info";
+        let reason = "no requests in these logs; routers log them with CHALKYARD_LOG=info";
         return Err(CommandError::BadInput(reason.into()));
     }
     let report = Report::from(aggregate);
--- a/crates/daemon/src/losses/aggregate.rs
+++ b/crates/daemon/src/losses/aggregate.rs
@@ -11,16 +11,16 @@
 use super::log_line::{Attempt, Line};
 use crate::CommandError;
 
-/// The longest line that is read.
-const LINE_BYTES: u64 = 1024 * 1024;
-/// Most kinds of ends, of requests and of attempts, that are told apart; further ones are counted together.
+/// Longest line that is read, in bytes.
+const MAX_LINE_BYTES: u64 = 1024 * 1024;
+/// Largest number of rows in each table of ends, of requests and of attempts; further ends share one row.
 const MAX_ROWS: usize = 1_000;
-/// Most seconds that are told apart.
+/// Largest number of seconds with separate totals.
 pub const MAX_SECONDS: usize = 7_200;
-/// Ranges of the time since the endpoint list changed, by their upper ends in seconds; the last one is open.
+/// Upper bounds of the ranges of the endpoint list's age, in seconds; the last range is unbounded.
 pub const LIST_AGES: [u64; 6] = [1, 2, 5, 10, 20, u64::MAX];
 
-/// Requests or attempts that ended alike, with what they had taken until then.
+/// Totals of requests or attempts with the same end: count, attempts, duration and open requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Totals {
     pub count: u64,
@@ -30,13 +30,13 @@
 }
 
 impl Totals {
-    /// The mean of a sum over all of them.
+    /// Divides a sum by the count.
     pub fn mean(&self, sum: u64) -> f64 {
         sum as f64 / self.count.max(1) as f64
     }
 }
 
-/// Requests that arrived in one second, by how they ended, and what the routers did in it.
+/// Requests that arrived in one second, by end, and the routers' tallies of that second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SecondTotals {
     #[serde(rename = "came")]
@@ -72,7 +72,7 @@
     pub given_up: u64,
 }
 
-/// Who ended requests, for which reason, and whether clients came back with them.
+/// How requests ended: by whom, for which reason, and whether the client had resumed them.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct RequestEnd {
     #[serde(rename = "who")]
@@ -85,7 +85,7 @@
 }
 
 impl RequestEnd {
-    /// In place of further ends once the table is full.
+    /// Returns the key of the row for all further ends once the table is full.
     fn other() -> Self {
         Self {
             ended_by: "other",
@@ -97,7 +97,7 @@
     }
 }
 
-/// Attempts of one kind that ended alike.
+/// How attempts ended, by stage and kind.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct AttemptEnd {
     pub stage: String,
@@ -107,13 +107,13 @@
 }
 
 impl AttemptEnd {
-    /// In place of further ends once the table is full.
+    /// Returns the key of the row for all further ends once the table is full.
     fn other() -> Self {
         Self { stage: "other".into(), kind: "other".into(), outcome: "other".into() }
     }
 }
 
-/// Requests by how long ago the endpoint list had changed.
+/// Requests in one range of the endpoint list's age.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ListAgeTotals {
     pub given_up: u64,
@@ -129,20 +129,20 @@
     pub seconds: BTreeMap<u64, SecondTotals>,
     /// In the order of [`LIST_AGES`].
     pub list_ages: [ListAgeTotals; LIST_AGES.len()],
-    /// Of requests whose answer began: time to the first token.
+    /// Time to first token of requests whose answer began.
     pub first_token: Totals,
     pub routers: Vec<RouterTotals>,
-    /// Requests and counts of seconds beyond [`MAX_SECONDS`], which the table of seconds leaves out.
+    /// Requests and tallies that were not counted by second because of [`MAX_SECONDS`].
     pub seconds_left_out: u64,
 }
 
-/// The totals of a key, or those of `other` once the table is full.
+/// Returns the totals of a key, or those of `other` once the table is full.
 fn bounded_entry<K: Ord>(rows: &mut BTreeMap<K, Totals>, key: K, other: impl FnOnce() -> K) -> &mut Totals {
     let key = if rows.len() < MAX_ROWS || rows.contains_key(&key) { key } else { other() };
     rows.entry(key).or_default()
 }
 
-/// Who ended a request; none for an unknown word.
+/// Returns who ended a request; none for an unknown end.
 fn ended_by(ended: &str) -> Option<&'static str> {
     match ended {
         "refused" | "failed" => Some("module"),
@@ -154,7 +154,7 @@
 }
 
 impl Aggregate {
-    /// Reads one router's log. What stands in front of a line's first brace, such as a time, is skipped.
+    /// Reads one router's log. Text before the first brace of a line, such as a time, is skipped.
     pub fn read(&mut self, file: &Path) -> Result<(), CommandError> {
         let invalid = |number: usize, reason: String| {
             CommandError::BadInput(format!("{}:{number}: {reason}", file.display()))
@@ -163,13 +163,13 @@
         let (mut text, mut router) = (Vec::new(), RouterTotals::default());
         for number in 1.. {
             text.clear();
-            let read = input.by_ref().take(LINE_BYTES).read_until(b'\n', &mut text);
+            let read = input.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut text);
             if read.map_err(|e| invalid(number, e.to_string()))? == 0 {
                 break;
             }
             let is_complete = text.ends_with(b"\n");
-            if !is_complete && text.len() as u64 >= LINE_BYTES {
-                return Err(invalid(number, format!("longer than {LINE_BYTES} bytes")));
+            if !is_complete && text.len() as u64 >= MAX_LINE_BYTES {
+                return Err(invalid(number, format!("longer than {MAX_LINE_BYTES} bytes")));
             }
             if text.trim_ascii().is_empty() {
                 continue;
@@ -177,7 +177,7 @@
             let start = text.iter().position(|b| *b == b'{').unwrap_or(0);
             let line: Line = match serde_json::from_slice(text.get(start..).unwrap_or_default()) {
                 Ok(line) => line,
-                // The last line of a router that was killed may be cut off.
+                // The last line of a killed router may be truncated.
                 Err(_) if !is_complete => break,
                 Err(e) => return Err(invalid(number, format!("not a line of a router's log: {e}"))),
             };
@@ -246,7 +246,7 @@
     }
 
     fn add_request_end(&mut self, line: Line, ended_by: &'static str, is_given_up: bool, attempts: u64) {
-        // Where the module gave no reason, the end in words stands for it.
+        // Without a reason from the decision module, the explanation replaces it.
         let explanation = if is_given_up { line.explanation } else { String::new() };
         let end = RequestEnd {
             ended_by,
@@ -268,7 +268,7 @@
         second.tally.add(tally);
     }
 
-    /// The totals of a second; none once the table is full.
+    /// Returns the totals of a second; none once the table is full.
     fn second(&mut self, second: u64) -> Option<&mut SecondTotals> {
         if self.seconds.len() >= MAX_SECONDS && !self.seconds.contains_key(&second) {
             self.seconds_left_out += 1;
--- a/crates/daemon/src/losses/log_line.rs
+++ b/crates/daemon/src/losses/log_line.rs
@@ -1,8 +1,8 @@
-//! A line of a router's log, as far as `losses` reads it.
+//! The fields of a router's log line that `losses` reads.
 
 use serde::Deserialize;
 
-/// A line of any target; fields of other targets are missing.
+/// A log line of any target; fields of other targets have their defaults.
 #[derive(Deserialize)]
 pub struct Line {
     pub target: String,
@@ -16,7 +16,7 @@
     pub class: String,
     #[serde(default)]
     pub came_back: bool,
-    /// The end in words.
+    /// Explanation of the end, for people.
     #[serde(default, rename = "reason")]
     pub explanation: String,
     /// The attempts, as JSON.
@@ -39,7 +39,7 @@
 pub struct Attempt {
     pub stage: String,
     pub outcome: String,
-    /// What was known of the worker.
+    /// Kind of attempt, by the state of the worker.
     #[serde(rename = "care")]
     pub kind: String,
     pub took_us: u64,
--- a/crates/daemon/src/losses/report.rs
+++ b/crates/daemon/src/losses/report.rs
@@ -1,4 +1,4 @@
-//! What `losses` prints, as JSON and as tables.
+//! The report of `losses`, as JSON and as tables.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -37,12 +37,13 @@
 #[derive(Debug, Serialize)]
 pub struct Report {
     routers: usize,
-    /// Of these, routers that received requests.
+    /// Number of routers that received requests.
     #[serde(rename = "routers_asked")]
     routers_with_requests: usize,
     requests: u64,
     first_token_ms: f64,
-    /// Share of a router's requests that it or its decision module gave up: mean and standard deviation over routers.
+    /// Share of a router's requests that the router or its decision module gave up: mean over the routers. The next field
+    /// is the standard deviation.
     given_up_share: f64,
     #[serde(rename = "given_up_spread")]
     given_up_deviation: f64,
@@ -97,10 +98,10 @@
 }
 
 impl Report {
-    /// The report for people.
+    /// Formats the report as tables.
     pub fn text(&self) -> String {
         let mut out = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` does not fail.
         let _ = self.write_summary(&mut out);
         let _ = self.write_request_ends(&mut out);
         let _ = self.write_attempt_ends(&mut out);
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,8 +1,8 @@
-//! `chalkyard`: the router as a program, and its rehearsal kit.
+//! `chalkyard`: the router's command line, with its operator and rehearsal commands.
 //!
-//! Exit codes: 0 done (of a rehearsal or audit: all rules held; of a router: all that was open has ended), 1 could
-//! not run, 2 usage or invalid input, 3 a rule was broken or a bill does not agree, 4 the time of a router's graceful
-//! shutdown was up, 5 a router was told twice to end.
+//! Exit codes: 0 success (rehearsal or audit: all rules held; router: all open requests have finished), 1 could not run,
+//! 2 usage or invalid input, 3 a rule was broken or a bill does not agree, 4 a router's graceful shutdown timed out, 5 a
+//! router was told twice to stop.
 
 mod arguments;
 mod bill;
@@ -40,12 +40,12 @@
 use self::error::CommandError;
 use self::settings_file::{control_socket, load, load_budgets, load_text, read};
 
-/// A request allocates and frees hundreds of small objects on one thread.
+/// mimalloc, because each request allocates and frees hundreds of small objects on one thread.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
-/// Sends a query or command to a running router and prints its answer.
-fn ask(target: RouterTarget, call: &control::Call) -> Result<ExitCode, CommandError> {
+/// Sends a query or command to a running router and prints its response.
+fn query(target: RouterTarget, call: &control::Call) -> Result<ExitCode, CommandError> {
     let is_settings = target.socket.extension().is_some_and(|e| e == "xml");
     let socket = if is_settings { control_socket(&target.socket)? } else { target.socket };
     control::command(&socket, call, target.format, target.watch)
@@ -56,15 +56,15 @@
     match command {
         Command::Run { file, seed, decisions, take_over } => run::run(&file, seed, decisions, take_over),
         Command::Platform { file } => platform::platform(file),
-        Command::Status(target) => ask(target, &Call::Status {}),
-        Command::Engines(target) => ask(target, &Call::Engines {}),
-        Command::Requests(target) => ask(target, &Call::Requests {}),
-        Command::Trace { id, target } => ask(target, &Call::Trace { id }),
-        Command::Drain(target) => ask(target, &Call::Drain {}),
-        Command::Undrain(target) => ask(target, &Call::Undrain {}),
-        Command::Reload(target) => ask(target, &Call::Reload {}),
-        Command::Stop(target) => ask(target, &Call::Stop {}),
-        Command::LogLevel { level, target } => ask(target, &Call::LogLevel { level }),
+        Command::Status(target) => query(target, &Call::Status {}),
+        Command::Engines(target) => query(target, &Call::Engines {}),
+        Command::Requests(target) => query(target, &Call::Requests {}),
+        Command::Trace { id, target } => query(target, &Call::Trace { id }),
+        Command::Drain(target) => query(target, &Call::Drain {}),
+        Command::Undrain(target) => query(target, &Call::Undrain {}),
+        Command::Reload(target) => query(target, &Call::Reload {}),
+        Command::Stop(target) => query(target, &Call::Stop {}),
+        Command::LogLevel { level, target } => query(target, &Call::LogLevel { level }),
         Command::Settle { file, rounds } => settle::settle(&file, rounds),
         Command::Budget(command) => budgets::command(command),
         Command::Bill { file, period, ledger, engines, format } => {
--- a/crates/daemon/src/notify.rs
+++ b/crates/daemon/src/notify.rs
@@ -4,16 +4,16 @@
 use std::os::linux::net::SocketAddrExt;
 use std::os::unix::net::{SocketAddr, UnixDatagram};
 
-/// Sends a state. A supervisor that does not listen is logged, and otherwise ignored.
-pub fn say(state: &str) {
-    let Some(place) = std::env::var_os("NOTIFY_SOCKET") else { return };
-    let text = place.to_string_lossy();
+/// Sends a state to the supervisor. A failure is logged and has no other effect.
+pub fn send(state: &str) {
+    let Some(path) = std::env::var_os("NOTIFY_SOCKET") else { return };
+    let text = path.to_string_lossy();
     let address = match text.strip_prefix('@') {
         Some(name) => SocketAddr::from_abstract_name(name),
-        None => SocketAddr::from_pathname(&place),
+        None => SocketAddr::from_pathname(&path),
     };
     let sent = address.and_then(|at| UnixDatagram::unbound()?.send_to_addr(state.as_bytes(), &at));
     if let Err(e) = sent {
-        tracing::warn!(target: "router", "the supervisor could not be told `{}`: {e}", state.trim());
+        tracing::warn!(target: "router", "cannot notify the supervisor of `{}`: {e}", state.trim());
     }
 }
--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -1,4 +1,5 @@
-//! `chalkyard rehearse overload`: many routers, as processes with faults on the links between them, or as cores in fed time.
+//! `chalkyard rehearse overload`: many routers, either as processes with faults on the links between them, or as cores in
+//! simulated time.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,11 +10,11 @@
 use crate::rehearse::RULE_BROKEN;
 use crate::{CommandError, Format};
 
-/// Routers, if not told otherwise: what four cores carry as processes beside the stand-ins.
-const ROUTERS: usize = 24;
-const SECONDS: u64 = 40;
+/// Default number of routers: as many processes as four cores can run beside the simulated engines and clients.
+const DEFAULT_ROUTERS: usize = 24;
+const DEFAULT_SECONDS: u64 = 40;
 
-/// What goes with `rehearse overload` alone.
+/// Arguments of `rehearse overload`; some of them also apply to `rehearse soak`.
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
     /// Of `rehearse overload`: the case, or several at once as `one+other`; all of them one after the other, if not given.
@@ -35,12 +36,12 @@
 }
 
 impl Arguments {
-    /// Whether any was given that no soak has.
+    /// Returns whether an argument was given that `rehearse soak` does not accept.
     pub fn is_given_for_overload(&self) -> bool {
         self.fed || self.case.is_some()
     }
 
-    /// Whether any was given.
+    /// Returns whether any argument was given.
     pub fn is_given(&self) -> bool {
         self.fed
             || self.case.is_some()
@@ -57,8 +58,8 @@
             "--exe plays processes; in fed time there is this build alone".into(),
         ));
     }
-    let routers = arguments.routers.map_or(ROUTERS, |n| n as usize);
-    let seconds = plan.seconds.unwrap_or(SECONDS);
+    let routers = arguments.routers.map_or(DEFAULT_ROUTERS, |n| n as usize);
+    let seconds = plan.seconds.unwrap_or(DEFAULT_SECONDS);
     let names: Vec<String> = match &arguments.case {
         Some(name) => vec![name.clone()],
         None => CASES.iter().map(|c| c.name.to_owned()).collect(),
@@ -67,7 +68,7 @@
     for name in names {
         for seed in plan.seed..plan.seed + arguments.seeds.unwrap_or(1) {
             let scenario = case(&name, seed, routers, seconds).map_err(CommandError::BadInput)?;
-            // Processes take the machine's clock.
+            // Processes use the machine's clock, so clock skew needs simulated time.
             if !arguments.fed && scenario.clock_skew > 0 {
                 if arguments.case.is_some() {
                     return Err(CommandError::BadInput(format!(
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,7 +1,7 @@
-//! `chalkyard platform`: one router on the platform, told by its environment, in the foreground.
+//! `chalkyard platform`: runs one router on the platform, configured by its environment, in the foreground.
 //!
-//! What the platform's limits or rules leave no room for is off: control socket, ledger, budgets, the file of the list,
-//! and a log line for each request.
+//! Features that the platform's limits or rules do not allow are off: the control socket, the ledger, budgets, the cached
+//! endpoint list and a log line for each request.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,35 +21,37 @@
 use crate::line_budget::LineBudget;
 use crate::{logs, CommandError};
 
-/// Where the platform says the configuration is.
-const FILE: &str = "GW_CONFIG";
-/// Without any list of workers the router listens after this, µs.
-const START: u64 = 3_000_000;
-/// LogSink to end, it takes what still comes for so long, µs: new connections come for 0.4 s, and what arrives later than
-/// 0.7 s must have its answer when the process is killed, which streams can't where they may not move.
-const LEAVE: u64 = 500_000;
-const LEAVE_MOVING: u64 = 1_500_000;
-/// Open requests go on for so long; by then the platform has killed the process.
-const DRAIN: u64 = 60_000_000;
-/// Last answers have so long to leave, µs.
-const FAREWELL: u64 = 200_000;
-/// A configuration that can't be read may be one that is being written: it is read again so often, each time the loop
-/// keeps house, which is well within the 4 s after which what it says counts.
-const READ_AGAIN: u32 = 20;
-
-/// What a router on the platform does with its records: log lines, within a budget.
+/// Environment variable in which the platform names the configuration file.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
+/// A router without an endpoint list starts to listen after this time, in microseconds.
+const ENDPOINT_WAIT_US: u64 = 3_000_000;
+/// Time for which a stopping router accepts connections and requests, in microseconds. New connections arrive for 0.4 s.
+/// A request that arrives after 0.7 s must be answered before the process is killed, which streams cannot achieve unless
+/// they may migrate.
+const LAME_DUCK_US: u64 = 500_000;
+/// Value of [`LAME_DUCK_US`] when streams may migrate, in microseconds.
+const LAME_DUCK_MIGRATION_US: u64 = 1_500_000;
+/// Time limit for open requests of a stopping router, in microseconds; the platform kills the process earlier.
+const DRAIN_US: u64 = 60_000_000;
+/// Time limit for flushing the last responses, in microseconds.
+const FLUSH_US: u64 = 200_000;
+/// Retries of an unreadable configuration, which may be in the middle of a write. One retry per housekeeping run stays
+/// well within the 4 s after which the configuration takes effect.
+const MAX_REREADS: u32 = 20;
+
+/// Writes the records of a router on the platform as log lines, within a budget of lines.
 struct LogSink {
     log: logs::Log,
     lines: LineBudget,
-    /// Each request is logged.
+    /// Log every request.
     all: bool,
     file: PathBuf,
-    /// Tries left to read another configuration; none: nothing is to be read.
+    /// Remaining retries to read a changed configuration; none if no reload is pending.
     rereads: Option<u32>,
 }
 
 impl LogSink {
-    /// Whether a line about one request may be written; what was left out is counted with the next one.
+    /// Returns whether a line about a single request may be written, and logs the number of lines left out before.
     fn may_log(&mut self) -> bool {
         let left_out = self.lines.take(Instant::now());
         if let Some(lines) = left_out.filter(|lines| *lines > 0) {
@@ -60,7 +62,7 @@
 }
 
 impl Sink for LogSink {
-    /// What was served or refused is no news, and what a client leaves is its own: these are counted.
+    /// Served, rejected and abandoned requests are frequent and only counted, unless every request is logged.
     fn finished(&mut self, record: RequestRecord) {
         let usual = matches!(
             record.ended,
@@ -100,30 +102,31 @@
         }
     }
 
-    /// Read by [`Sink::housekeep`], which follows within its period.
+    /// Schedules the read for the next [`Sink::housekeep`].
     fn reload(&mut self) {
-        self.rereads = Some(READ_AGAIN);
+        self.rereads = Some(MAX_REREADS);
     }
 
     fn housekeeping_interval(&self) -> Option<std::time::Duration> {
         Some(std::time::Duration::from_millis(100))
     }
 
-    /// A file that can't be read leaves the old settings. Small, so read in the loop.
+    /// Rereads the configuration. An unreadable file leaves the old one in force. The file is small enough to be read in
+    /// the event loop.
     fn housekeep(&mut self) -> Vec<SinkEvent> {
         let Some(left) = self.rereads.take() else { return Vec::new() };
         match read(&self.file) {
             Ok(started) => {
                 let address = started.config.discovery;
                 if let Some(address) = address {
-                    info!(target: "router", discovery = %address, "another configuration");
+                    info!(target: "router", discovery = %address, "configuration changed");
                 }
                 address.map(Input::DiscoveryAddressChanged).into_iter().collect()
             }
             Err(why) => {
                 self.rereads = left.checked_sub(1);
-                if left == READ_AGAIN || left == 0 {
-                    let next = if left > 0 { "it is read again" } else { "given up" };
+                if left == MAX_REREADS || left == 0 {
+                    let next = if left > 0 { "retrying" } else { "no more retries" };
                     warn!(target: "router", "the old configuration stays, {next}: {why}");
                 }
                 Vec::new()
@@ -137,43 +140,51 @@
     StartupConfig::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-/// Runs a router. SIGTERM or SIGINT ends it once all that is open has ended; SIGHUP has the configuration read again.
+/// Runs a router. SIGTERM or SIGINT stops it after all open requests have finished; SIGHUP rereads the configuration.
 pub fn platform(file: Option<PathBuf>) -> Result<ExitCode, CommandError> {
     logs::start("info");
     let could_not = |what: &str, e: std::io::Error| CommandError::CouldNotRun(format!("{what}: {e}"));
-    // Before anything slow: until then a signal ends the process. What comes before the loop runs waits for it.
+    // Handlers are installed before any slow step: an earlier signal kills the process. Signals that arrive before the
+    // event loop runs stay pending.
     let signals = with_retries(STARTUP_ATTEMPTS, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
     let mut signals = signals.map_err(|e| could_not("signals", e))?;
-    let none = || CommandError::BadInput(format!("{FILE} names no configuration; give its file"));
-    let file = file.or_else(|| std::env::var_os(FILE).map(PathBuf::from)).ok_or_else(none)?;
+    let none = || CommandError::BadInput(format!("{CONFIG_VARIABLE} names no configuration; give its file"));
+    let file = file.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from)).ok_or_else(none)?;
     let started = read(&file).map_err(CommandError::BadInput)?;
     let clock = Clock::new();
     let mut config = started.config;
     config.policy.tick = config.policy.tick.max(timer_granularity());
-    let leave = if config.timeouts.migration.is_some() { LEAVE_MOVING } else { LEAVE };
+    let lame_duck_us =
+        if config.timeouts.migration.is_some() { LAME_DUCK_MIGRATION_US } else { LAME_DUCK_US };
     let address = with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(started.listen, false));
     let address = address.map_err(|e| could_not(&format!("listening at {}", started.listen), e))?;
     let mut core = Core::new(config, started.seed.unwrap_or(clock.now().0), clock.now());
-    let all = std::env::var_os(logs::LEVEL_NAME).is_some();
+    let all = std::env::var_os(logs::LEVEL_VARIABLE).is_some();
     if all {
         core.enable_tally();
     }
-    let log = logs::Log { list_file: None };
-    let told = LogSink { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
-    let timeouts =
-        LifecycleTimeouts { endpoint_wait: START, lame_duck: leave, drain: DRAIN, flush: FAREWELL };
-    let mut shell = Shell::new(core, told, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
+    let log = logs::Log { endpoint_list_file: None };
+    let sink = LogSink { log, lines: LineBudget::new(Instant::now()), all, file, rereads: None };
+    let timeouts = LifecycleTimeouts {
+        endpoint_wait: ENDPOINT_WAIT_US,
+        lame_duck: lame_duck_us,
+        drain: DRAIN_US,
+        flush: FLUSH_US,
+    };
+    let mut shell = Shell::new(core, sink, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
     shell.set_max_lingering(started.max_lingering);
     let handle = shell.handle();
     let wait_for_signals = move || {
         for signal in signals.forever() {
             let event = if signal == SIGHUP { LifecycleEvent::Reload } else { LifecycleEvent::Terminate };
             if !handle.notify(event) {
-                warn!(target: "router", signal, "the loop does not listen");
+                warn!(target: "router", signal, "the event loop does not accept events");
             }
         }
     };
-    std::thread::Builder::new().spawn(wait_for_signals).map_err(|e| could_not("the signals' thread", e))?;
+    std::thread::Builder::new()
+        .spawn(wait_for_signals)
+        .map_err(|e| could_not("starting the signal thread", e))?;
     let (stop, left) =
         shell.run(started.last_endpoint_list.as_deref()).map_err(|e| could_not("running", e))?;
     info!(target: "router", left, code = stop.exit_code(), "stopped");
--- a/crates/daemon/src/rehearse.rs
+++ b/crates/daemon/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `chalkyard rehearse` and `chalkyard audit`: play a day, and judge recorded traffic.
+//! `chalkyard rehearse` and `chalkyard audit`: run a rehearsal, and check recorded traffic against the rules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,10 +7,10 @@
 
 use crate::{overload, settings_file, soak, CommandError, Format};
 
-/// Exit code of a rehearsal or audit in which a rule was broken.
+/// Exit code of a rehearsal or audit with a broken rule.
 pub const RULE_BROKEN: u8 = 3;
 
-/// Plays a day and prints the report.
+/// Runs the rehearsal of a day and prints the report.
 pub fn rehearse(
     day: &str,
     plan: &Plan,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Judges a recorded day and prints the report.
+/// Checks a recorded day and prints the report.
 pub fn audit(file: &PathBuf, format: Format) -> Result<ExitCode, CommandError> {
     let text = settings_file::read(file)?;
     let report = chalkyard_rehearsal::audit(&text)
@@ -52,7 +52,7 @@
     print(format, || report.text(), || report.json(), report.rules.passed())
 }
 
-/// Prints a report; the exit code says whether all rules held.
+/// Prints a report and returns the exit code, which depends on whether all rules held.
 fn print(
     format: Format,
     text: impl FnOnce() -> String,
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,7 +1,7 @@
-//! Reload: the difference of two settings files, applied whole or not at all.
+//! Reload: computes the differences of two settings files and applies all of them or none.
 //!
-//! What a running router can take over in flight is applied; what it can't is told with line and column, and
-//! needs a successor (`run --take-over`). Then nothing is applied.
+//! A running router applies the differences that it can take over in flight. If any difference needs a successor
+//! (`run --take-over`), it is reported with line and column, and nothing is applied.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -16,31 +16,31 @@
 use serde::Serialize;
 use tracing::{info, warn};
 
-/// Bytes of a settings file that are read.
-const FILE_BYTES: u64 = 64 * 1024 * 1024;
+/// Largest settings file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
-/// One difference.
+/// A difference between two settings files.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// Where, as elements and their names.
+    /// Path of the element, with the key attributes of each step.
     pub path: String,
-    /// Line in the new file; of what is gone, its parent's.
+    /// Line in the new file; for a removed element, the line of its parent.
     pub line: u32,
-    /// Column.
+    /// Column in the new file.
     pub column: u32,
-    /// What differs.
+    /// Description of the difference.
     pub what: String,
-    /// Applied in flight; otherwise it needs a successor.
+    /// Whether a running router applies the difference; otherwise it needs a successor.
     pub in_flight: bool,
 }
 
-/// Attributes by which elements of one tag are told apart.
-const NAMES: [&str; 8] = ["name", "id", "hash", "tenant", "class", "period", "from", "router"];
+/// Attributes that identify an element among others with its tag.
+const KEY_ATTRIBUTES: [&str; 8] = ["name", "id", "hash", "tenant", "class", "period", "from", "router"];
 
 fn label(node: &Node<'_, '_>) -> String {
-    let names: Vec<&str> = NAMES.iter().filter_map(|n| node.attribute(*n)).collect();
+    let names: Vec<&str> = KEY_ATTRIBUTES.iter().filter_map(|n| node.attribute(*n)).collect();
     let tag = node.tag_name().name();
-    // There is one of each of the parts; their attributes can change.
+    // These elements occur once, so their attributes do not identify them.
     let single = matches!(tag, "chalkyard" | "router" | "budgets" | "settlement" | "weights");
     if names.is_empty() || single {
         tag.into()
@@ -49,30 +49,32 @@
     }
 }
 
-/// Whether a running router can take a difference over.
+/// Returns whether a running router can apply a difference.
 fn in_flight(path: &str, attribute: Option<&str>, added: bool) -> bool {
     let mut parts = path.split('/').skip(1);
     let (top, second, third) =
         (parts.next().unwrap_or(""), parts.next().unwrap_or(""), parts.next().unwrap_or(""));
     match (top, attribute) {
         ("waits", _) => true,
-        // The table of identities is as large as it was made.
+        // The table of identities cannot be resized.
         ("bounds", name) => name != Some("identities"),
         ("tenants", Some("salt")) if second.is_empty() => true,
-        // The module knows the tenants of its start: one can go, and its keys and classes change.
+        // The decision module's list of tenants is fixed at the start. Tenants may be removed, and keys and classes of
+        // tenants may change.
         ("tenants", _) => {
             let part = third.starts_with("key") || third.starts_with("may");
             part || (attribute.is_none() && !added && second.starts_with("tenant"))
         }
         ("budgets", Some(name)) if second.is_empty() => name == "margin",
-        // Of the settlement job alone; a whole part that comes or goes is another way of keeping budgets.
+        // Elements below `<budgets>` are limits or concern the settlement job. An added or removed `<budgets>` element
+        // changes how budgets are kept.
         ("budgets", _) => !second.is_empty(),
         _ => false,
     }
 }
 
 fn walk(old: &Node<'_, '_>, new: &Node<'_, '_>, path: &str, out: &mut Vec<Change>) {
-    let mut tell =
+    let mut report =
         |path: &str, at: std::ops::Range<usize>, attribute: Option<&str>, what: String, added: bool| {
             let pos = new.document().text_pos_at(at.start);
             let in_flight = in_flight(path, attribute, added);
@@ -84,22 +86,22 @@
             before => {
                 let before = before.map_or("nothing".into(), |b| format!("\"{b}\""));
                 let what = format!("{} is \"{}\", was {before}", a.name(), a.value());
-                tell(path, a.range(), Some(a.name()), what, false);
+                report(path, a.range(), Some(a.name()), what, false);
             }
         }
     }
     for a in old.attributes().filter(|a| new.attribute(a.name()).is_none()) {
         let what = format!("{} is gone, was \"{}\"", a.name(), a.value());
-        tell(path, new.range(), Some(a.name()), what, false);
+        report(path, new.range(), Some(a.name()), what, false);
     }
     let (was, is) = (children(old), children(new));
     for (key, node) in &is {
         if !was.contains_key(key) {
-            tell(&format!("{path}/{}", key.0), node.range(), None, "is new".into(), true);
+            report(&format!("{path}/{}", key.0), node.range(), None, "is new".into(), true);
         }
     }
     for key in was.keys().filter(|k| !is.contains_key(*k)) {
-        tell(&format!("{path}/{}", key.0), new.range(), None, "is gone".into(), false);
+        report(&format!("{path}/{}", key.0), new.range(), None, "is gone".into(), false);
     }
     for (key, node) in &is {
         if let Some(before) = was.get(key) {
@@ -108,7 +110,7 @@
     }
 }
 
-/// By label, and which of those with one label.
+/// Returns the child elements by label and by index among the children with that label.
 fn children<'a, 'i>(node: &Node<'a, 'i>) -> BTreeMap<(String, usize), Node<'a, 'i>> {
     let mut out = BTreeMap::new();
     for child in node.children().filter(Node::is_element) {
@@ -119,7 +121,7 @@
     out
 }
 
-/// The differences of two files that both are settings.
+/// Returns the differences of two valid settings files, in the order of the new file.
 pub fn differences(old: &str, new: &str) -> Result<Vec<Change>, String> {
     let (old, new) = (parse(old).map_err(|e| e.to_string())?, parse(new).map_err(|e| e.to_string())?);
     let mut out = Vec::new();
@@ -128,39 +130,41 @@
     Ok(out)
 }
 
-/// Reads a running router's settings again.
+/// Reloads the settings of a running router.
 #[derive(Debug)]
 pub struct Reloader {
-    /// The settings.
+    /// Path of the settings file.
     pub file: PathBuf,
-    /// As they hold now.
+    /// Text of the settings in force.
     pub text: Mutex<String>,
-    /// Tenants of the start, in the order in which the module knows them.
+    /// Tenants at the start, in the order of the decision module.
     pub tenants: Vec<String>,
-    /// Where what changes is put for the loop.
-    pub news: SyncSender<SinkEvent>,
+    /// Channel of events for the event loop.
+    pub events: SyncSender<SinkEvent>,
 }
 
 impl Reloader {
-    /// What a reload would change; an error: the file can't be read, or is wrong.
-    pub fn look(&self) -> Result<Vec<Change>, String> {
-        let held = self.text.lock().map_err(|_| "another reload failed".to_string())?;
-        self.compare(&held).map(|(changes, ..)| changes)
+    /// Returns the changes that a reload would make; an error if the file is unreadable or invalid.
+    pub fn preview(&self) -> Result<Vec<Change>, String> {
+        let current = self.text.lock().map_err(|_| "another reload failed".to_string())?;
+        self.compare(&current).map(|(changes, ..)| changes)
     }
 
-    fn compare(&self, held: &str) -> Result<(Vec<Change>, Settings, String), String> {
+    fn compare(&self, current: &str) -> Result<(Vec<Change>, Settings, String), String> {
         let name = self.file.display();
-        let bytes = crate::files::read_limited(&self.file, FILE_BYTES).map_err(|e| format!("{name}: {e}"))?;
+        let bytes =
+            crate::files::read_limited(&self.file, MAX_FILE_BYTES).map_err(|e| format!("{name}: {e}"))?;
         let text = String::from_utf8(bytes).map_err(|_| format!("{name}: not UTF-8"))?;
         let fresh = chalkyard_settings::read(&text).map_err(|wrong| {
             let lines: Vec<String> = wrong.iter().map(|w| format!("{name}:{w}")).collect();
             lines.join("; ")
         })?;
-        Ok((differences(held, &text)?, fresh, text))
+        Ok((differences(current, &text)?, fresh, text))
     }
 
-    /// What the loop is told: tenants are those of the start, in their order, as the fresh settings have them.
-    fn tuned(&self, fresh: &Settings) -> RuntimeSettings {
+    /// Returns the settings for the event loop. Tenants keep the order of the start and take their values from the fresh
+    /// settings.
+    fn runtime_settings(&self, fresh: &Settings) -> RuntimeSettings {
         let names = fresh.config.tenants.iter().enumerate().map(|(place, t)| (t.name.as_str(), place));
         let fresh_places: BTreeMap<&str, usize> = names.collect();
         let places: Vec<Option<usize>> =
@@ -176,29 +180,29 @@
         }
     }
 
-    /// Reloads: all that changed, or nothing. One after the other: the last one's file is the one that holds.
+    /// Applies all changes or none. Reloads are serialized by the lock, so the file that was read last is in force.
     pub fn reload(&self) {
-        let Ok(mut held) = self.text.lock() else { return };
-        let (changes, fresh, text) = match self.compare(&held) {
-            Ok(looked) => looked,
+        let Ok(mut current) = self.text.lock() else { return };
+        let (changes, fresh, text) = match self.compare(&current) {
+            Ok(compared) => compared,
             Err(why) => {
-                warn!(target: "router", what = "reload", "not reloaded, all stays as it was: {why}");
+                warn!(target: "router", what = "reload", "settings not reloaded, the old ones stay in force: {why}");
                 return;
             }
         };
-        let late: Vec<&Change> = changes.iter().filter(|c| !c.in_flight).collect();
-        for c in &late {
+        let rejected: Vec<&Change> = changes.iter().filter(|c| !c.in_flight).collect();
+        for c in &rejected {
             let place = format!("{}:{}:{}", self.file.display(), c.line, c.column);
             warn!(target: "router", what = "reload", "not reloaded: {place}: {}: {}: needs a successor", c.path, c.what);
         }
-        if !late.is_empty() {
+        if !rejected.is_empty() {
             return;
         }
-        let tuned = self.tuned(&fresh);
-        let mut news = vec![SinkEvent::Reconfigure(Box::new(tuned))];
-        news.extend(fresh.budgets.map(|b| SinkEvent::BudgetPlan(Box::new(b.plan))));
-        for one in news {
-            if self.news.send(one).is_err() {
+        let runtime_settings = self.runtime_settings(&fresh);
+        let mut events = vec![SinkEvent::Reconfigure(Box::new(runtime_settings))];
+        events.extend(fresh.budgets.map(|b| SinkEvent::BudgetPlan(Box::new(b.plan))));
+        for one in events {
+            if self.events.send(one).is_err() {
                 return;
             }
         }
@@ -206,7 +210,7 @@
             info!(target: "router", what = "reload", "{}: {}", c.path, c.what);
         }
         info!(target: "router", what = "reload", changes = changes.len(), "reloaded");
-        *held = text;
+        *current = text;
     }
 }
 
--- a/crates/daemon/src/replay.rs
+++ b/crates/daemon/src/replay.rs
@@ -1,4 +1,4 @@
-//! `chalkyard replay`: gives the events of a decisions file to the decision module again, which must take the same actions.
+//! `chalkyard replay`: replays the events of a decisions file and compares the actions of the decision module.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -10,7 +10,7 @@
 use crate::run::{Decided, Started};
 use crate::CommandError;
 
-/// Replays a decisions file; exit 3 where an action differs.
+/// Replays a decisions file; exit code 3 if an action differs.
 pub fn replay(file: &PathBuf) -> Result<ExitCode, CommandError> {
     let invalid =
         |line: usize, reason: String| CommandError::BadInput(format!("{}:{line}: {reason}", file.display()));
@@ -27,7 +27,7 @@
         };
         let decided: Decided<Event, Vec<Action>> = match serde_json::from_str(&line) {
             Ok(decided) => decided,
-            // The last line of a router that was killed may be cut.
+            // The last line of a killed router may be truncated.
             Err(e) if e.is_eof() && lines.peek().is_none() => break,
             Err(e) => return Err(invalid(n + 1, e.to_string())),
         };
--- a/crates/daemon/src/router_sink.rs
+++ b/crates/daemon/src/router_sink.rs
@@ -1,4 +1,4 @@
-//! What the event loop of a running router reports to.
+//! The sink of a running router's event loop: log, ledger and service manager.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -18,45 +18,46 @@
 use crate::notify;
 use crate::reload::Reloader;
 
-/// Messages of other threads that wait for the event loop, and that it takes at a time; senders wait then.
-pub const PENDING_NEWS: usize = 1_024;
-/// How often the loop asks for work of other threads when there is no ledger to sync.
+/// Capacity of the channel from other threads to the event loop, and the most events taken per housekeeping run. Senders
+/// block while the channel is full.
+pub const MAX_PENDING_EVENTS: usize = 1_024;
+/// Housekeeping interval of a router without a ledger.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(200);
-/// Settlements that wait for the successor: as many as requests can be open.
-const PENDING_SETTLEMENTS: usize = 100_000;
-/// Finished requests that can still be asked for.
-const RECENT_REQUESTS: usize = 1_000;
+/// Settlements that may wait to be sent to the successor: as many as requests can be open.
+const MAX_PENDING_SETTLEMENTS: usize = 100_000;
+/// Number of finished requests that are kept for queries.
+const MAX_RECENT_REQUESTS: usize = 1_000;
 
-/// What the event loop reports to: the log, the ledger and the service manager.
+/// Passes the event loop's reports to the log, the ledger and the service manager.
 pub struct RouterSink {
     /// The log.
     pub log: Log,
-    /// Lines about changes of single requests.
+    /// Limit on log lines about transitions of single requests.
     pub lines: LineBudget,
-    /// The ledger, where budgets are enforced.
+    /// The ledger, if budgets are enforced.
     pub ledger: Option<Ledger>,
-    /// The successor that the ledger was handed to.
+    /// Channel to the successor that has taken the ledger over.
     pub successor: Option<SyncSender<Settled>>,
-    /// Requests that ended lately, newest last.
+    /// Recently finished requests, newest last.
     pub recent: VecDeque<RequestRecord>,
-    /// What the first ready line says.
+    /// Router name, for the first ready line.
     pub name: String,
-    /// Likewise.
+    /// Random seed, for the first ready line.
     pub seed: u64,
-    /// It was said.
+    /// Whether the ready line was logged.
     pub ready: bool,
-    /// When the process began.
-    pub began: Instant,
-    /// Reads the settings again.
+    /// Start time of the process.
+    pub started_at: Instant,
+    /// Reloads the settings.
     pub reloader: Arc<Reloader>,
-    /// What other threads have for the loop.
-    pub news: Receiver<SinkEvent>,
+    /// Events of other threads for the event loop.
+    pub events: Receiver<SinkEvent>,
 }
 
 impl Sink for RouterSink {
     fn finished(&mut self, record: RequestRecord) {
         self.log.finished(&record);
-        if self.recent.len() >= RECENT_REQUESTS {
+        if self.recent.len() >= MAX_RECENT_REQUESTS {
             self.recent.pop_front();
         }
         self.recent.push_back(record);
@@ -84,19 +85,19 @@
     fn lifecycle_action(&mut self, act: LifecycleAction, at: Option<SocketAddr>) {
         match act {
             LifecycleAction::NotifyReady => {
-                notify::say("READY=1\n");
+                notify::send("READY=1\n");
                 if !std::mem::replace(&mut self.ready, true) {
                     let at = at.map(|a| a.to_string());
-                    let took_us = self.began.elapsed().as_micros() as u64;
+                    let took_us = self.started_at.elapsed().as_micros() as u64;
                     info!(target: "router", name = self.name, seed = self.seed, at, took_us, "ready");
                 }
             }
-            LifecycleAction::NotifyReloading => notify::say("RELOADING=1\n"),
-            LifecycleAction::NotifyStopping => notify::say("STOPPING=1\n"),
+            LifecycleAction::NotifyReloading => notify::send("RELOADING=1\n"),
+            LifecycleAction::NotifyStopping => notify::send("STOPPING=1\n"),
             LifecycleAction::StopAccepting { .. } => info!(target: "router", "takes nothing new"),
             LifecycleAction::ResumeAccepting => info!(target: "router", "takes requests again"),
             LifecycleAction::AnswerOpenRequests => {
-                info!(target: "router", "what is open is told that the router stops")
+                info!(target: "router", "notifying open requests that the router stops")
             }
             LifecycleAction::Listen
             | LifecycleAction::EnterLameDuck
@@ -107,19 +108,19 @@
 
     fn hand_over_ledger(&mut self) -> Option<Receiver<Settled>> {
         let mut ledger = self.ledger.take()?;
-        // What can't be written now is lost to the successor: it settles it as orphaned.
+        // The successor settles requests as orphaned whose records cannot be written now.
         ledger.flush();
-        let (successor, settled) = sync_channel(PENDING_SETTLEMENTS);
+        let (successor, settled) = sync_channel(MAX_PENDING_SETTLEMENTS);
         self.successor = Some(successor);
         Some(settled)
     }
 
-    /// Beside the loop: files are read.
+    /// Runs on another thread, because it reads files.
     fn reload(&mut self) {
         let reloader = self.reloader.clone();
         let read = move || reloader.reload();
         if let Err(e) = std::thread::Builder::new().name("reload".into()).spawn(read) {
-            warn!(target: "router", "not reloaded: {e}");
+            warn!(target: "router", "settings not reloaded: {e}");
         }
     }
 
@@ -128,7 +129,7 @@
     }
 
     fn store_endpoint_list(&mut self, text: &str) {
-        self.log.keep_list(text);
+        self.log.store_endpoint_list(text);
     }
 
     fn record(&mut self, number: u64, record: &Record) {
@@ -148,7 +149,7 @@
     }
 
     fn housekeep(&mut self) -> Vec<SinkEvent> {
-        let mut out: Vec<SinkEvent> = self.news.try_iter().take(PENDING_NEWS).collect();
+        let mut out: Vec<SinkEvent> = self.events.try_iter().take(MAX_PENDING_EVENTS).collect();
         out.extend(self.ledger.as_mut().map(Ledger::housekeep).unwrap_or_default());
         out
     }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! `chalkyard run`: one router until it is told to stop.
+//! `chalkyard run`: runs one router until it is stopped.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -21,36 +21,37 @@
 use crate::budget_runtime::{self, Predecessor};
 use crate::line_budget::LineBudget;
 use crate::reload::Reloader;
-use crate::router_sink::{RouterSink, PENDING_NEWS};
+use crate::router_sink::{RouterSink, MAX_PENDING_EVENTS};
 use crate::{control, logs, CommandError};
 
-/// The first line of a decisions file: what the module was started with.
+/// First line of a decisions file: the initial state of the decision module.
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Started {
-    /// Its settings.
+    /// Settings of the decision module.
     pub settings: chalkyard_policy::Settings,
-    /// Its seed.
+    /// Seed of its random numbers.
     pub seed: u64,
 }
 
-/// Each further line: an event, and what the module did.
+/// Each further line of a decisions file: an event and the resulting actions.
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Decided<E, A> {
-    /// When.
+    /// Time of the event.
     pub now: chalkyard_policy::Micros,
-    /// What it heard.
+    /// The event.
     pub event: E,
-    /// What it did.
+    /// The actions.
     pub actions: A,
 }
 
-/// Without any list of engines the router listens after this, µs.
-const START: u64 = 3_000_000;
-/// Last answers have so long to leave, µs.
-const FAREWELL: u64 = 1_000_000;
+/// A router without an endpoint list starts to listen after this time, in microseconds.
+const ENDPOINT_WAIT_US: u64 = 3_000_000;
+/// Time limit for flushing the last responses, in microseconds.
+const FLUSH_US: u64 = 1_000_000;
 
-/// Runs a router. SIGTERM or SIGINT ends it once all that is open has ended; a second one at once. SIGHUP reloads.
-/// With `take_over`, the listening socket and the ledger come from the router that answers at the control socket.
+/// Runs a router. SIGTERM or SIGINT stops it after all open requests have finished, a second signal immediately; SIGHUP
+/// reloads the settings. With `take_over`, the listening socket and the ledger are taken over from the router that listens
+/// on the control socket.
 pub fn run(
     file: &PathBuf,
     seed: Option<u64>,
@@ -59,9 +60,10 @@
 ) -> Result<ExitCode, CommandError> {
     logs::start("info");
     let began = std::time::Instant::now();
-    // Before anything slow: until then a signal ends the process. What comes before the loop runs waits for it.
+    // Handlers are installed before any slow step: an earlier signal kills the process. Signals that arrive before the
+    // event loop runs stay pending.
     let signals = with_retries(STARTUP_ATTEMPTS, || Signals::new([SIGTERM, SIGINT, SIGHUP]));
-    let mut signals = signals.map_err(|e| could_not("signals", e))?;
+    let mut signals = signals.map_err(|e| io_error("signals", e))?;
     let text = crate::read(file)?;
     let settings = crate::load_text(file, &text)?;
     let tenants = settings.config.tenants.iter().map(|t| t.name.clone()).collect();
@@ -69,24 +71,25 @@
     let seed = seed.unwrap_or(clock.now().0);
     let mut config = settings.config;
     config.policy.tick = timer_granularity();
-    let place = Place { listen: settings.listen, shared_port: settings.shared_port };
+    let listen_settings = ListenSettings { listen: settings.listen, shared_port: settings.shared_port };
     let (address, predecessor) = if take_over {
         let none = || CommandError::BadInput(format!("{}: <router> names no `control`", file.display()));
-        adopt_address(&place, settings.control.as_ref().ok_or_else(none)?)?
+        adopt_address(&listen_settings, settings.control.as_ref().ok_or_else(none)?)?
     } else {
-        (bind_address(&place)?, None)
+        (bind_address(&listen_settings)?, None)
     };
     let started = Started { settings: config.policy.clone(), seed };
     let name = config.name.clone();
     let mut core = Core::new(config, seed, clock.now());
-    if std::env::var_os(logs::LEVEL_NAME).is_some() {
+    if std::env::var_os(logs::LEVEL_VARIABLE).is_some() {
         core.enable_tally();
     }
-    // All that was spent is known before the first request is taken.
-    let (told, news) = sync_channel(PENDING_NEWS);
+    // The usage so far is recovered before the first request is admitted.
+    let (event_sender, events) = sync_channel(MAX_PENDING_EVENTS);
     let mut ledger = None;
     if let Some(budgets) = &settings.budgets {
-        let recovered = budget_runtime::recover(budgets, &name, Time(clock.now().0), predecessor, &told)?;
+        let recovered =
+            budget_runtime::recover(budgets, &name, Time(clock.now().0), predecessor, &event_sender)?;
         core.enforce_budgets(recovered.enforcer);
         ledger = Some(recovered.ledger);
     }
@@ -98,67 +101,71 @@
         (Some(file), None) => std::fs::read_to_string(file).ok(),
         (None, None) => None,
     };
-    let reloader = Arc::new(Reloader { file: file.clone(), text: Mutex::new(text), tenants, news: told });
+    let reloader =
+        Arc::new(Reloader { file: file.clone(), text: Mutex::new(text), tenants, events: event_sender });
     let sink = RouterSink {
         lines: LineBudget::new(began),
-        log: logs::Log { list_file: settings.endpoint_list_file },
+        log: logs::Log { endpoint_list_file: settings.endpoint_list_file },
         ledger,
         successor: None,
         recent: VecDeque::new(),
         name,
         seed,
         ready: false,
-        began,
+        started_at: began,
         reloader: reloader.clone(),
-        news,
+        events,
     };
     let drain = settings.drain_timeout.as_micros() as u64;
-    let timeouts = LifecycleTimeouts { endpoint_wait: START, lame_duck: 0, drain, flush: FAREWELL };
-    let mut shell = Shell::new(core, sink, clock, address, timeouts).map_err(|e| could_not("starting", e))?;
+    let timeouts =
+        LifecycleTimeouts { endpoint_wait: ENDPOINT_WAIT_US, lame_duck: 0, drain, flush: FLUSH_US };
+    let mut shell = Shell::new(core, sink, clock, address, timeouts).map_err(|e| io_error("starting", e))?;
     let handle = shell.handle();
     let control = settings
         .control
         .map(|path| control::serve(&path, handle.clone(), reloader.clone(), take_over))
         .transpose()?;
     std::thread::spawn(move || forward_signals(&mut signals, &handle));
-    let (stop, left) = shell.run(last_list.as_deref()).map_err(|e| could_not("running", e))?;
-    // What was settled last is said to a successor before the process ends.
+    let (stop, left) = shell.run(last_list.as_deref()).map_err(|e| io_error("running", e))?;
+    // The last settlements are sent to a successor before the process exits.
     drop(shell);
     drop(control);
     info!(target: "router", left, code = stop.exit_code(), reason = %stop.log_name(), "stopped");
     Ok(ExitCode::from(stop.exit_code()))
 }
 
-/// Where a router listens.
-struct Place {
+/// Listening address of a router, and whether other routers share it.
+struct ListenSettings {
     listen: SocketAddr,
     shared_port: bool,
 }
 
-fn could_not(what: &str, error: std::io::Error) -> CommandError {
+fn io_error(what: &str, error: std::io::Error) -> CommandError {
     CommandError::CouldNotRun(format!("{what}: {error}"))
 }
 
-fn bind_address(place: &Place) -> Result<ListenAddress, CommandError> {
-    with_retries(STARTUP_ATTEMPTS, || ListenAddress::bind(place.listen, place.shared_port))
-        .map_err(|e| could_not(&format!("listening at {}", place.listen), e))
+fn bind_address(listen_settings: &ListenSettings) -> Result<ListenAddress, CommandError> {
+    with_retries(STARTUP_ATTEMPTS, || {
+        ListenAddress::bind(listen_settings.listen, listen_settings.shared_port)
+    })
+    .map_err(|e| io_error(&format!("listening at {}", listen_settings.listen), e))
 }
 
-/// Takes the listening socket over from the router that answers at the control socket.
+/// Takes over the listening socket from the router that listens on the control socket.
 fn adopt_address(
-    place: &Place,
+    listen_settings: &ListenSettings,
     control: &Path,
 ) -> Result<(ListenAddress, Option<Predecessor>), CommandError> {
     let taken = control::take_over(control)?;
     let predecessor = taken.before.map(|lines| Box::new(lines) as Predecessor);
-    let address = ListenAddress::adopt(taken.listener, place.shared_port)
-        .map_err(|e| could_not(&format!("listening at {}", place.listen), e))?;
+    let address = ListenAddress::adopt(taken.listener, listen_settings.shared_port)
+        .map_err(|e| io_error(&format!("listening at {}", listen_settings.listen), e))?;
     Ok((address, predecessor))
 }
 
 /// Writes each event of the decision module and its actions to a file, as JSON lines.
 fn record_decisions(core: &mut Core, file: &Path, started: &Started) -> Result<(), CommandError> {
-    let out = File::create(file).map_err(|e| could_not(&file.display().to_string(), e))?;
+    let out = File::create(file).map_err(|e| io_error(&file.display().to_string(), e))?;
     let mut out = BufWriter::new(out);
     let _ = writeln!(out, "{}", line(started));
     core.observe(Box::new(move |now, event, actions| {
@@ -168,13 +175,13 @@
     Ok(())
 }
 
-/// Passes signals on to the loop, for as long as the process lives.
+/// Forwards signals to the event loop until the process exits.
 fn forward_signals(signals: &mut Signals, handle: &Handle) {
     for signal in signals.forever() {
         let event = if signal == SIGHUP { LifecycleEvent::Reload } else { LifecycleEvent::Terminate };
         info!(target: "router", signal, "told to {}", if signal == SIGHUP { "reload" } else { "end" });
         if !handle.notify(event) {
-            warn!(target: "router", signal, "the loop does not listen");
+            warn!(target: "router", signal, "the event loop does not accept events");
         }
     }
 }
--- a/crates/daemon/src/settings_file.rs
+++ b/crates/daemon/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads settings files for the commands, and what `check` and `hash-key` print of them.
+//! Loads settings files for the commands, and implements `check` and `hash-key`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -17,7 +17,7 @@
     load_text(file, &read(file)?)
 }
 
-/// Checks the text of a settings file.
+/// Parses and validates the text of a settings file.
 pub fn load_text(file: &Path, text: &str) -> Result<Settings, CommandError> {
     chalkyard_settings::read(text).map_err(|errors| {
         let lines: Vec<String> = errors.iter().map(|e| format!("{}:{e}", file.display())).collect();
@@ -25,13 +25,13 @@
     })
 }
 
-/// The budgets of a settings file, which must have them.
+/// Loads the budgets of a settings file; an error if it has none.
 pub fn load_budgets(file: &PathBuf) -> Result<Budgets, CommandError> {
     let missing = || CommandError::BadInput(format!("{}: no <budgets>", file.display()));
     load(file)?.budgets.ok_or_else(missing)
 }
 
-/// The control socket that a settings file names.
+/// Loads the path of the control socket from a settings file; an error if it has none.
 pub fn control_socket(file: &PathBuf) -> Result<PathBuf, CommandError> {
     let missing = || CommandError::BadInput(format!("{}: <router> names no `control`", file.display()));
     load(file)?.control.ok_or_else(missing)
--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -1,4 +1,4 @@
-//! `chalkyard settle`: the settlement job. Reads all ledgers, grants leases, delivers them.
+//! `chalkyard settle`: the settlement job. Reads all ledgers, and grants and delivers leases.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -21,31 +21,32 @@
 use crate::wall_clock::now;
 use chalkyard_settings::{Budgets, Settlement};
 
-/// Rounds kept in the journal, for whoever wants to look.
-const KEPT: u64 = 64;
-const ROUND_BYTES: u64 = 1024 * 1024 * 1024;
+/// Number of rounds that the journal retains for inspection.
+const KEPT_ROUNDS: u64 = 64;
+/// Largest round file that is read, in bytes.
+const MAX_ROUND_BYTES: u64 = 1024 * 1024 * 1024;
 
-/// What an operator changed by hand; the audit trail of it.
+/// A manual change by an operator, as an entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Adjustment {
-    /// When, by the clock of who did it.
+    /// Time of the change, by the clock of the operator's machine.
     pub at: Time,
-    /// Who.
+    /// Name of the operator.
     pub by: String,
-    /// Why.
+    /// Reason for the change.
     pub why: String,
-    /// What.
+    /// The change.
     pub what: Change,
 }
 
-/// A change by hand.
+/// A manual change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Another budget from this period on, in tokens; none: as the settings say.
+    /// Sets a budget in tokens from this period on; none restores the budget of the settings.
     Set(AccountKey, Time, Option<u64>),
-    /// So many tokens more (or less) for the one period that begins then.
+    /// Adds tokens (or, if negative, removes them) for the period that begins at this time.
     Grant(AccountKey, Time, i64),
-    /// An amount in the currency's smallest unit on (or off) the bill of a tenant's class on a day.
+    /// Adds an amount in the currency's smallest unit to the bill of a tenant's class on a day; a negative amount is a credit.
     Bill {
         /// Tenant.
         tenant: String,
@@ -58,12 +59,12 @@
     },
 }
 
-/// The folder of adjustments.
+/// Returns the directory of the adjustments.
 pub fn adjustments(settlement: &Settlement) -> PathBuf {
     settlement.journal.join("adjustments")
 }
 
-/// All adjustments with their numbers, oldest first; each is read once.
+/// All adjustments with their numbers, oldest first. Each record is read from disk once.
 pub struct Adjustments {
     follower: Follower,
     folder: PathBuf,
@@ -71,17 +72,17 @@
 }
 
 impl Adjustments {
-    /// Of a settlement, which need not have any yet.
+    /// Creates a reader; the directory does not have to exist yet.
     pub fn new(settlement: &Settlement) -> Self {
         let folder = adjustments(settlement);
         Self { follower: Follower::new(&folder), folder, read: Vec::new() }
     }
 
-    /// Reads what is new; all there are. An error leaves what was read.
+    /// Reads new adjustments and returns all of them. After an error the earlier ones are kept.
     pub fn read(&mut self) -> Result<&[(u64, Adjustment)], CommandError> {
         if self.folder.exists() {
             let read = &mut self.read;
-            let told = self.follower.poll(
+            let polled = self.follower.poll(
                 |_: &Adjustment| false,
                 |item| match item {
                     FollowEvent::Restart => read.clear(),
@@ -90,7 +91,7 @@
             );
             let wrong =
                 |what: String| CommandError::CouldNotRun(format!("{}: {what}", self.folder.display()));
-            if let Some(trouble) = told.map_err(|e| wrong(e.to_string()))? {
+            if let Some(trouble) = polled.map_err(|e| wrong(e.to_string()))? {
                 return Err(wrong(trouble));
             }
         }
@@ -98,7 +99,7 @@
     }
 }
 
-/// Adds one. It holds from the next round on.
+/// Stores an adjustment, which takes effect with the next round, and returns its number.
 pub fn add_adjustment(settlement: &Settlement, adjustment: &Adjustment) -> Result<u64, CommandError> {
     let folder = adjustments(settlement);
     let wrong = |e: String| CommandError::CouldNotRun(format!("{}: {e}", folder.display()));
@@ -109,14 +110,14 @@
     let mut writer = opened.writer;
     let number = writer.append(adjustment).map_err(|e| wrong(e.to_string()))?;
     writer.flush().map_err(|e| wrong(e.to_string()))?;
-    // On the disk before the command says so.
+    // The adjustment is synced to disk before the command reports success.
     std::fs::File::open(folder.join(chalkyard_ledger::segment_name(1)))
         .and_then(|f| f.sync_all())
         .map_err(|e| wrong(e.to_string()))?;
     Ok(number)
 }
 
-/// The plan with what was set by hand, and what was granted beyond it by period.
+/// Returns the plan with the adjusted limits, and the granted tokens by period, in thousandths.
 pub fn adjusted(plan: &Plan, changes: &[(u64, Adjustment)]) -> (Plan, BTreeMap<AccountStart, i64>) {
     let (settings, mut plan) = (plan, plan.clone());
     let mut extra: BTreeMap<AccountStart, i64> = BTreeMap::new();
@@ -139,7 +140,7 @@
     (plan, extra)
 }
 
-/// The journal's folder, with one file a round.
+/// The journal: a directory with one file per round.
 pub struct Journal {
     folder: PathBuf,
     key: SigningKey,
@@ -150,7 +151,7 @@
 }
 
 impl Journal {
-    /// Opens it; made if need be.
+    /// Opens the journal and creates the directory if it is missing.
     pub fn open(folder: &Path, key: SigningKey) -> std::io::Result<Self> {
         std::fs::create_dir_all(folder.join("grants"))?;
         Ok(Self { folder: folder.into(), key })
@@ -168,14 +169,14 @@
         Ok(out)
     }
 
-    /// The newest round, if it is newer than this one.
+    /// Returns the newest round if its number is greater than `than`.
     pub fn newer(&self, than: u64) -> Result<Option<Round>, String> {
         let wrong = |e: std::io::Error| format!("{}: {e}", self.folder.display());
         let Some(number) = self.numbers().map_err(wrong)?.pop().filter(|n| *n > than) else {
             return Ok(None);
         };
         let path = self.folder.join(round_file(number));
-        let bytes = read_limited(&path, ROUND_BYTES).map_err(|e| format!("{}: {e}", path.display()))?;
+        let bytes = read_limited(&path, MAX_ROUND_BYTES).map_err(|e| format!("{}: {e}", path.display()))?;
         let round = self.key.open_round(&bytes).map_err(|e| format!("{}: {e}", path.display()))?;
         if round.number != number {
             return Err(format!("{}: holds round {}", path.display(), round.number));
@@ -183,9 +184,9 @@
         Ok(Some(round))
     }
 
-    /// Makes a round stand under its number; false: another job was first. It stands whole or not at all:
-    /// it is written beside and linked, which fails if the name is taken.
-    pub fn stand(&self, round: &Round) -> std::io::Result<bool> {
+    /// Publishes a round under its number; returns false if another job has published that number. The round is written
+    /// to a temporary file and hard-linked, so that it appears completely or not at all; the link fails if the name exists.
+    pub fn publish(&self, round: &Round) -> std::io::Result<bool> {
         let fresh = self.folder.join(format!("new-{}-{}", std::process::id(), round.number));
         let mut file = std::fs::File::create(&fresh)?;
         std::io::Write::write_all(&mut file, &self.key.sign_round(round))?;
@@ -199,60 +200,60 @@
         }
     }
 
-    /// Delivers a round's grants.
+    /// Writes the grants of a round to the routers' files.
     pub fn deliver(&self, round: &Round) {
         let folder = self.folder.join("grants");
         for grant in &round.grants {
             if let Err(e) = deliver(&folder, &self.key, grant) {
-                warn!(target: "settle", router = &*grant.router, "not delivered, the next round follows: {e}");
+                warn!(target: "settle", router = &*grant.router, "grant not delivered, retrying with the next round: {e}");
             }
         }
     }
 
-    fn tidy(&self, newest: u64) {
-        for old in self.numbers().unwrap_or_default().into_iter().filter(|n| n + KEPT < newest) {
+    fn remove_old_rounds(&self, newest: u64) {
+        for old in self.numbers().unwrap_or_default().into_iter().filter(|n| n + KEPT_ROUNDS < newest) {
             let _ = std::fs::remove_file(self.folder.join(round_file(old)));
         }
     }
 }
 
-/// Follows all ledgers and keeps their sums.
+/// Follows the ledgers of all routers and keeps the state of each.
 pub struct Sums {
     ledgers: Vec<(String, Follower, State)>,
 }
 
 impl Sums {
-    /// Of these routers.
+    /// Creates followers for the routers of a settlement.
     pub fn new(settlement: &Settlement) -> Self {
         let each =
             |(name, folder): &(String, PathBuf)| (name.clone(), Follower::new(folder), State::default());
         Self { ledgers: settlement.routers.iter().map(each).collect() }
     }
 
-    /// Reads on. A ledger that can't be read stays as it was last seen: its leases go on counting.
+    /// Reads new records. A ledger that cannot be read keeps its last known state, so its leases still count.
     pub fn read(&mut self, allocator: &mut LeaseAllocator) {
         for (name, follower, state) in &mut self.ledgers {
             let read_at = now();
-            let told = follower.poll(Record::is_checkpoint, |item| match item {
+            let polled = follower.poll(Record::is_checkpoint, |item| match item {
                 FollowEvent::Restart => *state = State::default(),
                 FollowEvent::Record(number, record) => {
                     state.apply(number, &record);
                 }
             });
-            match told {
+            match polled {
                 Ok(trouble) => {
                     if let Some(trouble) = trouble {
                         warn!(target: "settle", router = name, "{trouble}");
                     }
                     allocator.observe(name, read_at, state);
                 }
-                Err(e) => warn!(target: "settle", router = name, "its ledger can't be read: {e}"),
+                Err(e) => warn!(target: "settle", router = name, "cannot read the ledger: {e}"),
             }
         }
     }
 }
 
-/// What a settlement needs of the settings.
+/// Returns the settlement settings and the signing key.
 pub fn parts(budgets: &Budgets) -> Result<(&Settlement, SigningKey), CommandError> {
     let missing = |what: &str| CommandError::BadInput(format!("the settings' <budgets> has no {what}"));
     let settlement = budgets.settlement.as_ref().ok_or_else(|| missing("<settlement>"))?;
@@ -260,7 +261,7 @@
     Ok((settlement, read_key(key)?))
 }
 
-/// An allocator for these settings, as the journal's newest round leaves it.
+/// Creates an allocator with the state of the journal's newest round.
 pub fn restore_allocator(
     plan: &Plan,
     settlement: &Settlement,
@@ -279,10 +280,10 @@
     Ok(())
 }
 
-/// Runs rounds until it is told to stop; SIGHUP reads the settings again.
+/// Runs rounds until it is stopped; SIGHUP reloads the settings.
 pub fn settle(file: &PathBuf, rounds: Option<u64>) -> Result<ExitCode, CommandError> {
     logs::start("info");
-    // Before anything slow: until then a signal ends the process.
+    // Handlers are installed before any slow step: an earlier signal kills the process.
     let mut signals =
         Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| CommandError::CouldNotRun(e.to_string()))?;
     let none = || CommandError::BadInput(format!("{}: no <budgets>", file.display()));
@@ -292,7 +293,7 @@
     let journal = Journal::open(&settlement.journal, key)
         .map_err(|e| CommandError::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
     let mut allocator = restore_allocator(&budgets.plan, &settlement, &journal)?;
-    let mut by_hand = Adjustments::new(&settlement);
+    let mut adjustments = Adjustments::new(&settlement);
     let mut sums = Sums::new(&settlement);
     info!(target: "settle", routers = settlement.routers.len(), "ready");
     let epoch = Duration::from_micros(settlement.terms.epoch);
@@ -307,16 +308,16 @@
                 }
                 match crate::load(file).map(|s| s.budgets) {
                     Ok(Some(fresh)) => budgets.plan = fresh.plan,
-                    Ok(None) => warn!(target: "settle", "not reloaded: no <budgets> any more"),
+                    Ok(None) => warn!(target: "settle", "settings not reloaded: no <budgets>"),
                     Err(CommandError::BadInput(why) | CommandError::CouldNotRun(why)) => {
-                        warn!(target: "settle", "not reloaded, all stays as it was: {why}");
+                        warn!(target: "settle", "settings not reloaded, the old ones stay in force: {why}");
                     }
                 }
             }
         }
         next = Instant::now() + epoch;
         done += 1;
-        match by_hand.read() {
+        match adjustments.read() {
             Ok(changes) => {
                 let (plan, extra) = adjusted(&budgets.plan, changes);
                 allocator.set_plan(plan, extra);
@@ -325,25 +326,25 @@
                 warn!(target: "settle", "{why}")
             }
         }
-        one_round(&mut allocator, &mut sums, &journal)?;
+        run_round(&mut allocator, &mut sums, &journal)?;
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// One round: read, decide, let it stand, deliver. Should another job be first under the number, its round is
-/// learnt and the next one tried at the next epoch.
-fn one_round(allocator: &mut LeaseAllocator, sums: &mut Sums, journal: &Journal) -> Result<(), CommandError> {
+/// Runs one round: reads the ledgers, allocates leases, publishes the round and delivers the grants. If another job has
+/// published this number, the next run applies that round first, at the next epoch.
+fn run_round(allocator: &mut LeaseAllocator, sums: &mut Sums, journal: &Journal) -> Result<(), CommandError> {
     catch_up(allocator, journal)?;
     sums.read(allocator);
     let round = allocator.next_round(now()).map_err(|fork| CommandError::CouldNotRun(fork.to_string()))?;
-    match journal.stand(&round) {
+    match journal.publish(&round) {
         Ok(true) => {
             allocator.apply_round(&round);
             journal.deliver(&round);
-            journal.tidy(round.number);
+            journal.remove_old_rounds(round.number);
         }
-        Ok(false) => info!(target: "settle", number = round.number, "another job was first"),
-        Err(e) => warn!(target: "settle", number = round.number, "the round can't stand: {e}"),
+        Ok(false) => info!(target: "settle", number = round.number, "another job has published this round"),
+        Err(e) => warn!(target: "settle", number = round.number, "cannot publish the round: {e}"),
     }
     Ok(())
 }
--- a/crates/daemon/src/settle_test.rs
+++ b/crates/daemon/src/settle_test.rs
@@ -1,4 +1,4 @@
-//! Tests of `settle`: stored adjustments keep their values and bytes, and what they make of a plan.
+//! Tests of `settle`: stored adjustments keep their values and bytes, and change a plan as expected.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use super::*;
--- a/crates/daemon/src/soak.rs
+++ b/crates/daemon/src/soak.rs
@@ -1,4 +1,4 @@
-//! `chalkyard rehearse soak`: random faults that overlap, over real router processes, seed after seed.
+//! `chalkyard rehearse soak`: runs router processes under overlapping random faults, once per seed.
 
 use std::process::ExitCode;
 
@@ -8,26 +8,26 @@
 use crate::rehearse::RULE_BROKEN;
 use crate::{overload, CommandError, Format};
 
-/// A day's length, if not told otherwise: half of it for faults.
-const SECONDS: u64 = 20;
-const SECONDS_LEAST: u64 = 14;
-const ROUTERS_MOST: u64 = 40;
-/// A seed that failed is played so often again, with fewer faults.
-const SHRINKING_PLAYS: usize = 12;
+/// Default length of a day in seconds, half of it with faults.
+const DEFAULT_SECONDS: u64 = 20;
+const MIN_SECONDS: u64 = 14;
+const MAX_ROUTERS: u64 = 40;
+/// Largest number of further runs of a failed seed, with fewer faults.
+const MAX_SHRINK_RUNS: usize = 12;
 
-/// Plays the seeds; exit code 3 if anything was broken.
+/// Runs each seed; exit code 3 if a rule was broken.
 pub fn soak(plan: &Plan, arguments: &overload::Arguments, format: Format) -> Result<ExitCode, CommandError> {
     if arguments.is_given_for_overload() {
         return Err(CommandError::BadInput("--case and --fed go with `rehearse overload`".into()));
     }
-    let seconds = plan.seconds.unwrap_or(SECONDS);
-    if seconds < SECONDS_LEAST {
+    let seconds = plan.seconds.unwrap_or(DEFAULT_SECONDS);
+    if seconds < MIN_SECONDS {
         return Err(CommandError::BadInput(format!(
-            "--seconds {seconds}: a soak takes at least {SECONDS_LEAST}"
+            "--seconds {seconds}: a soak takes at minimal {MIN_SECONDS}"
         )));
     }
-    if arguments.routers.is_some_and(|n| n > ROUTERS_MOST) {
-        return Err(CommandError::BadInput(format!("--routers: a soak has at most {ROUTERS_MOST}")));
+    if arguments.routers.is_some_and(|n| n > MAX_ROUTERS) {
+        return Err(CommandError::BadInput(format!("--routers: a soak has at most {MAX_ROUTERS}")));
     }
     let routers = arguments.routers.map(|n| n as usize);
     let exe = arguments.exe.clone().unwrap_or_else(|| plan.exe.clone());
@@ -47,10 +47,10 @@
     let Some(report) = failed else { return Ok(ExitCode::SUCCESS) };
     if arguments.seeds.unwrap_or(1) == 1 && matches!(format, Format::Text) {
         let options = SoakOptions { record: None, ..options };
-        let least = shrink(&report, &options, SHRINKING_PLAYS);
-        let least = least.map_err(|e| CommandError::CouldNotRun(format!("shrinking: {e}")))?;
-        println!("what is left of its faults when those that do not matter are left out:");
-        for fault in &least.faults {
+        let minimal = shrink(&report, &options, MAX_SHRINK_RUNS);
+        let minimal = minimal.map_err(|e| CommandError::CouldNotRun(format!("shrinking: {e}")))?;
+        println!("remaining faults after removing those that are not needed to reproduce the failure:");
+        for fault in &minimal.faults {
             println!("  {fault:?}");
         }
     }
