--- a/crates/rehearsal/src/audit/goodput.rs
+++ b/crates/rehearsal/src/audit/goodput.rs
@@ -1,22 +1,22 @@
-//! Goodput: the priority weight of requests, and the part of it that was answered in time.
+//! Goodput: the share of the priority weight of all requests that was answered within the latency objectives.
 
 use std::collections::BTreeMap;
 
 use super::trace::Trace;
 use crate::record::{Answer, Line};
 
-/// One request, over all attempts of its client.
+/// A request, merged from all attempts of its client.
 #[derive(Debug, Clone, Copy)]
 struct WeightedRequest {
-    /// When it was first sent.
+    /// Time of the first attempt, µs.
     sent: u64,
     weight: f64,
-    /// The weight if it was answered in time, otherwise 0.
+    /// Equal to `weight` if the request met its latency objectives, otherwise 0.
     in_time: f64,
 }
 
 impl<'a> Trace<'a> {
-    /// Requests by their idempotency keys.
+    /// Merges clients' attempts into requests by idempotency key.
     fn weighted_requests(&self) -> impl Iterator<Item = WeightedRequest> + use<'a> {
         let mut requests: BTreeMap<&str, WeightedRequest> = BTreeMap::new();
         for attempt in self.client_attempts.values() {
@@ -32,23 +32,24 @@
                 continue;
             };
             let first = attempt.first.unwrap_or(*end);
-            let pace = (end - first.min(*end)) / tokens.saturating_sub(1).max(1);
+            let time_per_token = (end - first.min(*end)) / tokens.saturating_sub(1).max(1);
             let per_prompt = class.latency_objective_per_1000_us * attempt.prompt / 1_000;
             let mut objective = class.latency_objective_us + per_prompt;
-            // An answer that is not streamed shows no first token: it is in time if it came at the objective's pace.
+            // The first token of an answer that is not streamed is not observable: the objective then covers the whole
+            // answer, with the objective time per token added for each token.
             let streamed = attempt.first.is_some();
             if !streamed {
                 objective += class.token_objective_us * tokens;
             }
             let latency = first - request.sent.min(first);
-            if latency <= objective && (!streamed || pace <= class.token_objective_us) {
+            if latency <= objective && (!streamed || time_per_token <= class.token_objective_us) {
                 request.in_time = weight;
             }
         }
         requests.into_values()
     }
 
-    /// The number of requests, and their weight answered in time over all their weight.
+    /// The number of requests, and the weight answered in time divided by the total weight.
     pub(super) fn goodput(&self) -> (u64, f64) {
         let (mut count, mut weight, mut in_time) = (0, 0.0, 0.0);
         for request in self.weighted_requests() {
@@ -60,7 +61,8 @@
     }
 }
 
-/// For each second of the scenario, the weight of the requests first sent in it, and the part answered in time.
+/// For each second of the scenario: the weight of the requests first sent in it, and the weight of those that were
+/// answered in time.
 pub fn goodput_by_second(lines: &[Line]) -> Vec<(f64, f64)> {
     let mut seconds: Vec<(f64, f64)> = Vec::new();
     let Some((trace, ..)) = Trace::read(lines) else { return seconds };
--- a/crates/rehearsal/src/audit/mod.rs
+++ b/crates/rehearsal/src/audit/mod.rs
@@ -1,4 +1,4 @@
-//! Judges the rules from recorded traffic alone: what clients, engines and discovery saw.
+//! Checks the service rules against recorded traffic alone: what clients, engines and discovery recorded.
 
 mod goodput;
 mod rules;
@@ -13,19 +13,20 @@
 use crate::record::{parse, Answer, Event, Line};
 use crate::report::{Answers, Report, Rule, Times};
 
-/// How many broken cases of a rule are listed.
-const FINDINGS_LISTED: u64 = 5;
-/// Times beyond this are counted as this, µs.
-const LONGEST_TIME: u64 = 600_000_000;
+/// Maximum number of violations listed per rule.
+const MAX_FINDINGS_PER_RULE: u64 = 5;
+/// Upper bound of the latency histogram, µs; longer times are counted as this value.
+const MAX_TIME_US: u64 = 600_000_000;
 
-/// Reads a record and judges it. An error names the line.
+/// Parses a record and evaluates its rules. An error names the line number.
 pub fn audit(text: &str) -> Result<Report, String> {
     let lines = parse(text)?;
     check_references(&lines)?;
     Ok(evaluate(&lines))
 }
 
-/// Checks that lines refer to what there is: a record with gaps would be judged too well.
+/// Checks that each line refers to engines and attempts that the record introduces before it: missing lines would hide
+/// violations.
 fn check_references(lines: &[Line]) -> Result<(), String> {
     let mut attempts = BTreeSet::new();
     let mut client_attempts = BTreeSet::new();
@@ -68,7 +69,7 @@
     Ok(())
 }
 
-/// The cases of one rule so far.
+/// Counts of the cases checked for one rule, and descriptions of its violations.
 #[derive(Default)]
 struct Tally {
     rule: Rule,
@@ -76,18 +77,18 @@
 }
 
 impl Tally {
-    /// Counts a case, with what broke the rule in it.
-    fn case(&mut self, broken: Option<String>) {
+    /// Counts a case, and its violation if `broken` describes one.
+    fn add_case(&mut self, broken: Option<String>) {
         self.rule.checked += 1;
         if let Some(finding) = broken {
             self.rule.broken += 1;
-            if self.rule.broken <= FINDINGS_LISTED {
+            if self.rule.broken <= MAX_FINDINGS_PER_RULE {
                 self.findings.push(finding);
             }
         }
     }
 
-    /// The judgement; its findings are added to the report's.
+    /// Returns the result of the rule and appends its findings to the findings of the report.
     fn finish(mut self, name: &str, broken: &mut Vec<String>) -> Rule {
         self.rule.passed = self.rule.broken == 0;
         broken.extend(self.findings.into_iter().map(|finding| format!("{name}: {finding}")));
@@ -95,30 +96,31 @@
     }
 }
 
-fn times(values: impl Iterator<Item = u64>) -> Times {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_TIME, 3) else {
+/// Percentiles of times given in µs, converted to ms.
+fn percentiles(values: impl Iterator<Item = u64>) -> Times {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_TIME_US, 3) else {
         return Times::default();
     };
     for value in values {
         histogram.saturating_record(value.max(1));
     }
-    let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
-    Times { p50: at(0.5), p90: at(0.9), p99: at(0.99), count: histogram.len() }
+    let quantile_ms = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
+    Times { p50: quantile_ms(0.5), p90: quantile_ms(0.9), p99: quantile_ms(0.99), count: histogram.len() }
 }
 
-/// Judges a record whose first line is the scenario.
+/// Evaluates a record; a record whose first line is not the scenario gives an empty report.
 pub fn evaluate(lines: &[Line]) -> Report {
     let Some((trace, name, seed)) = Trace::read(lines) else { return Report::default() };
     let mut report =
         Report { scenario: name.into(), seed, seconds: trace.end as f64 / 1e6, ..Report::default() };
-    judge_rules(&trace, &mut report);
+    evaluate_rules(&trace, &mut report);
     (report.requests, report.goodput) = trace.goodput();
     report.client_attempts = trace.client_attempts.len() as u64;
     report.attempts = trace.attempts.len() as u64;
     report.answers = count_answers(&trace);
     let attempts = || trace.client_attempts.values();
-    report.ttft_ms = times(attempts().filter_map(|a| a.first.map(|first| first - a.sent)));
-    report.tpot_ms = times(attempts().filter_map(|a| {
+    report.ttft_ms = percentiles(attempts().filter_map(|a| a.first.map(|first| first - a.sent)));
+    report.tpot_ms = percentiles(attempts().filter_map(|a| {
         let complete = a.answers.iter().find(|(_, how, tokens)| *how == Answer::Served && *tokens > 1);
         let (end, _, tokens) = complete?;
         Some((end - a.first?) / (tokens - 1))
@@ -127,12 +129,12 @@
     report
 }
 
-fn judge_rules(trace: &Trace<'_>, report: &mut Report) {
+fn evaluate_rules(trace: &Trace<'_>, report: &mut Report) {
     let by_key = trace.client_attempts_by_key();
     let broken = &mut report.broken;
-    let mut rule = |name: &str, judge: &dyn Fn(&mut Tally)| {
+    let mut rule = |name: &str, check: &dyn Fn(&mut Tally)| {
         let mut tally = Tally::default();
-        judge(&mut tally);
+        check(&mut tally);
         tally.finish(name, broken)
     };
     let rules = &mut report.rules;
@@ -145,6 +147,7 @@
     rules.propagated_timeout = rule("told", &|tally| trace.propagated_timeout(&by_key, tally));
 }
 
+/// Counts clients' attempts by their first final answer, or by the lack of one.
 fn count_answers(trace: &Trace<'_>) -> Answers {
     let mut answers = Answers::default();
     for attempt in trace.client_attempts.values() {
@@ -161,7 +164,7 @@
     answers
 }
 
-/// The faults that began, by name, with how often.
+/// Names of the faults that began, each with its number of occurrences if there are several.
 fn list_faults(lines: &[Line]) -> Vec<String> {
     let mut faults: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
--- a/crates/rehearsal/src/audit/rules.rs
+++ b/crates/rehearsal/src/audit/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, each judged over a whole record. Texts of findings are part of the report's form and keep their words.
+//! The rules, each checked over a whole record. Texts of findings are part of the report format and must not change.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 use super::Tally;
 use crate::record::{Answer, AttemptEnd, Class, RetrySafety, Stage};
 
-/// An attempt that arrives this long after its client has gone is a lost request, µs.
-const GONE_SLACK: u64 = 100_000;
-/// The timeout passed to an engine may be this much longer than the time that its client has left, µs.
-const TIMEOUT_SLACK: u64 = 150_000;
-/// A lost connection is excused by a kill of its router up to this long before, µs.
-const KILL_SHADOW: u64 = 1_000_000;
-/// A reservation is excused by a kill of its router up to this long before it, µs.
-const RESERVATION_KILL_SHADOW: u64 = 10_000_000;
-/// A notified start of a process is that of the record if they differ by less, µs.
-const START_TOLERANCE: u64 = 2_000;
-/// Attempts that every cold engine bears in a window beyond its budget.
+/// Longest time that an attempt may arrive after its client has left or has its final answer, µs.
+const GONE_SLACK_US: u64 = 100_000;
+/// Largest excess of the timeout passed to an engine over the remaining time of its client, µs.
+const TIMEOUT_SLACK_US: u64 = 150_000;
+/// A kill of the router excuses connections lost up to this long after it, µs.
+const CONNECTION_KILL_EXCUSE_US: u64 = 1_000_000;
+/// A kill of the router excuses reservations made up to this long after it, µs.
+const RESERVATION_KILL_EXCUSE_US: u64 = 10_000_000;
+/// A notified start time and a recorded start time refer to the same process start if they differ by less, µs.
+const START_TOLERANCE_US: u64 = 2_000;
+/// Attempts allowed per window in addition to the budget of a cold engine.
 const COLD_BUDGET_EXTRA: f64 = 2.0;
 
-/// The client's own part of an idempotency key: routers put the tenant before it.
+/// Strips the tenant, which routers prepend, from an idempotency key.
 fn client_key(identity: &str) -> &str {
     identity.split_once('/').map_or(identity, |(_, key)| key)
 }
@@ -27,7 +27,8 @@
 /// Clients' attempts by idempotency key and router.
 pub(super) type ClientAttemptsByKey<'b> = BTreeMap<(&'b str, &'b str), Vec<&'b ClientAttempt<'b>>>;
 
-/// The clients' attempts that an attempt may have been made for: those of its key at its router sent by then.
+/// Clients' attempts that can have caused an attempt at an engine: those with the same key, sent to the same router by
+/// the time the attempt arrived.
 fn sent_before<'b>(
     by_key: &'b ClientAttemptsByKey<'b>,
     attempt: &Attempt<'b>,
@@ -38,30 +39,30 @@
     of_key.get(..sent).unwrap_or_default()
 }
 
-/// Whether an attempt's end proves that it was not executed.
+/// Whether the outcome of an attempt proves that it was not executed.
 fn was_rejected(attempt: &Attempt<'_>) -> bool {
     matches!(attempt.ended, Some((_, AttemptEnd::Rejected | AttemptEnd::NoState)))
 }
 
-/// Whether two thirds or more of some arrivals come from routers that knew of the cold start.
-fn most_knew(arrivals: &[ColdArrival]) -> bool {
-    arrivals.iter().filter(|arrival| arrival.knew).count() * 3 >= arrivals.len() * 2
+/// Whether at least two thirds of the arrivals come from routers that had been notified of the cold start.
+fn most_were_notified(arrivals: &[ColdArrival]) -> bool {
+    arrivals.iter().filter(|arrival| arrival.notified).count() * 3 >= arrivals.len() * 2
 }
 
 /// An attempt that arrived at a cold engine.
 #[derive(Debug, Clone, Copy)]
 struct ColdArrival {
     at: u64,
-    /// Its router had been notified of this start.
-    knew: bool,
+    /// The router of the attempt had been notified of this start.
+    notified: bool,
 }
 
 impl Trace<'_> {
-    /// Rule 1: each attempt of a client has exactly one final answer in time.
+    /// Rule 1: each attempt of a client receives exactly one final answer before its deadline.
     pub(super) fn answered(&self, tally: &mut Tally) {
         for (number, attempt) in &self.client_attempts {
             let broken = self.answer_fault(attempt);
-            tally.case(broken.map(|what| format!("try {number} at {}: {what}", attempt.router)));
+            tally.add_case(broken.map(|what| format!("try {number} at {}: {what}", attempt.router)));
         }
     }
 
@@ -85,13 +86,14 @@
         Some(what.to_owned())
     }
 
-    /// Whether a kill of its router excuses that an attempt's connection was lost.
+    /// Whether a kill of the router excuses the lost connection of an attempt.
     fn killed_around(&self, attempt: &ClientAttempt<'_>, lost: u64) -> bool {
         self.killed(attempt.router, attempt.sent, lost)
-            || self.killed(attempt.router, lost.saturating_sub(KILL_SHADOW), lost)
+            || self.killed(attempt.router, lost.saturating_sub(CONNECTION_KILL_EXCUSE_US), lost)
     }
 
-    /// Rule 2, over all attempts with one idempotency key; a prefill has no effect.
+    /// Rule 2: no effect happens more often than its class allows, over all attempts with one idempotency key. Prefills
+    /// have no effect and are not counted.
     pub(super) fn effect(&self, tally: &mut Tally) {
         let mut by_key: BTreeMap<&str, Vec<(u64, &Attempt<'_>)>> = BTreeMap::new();
         for (number, attempt) in self.attempts.iter().filter(|(_, a)| a.stage != Stage::Prefill) {
@@ -105,11 +107,11 @@
                 let rejected = self.rejected_after_run(key, attempts);
                 rejected.then(|| "refused although it may have run".to_owned())
             });
-            tally.case(broken.map(|what| format!("identity {key}: {what}")));
+            tally.add_case(broken.map(|what| format!("identity {key}: {what}")));
         }
     }
 
-    /// Whether attempts with one key were executed, or may have been, more often than their class allows.
+    /// Describes how attempts with one key were executed, or may have been, more often than their class allows.
     fn repeated(&self, attempts: &[(u64, &Attempt<'_>)]) -> Option<String> {
         let class = attempts.first().and_then(|(_, a)| self.class(a.class));
         let once = class.is_none_or(|c| c.retry_safety == RetrySafety::NonIdempotent);
@@ -126,7 +128,7 @@
         None
     }
 
-    /// Whether an attempt may have been executed a second time, after an earlier one.
+    /// Whether an attempt may have repeated the effect of an earlier one.
     fn is_unsafe_repeat(
         &self,
         before: &Attempt<'_>,
@@ -134,11 +136,11 @@
         class: Option<&Class>,
         once: bool,
     ) -> bool {
-        // A rejection that came by then proves that the earlier one was not executed.
+        // A rejection of the earlier attempt before this arrival proves that it was not executed.
         if was_rejected(before) && before.ended.is_some_and(|(t, _)| t <= attempt.arrived) {
             return false;
         }
-        // Another router cannot know of the earlier one; its engine's group discards the repeat.
+        // A different router cannot know of the earlier attempt; the engines of the cell discard the repeat.
         if before.router != attempt.router && !once {
             return false;
         }
@@ -149,7 +151,8 @@
         once || !discarded
     }
 
-    /// Whether a client's attempt was rejected although one of these attempts for it may have been executed.
+    /// Whether a client's attempt was rejected although one of the given attempts, made on its behalf, may have been
+    /// executed.
     fn rejected_after_run(&self, key: &str, attempts: &[(u64, &Attempt<'_>)]) -> bool {
         let mut client_attempts = self.client_attempts.values().filter(|c| c.identity == key);
         client_attempts.any(|client| {
@@ -161,10 +164,10 @@
         })
     }
 
-    /// Rule 3: nothing new reaches an engine that drains or is removed, once the grace is over.
+    /// Rule 3: no new attempt reaches a draining or removed engine after the grace period.
     pub(super) fn drain(&self, tally: &mut Tally) {
         for (number, attempt) in &self.attempts {
-            tally.case(self.drain_fault(*number, attempt));
+            tally.add_case(self.drain_fault(*number, attempt));
         }
     }
 
@@ -177,20 +180,20 @@
                 attempt.router, attempt.engine
             ));
         };
-        // Since when the router has been notified, without a break, that the engine takes nothing new.
+        // The first of the latest uninterrupted notifications that the engine takes no new work.
         let inactive = before.iter().rev().take_while(|n| !n.is_active()).last()?;
         let late = attempt.arrived > inactive.at + self.limits.grace_us + self.limits.noise_us;
         late.then(|| format!("attempt {number} at {}, told {}", attempt.engine, last.state))
     }
 
-    /// Rule 4: a budget for every window after a cold start.
+    /// Rule 4: attempts at a cold engine stay within a budget in every time window after its start.
     pub(super) fn cold(&self, tally: &mut Tally) {
         for start in &self.cold_starts {
             let arrivals = self.cold_arrivals(start);
             let broken = self.exceeded_cold_budget(start, &arrivals);
-            let pushed_over = start.overloaded && most_knew(&arrivals);
-            let broken = broken.or_else(|| pushed_over.then(|| format!("{} was pushed over", start.engine)));
-            tally.case(broken);
+            let overloaded = start.overloaded && most_were_notified(&arrivals);
+            let broken = broken.or_else(|| overloaded.then(|| format!("{} was pushed over", start.engine)));
+            tally.add_case(broken);
         }
     }
 
@@ -198,15 +201,17 @@
         let warm = (start.at + self.limits.cold_us).min(start.ended);
         let here = self.attempts.values().filter(|a| a.engine == start.engine);
         let while_cold = here.filter(|a| (start.at..=warm).contains(&a.arrived));
-        while_cold.map(|a| ColdArrival { at: a.arrived, knew: self.knew_of_start(a, start) }).collect()
+        while_cold
+            .map(|a| ColdArrival { at: a.arrived, notified: self.was_notified_of_start(a, start) })
+            .collect()
     }
 
     /// Whether the attempt's router had been notified of this start of the engine.
-    fn knew_of_start(&self, attempt: &Attempt<'_>, start: &ColdStart<'_>) -> bool {
+    fn was_notified_of_start(&self, attempt: &Attempt<'_>, start: &ColdStart<'_>) -> bool {
         let notifications = self.notifications.get(&(attempt.router, attempt.engine));
         let mut notifications = notifications.into_iter().flatten();
         notifications.any(|n| {
-            n.at <= attempt.arrived && n.is_active() && n.started.abs_diff(start.at) < START_TOLERANCE
+            n.at <= attempt.arrived && n.is_active() && n.started.abs_diff(start.at) < START_TOLERANCE_US
         })
     }
 
@@ -218,10 +223,10 @@
             let window: Vec<ColdArrival> =
                 until_now.filter(|arrival| arrival.at + limits.fall_us > *end).copied().collect();
             let age = (end - start.at) as f64 / limits.cold_us.max(1) as f64;
-            let present = (limits.cold_from + (1.0 - limits.cold_from) * age).min(1.0);
-            let budget =
-                limits.fall_multiple * capacity * present * limits.fall_us as f64 / 1e6 + COLD_BUDGET_EXTRA;
-            if window.len() as f64 > budget && most_knew(&window) {
+            let warm_fraction = (limits.cold_from + (1.0 - limits.cold_from) * age).min(1.0);
+            let budget = limits.fall_multiple * capacity * warm_fraction * limits.fall_us as f64 / 1e6
+                + COLD_BUDGET_EXTRA;
+            if window.len() as f64 > budget && most_were_notified(&window) {
                 return Some(format!(
                     "{}: {} within {} µs, budget {budget:.1}",
                     start.engine,
@@ -233,24 +238,24 @@
         None
     }
 
-    /// Rule 5: while no attempt is in flight, a reservation is used or released in time.
+    /// Rule 5: a reservation is used or released within the release time while no attempt is in flight.
     pub(super) fn pinned(&self, tally: &mut Tally) {
         let limit = self.limits.release_us + self.limits.noise_us;
         for reservation in &self.reservations {
             let longest = self.longest_idle(reservation);
             let broken = longest.filter(|longest| *longest > limit);
             let text = |longest| format!("{} at {}: {longest} µs", reservation.request, reservation.engine);
-            tally.case(broken.map(text));
+            tally.add_case(broken.map(text));
         }
     }
 
-    /// The longest span of a reservation without an attempt in flight, µs; none if its router was killed, since what it
-    /// left behind is the engine's to drop.
+    /// The longest span of a reservation without an attempt in flight, µs; `None` if its router was killed, since the
+    /// engine has to drop the reservations of a dead router.
     fn longest_idle(&self, reservation: &Reservation<'_>) -> Option<u64> {
         let until = reservation.released.map_or(self.end, |(t, _)| t);
         let attempts = || self.attempts.values().filter(|a| a.request == reservation.request);
         let router = attempts().next().map(|a| a.router);
-        let since = reservation.from.saturating_sub(RESERVATION_KILL_SHADOW);
+        let since = reservation.from.saturating_sub(RESERVATION_KILL_EXCUSE_US);
         if router.is_some_and(|r| self.killed(r, 0, until) && self.killed(r, since, until)) {
             return None;
         }
@@ -262,23 +267,24 @@
         let mut longest = 0;
         for (from, to) in in_flight {
             if from > idle_since && from <= until {
-                let unseen = self.last_unseen(router.unwrap_or(""), idle_since, from);
-                longest = longest.max(from - unseen.unwrap_or(idle_since));
+                let unrecorded = self.last_unrecorded_attempt(router.unwrap_or(""), idle_since, from);
+                longest = longest.max(from - unrecorded.unwrap_or(idle_since));
             }
             idle_since = idle_since.max(to.min(until));
         }
         Some(longest)
     }
 
-    /// When its router learned that an attempt had ended.
+    /// When the router can have learned that its attempt had ended.
     fn in_flight_until(&self, attempt: &Attempt<'_>) -> u64 {
         let ended = attempt.ended.map_or(self.end, |(t, _)| t);
         self.unreachable_until(attempt.engine, ended).unwrap_or(ended)
     }
 
-    /// The last moment of a span at which a router can have attempted an engine whose process was gone: nobody sees
-    /// such an attempt, and its outcome starts the release time again. Only while the router was not notified.
-    fn last_unseen(&self, router: &str, from: u64, to: u64) -> Option<u64> {
+    /// The last time in a span at which a router can have attempted an engine whose process was down. Such an attempt
+    /// is not recorded, and its outcome restarts the release time. Counts only until the router was notified of the
+    /// removal.
+    fn last_unrecorded_attempt(&self, router: &str, from: u64, to: u64) -> Option<u64> {
         let moments = self.downtimes.iter().filter_map(|downtime| {
             let notifications = self.notifications.get(&(router, downtime.engine))?;
             let removed = notifications.iter().find(|n| n.at >= downtime.from && !n.is_active());
@@ -302,7 +308,8 @@
         by_key
     }
 
-    /// No attempt, prefill or decode, begins once its client has gone or has its final answer. No noise is allowed for.
+    /// No attempt, prefill or decode, arrives after its client has left or has its final answer. Measurement noise is not
+    /// added to the limit.
     pub(super) fn gone(&self, by_key: &ClientAttemptsByKey<'_>, tally: &mut Tally) {
         for (number, attempt) in &self.attempts {
             let answered = |c: &ClientAttempt<'_>| c.answers.first().map(|(at, ..)| *at);
@@ -310,20 +317,20 @@
             let Some(over) = sent_before(by_key, attempt).iter().map(over).max() else { continue };
             let late = attempt.arrived.saturating_sub(over);
             let broken =
-                (late > GONE_SLACK).then(|| format!("attempt {number}: {late} µs after its client's end"));
-            tally.case(broken);
+                (late > GONE_SLACK_US).then(|| format!("attempt {number}: {late} µs after its client's end"));
+            tally.add_case(broken);
         }
     }
 
-    /// No attempt passes on a longer timeout than its client has left.
+    /// No attempt carries a longer timeout than the remaining time of its client.
     pub(super) fn propagated_timeout(&self, by_key: &ClientAttemptsByKey<'_>, tally: &mut Tally) {
         for (number, attempt) in &self.attempts {
             let Some(timeout) = attempt.timeout else { continue };
             let left = |c: &&ClientAttempt<'_>| c.deadline.saturating_sub(attempt.arrived);
             let Some(left) = sent_before(by_key, attempt).iter().map(left).max() else { continue };
-            let broken = (timeout > left + TIMEOUT_SLACK)
+            let broken = (timeout > left + TIMEOUT_SLACK_US)
                 .then(|| format!("attempt {number}: told {timeout} µs, left {left}"));
-            tally.case(broken);
+            tally.add_case(broken);
         }
     }
 }
--- a/crates/rehearsal/src/audit/trace.rs
+++ b/crates/rehearsal/src/audit/trace.rs
@@ -1,12 +1,12 @@
-//! A record sorted by what it is about: clients' attempts, attempts at engines, reservations, notifications and faults.
+//! Indexes a record by subject: clients' attempts, attempts at engines, reservations, notifications and faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::record::{Answer, AttemptEnd, Class, Event, Line, ReleaseCause, RuleLimits, Stage};
 use crate::scenario::LinkScope;
 
-/// A link fault may show at a client's connection this long after its end, µs.
-const RESET_NOISE: u64 = 20_000;
+/// A link fault can still break a client's connection this long after the fault ends, µs.
+const RESET_NOISE_US: u64 = 20_000;
 
 /// A router's attempt at an engine.
 pub(super) struct Attempt<'a> {
@@ -16,7 +16,7 @@
     pub(super) identity: &'a str,
     pub(super) class: &'a str,
     pub(super) stage: Stage,
-    /// The timeout that the router passed on, µs.
+    /// The timeout that the router passed to the engine, µs.
     pub(super) timeout: Option<u64>,
     pub(super) arrived: u64,
     pub(super) ended: Option<(u64, AttemptEnd)>,
@@ -32,7 +32,7 @@
     pub(super) sent: u64,
     pub(super) deadline: u64,
     pub(super) first: Option<u64>,
-    /// Final answers: when, which, and their tokens.
+    /// Final answers: time, kind and number of tokens.
     pub(super) answers: Vec<(u64, Answer, u64)>,
     pub(super) left: Option<u64>,
     pub(super) lost: Option<u64>,
@@ -46,23 +46,23 @@
     pub(super) released: Option<(u64, ReleaseCause)>,
 }
 
-/// A link fault.
+/// A fault of network links.
 pub(super) struct LinkFault<'a> {
     pub(super) name: &'a str,
-    /// Engines whose links it strikes; none named: all.
+    /// Engines whose links are affected; empty for all.
     pub(super) engines: BTreeSet<&'a str>,
-    /// It strikes clients' links.
+    /// Whether the links of clients are affected.
     pub(super) to_clients: bool,
     pub(super) from: u64,
     pub(super) until: u64,
 }
 
-/// What discovery notified a router of.
+/// A state of an engine that discovery notified a router of.
 pub(super) struct Notification<'a> {
     pub(super) at: u64,
     /// `in`, `draining` or `out`.
     pub(super) state: &'a str,
-    /// When the engine's process had started.
+    /// Start time of the engine's process, µs.
     pub(super) started: u64,
 }
 
@@ -77,27 +77,27 @@
 pub(super) struct ColdStart<'a> {
     pub(super) engine: &'a str,
     pub(super) at: u64,
-    /// When the process ended; `u64::MAX` if it did not.
+    /// End time of the process, µs; `u64::MAX` if it is still running.
     pub(super) ended: u64,
-    /// It ended because it was overloaded.
+    /// Whether the process ended because of overload.
     pub(super) overloaded: bool,
 }
 
-/// A span without a process.
+/// A time span in which the process of an engine was not running.
 pub(super) struct Downtime<'a> {
     pub(super) engine: &'a str,
     pub(super) from: u64,
     pub(super) until: u64,
 }
 
-/// All events of a record, sorted.
+/// The events of a record, indexed by subject.
 pub(super) struct Trace<'a> {
     pub(super) limits: &'a RuleLimits,
     pub(super) classes: &'a [Class],
     pub(super) attempts: BTreeMap<u64, Attempt<'a>>,
     pub(super) client_attempts: BTreeMap<u64, ClientAttempt<'a>>,
     pub(super) reservations: Vec<Reservation<'a>>,
-    /// Kills of routers.
+    /// Kills of routers: name and time.
     pub(super) kills: Vec<(&'a str, u64)>,
     /// Notifications by router and engine.
     pub(super) notifications: BTreeMap<(&'a str, &'a str), Vec<Notification<'a>>>,
@@ -112,7 +112,7 @@
 }
 
 impl<'a> Trace<'a> {
-    /// Sorts a record; returns it with the name and the seed of its scenario.
+    /// Indexes a record; returns the trace with the name and the seed of its scenario.
     pub(super) fn read(lines: &'a [Line]) -> Option<(Self, &'a str, u64)> {
         let Event::Scenario { name, seed, classes, limits, .. } = &lines.first()?.event else { return None };
         let mut trace = Self {
@@ -143,7 +143,7 @@
     fn add_fault(&mut self, line: &'a Line) {
         match &line.event {
             Event::Fault { name, on, links, begins: true } if name.starts_with("link_") => {
-                // A fault that names no peers may concern all of them.
+                // A fault without a link scope can affect all links.
                 let to_clients = !matches!(links, Some(LinkScope::Engines | LinkScope::Discovery));
                 let engines = on.split_whitespace().collect();
                 self.links.push(LinkFault { name, engines, to_clients, from: line.t, until: u64::MAX });
@@ -295,22 +295,23 @@
         }
     }
 
-    /// Whether a fault of the clients' own links broke their connections at this time. A fault of the engines' links is
-    /// no excuse for a client's missing answer.
+    /// Whether a fault of clients' links broke their connections at this time. A fault of engines' links does not excuse
+    /// a missing answer.
     pub(super) fn clients_disconnected(&self, at: u64) -> bool {
         let breaks = |name: &str| matches!(name, "link_reset" | "link_cut");
-        let is_active = |l: &LinkFault<'_>| (l.from..=l.until.saturating_add(RESET_NOISE)).contains(&at);
+        let is_active = |l: &LinkFault<'_>| (l.from..=l.until.saturating_add(RESET_NOISE_US)).contains(&at);
         self.links.iter().any(|l| l.to_clients && breaks(l.name) && is_active(l))
     }
 
-    /// Until when an answer that an engine gave at this time does not reach its router: the attempt is in flight as long.
+    /// Until when an answer sent by an engine at this time cannot reach its router. The attempt counts as in flight until
+    /// then.
     pub(super) fn unreachable_until(&self, engine: &str, at: u64) -> Option<u64> {
-        let silent = |name: &str| matches!(name, "link_mute" | "link_deaf" | "link_cut");
-        let concerns = |l: &&LinkFault<'_>| {
-            let strikes = l.engines.is_empty() || l.engines.contains(engine);
-            silent(l.name) && strikes && (l.from..l.until).contains(&at)
+        let blocks_answers = |name: &str| matches!(name, "link_mute" | "link_deaf" | "link_cut");
+        let is_blocking = |l: &&LinkFault<'_>| {
+            let affects_engine = l.engines.is_empty() || l.engines.contains(engine);
+            blocks_answers(l.name) && affects_engine && (l.from..l.until).contains(&at)
         };
-        self.links.iter().filter(concerns).map(|l| l.until).max()
+        self.links.iter().filter(is_blocking).map(|l| l.until).max()
     }
 
     pub(super) fn class(&self, name: &str) -> Option<&'a Class> {
