--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// BudgetSelector budget.
+/// Which budget.
 #[derive(Debug, Args)]
 pub struct BudgetSelector {
     /// Settings, as XML, with `<budgets>` and `<settlement>`.
@@ -47,10 +47,10 @@
     period: Period,
 }
 
-/// Author does it and why: kept in the audit trail.
+/// Who does it and why: kept in the audit trail.
 #[derive(Debug, Args)]
 pub struct Author {
-    /// Author does it.
+    /// Who does it.
     #[arg(long)]
     by: String,
     /// Why.
