--- a/crates/daemon/src/settle.rs
+++ b/crates/daemon/src/settle.rs
@@ -247,7 +247,7 @@
                     }
                     allocator.observe(name, read_at, state);
                 }
-                Err(e) => warn!(target: "settle", router = name, "cannot read the ledger: {e}"),
+                Err(e) => warn!(target: "settle", router = name, "its ledger can't be read: {e}"),
             }
         }
     }
