--- a/crates/daemon/src/arguments.rs
+++ b/crates/daemon/src/arguments.rs
@@ -6,7 +6,7 @@
 
 use crate::{budgets, overload};
 
-/// A router for language-model serving whose prompts are read and answers written on different engines.
+/// A router for language-model serving with prefill and decoding on different engines.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Arguments {
@@ -30,11 +30,11 @@
         /// Seed of the router's randomness; drawn from the time if not given, and logged.
         #[arg(long)]
         seed: Option<u64>,
-        /// Write each event that the decision module hears, and what it does, as JSON lines.
+        /// Write each event that is passed to the decision module, and the resulting actions, as JSON lines.
         #[arg(long, value_name = "FILE")]
         decisions: Option<PathBuf>,
-        /// Take the listening socket and the ledger over from the running router that the settings' control
-        /// socket names; it ends its open requests and then itself.
+        /// Take over the listening socket and the ledger from the running router at the settings' control socket;
+        /// that router completes its open requests and then exits.
         #[arg(long)]
         take_over: bool,
     },
@@ -48,28 +48,29 @@
         /// Settings, as XML.
         file: PathBuf,
     },
-    /// Show where a running router stands.
+    /// Show the status of a running router.
     Status(RouterTarget),
     /// Show a running router's engines.
     Engines(RouterTarget),
     /// Show a running router's open requests.
     Requests(RouterTarget),
-    /// Show one request, open or ended lately, with its attempts.
+    /// Show one open or recently ended request with its attempts.
     Trace {
-        /// The router's id of it.
+        /// The router's id of the request.
         id: String,
         #[command(flatten)]
         target: RouterTarget,
     },
-    /// Have a running router take nothing new; what is open goes on.
+    /// Make a running router accept no new requests; open requests continue.
     Drain(RouterTarget),
-    /// Have it take requests again.
+    /// Make a draining router accept requests again.
     Undrain(RouterTarget),
-    /// Have it read its settings again: applied whole, or not at all; shows what differs.
+    /// Make a running router reload its settings, which apply completely or not at all; shows the differences.
     Reload(RouterTarget),
-    /// Have it end once all that is open has ended; asked again, at once.
+    /// Make a running router exit once its open requests have ended; a second `stop` makes it exit immediately.
     Stop(RouterTarget),
-    /// Have it log at another level: off, error, warn, info, debug, trace, or a filter such as info,request=off.
+    /// Set the log level of a running router: off, error, warn, info, debug, trace, or a filter such as
+    /// info,request=off.
     LogLevel {
         /// Level or filter.
         level: String,
@@ -81,28 +82,27 @@
         /// Settings with the salt under which keys are hashed.
         file: PathBuf,
     },
-    /// Give the events of a decisions file to the module again and compare what it does.
+    /// Replay the events of a decisions file through the decision module and compare the resulting actions.
     Replay {
-        /// What `run --decisions` wrote.
+        /// The file that `run --decisions` wrote.
         file: PathBuf,
     },
-    /// Play a day on loopback against stand-ins and judge the five rules from the traffic.
+    /// Run a day on loopback with simulated engines and clients, and check the five rules from the recorded traffic.
     Rehearse {
-        /// The day: `bad-day`, `calm-day`, `budgets` (token budgets over 16 routers),
-        /// `restart-afternoon` (routers replaced under load), `overload` (many routers and what they do to each
-        /// other when parts fail), `soak` (random faults that overlap, on the platform's protocol), or a day file that the
-        /// bench printed.
+        /// The day: `bad-day`, `calm-day`, `budgets` (token budgets over 16 routers), `restart-afternoon` (routers
+        /// replaced under load), `overload` (many routers and their effect on each other during failures), `soak`
+        /// (overlapping random faults, with the platform's protocol), or a day file that the bench printed.
         day: String,
         /// Seed of the day.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Write the recorded traffic there.
+        /// File to write the recorded traffic to.
         #[arg(long, value_name = "FILE")]
         record: Option<PathBuf>,
         /// Length of the day in seconds, 8 to 600.
         #[arg(long, value_name = "S", value_parser = clap::value_parser!(u64).range(8..=600))]
         seconds: Option<u64>,
-        /// How to print the report.
+        /// Output format of the report.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
         #[command(flatten)]
@@ -112,56 +112,56 @@
     Settle {
         /// Settings, as XML, with `<budgets>` and `<settlement>`.
         file: PathBuf,
-        /// Stop after so many rounds.
+        /// Number of rounds after which the job stops; no limit if not given.
         #[arg(long)]
         rounds: Option<u64>,
     },
-    /// Show token budgets, or change them by hand, with an audit trail.
+    /// Show token budgets, or change them manually, with an audit trail.
     #[command(subcommand)]
     Budget(budgets::Command),
-    /// Make bills from ledgers and engines' records of tokens; exit code 3 if they don't agree.
+    /// Make bills from ledgers and engines' token records; exit code 3 if they don't agree.
     Bill {
         /// Settings, as XML, with `<budgets>`.
         file: PathBuf,
         /// Month, day or hour, such as 2026-12, 2026-12-01 or 2026-12-01T14, in the budgets' zone.
         #[arg(long)]
         period: String,
-        /// Routers' ledgers; those of the settings' settlement, if not given.
+        /// Routers' ledgers; if not given, those in the settings' `<settlement>`.
         #[arg(long, num_args = 1..)]
         ledger: Vec<PathBuf>,
-        /// Engines' records of tokens, as JSON lines.
+        /// Engines' token records, as JSON lines.
         #[arg(long, num_args = 1..)]
         engines: Vec<PathBuf>,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Keep the sums of a ledger's old periods and drop their records.
+    /// Replace the records of a ledger's old periods with their sums.
     Compact {
         /// Settings, as XML, with `<budgets>`.
         file: PathBuf,
         /// The router's ledger.
         #[arg(long)]
         ledger: PathBuf,
-        /// Records before this month or day go, such as 2026-11.
+        /// Month or day before which records are removed, such as 2026-11.
         #[arg(long)]
         before: String,
     },
-    /// Sum up what routers' logs say of requests that were not served: who gave them up, why, when and where. The
-    /// routers have to run with `CHALKYARD_LOG=info`.
+    /// Summarize the requests in routers' logs that were not served: who ended them, why, when and where. The routers
+    /// have to run with `CHALKYARD_LOG=info`.
     Losses {
         /// Logs, one for each router.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Judge the five rules from recorded traffic alone.
+    /// Check the five rules from recorded traffic alone.
     Audit {
         /// Recorded traffic, as JSON lines.
         file: PathBuf,
-        /// How to print the report.
+        /// Output format of the report.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
@@ -170,12 +170,12 @@
 /// The running router that a command talks to, and how its answer is printed.
 #[derive(Debug, clap::Args)]
 pub struct RouterTarget {
-    /// Its control socket, or its settings, which name it.
+    /// The router's control socket, or the settings file that contains its path.
     pub socket: PathBuf,
-    /// How to print it.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     pub format: Format,
-    /// Ask again after so many seconds, until the router is gone.
+    /// Repeat the command every S seconds until the router no longer answers.
     #[arg(long, value_name = "S", value_parser = clap::value_parser!(u64).range(1..=3600))]
     pub watch: Option<u64>,
 }
--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// BudgetSelector budget.
+/// Selects a budget by tenant, class and period.
 #[derive(Debug, Args)]
 pub struct BudgetSelector {
     /// Settings, as XML, with `<budgets>` and `<settlement>`.
@@ -39,7 +39,7 @@
     /// Tenant.
     #[arg(long)]
     tenant: String,
-    /// Class, where the budget is of one.
+    /// Class, if the budget is for a single class.
     #[arg(long)]
     class: Option<String>,
     /// The budget's periods.
@@ -47,48 +47,48 @@
     period: Period,
 }
 
-/// Author does it and why: kept in the audit trail.
+/// Author and reason of a change, which the audit trail keeps.
 #[derive(Debug, Args)]
 pub struct Author {
-    /// Author does it.
+    /// Author of the change.
     #[arg(long)]
     by: String,
-    /// Why.
+    /// Reason for the change.
     #[arg(long)]
     why: String,
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Show what is spent, reserved and stranded of each budget in its present period, and the audit trail.
+    /// Show the spent, reserved and stranded tokens of each budget in its current period, and the audit trail.
     Show {
         /// Settings, as XML, with `<budgets>` and `<settlement>`.
         file: PathBuf,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Set a budget, from the present period on, whatever the settings say.
+    /// Set a budget from the current period on, overriding the settings.
     Set {
         #[command(flatten)]
         which: BudgetSelector,
-        /// Tokens a period; none: as the settings say again.
+        /// Tokens per period; if not given, the settings apply again.
         #[arg(long)]
         tokens: Option<u64>,
         #[command(flatten)]
         who: Author,
     },
-    /// Grant tokens for the present period alone; less than 0 takes some back.
+    /// Grant tokens for the current period only; a negative number takes tokens back.
     Grant {
         #[command(flatten)]
         which: BudgetSelector,
-        /// Tokens.
+        /// Number of tokens.
         #[arg(long, allow_negative_numbers = true)]
         tokens: i64,
         #[command(flatten)]
         who: Author,
     },
-    /// Put an amount on a bill, or (less than 0) take it off.
+    /// Add an amount to a bill; a negative amount is subtracted.
     Adjust {
         /// Settings, as XML, with `<budgets>` and `<settlement>`.
         file: PathBuf,
@@ -101,7 +101,7 @@
         /// The bill's day, such as 2026-12-01.
         #[arg(long)]
         day: String,
-        /// In the currency's smallest unit.
+        /// Amount in the currency's smallest unit.
         #[arg(long, allow_negative_numbers = true)]
         amount: i64,
         #[command(flatten)]
--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -17,20 +17,21 @@
 /// Arguments of `rehearse overload`; some of them also apply to `rehearse soak`.
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
-    /// Of `rehearse overload`: the case, or several at once as `one+other`; all of them one after the other, if not given.
+    /// For `rehearse overload`: the case, or several combined as `one+other`; if not given, all cases in sequence.
     #[arg(long)]
     case: Option<String>,
-    /// Of `rehearse overload` and `rehearse soak`: so many seeds, from `--seed` on.
+    /// For `rehearse overload` and `rehearse soak`: number of seeds to run, starting at `--seed`.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=1_000))]
     pub seeds: Option<u64>,
-    /// Of `rehearse overload` and `rehearse soak`: how many routers.
+    /// For `rehearse overload` and `rehearse soak`: number of routers.
     #[arg(long, value_parser = clap::value_parser!(u64).range(2..=400))]
     pub routers: Option<u64>,
-    /// Of `rehearse overload`: another build of this program, which plays the same days beside this one; of `rehearse
-    /// soak`: the build whose routers are played instead of this one's.
+    /// For `rehearse overload`: another build of this program that runs the same days for comparison; for `rehearse
+    /// soak`: the build whose routers run instead of this one's.
     #[arg(long, value_name = "PATH")]
     pub exe: Option<PathBuf>,
-    /// Of `rehearse overload`: cores in fed time instead of processes: the same result every time, and no sockets.
+    /// For `rehearse overload`: router cores in simulated time instead of processes; deterministic and without
+    /// sockets.
     #[arg(long)]
     fed: bool,
 }
