--- a/crates/daemon/src/soak.rs
+++ b/crates/daemon/src/soak.rs
@@ -23,7 +23,7 @@
     let seconds = plan.seconds.unwrap_or(DEFAULT_SECONDS);
     if seconds < MIN_SECONDS {
         return Err(CommandError::BadInput(format!(
-            "--seconds {seconds}: a soak takes at minimal {MIN_SECONDS}"
+            "--seconds {seconds}: a soak takes at least {MIN_SECONDS}"
         )));
     }
     if arguments.routers.is_some_and(|n| n > MAX_ROUTERS) {
