--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -63,7 +63,7 @@
     pub block: u64,
     /// `IN` (active), `LAME` (draining) or `OUT` (removed).
     pub lifecycle: String,
-    /// Its weight; 1 if absent.
+    /// Weight of the worker; 1 if absent.
     #[serde(default)]
     pub heft: Option<f64>,
     /// When it started; 0 if unknown.
@@ -90,9 +90,9 @@
     /// The name of its tenant.
     #[serde(default)]
     pub realm: Option<Key>,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub client_deadline_s: f64,
-    /// Its session.
+    /// Session of the request.
     #[serde(default)]
     pub session_id: Option<Key>,
     /// The client resumes a stream that broke.
@@ -233,7 +233,7 @@
 /// A class of requests.
 #[derive(Debug, Deserialize)]
 pub struct Category {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
     /// The latency objective for the first token.
     pub goal_time_s: f64,
@@ -330,7 +330,7 @@
 /// A tenant.
 #[derive(Debug, Deserialize)]
 pub struct TenantInfo {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
     /// Requests a second within its quota, over all routers; no limit if absent.
     #[serde(default)]
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -27,7 +27,7 @@
 pub enum CatchUp {
     /// Nothing: the peer has the newest revision.
     Current,
-    /// These revisions, in order.
+    /// The revisions that the peer is missing, in order.
     Revisions(Vec<Revision>),
     /// The complete document: the peer is missing revisions that are no longer retained.
     Snapshot,
--- a/crates/control/src/learner.rs
+++ b/crates/control/src/learner.rs
@@ -7,15 +7,15 @@
 /// The result of learning a revision or a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LearnOutcome {
-    /// It was applied and is now the newest one.
+    /// The revision was applied and is now the newest one.
     Applied,
-    /// It is not newer than the current one.
+    /// The revision is not newer than the current one.
     Stale,
-    /// Revisions before it are missing and have to be requested.
+    /// Earlier revisions are missing and have to be requested.
     Gap,
-    /// It has other content than a known revision of the same number, or belongs to another history. It is not applied.
+    /// The revision differs from a known one of the same number, or belongs to another history. It is not applied.
     Diverged,
-    /// It can't be applied. The learner needs a snapshot to continue.
+    /// The revision can't be applied. The learner needs a snapshot to continue.
     Invalid(DocumentError),
 }
 
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -50,7 +50,7 @@
 /// Why a revision or a snapshot is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RejectedRevisionError {
-    /// It can't be applied to the current document, or exceeds a limit.
+    /// The revision or snapshot can't be applied to the current document, or exceeds a limit.
     #[error(transparent)]
     Invalid(#[from] DocumentError),
     /// The router can't apply the resulting configuration.
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -19,7 +19,7 @@
 /// One request in `LONG_EVERY` is `LONG_FACTOR` times as long as the others.
 const LONG_EVERY: usize = 8;
 const LONG_FACTOR: u64 = 4;
-/// The first attempt of one request in so many is rejected, and repeated as the router decides.
+/// The first attempt of one request in `REJECTED_EVERY` is rejected, and repeated as the router decides.
 const REJECTED_EVERY: usize = 4;
 const TOKENS: u64 = 6_000;
 const SEEDS: u64 = 10;
@@ -165,7 +165,7 @@
     rig.feed(Event::ClientGone(id.as_str().into()));
 }
 
-/// A budget of so many attempts plus the statistical margin that users accept: three standard deviations plus three
+/// Returns `budget`, a number of attempts, plus the statistical margin that users accept: three standard deviations plus three
 /// attempts for a budget below 30, two of each from 30 on.
 fn with_statistical_margin(budget: f64) -> f64 {
     let root = budget.sqrt();
--- a/crates/router/src/core/clients.rs
+++ b/crates/router/src/core/clients.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Whether so many bytes wait for this client that its worker should not be read.
+    /// Returns whether more bytes wait to be sent to this client than its buffer holds, so that its worker is not read.
     pub(super) fn is_send_buffer_full(&self, conn: ConnId) -> bool {
         self.clients.get(&conn).is_some_and(|c| c.unsent_bytes > self.config.bounds.client_buffer as u64)
     }
