--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -165,8 +165,8 @@
     rig.feed(Event::ClientGone(id.as_str().into()));
 }
 
-/// Returns `budget`, a number of attempts, plus the statistical margin that users accept: three standard deviations plus three
-/// attempts for a budget below 30, two of each from 30 on.
+/// Returns `budget`, a number of attempts, plus the statistical margin that users accept: three standard deviations plus
+/// three attempts for a budget below 30, two of each from 30 on.
 fn with_statistical_margin(budget: f64) -> f64 {
     let root = budget.sqrt();
     budget + if budget < 30.0 { 3.0 * root + 3.0 } else { 2.0 * root + 2.0 }
