--- a/crates/rehearsal/src/soak/client.rs
+++ b/crates/rehearsal/src/soak/client.rs
@@ -1,4 +1,5 @@
-//! Clients of the soak: they ask on connections that they keep, leave early at times, and write in pieces.
+//! Clients of the soak: they reuse connections, sometimes leave before the answer, and sometimes write a request in two
+//! pieces.
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,25 +19,25 @@
 use super::process::RouterProcess;
 use super::record::{Event, Record};
 
-/// A client waits so long past its time before it gives the connection up: what comes then is late all the same.
-const PAST_DEADLINE: Duration = Duration::from_millis(1_500);
-/// The longest stream.
-const STREAM_MOST: Duration = Duration::from_secs(12);
-const CONNECT_MOST: Duration = Duration::from_millis(500);
+/// How long a client waits past its deadline before it closes the connection: any later answer is a violation anyway.
+const WAIT_AFTER_DEADLINE: Duration = Duration::from_millis(1_500);
+/// Longest duration of a stream.
+const MAX_STREAM_DURATION: Duration = Duration::from_secs(12);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One client; what all share is behind `Arc`s.
+/// One client; state shared by all clients is behind `Arc`s.
 pub struct Client {
     pub plan: Arc<SoakPlan>,
     pub routers: Vec<Arc<RouterProcess>>,
     pub record: Record,
-    /// Number of the next request of any client.
+    /// Number of the next request, counted over all clients.
     pub next: Arc<AtomicU64>,
-    /// The router that it asks as a rule.
+    /// Index of the router preferred for 80 % of new connections.
     pub preferred_router: usize,
     pub rng: ChaCha8Rng,
 }
 
-/// A connection of one client, and whether it has had an answer on it.
+/// A connection of one client; `used` once an answer was received on it.
 struct Connection {
     stream: TcpStream,
     reader: Reader,
@@ -46,21 +47,21 @@
 
 /// How the wait for an answer ended.
 enum End {
-    /// It was whole; the connection may go on.
+    /// The answer was complete; the connection can be reused if `keep` is set.
     Complete { keep: bool },
-    /// The router ended the connection.
+    /// The router closed the connection or sent an invalid answer.
     Lost { begun: bool },
-    /// Nothing came, or not enough.
-    InVain,
+    /// The answer was not complete in time.
+    TimedOut,
 }
 
 impl Client {
-    /// Asks from the beginning to the end of the scenario.
+    /// Sends requests until the end of the scenario.
     pub async fn run(mut self) {
         let mut connection = None;
         let length = self.plan.length_ms * 1_000;
         while self.record.now_us() < length {
-            connection = match self.connected(connection.take()).await {
+            connection = match self.reuse_or_connect(connection.take()).await {
                 Some(open) => self.ask(open).await,
                 None => {
                     sleep(Duration::from_millis(50)).await;
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Its open connection, whatever becomes of the router, or a new one to a router that takes any.
-    async fn connected(&mut self, open: Option<Connection>) -> Option<Connection> {
+    /// Returns the open connection, in whatever state its router is, or a new one to a router that takes connections.
+    async fn reuse_or_connect(&mut self, open: Option<Connection>) -> Option<Connection> {
         if open.is_some() {
             return open;
         }
@@ -82,7 +83,7 @@
         let preferred = self.routers.get(self.preferred_router).filter(takes).filter(|_| uses_preferred);
         let all: Vec<_> = self.routers.iter().filter(takes).collect();
         let router = preferred.or_else(|| all.choose(&mut self.rng).copied())?;
-        let stream = timeout(CONNECT_MOST, TcpStream::connect(router.at)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(router.at)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         Some(Connection { stream, reader: Reader::new(Side::Response), router: router.index, used: false })
     }
@@ -128,11 +129,11 @@
                 self.record.add(Event::AnswerLost { id: id.to_owned(), begun });
                 None
             }
-            End::InVain => None,
+            End::TimedOut => None,
         }
     }
 
-    /// A request, its id and its class.
+    /// Draws a request; returns its bytes, its id and the index of its class.
     fn request(&mut self, router: usize) -> (Vec<u8>, String, usize) {
         let rng = &mut self.rng;
         let number = self.next.fetch_add(1, Ordering::SeqCst);
@@ -150,7 +151,7 @@
         (head.into_bytes(), id, class)
     }
 
-    /// Writes a request, some of them in pieces.
+    /// Writes a request; one in ten is written in two pieces.
     async fn write(&mut self, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
         if self.rng.random_bool(0.1) {
             let cut = self.rng.random_range(1..bytes.len());
@@ -163,7 +164,7 @@
     }
 
     async fn answer(&self, connection: &mut Connection, id: &str, deadline: Duration) -> End {
-        let mut until = Instant::now() + deadline + PAST_DEADLINE;
+        let mut until = Instant::now() + deadline + WAIT_AFTER_DEADLINE;
         let (mut begun, mut keep) = (false, true);
         loop {
             match connection.reader.next_part() {
@@ -173,7 +174,7 @@
                     if let StartLine::Response { status } = head.start {
                         self.record.add(Event::AnswerBegan { id: id.to_owned(), status });
                     }
-                    until = Instant::now() + STREAM_MOST;
+                    until = Instant::now() + MAX_STREAM_DURATION;
                 }
                 Ok(Some(Part::Data(_))) => {}
                 Ok(Some(Part::End)) => return End::Complete { keep },
@@ -183,7 +184,7 @@
                     match timeout(left, connection.reader.fill(&connection.stream)).await {
                         Ok(Ok(true)) => {}
                         Ok(Ok(false) | Err(_)) => return End::Lost { begun },
-                        Err(_) => return End::InVain,
+                        Err(_) => return End::TimedOut,
                     }
                 }
             }
--- a/crates/rehearsal/src/soak/discovery.rs
+++ b/crates/rehearsal/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's agents, one beside each router, and the list that they tell.
+//! Simulated discovery agents, one per router, and the worker list that they serve.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,14 +17,14 @@
 use super::plan::WorkerRole;
 use super::record::{Event, Record};
 
-/// Where a worker's life is.
+/// The lifecycle phase of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes work.
+    /// The worker takes new work.
     Up,
-    /// Finishes what it has.
+    /// The worker finishes the work that it has.
     Draining,
-    /// Off the list.
+    /// The worker is no longer listed.
     Removed,
 }
 
@@ -58,7 +58,7 @@
 const FIRST_REVISION: u64 = 40;
 
 impl List {
-    /// All up, for long.
+    /// Creates a list in which all workers are up and have been so for long.
     pub fn new(workers: &[(String, WorkerRole, SocketAddr)]) -> Self {
         let member = |(name, role, at): &(String, WorkerRole, SocketAddr)| Member {
             name: name.clone(),
@@ -72,7 +72,7 @@
         Self { members: Arc::new(Mutex::new(members)), revision: watch::Sender::new(FIRST_REVISION) }
     }
 
-    /// A worker's life goes on; one that is up again has just started.
+    /// Sets the phase of a worker; a worker that is set to `Up` has just started.
     pub fn change(&self, worker: usize, phase: Phase) {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         let next = *self.revision.borrow() + 1;
@@ -87,7 +87,7 @@
         self.revision.send_replace(next);
     }
 
-    /// The whole list, or what changed after a revision, and who takes work by it.
+    /// Returns the whole list, or the changes after a revision, and for each listed worker whether it takes work.
     pub fn entries(&self, after: Option<u64>) -> (Value, Vec<(usize, bool)>) {
         let members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         let wanted = |m: &Member| match after {
@@ -108,19 +108,19 @@
     }
 }
 
-/// The agent beside one router.
+/// The discovery agent of one router.
 pub struct Agent {
     pub at: SocketAddr,
     router: usize,
     list: List,
     record: Record,
     silent: watch::Sender<u32>,
-    /// What its router was told last.
+    /// The last notification for each worker: whether it takes work.
     notified: Mutex<BTreeMap<usize, bool>>,
 }
 
 impl Agent {
-    /// Listens on a port of its own.
+    /// Starts an agent that listens on an unused port.
     pub async fn start(router: usize, list: List, record: Record) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let at = listener.local_addr()?;
@@ -136,12 +136,12 @@
         Ok(agent)
     }
 
-    /// Says nothing from now on, or speaks again; calls that it did not answer stay unanswered.
+    /// Stops or resumes answering; calls received while silent stay unanswered.
     pub fn silence(&self, silent: bool) {
         self.silent.send_modify(|n| *n = if silent { *n + 1 } else { n.saturating_sub(1) });
     }
 
-    /// Notes what the router was told.
+    /// Records changes of the notifications that the router received.
     pub fn record_notification(&self, takes: &[(usize, bool)]) {
         let mut notified = self.notified.lock().unwrap_or_else(PoisonError::into_inner);
         for (worker, takes_work) in takes {
--- a/crates/rehearsal/src/soak/forms_test.rs
+++ b/crates/rehearsal/src/soak/forms_test.rs
@@ -1,4 +1,4 @@
-//! What the soak records, prints and draws, held to the byte.
+//! Byte-exact checks of the formats that the soak records, prints and draws, against stored files.
 #![allow(clippy::unwrap_used)]
 
 use rand::Rng;
@@ -8,12 +8,12 @@
 use super::plan::{Answering, Fault, FaultKind, Repeat, WorkerRole};
 use super::*;
 
-fn stored(name: &str) -> String {
+fn read_stored(name: &str) -> String {
     std::fs::read_to_string(format!("{}/tests/data/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-/// Each kind of line, with the values that its fields can take.
-fn every_line() -> Vec<(u64, Event)> {
+/// Every kind of event, with each variant of its enum fields.
+fn every_event() -> Vec<(u64, Event)> {
     let id = || "q01-000001".to_owned();
     let asked = |repeat| Event::Asked {
         id: id(),
@@ -25,7 +25,7 @@
     };
     let arrived =
         |role, timeout_us| Event::Arrived { id: id(), worker: 3, role, timeout_us, after_hang: false };
-    let event = vec![
+    let events = vec![
         asked(Repeat::Free),
         asked(Repeat::Guarded),
         asked(Repeat::SingleShot),
@@ -53,34 +53,34 @@
         Event::Size { router: 1, descriptors: 90, memory_kb: 12_000 },
         Event::MachineStalled { for_us: 30_000 },
     ];
-    event.into_iter().enumerate().map(|(i, event)| (i as u64 * 1_000, event)).collect()
+    events.into_iter().enumerate().map(|(i, event)| (i as u64 * 1_000, event)).collect()
 }
 
 #[test]
-fn a_record_of_the_soak_is_written_as_ever() {
+fn soak_record_matches_stored_file() {
     let file = std::env::temp_dir().join(format!("chalkyard-soak-forms-{}.jsonl", std::process::id()));
-    write_record(&file, &every_line()).unwrap();
+    write_record(&file, &every_event()).unwrap();
     let written = std::fs::read_to_string(&file).unwrap();
     std::fs::remove_file(&file).unwrap();
-    assert_eq!(written + "\n", stored("soak_record.jsonl"));
+    assert_eq!(written + "\n", read_stored("soak_record.jsonl"));
 }
 
-fn drawn(seed: u64) -> SoakPlan {
+fn draw_plan(seed: u64) -> SoakPlan {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let routers = rng.random_range(10..=16);
     SoakPlan::draw(seed, &mut rng, routers, 20)
 }
 
 #[test]
-fn a_seed_of_the_soak_draws_the_same_plan_as_ever() {
+fn drawn_plans_match_stored_files() {
     for seed in [1, 202] {
-        let plan = serde_json::to_string(&drawn(seed)).unwrap() + "\n";
-        assert_eq!(plan, stored(&format!("soak_plan_{seed}.json")));
+        let plan = serde_json::to_string(&draw_plan(seed)).unwrap() + "\n";
+        assert_eq!(plan, read_stored(&format!("soak_plan_{seed}.json")));
     }
 }
 
 #[test]
-fn each_fault_of_the_soak_is_written_as_ever() {
+fn serialized_faults_match_stored_file() {
     let (worker, router) = (2, 3);
     let mut kinds = vec![
         FaultKind::Hang { worker },
@@ -109,7 +109,7 @@
         let fault = Fault { at_ms: 1_000, until_ms: 2_000, kind };
         serde_json::to_string(&fault).unwrap() + "\n"
     });
-    assert_eq!(lines.collect::<String>(), stored("soak_faults.jsonl"));
+    assert_eq!(lines.collect::<String>(), read_stored("soak_faults.jsonl"));
 }
 
 const CHECKS: [Check; 11] = [
@@ -133,7 +133,7 @@
         text: "asked 1.000, no answer".into(),
     };
     SoakReport {
-        plan: SoakPlan { faults: drawn(1).faults.into_iter().take(2).collect(), ..drawn(1) },
+        plan: SoakPlan { faults: draw_plan(1).faults.into_iter().take(2).collect(), ..draw_plan(1) },
         asked: 1_000,
         served: 900,
         calls: 2_100,
@@ -146,24 +146,24 @@
 }
 
 #[test]
-fn a_report_of_the_soak_prints_as_ever() {
+fn soak_report_matches_stored_files() {
     let (clean, broken) = (report(&[]), report(&CHECKS));
     assert!(clean.is_clean() && !broken.is_clean());
-    assert_eq!(clean.text() + &broken.text(), stored("soak_report.txt"));
+    assert_eq!(clean.text() + &broken.text(), read_stored("soak_report.txt"));
     let json = |r: &SoakReport| serde_json::to_string(r).unwrap() + "\n";
-    assert_eq!(json(&clean) + &json(&broken), stored("soak_report.json"));
+    assert_eq!(json(&clean) + &json(&broken), read_stored("soak_report.json"));
 }
 
 #[test]
-fn a_router_of_the_soak_is_given_the_same_configuration_as_ever() {
+fn router_configuration_matches_stored_file() {
     let address = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     let known = json!({"revision": 40, "complete": true, "members": []});
-    let written = process::config(3, &drawn(1), address(81), address(82), &known).to_string() + "\n";
-    assert_eq!(written, stored("soak_config.json"));
+    let written = process::config(3, &draw_plan(1), address(81), address(82), &known).to_string() + "\n";
+    assert_eq!(written, read_stored("soak_config.json"));
 }
 
 #[test]
-fn the_list_of_the_soak_is_told_as_ever() {
+fn worker_lists_match_stored_files() {
     let address = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     let workers = [
         ("s-00".to_owned(), WorkerRole::Reader, address(91)),
@@ -171,11 +171,11 @@
     ];
     let list = List::new(&workers);
     let (whole, takes) = list.entries(None);
-    assert_eq!(whole.to_string() + "\n", stored("soak_list.json"));
+    assert_eq!(whole.to_string() + "\n", read_stored("soak_list.json"));
     assert_eq!(takes, [(0, true), (1, true)]);
     list.change(1, Phase::Draining);
     let (change, takes) = list.entries(Some(40));
-    assert_eq!(change.to_string() + "\n", stored("soak_list_change.json"));
+    assert_eq!(change.to_string() + "\n", read_stored("soak_list_change.json"));
     assert_eq!(takes, [(1, false)]);
     list.change(1, Phase::Removed);
     assert_eq!(list.entries(None).1, [(0, true)]);
--- a/crates/rehearsal/src/soak/messages.rs
+++ b/crates/rehearsal/src/soak/messages.rs
@@ -1,24 +1,24 @@
-//! HTTP messages over a connection of a fake.
+//! HTTP messages on the connections of simulated workers, clients and agents.
 
 use std::io;
 
 use chalkyard_proto::{Decoder, Head, Limits, Part, Side, StartLine};
 use tokio::net::TcpStream;
 
-/// A message that is whole; its body is not kept.
+/// A complete message without its body.
 #[derive(Debug)]
 pub struct Message {
-    /// Its head.
+    /// Start line and headers.
     pub head: Box<Head>,
 }
 
 impl Message {
-    /// A header's value; empty where there is none.
+    /// The value of a header; empty if the header is missing.
     pub fn field(&self, name: &str) -> &str {
         self.head.header(name).unwrap_or_default()
     }
 
-    /// A request's method and target.
+    /// The method and target of a request; empty for responses.
     pub fn request(&self) -> (&str, &str) {
         match &self.head.start {
             StartLine::Request { method, target } => (method, target),
@@ -27,7 +27,7 @@
     }
 }
 
-/// Reads messages from one connection, however they are cut.
+/// Decodes messages from one connection, independent of how the bytes are split into reads.
 #[derive(Debug)]
 pub struct Reader {
     decoder: Decoder,
@@ -35,13 +35,13 @@
 }
 
 impl Reader {
-    /// For requests, or for answers.
+    /// Creates a reader of requests or of responses.
     pub fn new(side: Side) -> Self {
         let limits = Limits { body_bytes: 16 * 1024 * 1024, ..Limits::default() };
         Self { decoder: Decoder::new(side, limits), head: None }
     }
 
-    /// The next message that is whole; none if more bytes are needed.
+    /// Returns the next complete message; `None` if more bytes are needed.
     pub fn next(&mut self) -> io::Result<Option<Message>> {
         while let Some(part) = self.next_part()? {
             match part {
@@ -53,12 +53,12 @@
         Ok(None)
     }
 
-    /// The next part of a message.
+    /// Returns the next part of a message; `None` if more bytes are needed.
     pub fn next_part(&mut self) -> io::Result<Option<Part>> {
         self.decoder.next_part().map_err(|e| io::Error::new(io::ErrorKind::InvalidData, format!("{e:?}")))
     }
 
-    /// Reads what is there; false at the end of the connection.
+    /// Waits for bytes and passes them to the decoder; returns false at the end of the connection.
     pub async fn fill(&mut self, stream: &TcpStream) -> io::Result<bool> {
         let mut buffer = [0; 8 * 1024];
         loop {
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -1,9 +1,9 @@
 //! A randomized soak: real router processes on the platform's protocol, faults that overlap in time, and an oracle that
-//! judges the five rules from what crossed the sockets.
+//! checks the five rules against the recorded traffic.
 //!
-//! One seed draws settings and faults (the module `plan`); fake workers, discovery and clients play them on loopback and write a
-//! record; the module `oracle` judges it. The plan of a seed is the same every time; the order in which the system runs the
-//! processes is not.
+//! Settings and faults are drawn from one seed (module `plan`). Simulated workers, discovery agents and clients execute
+//! the plan on loopback and write a record, which the module `oracle` checks. The plan of a seed is deterministic; the
+//! order in which the operating system schedules the processes is not.
 
 mod client;
 mod discovery;
@@ -35,45 +35,45 @@
 use self::record::{Event, Record};
 pub use self::report::SoakReport;
 use self::topology::Topology;
-use self::worker::{States, Worker};
+use self::worker::{SharedState, Worker};
 use crate::shim;
 
-/// What is to be played.
+/// Options of a soak run.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// The program that runs routers.
+    /// The executable that runs the routers.
     pub exe: PathBuf,
-    /// Router processes; drawn from 10 to 16 if not given.
+    /// Number of router processes; drawn from 10 to 16 if `None`.
     pub routers: Option<usize>,
-    /// How long clients ask, the calm time at the end included.
+    /// How long clients send requests, including the fault-free time at the end, s.
     pub seconds: u64,
-    /// Where the record of a seed that failed is written.
+    /// File for the record of a seed with findings.
     pub record: Option<PathBuf>,
 }
 
-/// Client tasks at each router.
-const CLIENTS: usize = 5;
-/// The metronome's beat, and what is noted as a stall of the machine.
-const BEAT: Duration = Duration::from_millis(10);
-const BEAT_LATE: Duration = Duration::from_millis(25);
+/// Number of client tasks per router.
+const CLIENTS_PER_ROUTER: usize = 5;
+/// Interval of the timer that detects scheduling stalls, and the delay from which a stall is recorded.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const STALL_THRESHOLD: Duration = Duration::from_millis(25);
 
-/// Plays a seed.
+/// Draws the plan of a seed, runs it and checks its record.
 pub fn run_seed(seed: u64, options: &SoakOptions) -> io::Result<SoakReport> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let drawn = rand::Rng::random_range(&mut rng, 10..=16);
     let plan = SoakPlan::draw(seed, &mut rng, options.routers.unwrap_or(drawn), options.seconds);
-    play_plan(&plan, options)
+    run_plan(&plan, options)
 }
 
-fn play_plan(plan: &SoakPlan, options: &SoakOptions) -> io::Result<SoakReport> {
+fn run_plan(plan: &SoakPlan, options: &SoakOptions) -> io::Result<SoakReport> {
     let folder = std::env::temp_dir().join(format!("chalkyard-soak-{}-{}", std::process::id(), plan.seed));
     std::fs::create_dir_all(&folder)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()?;
-    let played = runtime.block_on(play_scenario(Arc::new(plan.clone()), &options.exe, &folder));
+    let outcome = runtime.block_on(run_scenario(Arc::new(plan.clone()), &options.exe, &folder));
     runtime.shutdown_timeout(Duration::from_secs(1));
     let _ = std::fs::remove_dir_all(&folder);
-    let lines = played?;
-    let Verdict { findings, lost_answers } = oracle::judge(plan, &lines);
+    let lines = outcome?;
+    let Verdict { findings, lost_answers } = oracle::check_record(plan, &lines);
     if let Some(file) = options.record.as_ref().filter(|_| !findings.is_empty()) {
         write_record(file, &lines)?;
     }
@@ -105,20 +105,21 @@
     std::fs::write(file, text.join("\n"))
 }
 
-/// Leaves out faults one by one while the seed still fails in the same way; gives the plan that is left.
-pub fn minimize_faults(report: &SoakReport, options: &SoakOptions, plays: usize) -> io::Result<SoakPlan> {
+/// Removes faults one by one as long as a check that failed before still fails; returns the reduced plan. Runs the seed
+/// at most `max_runs` times.
+pub fn minimize_faults(report: &SoakReport, options: &SoakOptions, max_runs: usize) -> io::Result<SoakPlan> {
     let wanted: Vec<Check> = report.findings.iter().map(|f| f.check).collect();
     let mut plan = report.plan.clone();
     let mut at = 0;
-    for _ in 0..plays {
+    for _ in 0..max_runs {
         if at >= plan.faults.len() {
             break;
         }
-        let mut less = plan.clone();
-        less.faults.remove(at);
-        let again = play_plan(&less, options)?;
-        if again.findings.iter().any(|f| wanted.contains(&f.check)) {
-            plan = less;
+        let mut candidate = plan.clone();
+        candidate.faults.remove(at);
+        let result = run_plan(&candidate, options)?;
+        if result.findings.iter().any(|f| wanted.contains(&f.check)) {
+            plan = candidate;
         } else {
             at += 1;
         }
@@ -126,10 +127,10 @@
     Ok(plan)
 }
 
-async fn play_scenario(plan: Arc<SoakPlan>, exe: &Path, folder: &Path) -> io::Result<Vec<(u64, Event)>> {
-    let library = shim::build(folder)?;
+async fn run_scenario(plan: Arc<SoakPlan>, exe: &Path, folder: &Path) -> io::Result<Vec<(u64, Event)>> {
+    let shim_library = shim::build(folder)?;
     let record = Record::new();
-    let states = Arc::new(States::default());
+    let states = Arc::new(SharedState::default());
     let mut workers = Vec::new();
     for index in 0..plan.workers.len() {
         workers.push(Worker::start(index, plan.clone(), record.clone(), states.clone()).await?);
@@ -139,7 +140,7 @@
     let (mut agents, mut routers) = (Vec::new(), Vec::new());
     for index in 0..plan.routers {
         agents.push(Agent::start(index, list.clone(), record.clone()).await?);
-        routers.push(Arc::new(RouterProcess::new(index, &plan, exe, folder, &library, record.clone())));
+        routers.push(Arc::new(RouterProcess::new(index, &plan, exe, folder, &shim_library, record.clone())));
     }
     let topology =
         Arc::new(Topology { plan: plan.clone(), record: record.clone(), list, workers, agents, routers });
@@ -149,12 +150,12 @@
     for router in 0..plan.routers {
         topology.await_ready(router).await;
     }
-    let begun = Instant::now();
+    let scenario_start = Instant::now();
     let offset = record.now_us();
-    tokio::spawn(beat(record.clone()));
+    tokio::spawn(record_stalls(record.clone()));
     let faults: Vec<_> =
-        plan.faults.iter().map(|f| tokio::spawn(topology.clone().apply_fault(*f, begun))).collect();
-    // Times of the plan count from here.
+        plan.faults.iter().map(|f| tokio::spawn(topology.clone().apply_fault(*f, scenario_start))).collect();
+    // Times of the plan are relative to this point.
     let shifted = Arc::new(SoakPlan { length_ms: plan.length_ms + offset / 1_000, ..(*plan).clone() });
     let next = Arc::new(AtomicU64::new(0));
     let client = |i: usize| Client {
@@ -162,10 +163,11 @@
         routers: topology.routers.clone(),
         record: record.clone(),
         next: next.clone(),
-        preferred_router: i / CLIENTS,
+        preferred_router: i / CLIENTS_PER_ROUTER,
         rng: ChaCha8Rng::seed_from_u64(plan.seed.wrapping_mul(2_003).wrapping_add(i as u64)),
     };
-    let running: Vec<_> = (0..plan.routers * CLIENTS).map(|i| tokio::spawn(client(i).run())).collect();
+    let running: Vec<_> =
+        (0..plan.routers * CLIENTS_PER_ROUTER).map(|i| tokio::spawn(client(i).run())).collect();
     for client in running {
         let _ = client.await;
     }
@@ -173,17 +175,17 @@
         let _ = fault.await;
     }
     topology.end_all().await;
-    // The calm time that is judged is told by the record's own clock.
+    // Shift the times of the record to the start of the scenario, which the checks count from.
     Ok(record.lines().into_iter().map(|(t, event)| (t.saturating_sub(offset), event)).collect())
 }
 
-/// Notes when the machine that the fakes run on stood still.
-async fn beat(record: Record) {
+/// Records scheduling stalls of the soak process: delays of a periodic timer.
+async fn record_stalls(record: Record) {
     loop {
         let from = Instant::now();
-        sleep(BEAT).await;
-        let late = from.elapsed().saturating_sub(BEAT);
-        if late >= BEAT_LATE {
+        sleep(STALL_CHECK_INTERVAL).await;
+        let late = from.elapsed().saturating_sub(STALL_CHECK_INTERVAL);
+        if late >= STALL_THRESHOLD {
             record.add(Event::MachineStalled { for_us: late.as_micros() as u64 });
         }
     }
--- a/crates/rehearsal/src/soak/oracle/mod.rs
+++ b/crates/rehearsal/src/soak/oracle/mod.rs
@@ -1,4 +1,4 @@
-//! Judges what one seed's sockets showed: the five rules, crashes, sizes, and the service after the last fault.
+//! Checks the record of one seed: the five rules, crashes, resource usage, and recovery after the last fault.
 
 mod requests;
 
@@ -13,35 +13,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Check {
-    /// One final answer in time.
+    /// Each request gets one final answer in time.
     Answered,
-    /// No effect twice, and none refused.
+    /// No effect happens twice, and no request is rejected after its effect.
     Effect,
-    /// Nothing new to a worker that leaves.
+    /// No new call reaches a worker that drains or is removed.
     Drain,
     /// A reservation is fetched or released in time.
     #[serde(rename = "held")]
     Reservation,
-    /// The timeout passed to a worker is at most what its client has left.
+    /// The timeout passed to a worker does not exceed the remaining time of the client.
     #[serde(rename = "told_time")]
     PropagatedTimeout,
-    /// No attempt for a client that has gone.
+    /// No attempt arrives after the client has left.
     Gone,
-    /// A stream that its worker has finished reaches its client.
+    /// A stream that its worker has completed reaches the client completely.
     #[serde(rename = "whole")]
     CompleteStream,
-    /// No process ends by itself.
+    /// No router process ends unexpectedly.
     Crash,
-    /// No obligation ran out by the router's own count.
+    /// No router reports a violated obligation.
     Violation,
-    /// Descriptors and memory.
+    /// Descriptors and memory of routers stay within their limits.
     Size,
-    /// Service after the last fault.
+    /// The service recovers after the last fault.
     Service,
 }
 
 impl Check {
-    /// As the printed report names it.
+    /// The name used in the printed report.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "Answered",
@@ -59,39 +59,40 @@
     }
 }
 
-/// Something that was broken.
+/// A violation of a rule or bound.
 #[derive(Debug, Clone, Serialize)]
 pub struct Finding {
-    /// What.
+    /// The rule or bound.
     pub check: Check,
-    /// The request, where it is about one.
+    /// The affected request, if there is one.
     pub id: Option<String>,
-    /// In words, with times in seconds.
+    /// Description, with times in seconds.
     pub text: String,
 }
 
-/// Past the told time, as the protocol gives it: for held state by the number of routers, for answers, told times and
-/// clients that have gone.
+/// Tolerances that the protocol grants beyond its limits, µs: for the release of reservations, depending on the number of
+/// routers, for answers, for propagated timeouts, for clients that have left and for draining workers.
 const RELEASE_SLACK_US: u64 = 300_000;
-const RELEASE_SLACK_MANY_US: u64 = 1_000_000;
-const FEW_ROUTERS: usize = 12;
+const RELEASE_SLACK_LARGE_FLEET_US: u64 = 1_000_000;
+const SMALL_FLEET_ROUTERS: usize = 12;
 const ANSWER_SLACK_US: u64 = 500_000;
 const TIMEOUT_SLACK_US: u64 = 150_000;
 const GONE_SLACK_US: u64 = 100_000;
 const DRAIN_GRACE_US: u64 = 350_000;
-/// What comes later than this after SIGTERM must have its answer when the process is killed.
-const TERMINATE_TAKES_US: u64 = 700_000;
-const DESCRIPTORS_MOST: usize = 256;
-/// Exit code of a router that was told twice to end.
+/// A request sent later than this after SIGTERM and read by the router must be answered before the process is killed, µs.
+const SHUTDOWN_SLACK_US: u64 = 700_000;
+const MAX_DESCRIPTORS: usize = 256;
+/// Exit code of a router that received SIGTERM twice.
 const TERMINATED_TWICE: i32 = 5;
-const MEMORY_MOST_KB: u64 = 64 * 1024;
-/// Of the requests of the calm time so many are served.
-const SERVED_LEAST: f64 = 0.9;
-const SERVED_OF_LEAST: usize = 20;
-/// The calm time that is judged ends so long before the scenario's end, and lasts so long.
+const MAX_MEMORY_KB: u64 = 64 * 1024;
+/// Share of the requests sent in the judged span that must be served, and the smallest number of requests for which it is
+/// checked.
+const MIN_SERVED_SHARE: f64 = 0.9;
+const MIN_JUDGED_REQUESTS: usize = 20;
+/// The span judged for recovery ends this long before the end of the scenario, and has this length, µs.
 const SERVICE_END_US: u64 = 1_000_000;
 const SERVICE_SPAN_US: u64 = 2_500_000;
-/// The fakes' own scheduling, on a machine that is shared.
+/// Tolerance for scheduling delays of the soak process on a shared machine, µs.
 const NOISE_US: u64 = 30_000;
 
 /// One incarnation of a router: from the start of its process to its end.
@@ -99,12 +100,12 @@
 struct Incarnation {
     started: u64,
     terminated_at: Option<u64>,
-    /// How often.
+    /// Number of SIGTERM signals received.
     terminations: u32,
     ended: Option<u64>,
 }
 
-/// What is known of one request.
+/// The events of one request. Tuples begin with the time, µs.
 #[derive(Debug, Default)]
 struct Request {
     asked: Option<(u64, usize, Repeat, u64, bool)>,
@@ -115,7 +116,7 @@
     arrivals: Vec<(u64, usize, Option<u64>, bool)>,
     runs: Vec<u64>,
     written: Option<u64>,
-    /// What moves the clock of held state, in order.
+    /// Events that start or stop the release time of the reservation, in order.
     state: Vec<(u64, StateChange)>,
 }
 
@@ -134,15 +135,15 @@
     stalls: Vec<(u64, u64)>,
     end: u64,
     findings: Vec<Finding>,
-    /// How long state waited behind reads whose answer never came, of those past its time.
+    /// Waiting times of reservations beyond the release time, caused by attempts whose answer never arrived, µs.
     lost_answers: Vec<u64>,
 }
 
-/// What was broken, and how long state waited behind reads whose answer never came, of those past its time, us.
+/// The result of checking a record.
 pub struct Verdict {
-    /// All that was broken.
+    /// Violations of rules and bounds.
     pub findings: Vec<Finding>,
-    /// See above.
+    /// Waiting times of reservations beyond the release time, caused by attempts whose answer never arrived, µs.
     pub lost_answers: Vec<u64>,
 }
 
@@ -150,8 +151,8 @@
     us as f64 / 1e6
 }
 
-/// Judges a record.
-pub fn judge(plan: &SoakPlan, lines: &[(u64, Event)]) -> Verdict {
+/// Checks a record against all rules and bounds.
+pub fn check_record(plan: &SoakPlan, lines: &[(u64, Event)]) -> Verdict {
     let end = lines.last().map_or(0, |(t, _)| *t);
     let mut oracle = Oracle {
         plan,
@@ -163,9 +164,9 @@
         lost_answers: Vec::new(),
     };
     oracle.read(lines);
-    oracle.judge_drains(lines);
-    oracle.judge_service();
-    oracle.judge_requests();
+    oracle.check_drains(lines);
+    oracle.check_recovery();
+    oracle.check_requests();
     Verdict { findings: oracle.findings, lost_answers: oracle.lost_answers }
 }
 
@@ -174,7 +175,7 @@
         self.findings.push(Finding { check, id: id.map(str::to_owned), text });
     }
 
-    /// Sorts the events by request and router.
+    /// Indexes the events by request and router.
     fn read(&mut self, lines: &'a [(u64, Event)]) {
         for (t, event) in lines {
             match event {
@@ -230,7 +231,7 @@
                 );
             }
             Event::Size { router, descriptors, memory_kb }
-                if *descriptors > DESCRIPTORS_MOST || *memory_kb > MEMORY_MOST_KB =>
+                if *descriptors > MAX_DESCRIPTORS || *memory_kb > MAX_MEMORY_KB =>
             {
                 let text = format!("router {router}: {descriptors} descriptors, {memory_kb} KB");
                 self.report_finding(Check::Size, None, text);
@@ -247,14 +248,15 @@
     fn router_ended(&mut self, t: u64, router: usize, killed: bool, code: Option<i32>) {
         let Some(incarnation) = self.incarnations.entry(router).or_default().last_mut() else { return };
         incarnation.ended = Some(t);
-        // Told twice, it ends at once and says so by its code.
-        let wanted = match incarnation.terminations {
+        // A second SIGTERM makes the router exit at once with its own code.
+        let expected_codes = match incarnation.terminations {
             0 => None,
             1 => Some(vec![0]),
             _ => Some(vec![0, TERMINATED_TWICE]),
         };
-        let meant = wanted.zip(code).is_some_and(|(wanted, code)| wanted.contains(&code));
-        if !killed && !meant {
+        let expected =
+            expected_codes.zip(code).is_some_and(|(expected_codes, code)| expected_codes.contains(&code));
+        if !killed && !expected {
             self.report_finding(
                 Check::Crash,
                 None,
@@ -263,17 +265,17 @@
         }
     }
 
-    /// How long the machine stood still between two times.
+    /// Total length of the scheduling stalls recorded between two times, µs.
     fn stalled(&self, from: u64, to: u64) -> u64 {
         self.stalls.iter().filter(|(t, _)| (from..=to + NOISE_US).contains(t)).map(|(_, us)| us).sum()
     }
 
-    /// The life of a router at a time.
+    /// The incarnation of a router that was current at a time.
     fn incarnation(&self, router: usize, at: u64) -> Option<Incarnation> {
         self.incarnations.get(&router)?.iter().rev().find(|l| l.started <= at).copied()
     }
 
-    /// Whether idle clients filled a router then: new connections may be shut unread.
+    /// Whether idle connections filled the router at this time, so that it may close new connections unread.
     fn is_crowded(&self, router: usize, at: u64) -> bool {
         self.plan.faults.iter().any(|f| {
             let crowd = matches!(f.kind, FaultKind::Crowd { router: r, .. } if r == router);
@@ -281,8 +283,8 @@
         })
     }
 
-    /// Nothing new reaches a worker of which the router was told that it leaves.
-    fn judge_drains(&mut self, lines: &[(u64, Event)]) {
+    /// No new call reaches a worker after its router was notified that the worker leaves.
+    fn check_drains(&mut self, lines: &[(u64, Event)]) {
         let mut leaving: BTreeMap<(usize, usize), u64> = BTreeMap::new();
         let mut asked_at: BTreeMap<&str, usize> = BTreeMap::new();
         let mut found = BTreeSet::new();
@@ -299,10 +301,12 @@
                 }
                 Event::Arrived { id, worker, after_hang: false, .. } => {
                     let Some(router) = asked_at.get(id.as_str()) else { continue };
-                    let told = leaving.get(&(*router, *worker));
-                    if told.is_some_and(|told| *t > told + DRAIN_GRACE_US) && found.insert((*router, *worker))
+                    let notified_at = leaving.get(&(*router, *worker));
+                    if notified_at.is_some_and(|notified_at| *t > notified_at + DRAIN_GRACE_US)
+                        && found.insert((*router, *worker))
                     {
-                        let text = format!("worker {worker} got a call {:.3}, told {told:?} us", secs(*t));
+                        let text =
+                            format!("worker {worker} got a call {:.3}, told {notified_at:?} us", secs(*t));
                         self.report_finding(Check::Drain, Some(id), text);
                     }
                 }
@@ -311,8 +315,8 @@
         }
     }
 
-    /// Once all faults have been over for a while, nine in ten are served again.
-    fn judge_service(&mut self) {
+    /// Once the faults are over, nine in ten requests are served again.
+    fn check_recovery(&mut self) {
         let to = (self.plan.length_ms * 1_000).saturating_sub(SERVICE_END_US);
         let from = to.saturating_sub(SERVICE_SPAN_US);
         let in_span =
@@ -320,7 +324,7 @@
         let asked: Vec<&Request> = self.requests.values().filter(in_span).collect();
         let served =
             asked.iter().filter(|r| r.ended.is_some() && r.began.is_some_and(|(_, s)| s == 200)).count();
-        if asked.len() >= SERVED_OF_LEAST && (served as f64) < SERVED_LEAST * asked.len() as f64 {
+        if asked.len() >= MIN_JUDGED_REQUESTS && (served as f64) < MIN_SERVED_SHARE * asked.len() as f64 {
             let text =
                 format!("{served} of {} served from {:.1} to {:.1}", asked.len(), secs(from), secs(to));
             self.report_finding(Check::Service, None, text);
--- a/crates/rehearsal/src/soak/oracle/requests.rs
+++ b/crates/rehearsal/src/soak/oracle/requests.rs
@@ -1,21 +1,21 @@
-//! What is judged of each request: its answer, its effect, its attempts and its reservation.
+//! Checks of each request: its answer, its effect, its attempts and its reservation.
 
 use super::super::plan::Repeat;
 use super::*;
 
 impl Oracle<'_> {
-    pub(super) fn judge_requests(&mut self) {
+    pub(super) fn check_requests(&mut self) {
         for (id, request) in std::mem::take(&mut self.requests) {
-            self.judge_reservation(id, &request);
+            self.check_reservation(id, &request);
             let Some((asked, router, repeat, deadline, first)) = request.asked else { continue };
             let incarnation = self.incarnation(router, asked).unwrap_or_default();
-            self.judge_answer(id, &request, (asked, router, deadline, first), incarnation);
-            self.judge_effect(id, &request, repeat);
-            self.judge_attempts(id, &request, asked + deadline);
+            self.check_answer(id, &request, (asked, router, deadline, first), incarnation);
+            self.check_effect(id, &request, repeat);
+            self.check_attempts(id, &request, asked + deadline);
         }
     }
 
-    fn judge_answer(
+    fn check_answer(
         &mut self,
         id: &str,
         request: &Request,
@@ -30,16 +30,16 @@
                 let text = format!("asked {:.3}, answered {status} {:.3}", secs(asked), secs(began));
                 self.report_finding(Check::Answered, Some(id), text);
             }
-            self.judge_stream(id, request, status, incarnation);
+            self.check_stream(id, request, status, incarnation);
             return;
         }
-        // The process was killed: what it could still have answered by then counts.
+        // The process was killed: a missing answer counts only if the router had time to give it before the kill.
         let killed = incarnation.ended.filter(|ended| *ended <= late);
         if let (Some(ended), told) = (killed, incarnation.terminated_at) {
-            let came_late = told.is_some_and(|told| asked > told + TERMINATE_TAKES_US);
+            let sent_late = told.is_some_and(|told| asked > told + SHUTDOWN_SLACK_US);
             let had_time = told.is_some() && due <= ended;
             let read = !request.arrivals.is_empty();
-            if !(had_time || (came_late && read)) {
+            if !(had_time || (sent_late && read)) {
                 return;
             }
         }
@@ -57,8 +57,8 @@
         }
     }
 
-    /// What a worker has written to its end has to reach the client whole.
-    fn judge_stream(&mut self, id: &str, request: &Request, status: u16, incarnation: Incarnation) {
+    /// An answer that a worker has written completely must reach the client completely.
+    fn check_stream(&mut self, id: &str, request: &Request, status: u16, incarnation: Incarnation) {
         let Some((lost, _)) = request.lost.filter(|_| status == 200) else { return };
         let killed = incarnation.ended.is_some_and(|ended| ended <= lost + NOISE_US);
         if let Some(written) = request.written.filter(|written| *written <= lost && !killed) {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn judge_effect(&mut self, id: &str, request: &Request, repeat: Repeat) {
+    fn check_effect(&mut self, id: &str, request: &Request, repeat: Repeat) {
         let window = self.plan.window_ms * 1_000;
         let twice = match (repeat, request.runs.as_slice()) {
             (Repeat::SingleShot, [_, second, ..]) => Some(*second),
@@ -87,9 +87,9 @@
         }
     }
 
-    fn judge_attempts(&mut self, id: &str, request: &Request, deadline: u64) {
+    fn check_attempts(&mut self, id: &str, request: &Request, deadline: u64) {
         for (t, worker, told, after_hang) in &request.arrivals {
-            // What waited in a system or at a worker that stood still was true when it was written.
+            // Requests that waited in the system or at a suspended worker carry a timeout that was correct when written.
             let stalled = self.stalled(t.saturating_sub(1_000_000), *t) + NOISE_US;
             let left = deadline.saturating_sub(*t);
             if told.is_some_and(|told| told > left + TIMEOUT_SLACK_US + stalled) && !after_hang {
@@ -104,10 +104,11 @@
         }
     }
 
-    /// State is free within the told time of its beginning, or of the end of the last attempt that had arrived.
-    fn judge_reservation(&mut self, id: &str, request: &Request) {
-        let many = self.plan.routers > FEW_ROUTERS;
-        let slack = if many { RELEASE_SLACK_MANY_US } else { RELEASE_SLACK_US };
+    /// A reservation is fetched or released within the release time, counted from its start or from the end of the last
+    /// attempt that had arrived.
+    fn check_reservation(&mut self, id: &str, request: &Request) {
+        let many = self.plan.routers > SMALL_FLEET_ROUTERS;
+        let slack = if many { RELEASE_SLACK_LARGE_FLEET_US } else { RELEASE_SLACK_US };
         let most = self.plan.release_ms * 1_000 + slack;
         let (mut since, mut open) = (None, 0_u32);
         let mut spans = Vec::new();
@@ -132,7 +133,7 @@
         let ended = router.and_then(|(asked, router)| self.incarnation(router, asked)?.ended);
         for (from, to) in spans {
             let late = from + most + self.stalled(from, to) + NOISE_US;
-            // Nobody answers for what a killed process held.
+            // Reservations of a killed router process are not counted.
             if to > late && ended.is_none_or(|ended| ended > late) {
                 self.report_finding(
                     Check::Reservation,
@@ -143,8 +144,8 @@
         }
     }
 
-    /// State that waited while its own read, or another attempt that had arrived, was still out: no rule counts that time,
-    /// and it is told apart.
+    /// Records the waiting time of a reservation whose prefill, or another attempt that had arrived, was still in flight.
+    /// No rule counts this time; it is reported separately.
     fn note_lost_answer(&mut self, since: Option<u64>, until: u64, most: u64) {
         let waited = since.map_or(0, |since| until.saturating_sub(since));
         if waited > most {
--- a/crates/rehearsal/src/soak/plan.rs
+++ b/crates/rehearsal/src/soak/plan.rs
@@ -1,24 +1,24 @@
-//! What one seed of the soak plays: drawn settings, and faults that overlap in time.
+//! The plan of one soak run: settings and overlapping faults, drawn from the seed.
 
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-/// How repeats of a class are taken.
+/// How workers treat repeated requests of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// They do no harm.
+    /// Repeats are harmless and may be executed.
     Free,
-    /// They are discarded within a window, by all workers.
+    /// All workers discard repeats within a time window.
     Guarded,
-    /// They must not run.
+    /// Repeats must never be executed.
     SingleShot,
 }
 
 impl Repeat {
-    /// As the settings name it.
+    /// The name used in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Self::Free => "free",
@@ -28,122 +28,123 @@
     }
 }
 
-/// A class of requests.
+/// The settings of a request class.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ClassPlan {
-    /// How repeats are taken.
+    /// How repeats are treated.
     pub repeat: Repeat,
-    /// A client's waiting time.
+    /// How long a client waits for the answer, ms.
     pub deadline_ms: u64,
 }
 
-/// What a worker does.
+/// The role of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerRole {
-    /// Reads prompts.
+    /// Prefill: processes prompts and reserves their KV state.
     Reader,
-    /// Writes answers.
+    /// Decode: generates answers.
     Writer,
 }
 
-/// What an answer looks like while a worker is faulty.
+/// How a faulty worker answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answering {
-    /// 500.
+    /// Status 500.
     Error,
-    /// 503 with the mark that nothing ran.
+    /// Status 503 with the header that says that the request was not processed.
     TurnedAway,
-    /// 503 without it.
+    /// Status 503 without that header.
     Unmarked,
-    /// The connection is reset when the request has come.
+    /// The connection is reset once the request has been received.
     Reset,
-    /// What can't be read.
+    /// A malformed chunked body, then a connection reset.
     Spoilt,
-    /// The stream breaks off in the middle.
+    /// The connection is reset in the middle of the stream.
     Broken,
 }
 
-/// One fault.
+/// The kind of a fault and its target.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A worker does not run, and goes on afterwards; its connections stay open.
+    /// A worker is suspended and resumes afterwards; its connections stay open.
     Hang { worker: usize },
-    /// A part of a role does not run.
+    /// A share of the workers of a role is suspended.
     HangRole { role: WorkerRole, share: f64 },
-    /// Connections that stand fall silent for good: what comes is never read, or what is answered never leaves.
+    /// A share of the open connections of a worker stops answering for good: with `inbound`, requests are no longer read
+    /// either.
     Silence { worker: usize, share: f64, inbound: bool },
-    /// Connections that stand are reset.
+    /// All open connections of a worker are reset.
     Reset { worker: usize },
-    /// A worker answers badly.
+    /// A worker gives faulty answers.
     Answers { worker: usize, how: Answering },
-    /// A worker takes so many times as long.
+    /// A worker takes `times` as long to process requests.
     Slow { worker: usize, times: u64 },
-    /// A worker drains, is removed and comes back cold under the same name.
+    /// A worker drains, is removed and returns cold under the same name.
     Replace { worker: usize },
-    /// A router's discovery says nothing.
+    /// The discovery agent of a router does not answer.
     DiscoverySilent { router: usize },
-    /// A router is told to end, killed at the earliest time, and started again.
+    /// A router receives SIGTERM, is killed at the earliest permitted time and is restarted.
     Terminate { router: usize },
-    /// A router is killed, and started again.
+    /// A router is killed and restarted.
     Kill { router: usize },
-    /// A router is told to read its configuration again, several times.
+    /// A router receives SIGHUP several times and reloads its configuration.
     Reload { router: usize },
-    /// A router's process stands still for 0.15 s.
+    /// The process of a router is stopped for 0.15 s.
     Stall { router: usize },
-    /// Idle clients fill a router.
+    /// Idle client connections exhaust the connection limit of a router.
     Crowd { router: usize, clients: usize },
 }
 
-/// A fault and its time, ms from the beginning.
+/// A fault and its time span, ms from the start of the scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fault {
-    /// It begins.
+    /// Start of the fault, ms.
     pub at_ms: u64,
-    /// It ends, where it lasts.
+    /// End of the fault, ms; unused by kinds without a duration.
     pub until_ms: u64,
-    /// What it is.
+    /// Kind and target.
     pub kind: FaultKind,
 }
 
-/// What one seed plays.
+/// The settings and faults of one seed.
 #[derive(Debug, Clone, Serialize)]
 pub struct SoakPlan {
-    /// Its seed.
+    /// The seed that the plan was drawn from.
     pub seed: u64,
-    /// How long clients ask.
+    /// How long clients send requests, ms.
     pub length_ms: u64,
-    /// Router processes.
+    /// Number of router processes.
     pub routers: usize,
-    /// Roles of workers, readers first.
+    /// Role of each worker, readers first.
     pub workers: Vec<WorkerRole>,
-    /// Held state must be taken or released within this span.
+    /// Reserved KV state must be fetched or released within this time, ms.
     pub release_ms: u64,
-    /// A connection has to stand within this span.
+    /// Connection timeout, ms.
     pub connect_ms: u64,
-    /// Repeats of guarded classes are discarded for so long.
+    /// Deduplication window of guarded classes, ms.
     pub window_ms: u64,
-    /// Lists are pushed, or asked for.
+    /// Whether discovery pushes the worker list; otherwise routers poll for it.
     pub pushed: bool,
-    /// Writers read prompts by themselves.
+    /// Whether writers can prefill prompts themselves.
     pub self_prefill: bool,
-    /// Classes.
+    /// Request classes.
     pub classes: Vec<ClassPlan>,
-    /// Of each router: which of its system calls fail, and steps of its wall clock; empty where none.
+    /// For each router: injected system call failures and steps of its wall clock; empty for none.
     pub system: Vec<String>,
-    /// Faults, by their time.
+    /// Faults, ordered by start time.
     pub faults: Vec<Fault>,
 }
 
-/// Faults begin after this.
+/// Earliest start of a fault, ms.
 const WARM_UP_MS: u64 = 1_000;
-/// So much of the scenario's end is left for the service to come back.
+/// Fault-free time at the end of the scenario, in which the service has to recover, ms.
 pub const CALM_MS: u64 = 10_000;
 
 impl SoakPlan {
-    /// Draws a plan.
+    /// Draws the plan of a seed. The order of the draws determines the plan and must not change.
     pub fn draw(seed: u64, rng: &mut ChaCha8Rng, routers: usize, seconds: u64) -> Self {
         let (readers, writers) = (rng.random_range(3..=5), rng.random_range(3..=6));
         let mut workers = vec![WorkerRole::Reader; readers];
@@ -164,7 +165,7 @@
             pushed: rng.random_bool(0.5),
             self_prefill: rng.random_bool(0.3),
             classes: classes.map(|repeat| class(repeat, rng)).to_vec(),
-            system: (0..routers).map(|_| draw_system(rng)).collect(),
+            system: (0..routers).map(|_| draw_system_faults(rng)).collect(),
             workers,
             faults: Vec::new(),
         };
@@ -215,8 +216,8 @@
     }
 }
 
-/// System calls of one router: most have none that fail.
-fn draw_system(rng: &mut ChaCha8Rng) -> String {
+/// Draws the injected system call failures and clock steps of one router; most routers have none.
+fn draw_system_faults(rng: &mut ChaCha8Rng) -> String {
     let mut parts = Vec::new();
     if rng.random_bool(0.35) {
         parts.push(format!("seed={}", rng.random_range(1..1_000_000)));
--- a/crates/rehearsal/src/soak/process.rs
+++ b/crates/rehearsal/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! Router processes of the soak: started with their configuration, signalled, ended, and their logs read.
+//! Router processes of the soak: configuration, start, signals, end and logs.
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,65 +13,65 @@
 use super::record::{Event, Record};
 use crate::shim;
 
-/// Descriptors of a router.
-const DESCRIPTORS: u32 = 256;
+/// Limit of open file descriptors of a router.
+const MAX_DESCRIPTORS: u32 = 256;
 const PORT: u16 = 5_000;
 
-/// One router, over its lives.
+/// One router, over all incarnations of its process.
 pub struct RouterProcess {
     pub index: usize,
     pub at: SocketAddr,
-    /// The front sends new connections to it.
+    /// Whether clients open new connections to the router.
     pub open: AtomicBool,
     exe: PathBuf,
     config: PathBuf,
-    library: PathBuf,
-    system: String,
+    shim_library: PathBuf,
+    system_faults: String,
     record: Record,
     child: Mutex<Option<Child>>,
 }
 
-/// A loopback address of its own, so that no outgoing connection can have taken its port.
-fn own_address(index: usize) -> SocketAddr {
+/// A loopback address derived from the process id and the index, so that no outgoing connection can have taken the port.
+fn unique_loopback_address(index: usize) -> SocketAddr {
     let pid = std::process::id();
     let last = u8::try_from(index + 1).unwrap_or(u8::MAX);
     SocketAddr::from((Ipv4Addr::new(127, 64 + (pid % 128) as u8, (pid / 128 % 256) as u8, last), PORT))
 }
 
 impl RouterProcess {
-    /// A router that is not started yet.
+    /// Creates a router without starting its process.
     pub fn new(
         index: usize,
         plan: &SoakPlan,
         exe: &Path,
         folder: &Path,
-        library: &Path,
+        shim_library: &Path,
         record: Record,
     ) -> Self {
         Self {
             index,
-            at: own_address(index),
+            at: unique_loopback_address(index),
             open: AtomicBool::new(false),
             exe: exe.to_owned(),
             config: folder.join(format!("router-{index}.json")),
-            library: library.to_owned(),
-            system: plan.system.get(index).cloned().unwrap_or_default(),
+            shim_library: shim_library.to_owned(),
+            system_faults: plan.system.get(index).cloned().unwrap_or_default(),
             record,
             child: Mutex::default(),
         }
     }
 
-    /// Writes its configuration.
+    /// Writes the configuration file of the router.
     pub fn configure(&self, plan: &SoakPlan, agent: SocketAddr, known: &Value) -> std::io::Result<()> {
         std::fs::write(&self.config, config(self.index, plan, self.at, agent, known).to_string())
     }
 
-    /// Starts a life.
+    /// Starts a process of the router and a thread that reads its log.
     pub fn start(&self) -> std::io::Result<()> {
         let mut command = Command::new("sh");
-        command.args(["-c", &format!("ulimit -n {DESCRIPTORS}; exec \"$0\" platform")]).arg(&self.exe);
-        if !self.system.is_empty() {
-            command.env(shim::PRELOAD, &self.library).env(shim::FAULTS, &self.system);
+        command.args(["-c", &format!("ulimit -n {MAX_DESCRIPTORS}; exec \"$0\" platform")]).arg(&self.exe);
+        if !self.system_faults.is_empty() {
+            command.env(shim::PRELOAD, &self.shim_library).env(shim::FAULTS, &self.system_faults);
         }
         command.env("GW_CONFIG", &self.config).env_remove("CHALKYARD_LOG");
         let command = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
@@ -89,15 +89,15 @@
         self.child.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a signal by its name.
+    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         if let Some(child) = self.child().as_ref() {
-            // One that has just ended is not there any more; that is seen elsewhere.
+            // A failure means that the process has just ended, which `is_running` detects.
             let _ = Command::new("kill").args([name, &child.id().to_string()]).stderr(Stdio::null()).status();
         }
     }
 
-    /// Kills it, if it is still there, and notes its end.
+    /// Kills the process if it is still running, and records its end.
     pub fn end(&self) {
         let Some(mut child) = self.child().take() else { return };
         let code = match child.try_wait() {
@@ -111,7 +111,7 @@
         self.record.add(Event::RouterEnded { router: self.index, killed: code.is_none(), code });
     }
 
-    /// Whether its process is there; one that has ended by itself is noted.
+    /// Whether the process is running. Records the end of a process that has exited by itself.
     pub fn is_running(&self) -> bool {
         let mut child = self.child();
         let ended = child.as_mut().and_then(|c| c.try_wait().ok().flatten());
@@ -123,8 +123,8 @@
         child.is_some()
     }
 
-    /// Notes how large it is.
-    pub fn note_size(&self) {
+    /// Records the descriptors and the resident memory of the process.
+    pub fn record_size(&self) {
         let Some(id) = self.child().as_ref().map(Child::id) else { return };
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
@@ -140,20 +140,21 @@
     }
 }
 
-/// Notes what a router's log tells.
+/// Records the lines of a router's log, and the violations that they report.
 fn read_log(log: std::process::ChildStderr, record: &Record, router: usize) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
-        let read: Value = serde_json::from_str(&line).unwrap_or_default();
-        if read.get("change").is_some_and(|c| c == "violation") {
+        let entry: Value = serde_json::from_str(&line).unwrap_or_default();
+        if entry.get("change").is_some_and(|c| c == "violation") {
             record.add(Event::ViolationLine { router, line: line.clone() });
         }
-        if let Some(count) = read.get("violations").and_then(Value::as_u64) {
+        if let Some(count) = entry.get("violations").and_then(Value::as_u64) {
             record.add(Event::Violations { router, count });
         }
         record.add(Event::Logged { router, line });
     }
 }
 
+/// The configuration of a router.
 pub(super) fn config(
     index: usize,
     plan: &SoakPlan,
@@ -170,7 +171,7 @@
     json!({
         "name": format!("n{index}"), "listen": at.to_string(), "discovery": agent.to_string(),
         "seed": format!("{:016x}", plan.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ index as u64),
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": DESCRIPTORS},
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": MAX_DESCRIPTORS},
         "known": known,
         "settings": {
             "balancers": plan.routers, "categories": classes, "dcs": ["hall"],
--- a/crates/rehearsal/src/soak/report.rs
+++ b/crates/rehearsal/src/soak/report.rs
@@ -1,42 +1,42 @@
-//! What the soak of one seed found.
+//! The result of the soak of one seed.
 
 use serde::Serialize;
 
 use super::oracle::Finding;
 use super::plan::SoakPlan;
 
-/// What a seed showed.
+/// The counters and findings of one seed.
 #[derive(Debug, Serialize)]
 pub struct SoakReport {
-    /// The seed and its plan, to play it again.
+    /// The seed and its plan, from which the run can be repeated.
     pub plan: SoakPlan,
-    /// Requests that were asked, and served.
+    /// Number of requests sent by clients.
     pub asked: usize,
-    /// See `asked`.
+    /// Number of requests whose answer was complete.
     pub served: usize,
-    /// Calls that reached workers.
+    /// Number of calls that reached workers.
     pub calls: usize,
-    /// KV states that were reserved.
+    /// Number of reservations of KV state.
     #[serde(rename = "held")]
     pub reserved: usize,
-    /// States that waited past their time behind an attempt that was still out, since its answer never left, and the
-    /// longest, us. No rule counts these.
+    /// Number of reservations kept beyond the release time by an attempt that was still in flight because its answer
+    /// never left the worker. No rule counts these.
     pub lost_answers: usize,
-    /// See `lost_answers`.
+    /// The longest wait counted in `lost_answers`, µs.
     pub lost_answer_longest_us: u64,
-    /// The longest that the fakes' own machine stood still, us.
+    /// The longest scheduling stall of the soak process itself, µs.
     pub machine_stalled_us: u64,
-    /// All that was broken.
+    /// Violations of rules and bounds.
     pub findings: Vec<Finding>,
 }
 
 impl SoakReport {
-    /// Whether nothing was broken.
+    /// Whether there are no findings.
     pub fn is_clean(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// For people.
+    /// The report as text for the terminal.
     pub fn text(&self) -> String {
         let mut text = format!(
             "seed {}: {} routers, {} workers, {} faults; {} asked, {} served, {} calls, {} states held, {} behind lost answers (at most {} ms); machine stood still {} ms: {}\n",
@@ -53,7 +53,7 @@
             self.machine_stalled_us / 1_000,
             if self.is_clean() { "clean".to_owned() } else { format!("{} FINDINGS", self.findings.len()) },
         );
-        for finding in self.findings.iter().take(FINDINGS_SHOWN) {
+        for finding in self.findings.iter().take(MAX_FINDINGS_SHOWN) {
             let id = finding.id.as_deref().unwrap_or("-");
             text.push_str(&format!("  {} {id}: {}\n", finding.check.name(), finding.text));
         }
@@ -66,5 +66,5 @@
     }
 }
 
-/// Findings that the text names.
-const FINDINGS_SHOWN: usize = 12;
+/// Maximum number of findings printed by `text`.
+const MAX_FINDINGS_SHOWN: usize = 12;
--- a/crates/rehearsal/src/soak/topology.rs
+++ b/crates/rehearsal/src/soak/topology.rs
@@ -1,4 +1,4 @@
-//! The fakes and routers of one soak, and what each fault does to them.
+//! The simulated parts and routers of one soak run, and the effect of each fault on them.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -15,22 +15,22 @@
 use super::record::{Event, Record};
 use super::worker::Worker;
 
-/// A router that is killed after SIGTERM is killed no sooner than its longest deadline, counted as 3 s at most, and this.
-const KILL_AFTER_MS: u64 = 700;
-const DEADLINE_COUNTED_MS: u64 = 3_000;
-/// The front sends new connections for so long after SIGTERM.
-const FRONT_NOTICES: Duration = Duration::from_millis(300);
-const READY_MOST: Duration = Duration::from_secs(10);
-/// A reload's burst: so many signals.
-const HANG_UPS: u32 = 3;
-const STALL: Duration = Duration::from_millis(150);
-/// A worker drains for so long before it goes, and is away for so long.
-const DRAINS: Duration = Duration::from_millis(1_000);
-const AWAY: Duration = Duration::from_millis(700);
-/// How long what is in flight may take to end after the clients have stopped.
-const AFTERMATH: Duration = Duration::from_millis(4_500);
-
-/// All that takes part in one soak.
+/// Time between SIGTERM and SIGKILL: the longest deadline, capped at `DEADLINE_CAP_MS`, plus `KILL_MARGIN_MS`.
+const KILL_MARGIN_MS: u64 = 700;
+const DEADLINE_CAP_MS: u64 = 3_000;
+/// How long clients still open new connections after SIGTERM, as a load balancer does until it notices.
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of SIGHUP signals per reload fault.
+const RELOAD_SIGNALS: u32 = 3;
+const STALL_DURATION: Duration = Duration::from_millis(150);
+/// How long a replaced worker drains, and how long it is down afterwards.
+const DRAIN_DURATION: Duration = Duration::from_millis(1_000);
+const DOWN_DURATION: Duration = Duration::from_millis(700);
+/// How long routers may take to finish requests in flight after the clients have stopped.
+const SHUTDOWN_WAIT: Duration = Duration::from_millis(4_500);
+
+/// All parts of one soak run.
 pub(super) struct Topology {
     pub(super) plan: Arc<SoakPlan>,
     pub(super) record: Record,
@@ -51,10 +51,10 @@
         process.start()
     }
 
-    /// Until `GET /up` answers 200: the front takes it in then.
+    /// Waits until `GET /up` answers 200, then lets clients connect to the router.
     pub(super) async fn await_ready(&self, router: usize) {
         let Some(process) = self.routers.get(router) else { return };
-        let until = Instant::now() + READY_MOST;
+        let until = Instant::now() + READY_TIMEOUT;
         while Instant::now() < until && process.is_running() {
             if timeout(Duration::from_millis(500), is_up(process)).await.is_ok_and(|up| up) {
                 process.open.store(true, Ordering::SeqCst);
@@ -62,7 +62,7 @@
             }
             sleep(Duration::from_millis(20)).await;
         }
-        // It is there, and serves nobody.
+        // The process runs but never became ready: recorded as an unexpected end.
         if process.is_running() {
             self.record.add(Event::RouterEnded { router, killed: false, code: None });
         }
@@ -70,13 +70,13 @@
 
     pub(super) async fn end_all(&self) {
         for process in &self.routers {
-            process.note_size();
+            process.record_size();
             if process.is_running() {
                 self.record.add(Event::RouterTerminated { router: process.index });
                 process.signal("-TERM");
             }
         }
-        sleep(AFTERMATH).await;
+        sleep(SHUTDOWN_WAIT).await;
         for process in &self.routers {
             process.is_running();
             process.end();
@@ -88,20 +88,20 @@
         let until = begun + Duration::from_millis(fault.until_ms);
         match fault.kind {
             FaultKind::Hang { worker } => self.hang(&[worker], until).await,
-            FaultKind::HangRole { role, share } => self.hang(&self.part_of(role, share), until).await,
+            FaultKind::HangRole { role, share } => self.hang(&self.workers_of_role(role, share), until).await,
             FaultKind::Silence { worker, share, inbound } => {
                 self.with_worker(worker, |w| w.silence(share, inbound));
             }
             FaultKind::Reset { worker } => self.with_worker(worker, |w| w.reset()),
             FaultKind::Answers { worker, how } => {
-                self.with_worker(worker, |w| w.answer_badly(Some(how)));
+                self.with_worker(worker, |w| w.set_answer_fault(Some(how)));
                 sleep_until(until).await;
-                self.with_worker(worker, |w| w.answer_badly(None));
+                self.with_worker(worker, |w| w.set_answer_fault(None));
             }
             FaultKind::Slow { worker, times } => {
-                self.with_worker(worker, |w| w.slow_down(times));
+                self.with_worker(worker, |w| w.set_slowdown(times));
                 sleep_until(until).await;
-                self.with_worker(worker, |w| w.slow_down(1));
+                self.with_worker(worker, |w| w.set_slowdown(1));
             }
             FaultKind::Replace { worker } => self.replace(worker).await,
             FaultKind::DiscoverySilent { router } => {
@@ -114,7 +114,7 @@
             FaultKind::Terminate { router } => self.terminate(router).await,
             FaultKind::Kill { router } => self.kill(router).await,
             FaultKind::Reload { router } => {
-                for _ in 0..HANG_UPS {
+                for _ in 0..RELOAD_SIGNALS {
                     self.with_router(router, |r| r.signal("-HUP"));
                     sleep(Duration::from_millis(40)).await;
                 }
@@ -122,10 +122,10 @@
             FaultKind::Stall { router } => {
                 self.record.add(Event::RouterStalled { router });
                 self.with_router(router, |r| r.signal("-STOP"));
-                sleep(STALL).await;
+                sleep(STALL_DURATION).await;
                 self.with_router(router, |r| r.signal("-CONT"));
             }
-            FaultKind::Crowd { router, clients } => self.crowd(router, clients, until).await,
+            FaultKind::Crowd { router, clients } => self.hold_idle_connections(router, clients, until).await,
         }
     }
 
@@ -141,11 +141,12 @@
         }
     }
 
-    /// The first workers of a role, never all of it.
-    fn part_of(&self, role: WorkerRole, share: f64) -> Vec<usize> {
+    /// Indices of the first workers of a role, by share; never all of them unless there is only one.
+    fn workers_of_role(&self, role: WorkerRole, share: f64) -> Vec<usize> {
         let all: Vec<usize> = self.workers.iter().filter(|w| w.role == role).map(|w| w.index).collect();
-        let many = ((all.len() as f64 * share).round() as usize).clamp(1, all.len().saturating_sub(1).max(1));
-        all.into_iter().take(many).collect()
+        let count =
+            ((all.len() as f64 * share).round() as usize).clamp(1, all.len().saturating_sub(1).max(1));
+        all.into_iter().take(count).collect()
     }
 
     async fn hang(&self, workers: &[usize], until: Instant) {
@@ -160,16 +161,16 @@
 
     async fn replace(&self, worker: usize) {
         self.list.change(worker, Phase::Draining);
-        sleep(DRAINS).await;
+        sleep(DRAIN_DURATION).await;
         self.list.change(worker, Phase::Removed);
-        self.with_worker(worker, |w| w.set_up(false));
-        sleep(AWAY).await;
-        self.with_worker(worker, |w| w.set_up(true));
+        self.with_worker(worker, |w| w.set_running(false));
+        sleep(DOWN_DURATION).await;
+        self.with_worker(worker, |w| w.set_running(true));
         sleep(Duration::from_millis(50)).await;
         self.list.change(worker, Phase::Up);
     }
 
-    /// Told to end; killed at the earliest time; started again.
+    /// Sends SIGTERM, kills the router at the earliest permitted time and restarts it.
     async fn terminate(&self, router: usize) {
         let Some(process) = self.routers.get(router) else { return };
         if !process.open.load(Ordering::SeqCst) {
@@ -177,11 +178,11 @@
         }
         self.record.add(Event::RouterTerminated { router });
         process.signal("-TERM");
-        sleep(FRONT_NOTICES).await;
+        sleep(LOAD_BALANCER_DELAY).await;
         process.open.store(false, Ordering::SeqCst);
         let longest = self.plan.classes.iter().map(|c| c.deadline_ms).max().unwrap_or(0);
-        let kill = Duration::from_millis(longest.min(DEADLINE_COUNTED_MS) + KILL_AFTER_MS);
-        sleep(kill.saturating_sub(FRONT_NOTICES)).await;
+        let kill = Duration::from_millis(longest.min(DEADLINE_CAP_MS) + KILL_MARGIN_MS);
+        sleep(kill.saturating_sub(LOAD_BALANCER_DELAY)).await;
         self.restart(router).await;
     }
 
@@ -194,13 +195,13 @@
 
     async fn restart(&self, router: usize) {
         self.with_router(router, RouterProcess::end);
-        // One that can't be started again is missed by the service that is judged.
+        // A router that cannot be restarted lowers the served share, which the oracle checks.
         if self.start_router(router).is_ok() {
             self.await_ready(router).await;
         }
     }
 
-    async fn crowd(&self, router: usize, clients: usize, until: Instant) {
+    async fn hold_idle_connections(&self, router: usize, clients: usize, until: Instant) {
         let Some(process) = self.routers.get(router) else { return };
         let mut idle = Vec::new();
         for _ in 0..clients {
--- a/crates/rehearsal/src/soak/worker/mod.rs
+++ b/crates/rehearsal/src/soak/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A fake worker on the platform's protocol: reads, pulls, releases, and all the ways in which it can fail.
+//! A simulated worker on the platform's protocol: prefill, state transfer, release, and the injected faults.
 
 mod answers;
 
@@ -20,36 +20,36 @@
 use super::plan::{Answering, Repeat, SoakPlan, WorkerRole};
 use super::record::{Event, Record};
 
-/// After a hang ends, what waited is still being taken in for so long.
+/// How long after a hang begins or ends calls count as delayed by it: calls that waited are read in this time, µs.
 const CATCH_UP_US: u64 = 1_500_000;
-/// A faulty worker answers badly so often.
-const FAULTY_SHARE: f64 = 0.7;
-/// Prompt tokens read in a millisecond.
-const TOKENS_A_MS: u64 = 100;
+/// Probability of a faulty answer while an answer fault is active.
+const FAULT_PROBABILITY: f64 = 0.7;
+/// Prompt tokens prefilled per millisecond.
+const PREFILL_TOKENS_PER_MS: u64 = 100;
 const BACKLOG: u32 = 1_024;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What all workers hold for requests, and which requests have run.
+/// State shared by all workers: reservations by request, and the time of the first execution of each request, µs.
 #[derive(Debug, Default)]
-pub struct States {
+pub struct SharedState {
     reservations: Mutex<BTreeMap<String, BTreeSet<usize>>>,
     executions: Mutex<BTreeMap<String, u64>>,
 }
 
-/// One connection, as faults strike it.
+/// Fault switches of one connection.
 #[derive(Debug, Default)]
-struct Control {
-    /// What comes is never read.
+struct ConnectionFaults {
+    /// Requests are never read.
     deaf: AtomicBool,
-    /// What is written never leaves.
+    /// Answers are never sent.
     mute: AtomicBool,
     reset: Notify,
 }
 
-/// A fake worker.
+/// A simulated worker.
 pub struct Worker {
     pub index: usize,
     pub name: String,
@@ -57,19 +57,19 @@
     pub at: SocketAddr,
     plan: Arc<SoakPlan>,
     record: Record,
-    states: Arc<States>,
-    /// How many faults keep it from running.
+    states: Arc<SharedState>,
+    /// Number of active faults that suspend the worker.
     hangs: watch::Sender<u32>,
     hang_changed_at: AtomicU64,
-    /// Its process is there.
+    /// Whether the simulated process is running.
     up: watch::Sender<bool>,
-    answering: Mutex<Option<Answering>>,
-    slow: AtomicU64,
-    connections: Mutex<Vec<Weak<Control>>>,
-    draws: Mutex<ChaCha8Rng>,
+    answer_fault: Mutex<Option<Answering>>,
+    slowdown: AtomicU64,
+    connections: Mutex<Vec<Weak<ConnectionFaults>>>,
+    rng: Mutex<ChaCha8Rng>,
 }
 
-/// Notes the end of an attempt, however it comes.
+/// Records the end of an attempt when dropped, also on errors and cancellation.
 struct AttemptGuard<'a> {
     worker: &'a Worker,
     id: String,
@@ -81,19 +81,19 @@
     }
 }
 
-/// One request to a worker, and the connection that it came on.
+/// The connection of a request, with its fault switches.
 struct Exchange<'a> {
     stream: &'a TcpStream,
-    control: &'a Control,
+    control: &'a ConnectionFaults,
 }
 
 impl Worker {
-    /// Listens on a port of its own.
+    /// Starts a worker that listens on an unused port.
     pub async fn start(
         index: usize,
         plan: Arc<SoakPlan>,
         record: Record,
-        states: Arc<States>,
+        states: Arc<SharedState>,
     ) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let draw_seed = plan.seed.wrapping_mul(1_009).wrapping_add(index as u64);
@@ -109,10 +109,10 @@
             hangs: watch::Sender::new(0),
             hang_changed_at: AtomicU64::new(0),
             up: watch::Sender::new(true),
-            answering: Mutex::default(),
-            slow: AtomicU64::new(1),
+            answer_fault: Mutex::default(),
+            slowdown: AtomicU64::new(1),
             connections: Mutex::default(),
-            draws: Mutex::new(ChaCha8Rng::seed_from_u64(draw_seed)),
+            rng: Mutex::new(ChaCha8Rng::seed_from_u64(draw_seed)),
         });
         tokio::spawn(worker.clone().listen(listener));
         Ok(worker)
@@ -148,29 +148,29 @@
         socket.listen(BACKLOG)
     }
 
-    /// Stops running, or goes on.
+    /// Suspends or resumes the worker; overlapping hangs are counted.
     pub fn hang(&self, hangs: bool) {
         self.hang_changed_at.store(self.record.now_us(), Ordering::SeqCst);
         self.hangs.send_modify(|n| *n = if hangs { *n + 1 } else { n.saturating_sub(1) });
     }
 
-    /// Answers badly from now on, or well.
-    pub fn answer_badly(&self, how: Option<Answering>) {
-        *lock(&self.answering) = how;
+    /// Sets the fault of answers; `None` for correct answers.
+    pub fn set_answer_fault(&self, how: Option<Answering>) {
+        *lock(&self.answer_fault) = how;
     }
 
-    /// Takes so many times as long.
-    pub fn slow_down(&self, times: u64) {
-        self.slow.store(times.max(1), Ordering::SeqCst);
+    /// Multiplies the processing time by `times`.
+    pub fn set_slowdown(&self, times: u64) {
+        self.slowdown.store(times.max(1), Ordering::SeqCst);
     }
 
-    fn controls(&self) -> Vec<Arc<Control>> {
+    fn controls(&self) -> Vec<Arc<ConnectionFaults>> {
         let mut all = lock(&self.connections);
         all.retain(|c| c.strong_count() > 0);
         all.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// A part of the connections that stand falls silent for good.
+    /// Makes a share of the open connections silent for good.
     pub fn silence(&self, share: f64, inbound: bool) {
         for control in self.controls() {
             if self.draw(|rng| rng.random_bool(share)) {
@@ -180,15 +180,15 @@
         }
     }
 
-    /// Resets all connections that stand.
+    /// Resets all open connections.
     pub fn reset(&self) {
         for control in self.controls() {
             control.reset.notify_one();
         }
     }
 
-    /// Its process goes, with all that it held, or comes back.
-    pub fn set_up(&self, up: bool) {
+    /// Stops the simulated process, which loses its connections and reservations, or starts it again.
+    pub fn set_running(&self, up: bool) {
         self.up.send_replace(up);
         if up {
             return;
@@ -204,33 +204,33 @@
     }
 
     fn draw<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
-        draw(&mut lock(&self.draws))
+        draw(&mut lock(&self.rng))
     }
 
     async fn wait_until_running(&self) {
         let _ = self.hangs.subscribe().wait_for(|hangs| *hangs == 0).await;
     }
 
-    fn was_hanging_lately(&self) -> bool {
+    fn hung_recently(&self) -> bool {
         let at = self.hang_changed_at.load(Ordering::SeqCst);
         at > 0 && self.record.now_us() < at + CATCH_UP_US
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let control = Arc::new(Control::default());
+        let control = Arc::new(ConnectionFaults::default());
         lock(&self.connections).push(Arc::downgrade(&control));
         let ended = tokio::select! {
-            ended = self.converse(&stream, &control) => ended,
+            ended = self.serve_requests(&stream, &control) => ended,
             () = control.reset.notified() => Err(io::ErrorKind::ConnectionReset.into()),
         };
         if ended.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionReset) {
-            // A close that drops what waits and resets the other side.
+            // A linger time of zero makes the close discard unsent data and send a reset.
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
     }
 
-    async fn converse(&self, stream: &TcpStream, control: &Control) -> io::Result<()> {
+    async fn serve_requests(&self, stream: &TcpStream, control: &ConnectionFaults) -> io::Result<()> {
         let mut reader = Reader::new(Side::Request);
         loop {
             let message = loop {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Writes, unless nothing leaves this connection.
+    /// Writes bytes, or discards them if the connection is mute.
     async fn send(&self, exchange: &Exchange<'_>, bytes: &[u8]) -> io::Result<()> {
         self.wait_until_running().await;
         if exchange.control.mute.load(Ordering::SeqCst) {
