--- a/crates/daemon/src/budgets.rs
+++ b/crates/daemon/src/budgets.rs
@@ -1,4 +1,4 @@
-//! `chalkyard budget`: what operators see and change by hand.
+//! `chalkyard budget`: shows token budgets and records manual adjustments.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -31,15 +31,15 @@
     }
 }
 
-/// Which budget.
+/// Selects a budget by tenant, class and period.
 #[derive(Debug, Args)]
-pub struct Which {
+pub struct BudgetSelector {
     /// Settings, as XML, with `<budgets>` and `<settlement>`.
     file: PathBuf,
     /// Tenant.
     #[arg(long)]
     tenant: String,
-    /// Class, where the budget is of one.
+    /// Class, if the budget is for a single class.
     #[arg(long)]
     class: Option<String>,
     /// The budget's periods.
@@ -47,48 +47,48 @@
     period: Period,
 }
 
-/// Who does it and why: kept in the audit trail.
+/// Author and reason of a change, which the audit trail keeps.
 #[derive(Debug, Args)]
-pub struct Who {
-    /// Who does it.
+pub struct Author {
+    /// Author of the change.
     #[arg(long)]
     by: String,
-    /// Why.
+    /// Reason for the change.
     #[arg(long)]
     why: String,
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Show what is spent, reserved and stranded of each budget in its present period, and the audit trail.
+    /// Show the spent, reserved and stranded tokens of each budget in its current period, and the audit trail.
     Show {
         /// Settings, as XML, with `<budgets>` and `<settlement>`.
         file: PathBuf,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Set a budget, from the present period on, whatever the settings say.
+    /// Set a budget from the current period on, overriding the settings.
     Set {
         #[command(flatten)]
-        which: Which,
-        /// Tokens a period; none: as the settings say again.
+        which: BudgetSelector,
+        /// Tokens per period; if not given, the settings apply again.
         #[arg(long)]
         tokens: Option<u64>,
         #[command(flatten)]
-        who: Who,
+        who: Author,
     },
-    /// Grant tokens for the present period alone; less than 0 takes some back.
+    /// Grant tokens for the current period only; a negative number takes tokens back.
     Grant {
         #[command(flatten)]
-        which: Which,
-        /// Tokens.
+        which: BudgetSelector,
+        /// Number of tokens.
         #[arg(long, allow_negative_numbers = true)]
         tokens: i64,
         #[command(flatten)]
-        who: Who,
+        who: Author,
     },
-    /// Put an amount on a bill, or (less than 0) take it off.
+    /// Add an amount to a bill; a negative amount is subtracted.
     Adjust {
         /// Settings, as XML, with `<budgets>` and `<settlement>`.
         file: PathBuf,
@@ -101,11 +101,11 @@
         /// The bill's day, such as 2026-12-01.
         #[arg(long)]
         day: String,
-        /// In the currency's smallest unit.
+        /// Amount in the currency's smallest unit.
         #[arg(long, allow_negative_numbers = true)]
         amount: i64,
         #[command(flatten)]
-        who: Who,
+        who: Author,
     },
 }
 
@@ -119,7 +119,7 @@
     budgets.settlement.as_ref().ok_or_else(none)
 }
 
-fn account(which: &Which, budgets: &Budgets) -> Result<AccountKey, CommandError> {
+fn account(which: &BudgetSelector, budgets: &Budgets) -> Result<AccountKey, CommandError> {
     let class = which.class.as_deref().map(Into::into);
     let key = AccountKey { tenant: which.tenant.as_str().into(), class, kind: which.period.into() };
     if budgets.plan.limits.contains_key(&key) {
@@ -129,7 +129,7 @@
     Err(CommandError::BadInput(format!("no budget {key} in the settings, which have: {}", known.join(", "))))
 }
 
-fn add(budgets: &Budgets, who: Who, what: Change) -> Result<ExitCode, CommandError> {
+fn add(budgets: &Budgets, who: Author, what: Change) -> Result<ExitCode, CommandError> {
     for (name, text) in [("--by", &who.by), ("--why", &who.why)] {
         if text.trim().is_empty() || text.len() > 1_000 {
             return Err(CommandError::BadInput(format!("{name} must be 1 to 1000 bytes of text")));
@@ -141,7 +141,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Carries out a command.
+/// Runs a `chalkyard budget` command.
 pub fn command(command: Command) -> Result<ExitCode, CommandError> {
     match command {
         Command::Show { file, format } => show(&load(&file)?, format),
@@ -184,10 +184,10 @@
     let journal = Journal::open(&settlement.journal, key)
         .map_err(|e| CommandError::CouldNotRun(format!("{}: {e}", settlement.journal.display())))?;
     let mut allocator = restore_allocator(&budgets.plan, settlement, &journal)?;
-    let mut by_hand = Adjustments::new(settlement);
-    let changes = by_hand.read()?;
+    let mut adjustments = Adjustments::new(settlement);
+    let changes = adjustments.read()?;
     let (plan, extra) = adjusted(&budgets.plan, changes);
-    allocator.replan(plan, extra);
+    allocator.set_plan(plan, extra);
     Sums::new(settlement).read(&mut allocator);
     let account_summaries = allocator.account_summaries(now());
     match format {
--- a/crates/daemon/src/overload.rs
+++ b/crates/daemon/src/overload.rs
@@ -1,4 +1,5 @@
-//! `chalkyard rehearse overload`: many routers, as processes with faults on the links between them, or as cores in fed time.
+//! `chalkyard rehearse overload`: many routers, either as processes with faults on the links between them, or as cores in
+//! simulated time.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,38 +10,39 @@
 use crate::rehearse::RULE_BROKEN;
 use crate::{CommandError, Format};
 
-/// Routers, if not told otherwise: what four cores carry as processes beside the stand-ins.
-const ROUTERS: usize = 24;
-const SECONDS: u64 = 40;
+/// Default number of routers: as many processes as four cores can run beside the simulated engines and clients.
+const DEFAULT_ROUTERS: usize = 24;
+const DEFAULT_SECONDS: u64 = 40;
 
-/// What goes with `rehearse overload` alone.
+/// Arguments of `rehearse overload`; some of them also apply to `rehearse soak`.
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
-    /// Of `rehearse overload`: the case, or several at once as `one+other`; all of them one after the other, if not given.
+    /// For `rehearse overload`: the case, or several combined as `one+other`; if not given, all cases in sequence.
     #[arg(long)]
     case: Option<String>,
-    /// Of `rehearse overload` and `rehearse soak`: so many seeds, from `--seed` on.
+    /// For `rehearse overload` and `rehearse soak`: number of seeds to run, starting at `--seed`.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=1_000))]
     pub seeds: Option<u64>,
-    /// Of `rehearse overload` and `rehearse soak`: how many routers.
+    /// For `rehearse overload` and `rehearse soak`: number of routers.
     #[arg(long, value_parser = clap::value_parser!(u64).range(2..=400))]
     pub routers: Option<u64>,
-    /// Of `rehearse overload`: another build of this program, which plays the same days beside this one; of `rehearse
-    /// soak`: the build whose routers are played instead of this one's.
+    /// For `rehearse overload`: another build of this program that runs the same days for comparison; for `rehearse
+    /// soak`: the build whose routers run instead of this one's.
     #[arg(long, value_name = "PATH")]
     pub exe: Option<PathBuf>,
-    /// Of `rehearse overload`: cores in fed time instead of processes: the same result every time, and no sockets.
+    /// For `rehearse overload`: router cores in simulated time instead of processes; deterministic and without
+    /// sockets.
     #[arg(long)]
     fed: bool,
 }
 
 impl Arguments {
-    /// Whether any was given that no soak has.
+    /// Returns whether an argument was given that `rehearse soak` does not accept.
     pub fn is_given_for_overload(&self) -> bool {
         self.fed || self.case.is_some()
     }
 
-    /// Whether any was given.
+    /// Returns whether any argument was given.
     pub fn is_given(&self) -> bool {
         self.fed
             || self.case.is_some()
@@ -57,8 +59,8 @@
             "--exe plays processes; in fed time there is this build alone".into(),
         ));
     }
-    let routers = arguments.routers.map_or(ROUTERS, |n| n as usize);
-    let seconds = plan.seconds.unwrap_or(SECONDS);
+    let routers = arguments.routers.map_or(DEFAULT_ROUTERS, |n| n as usize);
+    let seconds = plan.seconds.unwrap_or(DEFAULT_SECONDS);
     let names: Vec<String> = match &arguments.case {
         Some(name) => vec![name.clone()],
         None => CASES.iter().map(|c| c.name.to_owned()).collect(),
@@ -67,7 +69,7 @@
     for name in names {
         for seed in plan.seed..plan.seed + arguments.seeds.unwrap_or(1) {
             let scenario = case(&name, seed, routers, seconds).map_err(CommandError::BadInput)?;
-            // Processes take the machine's clock.
+            // Processes use the machine's clock, so clock skew needs simulated time.
             if !arguments.fed && scenario.clock_skew > 0 {
                 if arguments.case.is_some() {
                     return Err(CommandError::BadInput(format!(
--- a/crates/router/tests/serialized_output.rs
+++ b/crates/router/tests/serialized_output.rs
@@ -1,5 +1,5 @@
-//! What logs, `status` and the control socket hold of this crate's types: names, order and forms of every field and
-//! variant. `losses` and operators' own tools read them, so they outlast the Rust names.
+//! The serialized form of this crate's types in logs, in `status` and on the control socket: the names, order and format of
+//! every field and variant. `losses` and operators' tools read them, so they must not change with the Rust names.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use chalkyard_policy::{AttemptKind, LoadReport, RejectionReason};
@@ -10,26 +10,26 @@
     serde_json::to_string(value).unwrap()
 }
 
-/// The names that a list of variants is written as.
+/// The serialized names of a list of variants.
 fn names<T: Serialize>(variants: &[T]) -> Vec<String> {
     variants.iter().map(|v| serde_json::to_value(v).unwrap().as_str().unwrap().to_owned()).collect()
 }
 
-const ENDED: [Ended; 10] = [
-    Ended::Served,
-    Ended::Rejected,
-    Ended::Failed,
-    Ended::Broken,
-    Ended::ClientGone,
-    Ended::ClientSlow,
-    Ended::Stopped,
-    Ended::Migrated,
-    Ended::RejectedAtIntake,
-    Ended::Overdue,
+const ENDED: [RequestOutcome; 10] = [
+    RequestOutcome::Served,
+    RequestOutcome::Rejected,
+    RequestOutcome::Failed,
+    RequestOutcome::Broken,
+    RequestOutcome::ClientGone,
+    RequestOutcome::ClientSlow,
+    RequestOutcome::Stopped,
+    RequestOutcome::Migrated,
+    RequestOutcome::RejectedAtIntake,
+    RequestOutcome::Overdue,
 ];
 
 #[test]
-fn each_end_of_a_request_is_written_and_counted_by_its_name() {
+fn every_end_of_a_request_is_serialized_and_counted_by_its_name() {
     let written = names(&ENDED);
     assert_eq!(
         written,
@@ -46,37 +46,37 @@
             "overdue"
         ]
     );
-    assert_eq!(ENDED.map(Ended::name).to_vec(), written);
-    for (place, ended) in ENDED.iter().enumerate() {
-        // Exhaustive: a new one belongs into the list.
+    assert_eq!(ENDED.map(RequestOutcome::name).to_vec(), written);
+    for (index, ended) in ENDED.iter().enumerate() {
+        // An exhaustive match: a new variant must be added to the list.
         let expected = match ended {
-            Ended::Served => 0,
-            Ended::Rejected => 1,
-            Ended::Failed => 2,
-            Ended::Broken => 3,
-            Ended::ClientGone => 4,
-            Ended::ClientSlow => 5,
-            Ended::Stopped => 6,
-            Ended::Migrated => 7,
-            Ended::RejectedAtIntake => 8,
-            Ended::Overdue => 9,
+            RequestOutcome::Served => 0,
+            RequestOutcome::Rejected => 1,
+            RequestOutcome::Failed => 2,
+            RequestOutcome::Broken => 3,
+            RequestOutcome::ClientGone => 4,
+            RequestOutcome::ClientSlow => 5,
+            RequestOutcome::Stopped => 6,
+            RequestOutcome::Migrated => 7,
+            RequestOutcome::RejectedAtIntake => 8,
+            RequestOutcome::Overdue => 9,
         };
-        assert_eq!((place, *ended as usize), (expected, expected));
+        assert_eq!((index, *ended as usize), (expected, expected));
     }
 }
 
-const CHANGES: [Change; 7] = [
-    Change::AttemptEnded,
-    Change::ReleasedDuringAttempt,
-    Change::ReleaseRepeated,
-    Change::ReleaseProven,
-    Change::ReleaseUnproven,
-    Change::Denied,
-    Change::Violation,
+const CHANGES: [TransitionKind; 7] = [
+    TransitionKind::AttemptEnded,
+    TransitionKind::ReleasedDuringAttempt,
+    TransitionKind::ReleaseRepeated,
+    TransitionKind::ReleaseProven,
+    TransitionKind::ReleaseUnproven,
+    TransitionKind::Denied,
+    TransitionKind::Violation,
 ];
 
 #[test]
-fn each_change_of_a_request_is_written_by_its_name() {
+fn every_change_of_a_request_is_serialized_by_its_name() {
     assert_eq!(
         names(&CHANGES),
         [
@@ -89,17 +89,17 @@
             "violation"
         ]
     );
-    for (place, change) in CHANGES.iter().enumerate() {
+    for (index, change) in CHANGES.iter().enumerate() {
         let expected = match change {
-            Change::AttemptEnded => 0,
-            Change::ReleasedDuringAttempt => 1,
-            Change::ReleaseRepeated => 2,
-            Change::ReleaseProven => 3,
-            Change::ReleaseUnproven => 4,
-            Change::Denied => 5,
-            Change::Violation => 6,
+            TransitionKind::AttemptEnded => 0,
+            TransitionKind::ReleasedDuringAttempt => 1,
+            TransitionKind::ReleaseRepeated => 2,
+            TransitionKind::ReleaseProven => 3,
+            TransitionKind::ReleaseUnproven => 4,
+            TransitionKind::Denied => 5,
+            TransitionKind::Violation => 6,
         };
-        assert_eq!((place, *change as usize), (expected, expected));
+        assert_eq!((index, *change as usize), (expected, expected));
     }
 }
 
@@ -107,18 +107,18 @@
     [Violation::AnswerOverdue, Violation::EffectUnproven, Violation::ReservationOverdue];
 
 #[test]
-fn each_violation_is_written_and_counted_by_its_name() {
+fn every_violation_is_serialized_and_counted_by_its_name() {
     let written = names(&VIOLATIONS);
     assert_eq!(written, ["answer_overdue", "effect_unproven", "held_overdue"]);
     assert_eq!(VIOLATIONS.map(Violation::name).to_vec(), written);
     assert!(VIOLATIONS.is_sorted());
-    for (place, violation) in VIOLATIONS.iter().enumerate() {
+    for (index, violation) in VIOLATIONS.iter().enumerate() {
         let expected = match violation {
             Violation::AnswerOverdue => 0,
             Violation::EffectUnproven => 1,
             Violation::ReservationOverdue => 2,
         };
-        assert_eq!((place, *violation as usize), (expected, expected));
+        assert_eq!((index, *violation as usize), (expected, expected));
     }
 }
 
@@ -136,7 +136,12 @@
 }
 
 fn report() -> LoadReport {
-    LoadReport { queued: Some(1.0), slots_used: Some(0.5), kv_used: None, waiting_tokens: Some(9.0) }
+    LoadReport {
+        queued_requests: Some(1.0),
+        slot_utilization: Some(0.5),
+        kv_utilization: None,
+        waiting_tokens: Some(9.0),
+    }
 }
 
 const FULL_ATTEMPT: &str = concat!(
@@ -145,7 +150,7 @@
 );
 
 #[test]
-fn an_attempt_is_written_with_what_was_known_of_its_worker() {
+fn an_attempt_is_serialized_with_the_load_report_of_its_worker() {
     assert_eq!(json(&attempt(AttemptKind::Probe, Some(report()))), FULL_ATTEMPT);
     for (kind, written) in
         [(AttemptKind::Normal, "usual"), (AttemptKind::SlowStart, "cold"), (AttemptKind::Probe, "trial")]
@@ -157,8 +162,8 @@
 }
 
 #[test]
-fn a_finished_request_is_written_with_every_field() {
-    let finished = Finished {
+fn a_finished_request_is_serialized_with_every_field() {
+    let finished = RequestRecord {
         id: "r1-1".into(),
         class: "help".into(),
         came_back: true,
@@ -166,7 +171,7 @@
         identity: Some("k1".into()),
         session: Some("s1".into()),
         prefix: Some("p1".into()),
-        ended: Ended::Rejected,
+        ended: RequestOutcome::Rejected,
         rejection_reason: Some(RejectionReason::MayHaveRun),
         phase: "waiting",
         list_age_us: Some(4),
@@ -184,7 +189,7 @@
     let head = r#"{"id":"r1-1","class":"help","came_back":true,"tenant":"nord","identity":"k1","session":"s1","prefix":"p1","ended":"refused","why":"may_have_run","phase":"waiting","list_age_us":4,"open":5,"reason":"not taken now","attempts":["#;
     let tail = r#"],"arrived_us":6,"first_token_us":7,"total_us":8,"estimated_tokens":9,"prompt_tokens":10,"kept_tokens":11,"output_tokens":12}"#;
     assert_eq!(json(&finished), format!("{head}{FULL_ATTEMPT}{tail}"));
-    let bare = Finished {
+    let without_options = RequestRecord {
         tenant: None,
         identity: None,
         session: None,
@@ -196,14 +201,14 @@
         ..finished
     };
     let none = r#"{"id":"r1-1","class":"help","came_back":true,"tenant":null,"identity":null,"session":null,"prefix":null,"ended":"refused","why":null,"phase":"waiting","list_age_us":null,"open":5,"reason":"not taken now","attempts":[],"arrived_us":6,"first_token_us":null,"total_us":8,"estimated_tokens":9,"prompt_tokens":10,"kept_tokens":11,"output_tokens":12}"#;
-    assert_eq!(json(&bare), none);
+    assert_eq!(json(&without_options), none);
 }
 
 #[test]
-fn a_transition_is_written_with_every_field() {
+fn a_transition_is_serialized_with_every_field() {
     let transition = Transition {
         id: "r1-1".into(),
-        change: Change::Denied,
+        change: TransitionKind::Denied,
         cause: "past_deadline",
         attempt: Some(1),
         worker: Some("w1".into()),
@@ -221,7 +226,7 @@
 const TALLY: &str = r#"{"second":1,"first":2,"pulls":3,"again_safe":4,"again_ran":5,"trials":6,"cold":7,"connects":8,"list_calls":9,"list_news":10,"releases":11,"unheard":12,"moved":13,"open":14}"#;
 
 #[test]
-fn the_counts_of_a_second_are_written_and_read_back_by_their_names() {
+fn the_counts_of_a_second_round_trip_by_their_names() {
     let tally = Tally {
         second: 1,
         first: 2,
@@ -243,11 +248,11 @@
 }
 
 #[test]
-fn counters_since_the_start_are_written_by_cause() {
-    let counts = |name: &'static str, n: u64| ByCause::from([(name, n)]);
+fn counters_are_serialized_by_cause() {
+    let counts = |name: &'static str, n: u64| CountsByCause::from([(name, n)]);
     let counters = Counters {
         requests: 1,
-        answers: ByCause::from([("served", 3), ("refused", 2)]),
+        answers: CountsByCause::from([("served", 3), ("refused", 2)]),
         given_up: counts("late", 4),
         prefills: counts("parsed", 5),
         decodes: counts("no_state", 6),
@@ -264,8 +269,8 @@
 }
 
 #[test]
-fn what_operators_ask_for_is_written_with_every_field() {
-    let counts = Counts {
+fn operator_views_are_serialized_with_every_field() {
+    let counts = CoreStatus {
         open_requests: 1,
         clients: 2,
         engines: 3,
@@ -280,7 +285,7 @@
         json(&counts),
         r#"{"open_requests":1,"clients":2,"engines":3,"connections":4,"draining":true,"has_list":false,"register":true,"identities":5,"lease":[6,7]}"#
     );
-    let engines = Listed {
+    let workers = BoundedList {
         items: vec![WorkerView {
             id: "m1".into(),
             address: "127.0.0.1:1".into(),
@@ -293,7 +298,7 @@
         more: 4,
     };
     assert_eq!(
-        json(&engines),
+        json(&workers),
         r#"{"items":[{"id":"m1","address":"127.0.0.1:1","role":"mixed","listed":true,"connections":1,"idle":2,"attempts":3}],"more":4}"#
     );
     let open = OpenRequest {
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! `<bounds>` and `<waits>`: limits on sizes and on time.
+//! `<bounds>` and `<waits>`: size limits and timeouts.
 
 use chalkyard_policy::Micros;
 use chalkyard_router::{Bounds, Timeouts};
@@ -21,13 +21,13 @@
     bounds.client.body_bytes = size("body-bytes", bounds.client.body_bytes as usize, 1_024) as u64;
     bounds.client.chunk_bytes = size("chunk-bytes", bounds.client.chunk_bytes as usize, 1_024) as u64;
     bounds.client.pipelined_bytes = size("pipelined-bytes", bounds.client.pipelined_bytes, 1_024);
-    bounds.engine.head_bytes = bounds.client.head_bytes;
+    bounds.worker.head_bytes = bounds.client.head_bytes;
     bounds.event_bytes = size("event-bytes", bounds.event_bytes, 1_024);
     bounds.answer_bytes = size("answer-bytes", bounds.answer_bytes, 1_024);
     bounds.clients = size("clients", bounds.clients, 1);
-    bounds.open = size("open", bounds.open, 1);
-    bounds.engine_connections = size("engine-connections", bounds.engine_connections, 1);
-    bounds.engine_idle = size("engine-idle", bounds.engine_idle, 0);
+    bounds.open_requests = size("open", bounds.open_requests, 1);
+    bounds.connections_per_worker = size("engine-connections", bounds.connections_per_worker, 1);
+    bounds.idle_per_worker = size("engine-idle", bounds.idle_per_worker, 0);
     bounds.client_buffer = size("client-buffer", bounds.client_buffer, 4_096);
     bounds.workers = size("workers", bounds.workers, 1);
     bounds.identities = size("identities", bounds.identities, 1);
@@ -40,26 +40,26 @@
 
 /// Reads `<waits>`.
 pub fn timeouts(element: &mut Element<'_, '_>, errors: &mut Errors) -> Timeouts {
-    let mut waits = Timeouts::default();
+    let mut timeouts = Timeouts::default();
     let mut span = |name: &'static str, value: &mut Micros| {
         *value = element.with_default(name, TimeSpan(*value), errors).0;
         if *value < Micros(1_000) {
             element.report(Some(name), format!("{name} must be at least 1ms"), errors);
         }
     };
-    span("head", &mut waits.head);
-    span("idle", &mut waits.idle);
-    span("engine-idle", &mut waits.engine_idle);
-    span("connect", &mut waits.connect);
-    span("stream", &mut waits.stream);
-    span("slow-client", &mut waits.slow_client);
-    span("register", &mut waits.discovery);
-    span("reply-margin", &mut waits.reply_margin);
-    span("identity", &mut waits.identity);
-    // The same limit before a client's first request as between its requests.
-    waits.first = waits.idle;
-    // Release calls are small: engines answer them as fast as they accept a connection.
-    waits.release = waits.connect;
+    span("head", &mut timeouts.request);
+    span("idle", &mut timeouts.idle);
+    span("engine-idle", &mut timeouts.worker_idle);
+    span("connect", &mut timeouts.connect);
+    span("stream", &mut timeouts.stream);
+    span("slow-client", &mut timeouts.slow_client);
+    span("register", &mut timeouts.discovery);
+    span("reply-margin", &mut timeouts.reply_margin);
+    span("identity", &mut timeouts.identity);
+    // A connection may stay idle as long before its first request as between requests.
+    timeouts.first_request = timeouts.idle;
+    // Release calls are small: engines answer them as quickly as they accept a connection.
+    timeouts.release = timeouts.connect;
     element.finish(errors);
-    waits
+    timeouts
 }
--- a/crates/settings/tests/stored_settings.rs
+++ b/crates/settings/tests/stored_settings.rs
@@ -1,11 +1,11 @@
-//! A settings file with every element and attribute, and what each is read as. Operators keep such files: a name or a
-//! form that moves is a router that does not start, or starts otherwise.
+//! Reads a settings file with every element and attribute and checks each value. Guards operators' existing files: a
+//! changed name or format would keep a router from starting, or change its settings.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, missing_docs)]
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-use chalkyard_budget::{AtHard, AtSoft, Calendar, Mode, PeriodKind, Price, Units};
+use chalkyard_budget::{Calendar, HardLimitAction, Mode, PeriodKind, Price, SoftLimitAction, Units};
 use chalkyard_policy::{
     Class, DeduplicationScope, Discovery, LoadReporting, Micros, RetrySafety, Role, Settings as Policy,
     Tenant, ZoneId,
@@ -73,16 +73,16 @@
     let settings = stored();
     assert_eq!(settings.listen, "127.0.0.1:8400".parse().unwrap());
     assert!(settings.shared_port);
-    assert_eq!(settings.list_file, Some(PathBuf::from("list.json")));
+    assert_eq!(settings.endpoint_list_file, Some(PathBuf::from("list.json")));
     assert_eq!(settings.control, Some(PathBuf::from("r7.sock")));
-    assert_eq!(settings.drain_for, Duration::from_millis(1_500));
+    assert_eq!(settings.drain_timeout, Duration::from_millis(1_500));
     let config = settings.config;
     assert_eq!((config.name.as_str(), config.discovery), ("r7", Some("127.0.0.1:9000".parse().unwrap())));
     assert!(config.dialect.is_none());
 }
 
 #[test]
-fn names_and_keys_are_read_in_their_order() {
+fn names_and_keys_are_read_in_file_order() {
     let config = stored().config;
     let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(classes, ["free", "cellular", "zonal", "everywhere", "once", "later"]);
@@ -102,31 +102,34 @@
 }
 
 #[test]
-fn bounds_are_read_and_those_of_engines_follow() {
+fn bounds_are_read_and_those_of_engines_are_derived() {
     let b = stored().config.bounds;
     let c = b.client;
     assert_eq!((c.start_line_bytes, c.head_bytes, c.body_bytes), (1_001, 2_002, 3_003));
-    assert_eq!((c.chunk_bytes, c.pipelined_bytes, c.chunk_extras), (4_004, 5_005, false));
-    assert_eq!((b.engine.head_bytes, b.engine.body_bytes), (2_002, 256 * 1024 * 1024));
-    assert_eq!((b.event_bytes, b.answer_bytes, b.clients, b.open), (6_006, 7_007, 8, 9));
-    assert_eq!((b.engine_connections, b.engine_idle, b.client_buffer), (10, 11, 12_012));
+    assert_eq!((c.chunk_bytes, c.pipelined_bytes, c.allow_chunk_extensions), (4_004, 5_005, false));
+    assert_eq!((b.worker.head_bytes, b.worker.body_bytes), (2_002, 256 * 1024 * 1024));
+    assert_eq!((b.event_bytes, b.answer_bytes, b.clients, b.open_requests), (6_006, 7_007, 8, 9));
+    assert_eq!((b.connections_per_worker, b.idle_per_worker, b.client_buffer), (10, 11, 12_012));
     assert_eq!((b.workers, b.identities), (13, 14));
     assert_eq!((b.call.messages, b.call.prompt_tokens, b.call.max_tokens), (15, 16, 17));
-    assert_eq!((b.evict, b.bodies, b.links), (false, u64::MAX, usize::MAX));
+    assert_eq!((b.evict_clients, b.pending_body_bytes, b.worker_connections), (false, u64::MAX, usize::MAX));
 }
 
 #[test]
-fn waits_are_read_and_those_without_an_attribute_follow() {
+fn timeouts_are_read_and_those_without_an_attribute_are_derived() {
     let w = stored().config.timeouts;
-    assert_eq!([w.head, w.idle, w.engine_idle, w.connect], [1_000, 2_000, 3_000, 4_000].map(ms));
+    assert_eq!([w.request, w.idle, w.worker_idle, w.connect], [1_000, 2_000, 3_000, 4_000].map(ms));
     assert_eq!([w.stream, w.slow_client, w.discovery], [5_000, 6_000, 7_000].map(ms));
     assert_eq!([w.reply_margin, w.identity], [8_000, 9_000].map(ms));
-    assert_eq!([w.first, w.release, w.drain_grace, w.discovery_probe], [2_000, 4_000, 500, 250].map(ms));
+    assert_eq!(
+        [w.first_request, w.release, w.drain_grace, w.discovery_probe],
+        [2_000, 4_000, 500, 250].map(ms)
+    );
     assert_eq!(w.migration, None);
 }
 
 #[test]
-fn engines_are_a_list_as_the_register_would_send_it() {
+fn engines_are_read_as_an_endpoint_list() {
     let engines: serde_json::Value = serde_json::from_str(&stored().engines.unwrap()).unwrap();
     assert_eq!(
         engines,
@@ -153,7 +156,7 @@
             (key.to_string(), key.kind, l.hard, l.soft, l.at_soft.clone(), l.at_hard, l.marks.clone())
         })
         .collect();
-    let lower = AtSoft::Lower("later".into());
+    let lower = SoftLimitAction::Lower("later".into());
     assert_eq!(
         limits,
         [
@@ -162,8 +165,8 @@
                 PeriodKind::Day,
                 Units::tokens(2_000),
                 900,
-                AtSoft::Clamp(64),
-                AtHard::Refuse,
+                SoftLimitAction::Clamp(64),
+                HardLimitAction::Refuse,
                 vec![]
             ),
             (
@@ -172,7 +175,7 @@
                 Units::tokens(1_000),
                 800,
                 lower,
-                AtHard::Refuse,
+                HardLimitAction::Refuse,
                 vec![500, 950]
             ),
             (
@@ -180,8 +183,8 @@
                 PeriodKind::Hour,
                 Units::tokens(3_000),
                 1_000,
-                AtSoft::Warn,
-                AtHard::Clamp(32),
+                SoftLimitAction::Warn,
+                HardLimitAction::Clamp(32),
                 vec![]
             ),
         ]
@@ -205,13 +208,13 @@
 fn the_ledger_and_the_settlement_job_are_read() {
     let budgets = stored().budgets.unwrap();
     assert_eq!(budgets.ledger, PathBuf::from("state/r7"));
-    assert_eq!((budgets.sync, budgets.segment), (Duration::from_millis(20), 65_536));
-    assert_eq!(budgets.grants, Some(PathBuf::from("state/r7.grant")));
+    assert_eq!((budgets.sync_interval, budgets.segment_bytes), (Duration::from_millis(20), 65_536));
+    assert_eq!(budgets.grants_file, Some(PathBuf::from("state/r7.grant")));
     assert_eq!(budgets.key_file, Some(PathBuf::from("lease.key")));
     let settlement = budgets.settlement.unwrap();
     assert_eq!(settlement.journal, PathBuf::from("state/journal"));
     let t = settlement.terms;
-    assert_eq!((t.epoch, t.lease, t.clock_error, t.even), (500_000, 6_000_000, 100_000, 5));
+    assert_eq!((t.epoch, t.lease, t.clock_error, t.even_share_divisor), (500_000, 6_000_000, 100_000, 5));
     assert_eq!(
         settlement.routers,
         [("r7".to_owned(), PathBuf::from("state/r7")), ("r8".to_owned(), PathBuf::from("state/r8"))]
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn what_a_file_leaves_out_has_its_default() {
+fn omitted_attributes_have_their_defaults() {
     let zeros = "0".repeat(64);
     let settings = read(&format!(
         r#"<chalkyard xmlns="urn:chalkyard:settings:1">
@@ -232,8 +235,8 @@
 </chalkyard>"#
     ))
     .unwrap();
-    assert_eq!((settings.shared_port, settings.drain_for), (false, Duration::from_secs(20)));
-    assert_eq!((&settings.list_file, &settings.control, &settings.engines), (&None, &None, &None));
+    assert_eq!((settings.shared_port, settings.drain_timeout), (false, Duration::from_secs(20)));
+    assert_eq!((&settings.endpoint_list_file, &settings.control, &settings.engines), (&None, &None, &None));
     let p = settings.config.policy;
     assert_eq!((p.routers, p.discovery, p.self_prefill, p.resume), (1, Discovery::Push, true, false));
     assert_eq!(
@@ -250,10 +253,10 @@
         [2_000, 10_000, 100, 2].map(ms)
     );
     let budgets = settings.budgets.unwrap();
-    assert_eq!((budgets.sync, budgets.segment), (Duration::from_millis(50), 64 * 1024 * 1024));
+    assert_eq!((budgets.sync_interval, budgets.segment_bytes), (Duration::from_millis(50), 64 * 1024 * 1024));
     let plan = budgets.plan;
     assert_eq!((plan.margin, plan.mode), (100, Mode::Shares(1)));
     assert_eq!((plan.weights.prompt, plan.weights.cached, plan.weights.output), (1_000, 1_000, 1_000));
     let t = budgets.settlement.unwrap().terms;
-    assert_eq!((t.epoch, t.lease, t.clock_error, t.even), (1_000_000, 10_000_000, 250_000, 4));
+    assert_eq!((t.epoch, t.lease, t.clock_error, t.even_share_divisor), (1_000_000, 10_000_000, 250_000, 4));
 }
